--- a/internal/core/gang.go
+++ b/internal/core/gang.go
@@ -122,7 +122,7 @@
 	d        *draft
 	j        *Job
 	at       placement      // of the job, in the draft
-	zones    map[string]int // its booked tasks by zone, for jobs bound by zones
+	zones    map[string]int // its booked tasks by zone, as far as its other tasks depend on them
 	machines []inv
 	claims   map[string]claim
 }
@@ -146,9 +146,9 @@
 func (p *picker) chooseIn(zone string) []pick {
 	c, d, j, sp := p.c, p.d, p.j, p.j.H.Spec
 	var picks []pick
-	used, byZone := map[string]Res{}, maps.Clone(p.zones)
+	used, byZone, spread := map[string]Res{}, maps.Clone(p.zones), spreadOverZones(sp)
 	fits := func(m inv) bool {
-		if zone != "" && m.zone != zone || sp.Spread && byZone[m.zone] >= mostPerZone(sp) {
+		if zone != "" && m.zone != zone || spread && byZone[m.zone] >= mostPerZone(sp) {
 			return false
 		}
 		f := c.flavor(m.typ)
@@ -177,7 +177,7 @@
 		m := room[k]
 		picks = append(picks, pick{i, m})
 		used[m.name] = used[m.name].Plus(sp.Need, 1)
-		if sp.Spread {
+		if spread {
 			byZone[m.zone]++
 		}
 	}
@@ -209,10 +209,7 @@
 	if sp.Shape == Gang && at.queued < sp.N {
 		return true // booked in this draft, or some of the old attempt are not proven off yet
 	}
-	p := &picker{c, d, j, at, nil, machines, claims}
-	if zoneBound(sp) {
-		p.zones = c.bookedZones(j, d)
-	}
+	p := &picker{c, d, j, at, c.bindingZones(j, d), machines, claims}
 	picks := p.choose()
 	if sp.Shape == Gang {
 		return len(picks) < sp.N || c.bookGang(d, j, picks, pass)
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -8,6 +8,18 @@
 // zoneBound tells whether a task's place depends on where the job's other tasks are.
 func zoneBound(sp *Spec) bool { return sp.N > 1 && (sp.OneZone || sp.Spread) }
 
+// spreadOverZones tells whether each zone takes only a part of the job's tasks.
+func spreadOverZones(sp *Spec) bool { return zoneBound(sp) && sp.Spread }
+
+// bindingZones counts a job's booked tasks by zone as the draft would leave them. The map
+// is empty, never nil, for a job whose tasks don't depend on each other's zones.
+func (c *Core) bindingZones(j *Job, d *draft) map[string]int {
+	if !zoneBound(j.H.Spec) {
+		return map[string]int{}
+	}
+	return c.bookedZones(j, d)
+}
+
 // zoneAllowance is how many further tasks of a job may go to each zone; nil: any number
 // to any. Room in a zone that the job can't use is no room for it: counted as such, it
 // kept the leader from renting where the job could have run, for ever.
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -76,7 +76,7 @@
 //	next value=N ops=N               (limits to come, as the settings name them)
 //	zones                            (controllers lie in zones, which a cut can part)
 //	rates                            (changes and requests a second are limited)
-//	at T submit ID SHAPE N TEAM [run=S] [gpu=N] [cpu=N] [prio=N] [due=S] [spot] [onezone] [spread] [zone=Z] [ckpt=S] [awaits=ID,ID] [mistake]
+//	at T submit ID SHAPE N TEAM [run=S] [gpu=N] [cpu=N] [prio=N] [due=S] [spot] [onezone] [spread] [zone=Z] [types=T,T] [ckpt=S] [awaits=ID,ID] [mistake]
 //	at T upgrade NODE back=S         (ends and comes back as the new version)
 //	at T limits                      (the limits to come hold from now on)
 //	at T cancel ID
@@ -295,6 +295,10 @@
 	if l := opt["awaits"]; l != "" {
 		needs = strings.Split(l, ",")
 	}
+	var types []string
+	if l := opt["types"]; l != "" {
+		types = strings.Split(l, ",")
+	}
 	_, spot := opt["spot"]
 	_, oneZone := opt["onezone"]
 	_, spread := opt["spread"]
@@ -303,7 +307,7 @@
 		Needs: needs, Due: num("due", 0),
 		ID: f[1], Class: "c", Team: f[4], Shape: core.Shape(f[2]), Prio: int(num("prio", 1)), N: n,
 		Need: core.Res{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Mem: 4000},
-		Spot: spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], Image: "img", ImageGB: 1, Est: num("run", 20), Ckpt: num("ckpt", 0), Save: 2,
+		Spot: spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], Types: types, Image: "img", ImageGB: 1, Est: num("run", 20), Ckpt: num("ckpt", 0), Save: 2,
 	}, dur("run", 20))
 	w.jobs[f[1]].mistake = mistake
 	return nil
--- /dev/null
+++ b/internal/standin/shapes_test.go
@@ -0,0 +1,51 @@
+package standin
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"brassglade/internal/core"
+)
+
+// TestEveryShapeAndFlag: a job of each shape, of one task and of several, runs under each
+// flag that bears on its place, with and without checkpoints and a deadline. A job of one
+// task that was to be spread over zones ended every controller in turn, since the leader
+// counted its tasks in a map that only jobs of several tasks had.
+func TestEveryShapeAndFlag(t *testing.T) {
+	flags := []string{"", "spread", "onezone", "spot", "zone=b", "types=box", "spot spread", "spot onezone", "zone=b spread", "zone=b onezone"}
+	// Several tasks that must be in one zone, at most half of them in each: no place has room.
+	impossible := func(tasks int, flag string) bool { return tasks > 1 && flag == "zone=b spread" }
+	for _, shape := range []core.Shape{core.Array, core.Gang, core.Service} {
+		for _, tasks := range []int{1, 3} {
+			for _, flag := range flags {
+				if impossible(tasks, flag) {
+					continue
+				}
+				for _, progress := range []string{"", "ckpt=5 due=120"} {
+					job := strings.Join(strings.Fields(fmt.Sprintf("%s %d blue run=10 gpu=1 %s %s", shape, tasks, flag, progress)), " ")
+					t.Run(job, func(t *testing.T) {
+						t.Parallel()
+						expectAllTasksRun(t, job, tasks)
+					})
+				}
+			}
+		}
+	}
+}
+
+// expectAllTasksRun plays a day with one job and requires that each
+// of the job's tasks ran, that a job with an end came to it, and that no rule was broken.
+func expectAllTasksRun(t *testing.T, job string, tasks int) {
+	t.Helper()
+	w, err := Play("seed 7\nat 1 submit job-000001 " + job + "\nuntil 100\n")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if runs := w.firstRuns("job-000001"); len(runs) != tasks {
+		t.Errorf("%d of %d tasks ran", len(runs), tasks)
+	}
+	if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
+		t.Errorf("broken %v, unfinished %v", w.Broken, w.Unfinished())
+	}
+}
