--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: test build
+.PHONY: test build digest
 build:
 	sh -c "$$(sed -n 's/^build = "\(.*\)"$$/\1/p' deploy/service.toml)"
 test: build
@@ -9,3 +9,8 @@
 	@red=$$(.ci/known-red) || exit 1; set -x; \
 	go test -race -timeout 60m $${red:+-skip "^($$red)\$$"} ./... && \
 	go test -run Fleet $${red:+-skip "^($$red)\$$"} ./internal/standin
+# Digests of all that leaves the cores on fixed days. A change that is to leave behaviour
+# alone prints the same as the commit before it; SHARE=8 plays one day in eight.
+SHARE = 1
+digest:
+	@go test ./internal/standin -run '^$$' -bench '^BenchmarkDigest$$' -benchtime 1x -digest.share $(SHARE) | grep ^digest
--- /dev/null
+++ b/internal/standin/digest_test.go
@@ -0,0 +1,223 @@
+package standin
+
+import (
+	"crypto/sha256"
+	"errors"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"brassglade/internal/core"
+)
+
+// This file compares two commits: `make digest` prints, for each kind of day, a digest of
+// all that leaves the cores. A change that is to leave behaviour alone repeats them to the
+// byte. They are stored nowhere, since changes of behaviour are allowed to change them.
+
+// digest sums up what leaves the cores of one day: transactions with keys, conditions and
+// values, commands, answers, messages to peers and cloud requests, in order, each with its
+// time and sender. Log lines don't count. It spells out the fields, so that renamed types
+// leave it as it is.
+type digest struct {
+	sum     hash.Hash
+	effects int
+}
+
+func newDigest() *digest { return &digest{sum: sha256.New()} }
+
+func (d *digest) add(n *node, effect core.Effect) {
+	if _, isLog := effect.(core.EfLog); isLog {
+		return
+	}
+	d.effects++
+	fmt.Fprintf(d.sum, "%d %s ", n.w.Now, n.name)
+	switch e := effect.(type) {
+	case core.EfConfirm:
+		d.line("confirm", e.Key, e.Stamp)
+	case core.EfCommit:
+		d.transaction(e)
+	case core.EfRead:
+		d.line("read", e.ID, e.Keys)
+	case core.EfGrant:
+		d.line("grant", int64(e.Life))
+	case core.EfRenew:
+		d.line("renew", e.Permit)
+	case core.EfCheckin:
+		d.line("answer", e.Req, e.Status, e.Owner, e.Baton, len(e.Orders))
+		d.commands(e.Orders)
+	case core.EfDirect:
+		d.line("direct", e.Machine, e.Addr, e.Baton, e.Shift, len(e.Orders))
+		d.commands(e.Orders)
+	case core.EfUser:
+		d.line("user", e.Req, e.Status, e.ID, e.State, e.Done, e.Running, e.Reason)
+	case core.EfFlavors:
+		d.line("types")
+	case core.EfList:
+		d.line("list")
+	case core.EfRent:
+		d.line("rent", e.Hire, e.Type, e.Zone, e.Spot, e.Count)
+	case core.EfReturn:
+		d.line("return", e.Names)
+	case core.EfPeer:
+		d.message(e)
+	default:
+		panic(fmt.Sprintf("effect %T is in no digest", effect))
+	}
+}
+
+func (d *digest) line(what string, fields ...any) {
+	fmt.Fprintf(d.sum, "%s %q\n", what, fmt.Sprintln(fields...))
+}
+
+func (d *digest) transaction(e core.EfCommit) {
+	d.line("commit", e.ID, e.Lane, len(e.T.When), len(e.T.Apply))
+	for _, c := range e.T.When {
+		d.line("if", c.Key, c.Stamp)
+	}
+	for _, a := range e.T.Apply {
+		d.line("put", a.Key, a.Value == nil, a.Permit, len(a.Value))
+		d.sum.Write(a.Value)
+	}
+}
+
+func (d *digest) commands(commands []core.Order) {
+	for _, c := range commands {
+		d.line("command", string(c.Verb), c.Task.Job, c.Task.I, c.Attempt, c.Leeway, string(c.Reason))
+	}
+}
+
+func (d *digest) message(e core.EfPeer) {
+	m := e.Msg
+	d.line("message", e.To, m.Epoch, m.Load, m.Usable, m.Holds, m.Evict, len(m.Machines))
+	for _, p := range m.Machines {
+		d.line("machine", p.Name, p.Addr, p.Type, p.Zone, p.Spot, p.Recall, p.Shift, p.Load, p.Images)
+	}
+	if s := m.Steal; s != nil {
+		d.line("steal", s.Type, s.Zone, s.Spot, s.Room.CPU, s.Room.GPU, s.Room.Mem, s.Most)
+	}
+}
+
+// digestShare lets a quick look play a part of the days: one in so many of each kind.
+var digestShare = flag.Uint64("digest.share", 1, "BenchmarkDigest plays one in so many of its days")
+
+// digestKind is a kind of day: played is one of them, to its end.
+type digestKind struct {
+	name   string
+	days   uint64
+	played func(seed uint64, d *digest) error
+}
+
+var digestKinds = []digestKind{
+	{"random", 60, scripted(func(seed uint64) string { return day(seed, "") })},
+	{"zones", 60, scripted(func(seed uint64) string { return zoneDay(300+seed, "") })},
+	{"zones across leaders", 15, scripted(func(seed uint64) string { return zoneAcross(rand.New(rand.NewPCG(seed, 71))) })},
+	{"meetings", 40, scripted(pairs)},
+	{"pipelines", 30, scripted(func(seed uint64) string {
+		var b strings.Builder
+		pipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
+		return day(seed, "") + b.String()
+	})},
+	{"old beside new", 40, scripted(func(seed uint64) string { return upgradeDay(seed, "") })},
+	{"guests", 4, fleetDay(withGuestDay)},
+	{"fleet restarts", 1, fleetDay(restartedFleet)},
+	{"fleet with a zone cut", 1, fleetDay(cutFleet)},
+}
+
+func scripted(script func(uint64) string) func(uint64, *digest) error {
+	return func(seed uint64, d *digest) error {
+		_, err := play(script(seed), d.add)
+		return err
+	}
+}
+
+func fleetDay(run func(seed uint64, d *digest)) func(uint64, *digest) error {
+	return func(seed uint64, d *digest) error {
+		run(seed, d)
+		return nil
+	}
+}
+
+// withGuestDay has an idle array of a guest beside jobs of teams with guarantees.
+func withGuestDay(seed uint64, d *digest) {
+	w := withGuest(seed, 4)
+	w.onEffect = d.add
+	w.after(time.Second, func() {
+		w.Submit(core.Spec{ID: "job-000001", Class: "x", Team: "guest", Shape: core.Array, Prio: 0, N: 150,
+			Need: core.Res{CPU: 2000, GPU: 1000, Mem: 4000}, Spot: true, Image: "img", ImageGB: 1, Est: 300, Ckpt: 20, Save: 2}, 300*time.Second)
+	})
+	w.feed(25, 4*time.Second)
+	w.Run(300 * time.Second)
+}
+
+// restartedFleet has 700 machines; all controllers end at once after an outage.
+func restartedFleet(_ uint64, d *digest) {
+	w := busyFleet(d)
+	w.Run(40 * time.Second)
+	w.st.outage(8 * time.Second)
+	w.Run(48 * time.Second)
+	for _, n := range w.nodes {
+		n.crash(3 * time.Second)
+	}
+	w.Run(90 * time.Second)
+}
+
+// cutFleet has 700 machines, one of whose zones is cut off with its controllers.
+func cutFleet(_ uint64, d *digest) {
+	w := busyFleet(d)
+	w.Run(40 * time.Second)
+	w.cutZone("b", "hold", 35*time.Second)
+	w.Run(110 * time.Second)
+}
+
+func busyFleet(d *digest) *World {
+	w := grown(5, 175, func(s *core.Settings) {
+		s.WriteRate, s.ReadRate = 30*0.92*1.4/5, 120*0.92/5
+		s.Lease, s.Cancel = 31*time.Second, 56*time.Second
+	})
+	w.onEffect = d.add
+	w.feed(120, time.Millisecond)
+	w.feed(200, 300*time.Millisecond)
+	return w
+}
+
+// BenchmarkDigest is a command, not a measurement: see `make digest`.
+func BenchmarkDigest(b *testing.B) {
+	for b.Loop() {
+		for _, kind := range digestKinds {
+			total, effects, err := kind.total()
+			if err != nil {
+				b.Fatal(err)
+			}
+			fmt.Printf("digest %x %8d effects: %s\n", total[:12], effects, kind.name)
+		}
+	}
+}
+
+// total plays all days of a kind, several at a time, and digests their digests in order.
+func (k digestKind) total() (total []byte, effects int, err error) {
+	days := (k.days + *digestShare - 1) / *digestShare
+	digests, errs := make([]*digest, days), make([]error, days)
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var playing sync.WaitGroup
+	for i := range digests {
+		playing.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			digests[i] = newDigest()
+			errs[i] = k.played(uint64(i+1), digests[i])
+		})
+	}
+	playing.Wait()
+	all := sha256.New()
+	for _, d := range digests {
+		all.Write(d.sum.Sum(nil))
+		effects += d.effects
+	}
+	return all.Sum(nil), effects, errors.Join(errs...)
+}
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -104,7 +104,10 @@
 //	at T odd for=S                   (submissions of what can't run or lacks a field, repeats, cancellations of what is done)
 //	blind                            (the checker takes no trouble for an excuse)
 //	until T
-func Play(script string) (*World, error) {
+func Play(script string) (*World, error) { return play(script, nil) }
+
+// play is Play with a look at all that leaves the cores.
+func play(script string, onEffect func(*node, core.Effect)) (*World, error) {
 	seed, set := uint64(1), Settings()
 	var until time.Duration
 	blind, old, opsNow, fill := false, false, 0, 5
@@ -153,7 +156,7 @@
 		}
 	}
 	w := newWorld(seed, set, opsNow, old)
-	w.blind, w.fill = blind, fill
+	w.blind, w.fill, w.onEffect = blind, fill, onEffect
 	w.Watchful()
 	for _, l := range ls {
 		w.after(l.at, func() {
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -71,6 +71,9 @@
 	leader            string                              // as the state service has it
 	room              map[string]map[string]time.Duration // since when a job waits beside room on a machine
 
+	// onEffect, if set, sees all that leaves the cores, as it leaves them.
+	onEffect func(*node, core.Effect)
+
 	// Benchmarks only: the processor time of the controllers' steps.
 	timed       bool
 	stepTime    time.Duration
@@ -435,6 +438,9 @@
 }
 
 func (n *node) carry(e core.Effect) {
+	if n.w.onEffect != nil {
+		n.w.onEffect(n, e)
+	}
 	w, back := n.w, n.back(n.gen)
 	switch x := e.(type) {
 	case core.EfCheckin:
