--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -16,8 +16,8 @@
 	if id != "job-000412" || s == nil {
 		t.Fatalf("id %q, spec %v", id, s)
 	}
-	if s.Shape != core.Gang || s.Prio != 2 || s.N != 16 || s.Need != (core.Res{CPU: 8000, GPU: 1000, Mem: 64000}) ||
-		!s.OneZone || s.Spread || !s.Spot || s.Zone != "" || s.Due != 900 || len(s.Types) != 1 {
+	if s.Shape != core.Gang || s.Priority != 2 || s.TaskCount != 16 || s.Request != (core.Resources{CPU: 8000, GPU: 1000, Memory: 64000}) ||
+		!s.OneZone || s.Spread || !s.Spot || s.Zone != "" || s.Deadline != 900 || len(s.MachineTypes) != 1 {
 		t.Errorf("spec %+v", s)
 	}
 	for name, change := range map[string][2]string{
@@ -49,8 +49,8 @@
 	r, ok := ParseReport([]byte(`{"Bracket":"n-000231","Address":"10.1.0.232:9000","Build":"g8","Yard":"a","Loaners":true,
      "Shift":1,"Tally":88,"Baton":41,"RecallS":null,"Pieces":[{"Piece":"job-000412/3","Try":2,"Status":"running"},
               {"Piece":"job-000398/0","Try":1,"Status":"ended","Cause":"no_such"}]}`))
-	if !ok || r.Machine != "n-000231" || r.Recall >= 0 || r.Baton != 41 || len(r.Tasks) != 2 ||
-		r.Tasks[0].Task != (core.TaskID{Job: "job-000412", I: 3}) || r.Tasks[1].Cause != core.CauseUnknown {
+	if !ok || r.Machine != "n-000231" || r.PreemptionNotice >= 0 || r.FencingToken != 41 || len(r.Tasks) != 2 ||
+		r.Tasks[0].Task != (core.TaskID{Job: "job-000412", Index: 3}) || r.Tasks[1].Cause != core.CauseUnknown {
 		t.Errorf("report %+v", r)
 	}
 	for _, b := range []string{"", "{}", `{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job","Try":1,"Status":"running"}]}`,
@@ -67,7 +67,7 @@
 	f.Add([]byte(`[{}]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		id, s := ParseSubmission(b)
-		if s != nil && (s.ID != id || s.N < 1 || s.N > 100000 || s.Need.CPU < 0 || s.Need.GPU < 0 || s.Need.Mem < 0 || s.Class == "" || s.Team == "") {
+		if s != nil && (s.ID != id || s.TaskCount < 1 || s.TaskCount > 100000 || s.Request.CPU < 0 || s.Request.GPU < 0 || s.Request.Memory < 0 || s.Class == "" || s.Team == "") {
 			t.Errorf("accepted %+v", s)
 		}
 	})
--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkCheckin is what one report with eight tasks costs the HTTP side.
 func BenchmarkCheckin(b *testing.B) {
-	f := &fake{answer: core.EfCheckin{Status: 200, Baton: 7}}
+	f := &fake{answer: core.HeartbeatReply{Status: 200, FencingToken: 7}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -115,7 +115,7 @@
 		return later(c, "too many connections")
 	}
 	a, ok := h.b.Ask(false, make)
-	u, is := a.(core.EfUser)
+	u, is := a.(core.UserReply)
 	if !ok || !is {
 		return later(c, "busy")
 	}
@@ -134,7 +134,7 @@
 		return c.JSON(http.StatusBadRequest, failure{"body unreadable or over 64 KiB"})
 	}
 	id, spec := ParseSubmission(b)
-	return h.user(c, func(r uint64) core.Event { return core.EvSubmit{Req: r, ID: id, Spec: spec} })
+	return h.user(c, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: spec} })
 }
 
 func (h *handler) poll(c echo.Context) error {
@@ -142,7 +142,7 @@
 	if !idForm.MatchString(id) {
 		return c.JSON(http.StatusNotFound, failure{"no such job"})
 	}
-	return h.user(c, func(r uint64) core.Event { return core.EvPoll{Req: r, ID: id} })
+	return h.user(c, func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} })
 }
 
 func (h *handler) abort(c echo.Context) error {
@@ -150,12 +150,12 @@
 	if !idForm.MatchString(id) {
 		return c.JSON(http.StatusNotFound, failure{"no such job"})
 	}
-	return h.user(c, func(r uint64) core.Event { return core.EvAbort{Req: r, ID: id} })
+	return h.user(c, func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} })
 }
 
 func (h *handler) checkin(c echo.Context) error {
 	b, ok := body(c)
-	var r core.Report
+	var r core.Heartbeat
 	if ok {
 		r, ok = ParseReport(b)
 	}
@@ -163,14 +163,14 @@
 		slog.Info("malformed report", "from", c.Request().RemoteAddr, "bytes", len(b), "count", h.bad.Add(1))
 		return c.JSON(http.StatusBadRequest, failure{"malformed report"})
 	}
-	a, ok := h.b.Ask(true, func(req uint64) core.Event { return core.EvCheckin{Req: req, R: r} })
-	w, is := a.(core.EfCheckin)
+	a, ok := h.b.Ask(true, func(req uint64) core.Event { return core.HeartbeatReceived{RequestID: req, Heartbeat: r} })
+	w, is := a.(core.HeartbeatReply)
 	if !ok || !is {
 		return later(c, "busy")
 	}
 	switch w.Status {
 	case 200:
-		return c.JSON(200, checkinAnswer{w.Baton, orders(w.Orders)})
+		return c.JSON(200, checkinAnswer{w.FencingToken, orders(w.Commands)})
 	case 421:
 		return c.JSON(421, foreman{w.Owner})
 	}
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -75,7 +75,7 @@
 
 // ParseSubmission reads a submission. A malformed one gives its id, if that
 // much is legible, and no spec.
-func ParseSubmission(b []byte) (id string, spec *core.Spec) {
+func ParseSubmission(b []byte) (id string, spec *core.JobSpec) {
 	var loose map[string]json.RawMessage
 	if json.Unmarshal(b, &loose) != nil || loose == nil {
 		return "", nil
@@ -87,26 +87,26 @@
 	if json.Unmarshal(b, &s) != nil || check.Struct(&s) != nil {
 		return id, nil
 	}
-	sp := &core.Spec{
-		ID: id, Class: *s.Docket, Team: *s.Crew, Shape: shapes[*s.Shape], Prio: prios[*s.Urgency], N: int(*s.Pieces),
-		Need:    core.Res{CPU: milli(*s.Cores), GPU: milli(*s.Cards), Mem: milli(*s.MemGb)},
+	sp := &core.JobSpec{
+		ID: id, Class: *s.Docket, Team: *s.Crew, Shape: shapes[*s.Shape], Priority: prios[*s.Urgency], TaskCount: int(*s.Pieces),
+		Request: core.Resources{CPU: milli(*s.Cores), GPU: milli(*s.Cards), Memory: milli(*s.MemGb)},
 		OneZone: *s.SamePlace, Spread: *s.Apart, Spot: *s.Loaners, Image: *s.Kit, ImageGB: *s.PullGb,
-		Est: *s.ExpectS, Ckpt: *s.SnapshotS, Save: *s.StowS,
+		EstimatedRuntime: *s.ExpectS, CheckpointInterval: *s.SnapshotS, CheckpointCost: *s.StowS,
 	}
 	if s.Builds != nil {
-		sp.Types = *s.Builds
-		if len(sp.Types) == 0 {
-			sp.Types = []string{"-"} // an empty list allows nothing
+		sp.MachineTypes = *s.Builds
+		if len(sp.MachineTypes) == 0 {
+			sp.MachineTypes = []string{"-"} // an empty list allows nothing
 		}
 	}
 	if s.Yard != nil {
 		sp.Zone = *s.Yard
 	}
 	if s.DueS != nil {
-		sp.Due = *s.DueS
+		sp.Deadline = *s.DueS
 	}
 	if s.Awaits != nil {
-		sp.Needs = *s.Awaits
+		sp.Dependencies = *s.Awaits
 	}
 	return id, sp
 }
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -56,13 +56,13 @@
 }
 
 // NewCommands makes the body of a direct order.
-func NewCommands(e core.EfDirect) Commands {
-	return Commands{e.Baton, e.Shift, orders(e.Orders)}
+func NewCommands(e core.SendCommands) Commands {
+	return Commands{e.FencingToken, e.AgentEpoch, orders(e.Commands)}
 }
 
 var states = map[string]string{
-	"fetching": core.SeenFetching, "gathering": core.SeenWaiting, "running": core.SeenRunning,
-	"saving": core.SeenSaving, "ended": core.SeenEnded,
+	"fetching": core.ReportedFetching, "gathering": core.ReportedWaiting, "running": core.ReportedRunning,
+	"saving": core.ReportedSaving, "ended": core.ReportedEnded,
 }
 
 func cause(s string) string {
@@ -72,12 +72,12 @@
 	return s // the others are called the same inside
 }
 
-func orders(os []core.Order) []order {
+func orders(os []core.Command) []order {
 	l := make([]order, len(os))
 	for i, o := range os {
-		l[i] = order{Verb: string(o.Verb), Piece: o.Task.Job + "/" + strconv.Itoa(o.Task.I), Try: o.Attempt}
-		if o.Verb == core.Halt {
-			v := o.Leeway
+		l[i] = order{Verb: string(o.Kind), Piece: o.Task.Job + "/" + strconv.Itoa(o.Task.Index), Try: o.Attempt}
+		if o.Kind == core.StopTask {
+			v := o.GraceSeconds
 			l[i].LeewayS = &v
 		}
 	}
@@ -85,17 +85,17 @@
 }
 
 // ParseReport reads a worker's report; false: malformed.
-func ParseReport(b []byte) (core.Report, bool) {
+func ParseReport(b []byte) (core.Heartbeat, bool) {
 	var c checkin
 	if json.Unmarshal(b, &c) != nil || c.Bracket == "" || c.Shift == 0 {
-		return core.Report{}, false
+		return core.Heartbeat{}, false
 	}
-	r := core.Report{
+	r := core.Heartbeat{
 		Machine: c.Bracket, Addr: c.Address, Type: c.Build, Zone: c.Yard, Spot: c.Loaners,
-		Shift: c.Shift, Tally: c.Tally, Baton: c.Baton, Recall: -1,
+		AgentEpoch: c.Shift, Sequence: c.Tally, FencingToken: c.Baton, PreemptionNotice: -1,
 	}
 	if c.RecallS != nil {
-		r.Recall = max(*c.RecallS, 0)
+		r.PreemptionNotice = max(*c.RecallS, 0)
 	}
 	for _, p := range c.Pieces {
 		k := strings.LastIndexByte(p.Piece, '/')
@@ -107,8 +107,8 @@
 		if err != nil || !ok {
 			return r, false
 		}
-		r.Tasks = append(r.Tasks, core.Seen{
-			Task: core.TaskID{Job: p.Piece[:k], I: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
+		r.Tasks = append(r.Tasks, core.TaskReport{
+			Task: core.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
 		})
 	}
 	return r, true
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -49,28 +49,28 @@
 func Milli(x float64) int64 { return int64(x*1000 + 0.5) }
 
 // Flavors fetches the machine types.
-func (c *Client) Flavors() core.EvFlavors {
+func (c *Client) Flavors() core.MachineTypesListed {
 	c.b.Wait(0, 0)
 	st, out, err := c.w.Do("GET", "/flavors", nil, tuning.CloudTimeout)
 	var r struct {
 		Builds []build `json:"Builds"`
 	}
 	if err != nil || st != 200 || json.Unmarshal(out, &r) != nil || len(r.Builds) == 0 {
-		return core.EvFlavors{}
+		return core.MachineTypesListed{}
 	}
-	ev := core.EvFlavors{OK: true}
+	ev := core.MachineTypesListed{OK: true}
 	for _, b := range r.Builds {
-		ev.F = append(ev.F, core.Flavor{
-			Name: b.Name, Size: core.Res{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Mem: Milli(b.MemGb)},
-			Cache: b.CacheGb, Fetch: b.PullGbPerS, Price: b.Hourly, Spot: b.SpotPrice, BootS: b.BootS, Zones: b.Yards,
+		ev.Types = append(ev.Types, core.MachineType{
+			Name: b.Name, Capacity: core.Resources{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Memory: Milli(b.MemGb)},
+			ImageCacheGB: b.CacheGb, FetchGBPerS: b.PullGbPerS, Price: b.Hourly, SpotPrice: b.SpotPrice, BootSeconds: b.BootS, Zones: b.Yards,
 		})
 	}
 	return ev
 }
 
 // List fetches the machine list, all pages.
-func (c *Client) List() core.EvList {
-	ev := core.EvList{OK: true}
+func (c *Client) List() core.InstancesListed {
+	ev := core.InstancesListed{OK: true}
 	after := ""
 	for {
 		c.b.Wait(1, 0)
@@ -80,11 +80,11 @@
 			Truncated bool      `json:"Truncated"`
 		}
 		if err != nil || st != 200 || json.Unmarshal(out, &r) != nil {
-			return core.EvList{}
+			return core.InstancesListed{}
 		}
 		for _, b := range r.Brackets {
-			ev.L = append(ev.L, core.Inst{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
-				Spot: b.Loaners, Status: b.Status, Held: b.HeldS})
+			ev.Instances = append(ev.Instances, core.Instance{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
+				Spot: b.Loaners, Status: b.Status, HeldSeconds: b.HeldS})
 			after = b.NameID
 		}
 		if !r.Truncated || len(r.Brackets) == 0 {
@@ -94,7 +94,7 @@
 }
 
 // Rent asks for machines.
-func (c *Client) Rent(e core.EfRent) core.EvRented {
+func (c *Client) Rent(e core.RentMachines) core.RentalAnswered {
 	c.b.Wait(0, 0)
 	body, _ := json.Marshal(struct {
 		Hire    string `json:"Hire"`
@@ -102,9 +102,9 @@
 		Yard    string `json:"Yard"`
 		Loaners bool   `json:"Loaners"`
 		Count   int    `json:"Count"`
-	}{e.Hire, e.Type, e.Zone, e.Spot, e.Count})
+	}{e.RentalID, e.Type, e.Zone, e.Spot, e.Count})
 	st, out, err := c.w.Do("POST", "/rentals", body, tuning.CloudTimeout)
-	ev := core.EvRented{Hire: e.Hire}
+	ev := core.RentalAnswered{RentalID: e.RentalID}
 	if err != nil {
 		return ev
 	}
@@ -119,17 +119,17 @@
 	case st == 200:
 		ev.OK, ev.Names = true, r.Brackets
 	case st == 400, st == 503 && r.Error == "no capacity":
-		ev.None = true
+		ev.NoCapacity = true
 	}
 	return ev
 }
 
 // Return gives machines back.
-func (c *Client) Return(e core.EfReturn) core.EvReturned {
+func (c *Client) Return(e core.ReturnMachines) core.ReturnAnswered {
 	c.b.Wait(0, 0)
 	body, _ := json.Marshal(struct {
 		Brackets []string `json:"Brackets"`
 	}{e.Names})
 	st, _, err := c.w.Do("POST", "/rentals/return", body, tuning.CloudTimeout)
-	return core.EvReturned{Names: e.Names, OK: err == nil && st == 200}
+	return core.ReturnAnswered{Names: e.Names, OK: err == nil && st == 200}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -198,11 +198,11 @@
 	p := s.Params
 	rps, writeRps, valueKb, txnOps := s.Least()
 	c := core.Settings{
-		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]core.Limits{}, Zones: p.Zones,
-		Report: secs(p.Workers.ReportS), Lease: secs(p.Workers.LeaseS), Cancel: secs(p.Workers.CancelS),
-		Peer: secs(p.Workers.GangPeerS), ValueB: int(valueKb * 1024), ValueNow: int(p.State.ValueKb * 1024), TxnOps: txnOps,
-		ListLag: secs(p.Cloud.ListLagS), Seed: seed, Fence: s.fence(), Wait: map[string]float64{}, Goals: map[string][]float64{}, Spare: tuning.Spare, Learn: true,
-		WriteFair: writeRps * s.Share(), ReadRate: rps * s.Share(), WriteRate: writeRps * s.WriteShare(),
+		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]core.Quota{}, Zones: p.Zones,
+		HeartbeatInterval: secs(p.Workers.ReportS), WorkerLease: secs(p.Workers.LeaseS), CancelWithin: secs(p.Workers.CancelS),
+		GangPeerWait: secs(p.Workers.GangPeerS), ValueLimit: int(valueKb * 1024), ValueLimitNow: int(p.State.ValueKb * 1024), TransactionLimit: txnOps,
+		ListLag: secs(p.Cloud.ListLagS), Seed: seed, FenceAge: s.fence(), StartWithin: map[string]float64{}, FinishWithin: map[string][]float64{}, SpareMachines: tuning.Spare, Learn: true,
+		FairWriteRate: writeRps * s.Share(), ReadRate: rps * s.Share(), WriteRate: writeRps * s.WriteShare(),
 	}
 	c.ZoneOf = map[string]string{s.Member: s.Domain}
 	for _, m := range s.Members {
@@ -211,27 +211,27 @@
 	}
 	slices.Sort(c.Nodes)
 	for _, t := range p.Teams {
-		c.Teams[t.Name] = core.Limits{
-			Guar: core.Res{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
-			Max:  core.Res{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
+		c.Teams[t.Name] = core.Quota{
+			Guarantee: core.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
+			Limit:     core.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
 		}
 	}
 	for _, x := range p.Objectives {
 		switch x.Kind {
 		case "wait":
-			c.Wait[x.Class] = x.WithinS
+			c.StartWithin[x.Class] = x.WithinS
 		case "finished":
-			c.Goals[x.Class] = append(c.Goals[x.Class], x.WithinS)
+			c.FinishWithin[x.Class] = append(c.FinishWithin[x.Class], x.WithinS)
 		case "guarantee":
-			c.GuarWait = x.WithinS
+			c.GuaranteeWithin = x.WithinS
 		case "deadline":
-			if x.Times > 0 && !slices.Contains(c.Dues, x.Times) {
-				c.Dues = append(c.Dues, x.Times)
+			if x.Times > 0 && !slices.Contains(c.DeadlineMultiples, x.Times) {
+				c.DeadlineMultiples = append(c.DeadlineMultiples, x.Times)
 			}
 		}
 	}
-	slices.Sort(c.Dues)
-	for _, g := range c.Goals {
+	slices.Sort(c.DeadlineMultiples)
+	for _, g := range c.FinishWithin {
 		slices.Sort(g)
 	}
 	if o != nil {
@@ -239,7 +239,7 @@
 			c.Learn = *o.Learn
 		}
 		if o.Spare != nil {
-			c.Spare = *o.Spare
+			c.SpareMachines = *o.Spare
 		}
 	}
 	return c
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	c := s.Core(nil, 1)
-	if len(c.Nodes) != 2 || c.Teams["t"].Max.GPU != 8000 || c.Wait["x"] != 20 || len(c.Dues) != 1 || c.ValueB != 8192 {
+	if len(c.Nodes) != 2 || c.Teams["t"].Limit.GPU != 8000 || c.StartWithin["x"] != 20 || len(c.DeadlineMultiples) != 1 || c.ValueLimit != 8192 {
 		t.Errorf("core settings %+v", c)
 	}
-	if c.Fence.Seconds()+c.Lease.Seconds() >= c.Cancel.Seconds() {
-		t.Errorf("fence %v and lease %v don't fit into %v", c.Fence, c.Lease, c.Cancel)
+	if c.FenceAge.Seconds()+c.WorkerLease.Seconds() >= c.CancelWithin.Seconds() {
+		t.Errorf("fence %v and lease %v don't fit into %v", c.FenceAge, c.WorkerLease, c.CancelWithin)
 	}
 }
 
@@ -79,8 +79,8 @@
 		}
 		// What a node last allowed is dead before a cancellation has to be carried out.
 		c := s.Core(nil, 1)
-		if last := c.Fence + c.Lease + c.Lease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.Fence < tuning.FenceLeast || last > c.Cancel+time.Microsecond {
-			t.Errorf("fence %v, a cancelled task may last %v of %v", c.Fence, last, c.Cancel)
+		if last := c.FenceAge + c.WorkerLease + c.WorkerLease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.FenceAge < tuning.FenceLeast || last > c.CancelWithin+time.Microsecond {
+			t.Errorf("fence %v, a cancelled task may last %v of %v", c.FenceAge, last, c.CancelWithin)
 		}
 	})
 }
--- a/internal/core/apart_test.go
+++ b/internal/core/apart_test.go
@@ -12,28 +12,28 @@
 
 // wideCore is a node that leads a fleet of 2,000 machines in two zones. The
 // settings have the smallest values and transactions in use.
-func wideCore() *Core {
+func wideCore() *Controller {
 	nodes := []string{"c-0", "c-1", "c-2", "c-3"}
-	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueB: 4096, TxnOps: 8,
-		ZoneOf: map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
-		Fence:  7 * time.Second, Report: 5 * time.Second, Lease: 31 * time.Second}, "c-0.1")
+	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
+		ZoneOf:   map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
+		FenceAge: 7 * time.Second, HeartbeatInterval: 5 * time.Second, WorkerLease: 31 * time.Second}, "c-0.1")
 	m := map[string]string{}
 	for _, n := range nodes {
 		m[n] = n + ".1"
 	}
-	c.st.members = m
-	c.st.view = &View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
-	c.st.flavors = []Flavor{{Name: "box", Size: Res{CPU: 16000, GPU: 4000, Mem: 64000}, Zones: []string{"a", "b"}}}
-	c.grant, c.synced = grantMember, true
+	c.cache.members = m
+	c.cache.view = &View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
+	c.cache.machineTypes = []MachineType{{Name: "box", Capacity: Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
+	c.membership.lease, c.membership.synced = memberKeyWritten, true
 	for i := 0; i < 2000; i++ {
 		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
 		if o := c.ownerIn(n, z); o == "c-0" {
-			c.takeReport(c.addMachine(n), &Report{Machine: n, Type: "box", Zone: z, Shift: 1, Tally: 1, Recall: -1}, true)
+			c.recordHeartbeat(c.addMachine(n), &Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		} else {
-			if c.peers[o] == nil {
-				c.peers[o] = &peerView{fit: map[fitKey]bool{}}
+			if c.peers.byName[o] == nil {
+				c.peers.byName[o] = &peerState{fits: map[fitKey]bool{}}
 			}
-			c.peers[o].machines = append(c.peers[o].machines, PeerMachine{Name: n, Zone: z, Shift: 1})
+			c.peers.byName[o].machines = append(c.peers.byName[o].machines, PeerMachine{Name: n, Zone: z, AgentEpoch: 1})
 		}
 	}
 	c.pass(time.Minute, func(string) bool { return true })
@@ -42,21 +42,21 @@
 
 // pass lets time go by, with reports of the machines and words of the peers for
 // which heard says so; state service and fence are well.
-func (c *Core) pass(d time.Duration, heard func(string) bool) {
+func (c *Controller) pass(d time.Duration, heard func(string) bool) {
 	for end := c.now + d; c.now < end; {
 		c.now += 500 * time.Millisecond
-		c.fenceAt, c.grantAt = c.now, c.now
-		for n, p := range c.peers {
+		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+		for n, p := range c.peers.byName {
 			if heard(n) {
-				p.at = c.now
+				p.heardAt = c.now
 			}
 		}
-		for n, m := range c.mach { // each every 5 s, at a time of its own
+		for n, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
 			if at := time.Duration(hash64(n)%10) * 500 * time.Millisecond; heard(n) && c.owns(n) && c.now%(5*time.Second) == at {
-				m.heard, m.spoke = c.now, c.now
+				m.heardAt, m.heartbeatAt = c.now, c.now
 			}
 		}
-		c.driveMachines()
+		c.reviewMachines()
 	}
 }
 
@@ -67,14 +67,14 @@
 	c := wideCore()
 	inB := func(n string) bool { return c.cfg.ZoneOf[n] == "b" || c.zoneOf(n) == "b" }
 	c.pass(6*time.Second, func(n string) bool { return !inB(n) })
-	v := *c.st.view
+	v := *c.cache.view
 	v.Epoch, v.Serving = 4, []string{"c-0", "c-2"}
 	v.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
 	c.adoptView(&v)
 	for i := 0; i < 2000; i++ { // machines of nodes that left come here by their bookings
-		if n := fmt.Sprintf("n-%06d", i); c.owns(n) && c.mach[n] == nil {
-			c.takeOver(n)
-			c.mach[n].Zone, c.mach[n].heardOnce = []string{"a", "b"}[i%2], true
+		if n := fmt.Sprintf("n-%06d", i); c.owns(n) && c.heartbeats.machines[n] == nil {
+			c.takeOwnership(n)
+			c.heartbeats.machines[n].Zone, c.heartbeats.machines[n].heardOnce = []string{"a", "b"}[i%2], true
 		}
 	}
 	c.pass(90*time.Second, func(n string) bool { return !inB(n) })
@@ -82,12 +82,12 @@
 		c.pass(500*time.Millisecond, func(n string) bool { return !inB(n) || hash64(n, "back")%16 < uint64(i) })
 	}
 	c.pass(30*time.Second, func(string) bool { return true })
-	if len(c.wantMark) > 0 {
-		t.Errorf("%d machines of a cut zone were given up", len(c.wantMark))
+	if len(c.cordons.wanted) > 0 {
+		t.Errorf("%d machines of a cut zone were given up", len(c.cordons.wanted))
 	}
 	// A tenth of them hang: these are lost.
 	c.pass(time.Minute, func(n string) bool { return hash64(n)%10 != 0 })
-	if n := len(c.wantMark); n < 50 || n > 150 {
+	if n := len(c.cordons.wanted); n < 50 || n > 150 {
 		t.Errorf("of about 100 silent machines %d were given up", n)
 	}
 }
@@ -103,7 +103,7 @@
 		for i := 0; i < 2000; i += 2 {
 			n := fmt.Sprintf("n-%06d", i)
 			if o := c.ownerIn(n, "a"); c.cfg.ZoneOf[o] == "b" {
-				c.noteBounce(n, "a", o, 1, tally, 3)
+				c.recordRedirect(n, "a", o, 1, tally, 3)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	visits(3)
 	c.pass(time.Second, sameZone)
 	v := c.desiredView()
-	if v == nil || !v.Zoned || len(v.Over) > 0 || len(v.Serving) != 4 {
+	if v == nil || !v.Zoned || len(v.OwnerOverrides) > 0 || len(v.Serving) != 4 {
 		t.Fatalf("view %+v", v)
 	}
 	v.Epoch = 4
@@ -157,9 +157,9 @@
 		n := 0
 		for i := 0; n < 5 && i < 2000; i++ {
 			m := fmt.Sprintf("n-%06d", i)
-			if o := c.ownerIn(m, "a"); o == "c-2" && c.bounces[m] == nil {
+			if o := c.ownerIn(m, "a"); o == "c-2" && c.views.redirects[m] == nil {
 				n++
-				c.bounces[m] = []bounce{{c.now - 8*time.Second, "c-2/c-2.1", 1, "a"}, {c.now - 2*time.Second, "c-2/c-2.1", 1, "a"}}
+				c.views.redirects[m] = []redirect{{c.now - 8*time.Second, "c-2/c-2.1", 1, "a"}, {c.now - 2*time.Second, "c-2/c-2.1", 1, "a"}}
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 	for i := 0; i < 24; i++ {
 		lost(uint64(i))
 		if v := c.desiredView(); v != nil {
-			v.Epoch = c.st.view.Epoch + 1
+			v.Epoch = c.cache.view.Epoch + 1
 			c.adoptView(v)
 			views++
 		}
@@ -183,24 +183,24 @@
 // reached by nothing and returned.
 func TestHeldReportsAreNoSign(t *testing.T) {
 	c := wideCore()
-	m := c.mach[c.machNames()[0]]
-	m.last200, m.sentBaton = c.now, 3
+	m := c.heartbeats.machines[c.machineNames()[0]]
+	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
-		r := &Report{Machine: m.Name, Type: "box", Zone: m.Zone, Shift: 1, Tally: i, Baton: 2, Recall: -1}
-		c.checkHeeded(m, r)
-		c.takeReport(m, r, true)
-		m.last200 = c.now
+		r := &Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
+		c.checkRepliesHeeded(m, r)
+		c.recordHeartbeat(m, r, true)
+		m.answeredAt = c.now
 		c.now += time.Millisecond
 	}
-	if m.unheeded != 0 {
-		t.Errorf("%d reports count as unheeded", m.unheeded)
+	if m.unheededReplies != 0 {
+		t.Errorf("%d reports count as unheeded", m.unheededReplies)
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
-		c.checkHeeded(m, &Report{Shift: 1, Tally: i, Baton: 2})
+		c.checkRepliesHeeded(m, &Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
-	if m.unheeded != 2 {
-		t.Errorf("%d reports count as unheeded, each 5 s after an answer", m.unheeded)
+	if m.unheededReplies != 2 {
+		t.Errorf("%d reports count as unheeded, each 5 s after an answer", m.unheededReplies)
 	}
 }
 
@@ -214,21 +214,21 @@
 	var seen []string
 	for i := 0; i < 12; i++ {
 		c.now += time.Second
-		c.fenceAt, c.grantAt, c.dirty = c.now, c.now, true
-		c.drivePlan()
-		if c.task == nil {
+		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.planner.dirty = c.now, c.now, true
+		c.planCommit()
+		if c.commits.taskCommit == nil {
 			continue
 		}
 		packs := ""
-		for _, a := range c.task.t.Apply {
-			if strings.HasPrefix(a.Key, prePack) {
-				packs += a.Key[len(prePack):] + " "
+		for _, a := range c.commits.taskCommit.transaction.Puts {
+			if strings.HasPrefix(a.Key, prefixPack) {
+				packs += a.Key[len(prefixPack):] + " "
 			}
 		}
 		seen = append(seen, packs)
 		ledger++
-		c.onCommit(EvCommit{ID: c.task.id, Result: Committed, Ledger: ledger})
-		c.st.ledger = ledger
+		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: Committed, Revision: ledger})
+		c.cache.revision = ledger
 	}
 	if want := []string{"c-0/0 c-0/1 ", "c-1/0 ", "c-2/3 "}; !slices.Equal(seen, want) {
 		t.Errorf("values changed by each commit: %q, want %q", seen, want)
@@ -237,9 +237,9 @@
 
 // ended gives the core a job in each of the packs, one of whose tasks has ended
 // on a machine of its own; it returns the ledger.
-func (c *Core) ended(packs ...string) uint64 {
+func (c *Controller) ended(packs ...string) uint64 {
 	var mine []string
-	for _, n := range c.machNames() {
+	for _, n := range c.machineNames() {
 		if c.owns(n) && len(mine) < len(packs) {
 			mine = append(mine, n)
 		}
@@ -247,19 +247,19 @@
 	ledger := uint64(10)
 	put := func(key string, v any) {
 		ledger++
-		c.apply(KV{Key: key, Value: enc(v), Stamp: ledger})
+		c.apply(KeyValue{Key: key, Value: mustEncode(v), ModRevision: ledger})
 	}
 	for i, pack := range packs {
 		id := fmt.Sprintf("job-00000%d", i)
-		put(keyJob(id), &Header{State: JobOpen, N: 2, Chunk: 2, Part: pack[:3], Pack: pack,
-			Spec: &Spec{Class: "x", Team: "red", Shape: Array, N: 2, Need: Res{CPU: 1000}}})
-		v := &chunkValue{J: map[string]string{}}
-		v.put(id, []Task{{State: Booked, Attempt: 1, Machine: mine[i], Shift: 1, Part: "c-0", Zone: c.zoneOf(mine[i])}, {State: Done}})
-		put(prePack+pack, v)
-		c.takeReport(c.mach[mine[i]], &Report{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), Shift: 1, Tally: 5, Recall: -1,
-			Tasks: []Seen{{Task: TaskID{id, 0}, Attempt: 1, State: SeenEnded, Cause: CauseDone}}}, true)
-	}
-	c.st.ledger = ledger
+		put(keyJob(id), &JobHeader{State: StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
+			Spec: &JobSpec{Class: "x", Team: "red", Shape: Array, TaskCount: 2, Request: Resources{CPU: 1000}}})
+		v := &ChunkValue{Texts: map[string]string{}}
+		v.put(id, []Task{{State: Booked, Attempt: 1, Machine: mine[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(mine[i])}, {State: Done}})
+		put(prefixPack+pack, v)
+		c.recordHeartbeat(c.heartbeats.machines[mine[i]], &Heartbeat{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
+			Tasks: []TaskReport{{Task: TaskID{id, 0}, Attempt: 1, State: ReportedEnded, Cause: CauseDone}}}, true)
+	}
+	c.cache.revision = ledger
 	return ledger
 }
 
@@ -267,27 +267,27 @@
 // long as the state service takes them; refusals hit users' submissions as well.
 func TestRefusalsSlowDown(t *testing.T) {
 	c := wideCore()
-	c.cfg.WriteRate, c.cfg.WriteFair, c.rate, c.tokens, c.stateOK = 8, 5, 8, 8, true
+	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens, c.membership.stateReachable = 8, 5, 8, 8, true
 	c.ended("c-0/0")
 	turn := func(r CommitResult) {
 		c.now += 2 * time.Second
-		c.fenceAt, c.grantAt, c.dirty = c.now, c.now, true
-		c.Step(c.now, EvTick{})
-		if c.task == nil {
+		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.planner.dirty = c.now, c.now, true
+		c.Step(c.now, Tick{})
+		if c.commits.taskCommit == nil {
 			t.Fatalf("no commit at %v", c.now)
 		}
-		c.onCommit(EvCommit{ID: c.task.id, Result: r})
+		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: r})
 	}
 	for i := 0; i < 12; i++ {
 		turn(Refused)
 	}
 	fair := 5 * tuning.LeaderWeight // it leads, and has more to write than the others
-	if c.rate < fair || c.rate > 1.1*fair {
-		t.Errorf("%g changes a second after refusals", c.rate)
+	if c.commits.rate < fair || c.commits.rate > 1.1*fair {
+		t.Errorf("%g changes a second after refusals", c.commits.rate)
 	}
 	c.now += time.Minute
 	turn(Refused)
-	if c.rate < 1.2*fair {
-		t.Errorf("%g changes a second a minute later", c.rate)
+	if c.commits.rate < 1.2*fair {
+		t.Errorf("%g changes a second a minute later", c.commits.rate)
 	}
 }
--- a/internal/core/chunk.go
+++ b/internal/core/chunk.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// chunkValue is the value of task/ID/K and pack/NODE/K, and part of the header
+// ChunkValue is the value of task/ID/K and pack/NODE/K, and part of the header
 // of small whole jobs: the tasks of one job or of several as short texts, since
 // every change rewrites the whole value and the state service bounds both its
 // size and the changes a second. A text has runs of states, then the bookings
@@ -29,19 +29,19 @@
 //	/z,p,s,a|231:8-10.12|232:9   on the machines P+"231" and P+"232"
 //
 // P is what all machine names begin with. The text is about half as long.
-type chunkValue struct {
-	V int               `json:"v,omitempty"`
-	P string            `json:"p,omitempty"`
-	D []string          `json:"d,omitempty"`
-	J map[string]string `json:"j"`
+type ChunkValue struct {
+	Version       int               `json:"v,omitempty"`
+	MachinePrefix string            `json:"p,omitempty"`
+	Names         []string          `json:"d,omitempty"`
+	Texts         map[string]string `json:"j"`
 }
 
 // chunkOf makes the value of some jobs' tasks, in the form that all controllers
 // read.
-func (c *Core) chunkOf(jobs map[string][]Task) *chunkValue {
-	v := &chunkValue{J: map[string]string{}}
+func (c *Controller) chunkOf(jobs map[string][]Task) *ChunkValue {
+	v := &ChunkValue{Texts: map[string]string{}}
 	if c.formatOn() {
-		v.V, v.P = 2, prefixOf(jobs)
+		v.Version, v.MachinePrefix = 2, prefixOf(jobs)
 	}
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		v.put(id, jobs[id])
@@ -50,11 +50,11 @@
 }
 
 // textBytes is what a job's tasks take in a value.
-func (c *Core) textBytes(j *Job) int {
+func (c *Controller) textBytes(j *Job) int {
 	if j.Tasks == nil {
 		return 0
 	}
-	return len(c.chunkOf(map[string][]Task{j.ID: j.Tasks}).J[j.ID])
+	return len(c.chunkOf(map[string][]Task{j.ID: j.Tasks}).Texts[j.ID])
 }
 
 // prefixOf is what all machine names in the texts begin with, without digits from
@@ -81,11 +81,11 @@
 	return p
 }
 
-func (v *chunkValue) name(s string) string {
-	i := slices.Index(v.D, s)
+func (v *ChunkValue) name(s string) string {
+	i := slices.Index(v.Names, s)
 	if i < 0 {
-		i = len(v.D)
-		v.D = append(v.D, s)
+		i = len(v.Names)
+		v.Names = append(v.Names, s)
 	}
 	return strconv.Itoa(i)
 }
@@ -109,7 +109,7 @@
 }
 
 // put2 adds a job's tasks in the shorter form.
-func (v *chunkValue) put2(id string, ts []Task) {
+func (v *ChunkValue) put2(id string, ts []Task) {
 	var b strings.Builder
 	type kind struct {
 		zone, part     string
@@ -127,12 +127,12 @@
 		if n > 1 {
 			b.WriteString(strconv.Itoa(n))
 		}
-		if t.State == Queued && (t.Attempt > 0 || t.Part != "") {
-			b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Part))
+		if t.State == Queued && (t.Attempt > 0 || t.Shard != "") {
+			b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Shard))
 		}
 		for ; n > 0; n-- {
 			if x := ts[i]; x.State == Booked {
-				k := kind{x.Zone, x.Part, x.Shift, x.Attempt}
+				k := kind{x.Zone, x.Shard, x.AgentEpoch, x.Attempt}
 				if tasks[k] == nil {
 					kinds, tasks[k] = append(kinds, k), map[string][]int{}
 				}
@@ -154,16 +154,16 @@
 		}
 		slices.Sort(machines[k])
 		for _, m := range machines[k] {
-			b.WriteString("|" + strings.TrimPrefix(m, v.P) + ":")
+			b.WriteString("|" + strings.TrimPrefix(m, v.MachinePrefix) + ":")
 			ranges(&b, tasks[k][m])
 		}
 	}
-	v.J[id] = b.String()
+	v.Texts[id] = b.String()
 }
 
 // put adds a job's tasks.
-func (v *chunkValue) put(id string, ts []Task) {
-	if v.V == 2 {
+func (v *ChunkValue) put(id string, ts []Task) {
+	if v.Version == 2 {
 		v.put2(id, ts)
 		return
 	}
@@ -181,8 +181,8 @@
 		switch t.State {
 		case Queued:
 			b.WriteString("?" + strconv.Itoa(n))
-			if t.Attempt > 0 || t.Part != "" {
-				b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Part))
+			if t.Attempt > 0 || t.Shard != "" {
+				b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Shard))
 			}
 		case Done:
 			b.WriteString("!" + strconv.Itoa(n))
@@ -196,8 +196,8 @@
 	}
 	slices.SortStableFunc(booked, func(x, y int) int {
 		a, c := ts[x], ts[y]
-		return cmp.Or(cmp.Compare(a.Machine, c.Machine), cmp.Compare(a.Shift, c.Shift),
-			cmp.Compare(a.Attempt, c.Attempt), cmp.Compare(a.Part, c.Part), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(a.Machine, c.Machine), cmp.Compare(a.AgentEpoch, c.AgentEpoch),
+			cmp.Compare(a.Attempt, c.Attempt), cmp.Compare(a.Shard, c.Shard), cmp.Compare(x, y))
 	})
 	for i := 0; i < len(booked); {
 		t, n := ts[booked[i]], 1
@@ -205,13 +205,13 @@
 			n++
 		}
 		b.WriteString(map[bool]string{true: "|", false: ";"}[i == 0])
-		b.WriteString(t.Machine + "," + v.name(t.Zone) + "," + v.name(t.Part))
-		if t.Shift != 1 || t.Attempt != 1 {
-			b.WriteString("," + strconv.FormatUint(t.Shift, 10) + "," + strconv.FormatUint(t.Attempt, 10))
+		b.WriteString(t.Machine + "," + v.name(t.Zone) + "," + v.name(t.Shard))
+		if t.AgentEpoch != 1 || t.Attempt != 1 {
+			b.WriteString("," + strconv.FormatUint(t.AgentEpoch, 10) + "," + strconv.FormatUint(t.Attempt, 10))
 		}
 		b.WriteByte(':')
 		ranges(&b, booked[i:i+n])
 		i += n
 	}
-	v.J[id] = b.String()
+	v.Texts[id] = b.String()
 }
--- a/internal/core/chunk_decode.go
+++ b/internal/core/chunk_decode.go
@@ -14,9 +14,9 @@
 
 // tasks reads a job's tasks back and hands each to take. What was read before an error
 // has been handed over.
-func (v *chunkValue) tasks(text string, take func(int, Task)) error {
+func (v *ChunkValue) tasks(text string, take func(int, Task)) error {
 	d := &chunkDecoder{value: v, take: take}
-	if v.V == 2 {
+	if v.Version == 2 {
 		return d.short(text)
 	}
 	return d.long(text)
@@ -24,7 +24,7 @@
 
 // chunkDecoder reads one text. A number or name that can't be read makes it bad.
 type chunkDecoder struct {
-	value *chunkValue
+	value *ChunkValue
 	take  func(int, Task)
 	next  int // number of the next task of the runs of states
 	bad   bool
@@ -40,11 +40,11 @@
 // name reads a place in the value's list of names.
 func (d *chunkDecoder) name(s string) string {
 	x, err := strconv.Atoi(s)
-	if err != nil || x < 0 || x >= len(d.value.D) {
+	if err != nil || x < 0 || x >= len(d.value.Names) {
 		d.bad = true
 		return ""
 	}
-	return d.value.D[x]
+	return d.value.Names[x]
 }
 
 // list hands over the tasks of a list of numbers: 8-10.12.
@@ -73,7 +73,7 @@
 	switch state {
 	case '?':
 		if len(fields) == 3 {
-			t.Attempt, t.Part = d.number(fields[1]), d.name(fields[2])
+			t.Attempt, t.Shard = d.number(fields[1]), d.name(fields[2])
 		}
 	case '!':
 		t.State = Done
@@ -97,13 +97,13 @@
 // booking is what a group of bookings shares: zone and part, and session and attempt
 // where these aren't both 1.
 func (d *chunkDecoder) booking(fields []string) (Task, error) {
-	t := Task{State: Booked, Shift: 1, Attempt: 1}
+	t := Task{State: Booked, AgentEpoch: 1, Attempt: 1}
 	if len(fields) != 2 && len(fields) != 4 {
 		return t, errChunk
 	}
-	t.Zone, t.Part = d.name(fields[0]), d.name(fields[1])
+	t.Zone, t.Shard = d.name(fields[0]), d.name(fields[1])
 	if len(fields) == 4 {
-		t.Shift, t.Attempt = d.number(fields[2]), d.number(fields[3])
+		t.AgentEpoch, t.Attempt = d.number(fields[2]), d.number(fields[3])
 	}
 	return t, nil
 }
@@ -158,7 +158,7 @@
 		if d.bad {
 			return errChunk
 		}
-		t.Machine = d.value.P + name
+		t.Machine = d.value.MachinePrefix + name
 		if err := d.list(list, t); err != nil {
 			return err
 		}
--- a/internal/core/chunk_test.go
+++ b/internal/core/chunk_test.go
@@ -22,36 +22,36 @@
 			case 0:
 				ts[i] = Task{State: Done}
 			case 1:
-				ts[i] = Task{Attempt: uint64(r.IntN(3)), Part: []string{"", "c-1"}[r.IntN(2)]}
+				ts[i] = Task{Attempt: uint64(r.IntN(3)), Shard: []string{"", "c-1"}[r.IntN(2)]}
 			case 2:
-				ts[i] = Task{State: Booked, Machine: "n-00000" + string(rune('0'+r.IntN(5))), Shift: 1, Attempt: 1, Zone: "a", Part: "c-0"}
+				ts[i] = Task{State: Booked, Machine: "n-00000" + string(rune('0'+r.IntN(5))), AgentEpoch: 1, Attempt: 1, Zone: "a", Shard: "c-0"}
 			case 3:
-				ts[i] = Task{State: Booked, Machine: "n-000007", Shift: uint64(1 + r.IntN(3)), Attempt: uint64(1 + r.IntN(2)), Zone: "b", Part: "c-2"}
+				ts[i] = Task{State: Booked, Machine: "n-000007", AgentEpoch: uint64(1 + r.IntN(3)), Attempt: uint64(1 + r.IntN(2)), Zone: "b", Shard: "c-2"}
 			}
 		}
 		c := New(Settings{}, "x")
-		c.st.format = 1 + round%2
+		c.cache.format = 1 + round%2
 		v := c.chunkOf(map[string][]Task{"job-000001": ts})
-		var back chunkValue
-		if err := json.Unmarshal(enc(v), &back); err != nil {
+		var back ChunkValue
+		if err := json.Unmarshal(mustEncode(v), &back); err != nil {
 			t.Fatal(err)
 		}
 		got := make([]Task, len(ts))
-		if err := back.tasks(back.J["job-000001"], func(i int, x Task) { got[i] = x }); err != nil {
-			t.Fatalf("%q: %v", v.J, err)
+		if err := back.tasks(back.Texts["job-000001"], func(i int, x Task) { got[i] = x }); err != nil {
+			t.Fatalf("%q: %v", v.Texts, err)
 		}
 		if !reflect.DeepEqual(got, ts) {
-			t.Fatalf("%q:\n got %v\nwant %v", v.J, got, ts)
+			t.Fatalf("%q:\n got %v\nwant %v", v.Texts, got, ts)
 		}
 	}
 	for _, bad := range []string{"", "x", "5", "?,1", "?1,a,0", "?*!1,2,0", "*/", "*/0", "*/0,9|1:0", "*/0,0|1:", "*/0,0|1:5-3", "!99999999999"} {
-		v := chunkValue{V: 2, D: []string{"a"}}
+		v := ChunkValue{Version: 2, Names: []string{"a"}}
 		if v.tasks(bad, func(int, Task) {}) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
 	for _, bad := range []string{"", "x", "?", "?1,2", "?1,a,0", "*1|n", "*1|n,0,9:0", "!99999999999", "?1;;!2"} {
-		v := chunkValue{D: []string{"a"}}
+		v := ChunkValue{Names: []string{"a"}}
 		if v.tasks(bad, func(int, Task) {}) == nil {
 			t.Errorf("%q is taken", bad)
 		}
@@ -64,33 +64,33 @@
 	r := rand.New(rand.NewPCG(5, 6))
 	for round := 0; round < 40; round++ {
 		c := acting()
-		n := (c.cfg.ValueB - tuning.PackSlack) / tuning.ChunkBytes
+		n := (c.cfg.ValueLimit - tuning.PackSlack) / tuning.ChunkBytes
 		id := jobName(1)
-		c.apply(KV{Key: keyJob(id), Value: enc(Header{State: JobOpen, N: n, Chunk: n, Part: "c-0", Order: 3,
-			Spec: &Spec{Class: "c", Team: "red", Shape: Array, N: n}}), Stamp: 3})
-		j, most := c.st.jobs[id], 0
+		c.apply(KeyValue{Key: keyJob(id), Value: mustEncode(JobHeader{State: StateOpen, TaskCount: n, ChunkSize: n, Shard: "c-0", AcceptOrder: 3,
+			Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: n}}), ModRevision: 3})
+		j, most := c.cache.jobs[id], 0
 		for step := uint64(10); step < 300; step++ {
 			d := c.newDraft()
 			for k := 0; k < 8; k++ {
 				i := r.IntN(n)
 				switch {
 				case d.changed[TaskID{id, i}]:
-				case j.task(i).State == Queued && d.room(j, i, false, true):
+				case j.task(i).State == Queued && d.hasRoomFor(j, i, false, true):
 					d.book(j, i, fmt.Sprintf("n-%06d", 1+r.IntN(1+round*40)), "ab"[round%2:round%2+1], 1+step%3, j.task(i).Attempt+1)
-				case j.task(i).State == Booked && r.IntN(2) == 0 && d.room(j, i, false, false):
+				case j.task(i).State == Booked && r.IntN(2) == 0 && d.hasRoomFor(j, i, false, false):
 					d.release(j, i, false)
 				}
 			}
-			if !c.planLongest && c.tooLarge(d.txn()) {
-				c.planLongest = true // planned anew with room for the worst (drivePlan)
+			if !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+				c.planner.reserveLongestTexts = true // planned anew with room for the worst (planCommit)
 				continue
 			}
-			c.planLongest = false
-			for _, p := range d.txn().Apply {
-				if most = max(most, len(p.Value)); len(p.Value) > c.cfg.ValueB {
+			c.planner.reserveLongestTexts = false
+			for _, p := range d.transaction().Puts {
+				if most = max(most, len(p.Value)); len(p.Value) > c.cfg.ValueLimit {
 					t.Fatalf("round %d: %s has %d bytes", round, p.Key, len(p.Value))
 				}
-				c.apply(KV{Key: p.Key, Value: p.Value, Stamp: step})
+				c.apply(KeyValue{Key: p.Key, Value: p.Value, ModRevision: step})
 			}
 		}
 		if most < 300 {
--- /dev/null
+++ b/internal/core/commits.go
@@ -0,0 +1,73 @@
+package core
+
+import "time"
+
+// commits is the writing side towards the state service: what is under way, and how
+// many changes a second this controller may still make.
+type commits struct {
+	nextID          uint64
+	pending         map[uint64]*pendingCommit
+	taskCommit      *pendingCommit           // the one commit of tasks in flight
+	blockedUntil    time.Duration            // no commit of tasks before
+	minRevision     uint64                   // the cache must reach this revision before the next one
+	inDoubt         inDoubtCommit            // a commit of tasks whose outcome is unknown
+	rate            float64                  // changes a second for commits of tasks, at present
+	tokens          float64                  // changes that may be made now
+	tokensAt        time.Duration            // when tokens were last counted
+	leaderRate      bool                     // rate is that of a leader
+	lastChanges     int                      // changes of the last commit of tasks
+	machines        map[string]bool          // that the commit in flight concerns
+	avoidUntil      map[string]time.Duration // keys left out of commits until then
+	oversizedInPlan map[string]bool          // answers of isOversized in the present plan
+	fullValues      map[string]bool          // values that had no room for a booking
+}
+
+func newCommits(rate float64) commits {
+	return commits{
+		pending: map[uint64]*pendingCommit{}, avoidUntil: map[string]time.Duration{},
+		oversizedInPlan: map[string]bool{}, fullValues: map[string]bool{}, rate: rate, tokens: rate,
+	}
+}
+
+// pendingCommit is a transaction without an answer yet.
+type pendingCommit struct {
+	id          uint64
+	transaction Transaction
+	onAnswer    func(CommitResult, CommitAnswered)
+}
+
+func (c *Controller) commit(lane int, t Transaction, done func(CommitResult, CommitAnswered)) *pendingCommit {
+	c.commits.nextID++
+	c.commits.tokens -= float64(len(t.Puts))
+	p := &pendingCommit{id: c.commits.nextID, transaction: t, onAnswer: done}
+	c.commits.pending[p.id] = p
+	c.emit(Commit{ID: p.id, Lane: lane, Transaction: t})
+	return p
+}
+
+func (c *Controller) onCommit(e CommitAnswered) {
+	p := c.commits.pending[e.ID]
+	if p == nil {
+		return
+	}
+	delete(c.commits.pending, e.ID)
+	if e.Result == Committed {
+		for _, a := range p.transaction.Puts {
+			// The view is taken from the watch alone, so that whoever sees
+			// epoch e has seen all commits of earlier epochs.
+			if a.Key != keyView || !c.guard(GuardView) {
+				c.apply(KeyValue{Key: a.Key, Value: a.Value, ModRevision: e.Revision})
+			}
+		}
+	}
+	// Nothing was written, and the state service charges nothing for it. A leader
+	// whose large commits were refused among others' small ones had spent its
+	// second's worth each time all the same.
+	if e.Result == Refused {
+		if e.Malformed {
+			c.recordRefusal(p.transaction)
+		}
+		c.commits.tokens = min(c.cfg.WriteRate*c.weight(), c.commits.tokens+float64(len(p.transaction.Puts)))
+	}
+	p.onAnswer(e.Result, e)
+}
--- a/internal/core/draft.go
+++ b/internal/core/draft.go
@@ -9,143 +9,143 @@
 	"brassglade/internal/tuning"
 )
 
-// ref names a cell of a job by its first task.
-type ref struct {
+// cellRef names a cell of a job by its first task.
+type cellRef struct {
 	job  string
 	from int
 }
 
 // draft gathers the changes of one task commit on copies of the records.
 type draft struct {
-	c       *Core
-	heads   map[string]*Header
-	chunks  map[ref][]Task   // copies
-	copied  map[string][]int // first tasks of the cells of each job that chunks has
-	keys    map[string]bool  // that hold them
-	add     map[string]int   // bytes by which packs may grow
-	teams   map[string]Team  // reservations to write
-	mine    map[string]Res   // what the draft adds to this node's bookings
-	conds   map[string]bool
-	drop    map[string]bool // jobs that are over: their tasks go
-	machs   map[string]bool
-	dooms   []doom
-	only    string // the one value of another part that this draft may change; "": none, but its own
-	most    int    // changes that the present stage may fill the draft up to
-	bytes   int
-	maxB    int // bytes that the present stage may fill the draft up to
-	notes   []func()
-	used    map[string]Res // bookings of this draft, by machine
-	changed map[TaskID]bool
-	leave   map[string]string // jobs that leave a pack that is too large with their next change, and where to
-	moved   map[string]string // those that did
-	raw     []Put             // cells of a value being cut
+	c           *Controller
+	headers     map[string]*JobHeader
+	cells       map[cellRef][]Task    // copies
+	copiedCells map[string][]int      // first tasks of the cells of each job that chunks has
+	keys        map[string]bool       // that hold them
+	growth      map[string]int        // bytes by which packs may grow
+	shares      map[string]TeamShares // reservations to write
+	usage       map[string]Resources  // what the draft adds to this node's bookings
+	conditions  map[string]bool
+	finished    map[string]bool // jobs that are over: their tasks go
+	machines    map[string]bool
+	releases    []attemptID
+	foreignKey  string // the one value of another part that this draft may change; "": none, but its own
+	maxChanges  int    // changes that the present stage may fill the draft up to
+	bytes       int
+	maxBytes    int // bytes that the present stage may fill the draft up to
+	onCommit    []func()
+	usedOn      map[string]Resources // bookings of this draft, by machine
+	changed     map[TaskID]bool
+	leaving     map[string]string // jobs that leave a pack that is too large with their next change, and where to
+	moved       map[string]string // those that did
+	rawPuts     []Put             // cells of a value being cut
 }
 
-func (c *Core) newDraft() *draft {
+func (c *Controller) newDraft() *draft {
 	d := &draft{
-		c: c, most: c.cfg.TxnOps, maxB: tuning.TxnBytes, heads: map[string]*Header{}, chunks: map[ref][]Task{}, copied: map[string][]int{}, keys: map[string]bool{}, add: map[string]int{},
-		teams: map[string]Team{}, mine: map[string]Res{}, conds: map[string]bool{}, drop: map[string]bool{},
-		machs: map[string]bool{}, used: map[string]Res{}, changed: map[TaskID]bool{}, moved: map[string]string{}, leave: map[string]string{},
+		c: c, maxChanges: c.cfg.TransactionLimit, maxBytes: tuning.TxnBytes, headers: map[string]*JobHeader{}, cells: map[cellRef][]Task{}, copiedCells: map[string][]int{}, keys: map[string]bool{}, growth: map[string]int{},
+		shares: map[string]TeamShares{}, usage: map[string]Resources{}, conditions: map[string]bool{}, finished: map[string]bool{},
+		machines: map[string]bool{}, usedOn: map[string]Resources{}, changed: map[TaskID]bool{}, moved: map[string]string{}, leaving: map[string]string{},
 	}
-	d.tie()
+	d.excludeInDoubt()
 	return d
 }
 
-// tie is the value by which later task commits exclude one whose outcome is
+// inDoubtCommit is the value by which later task commits exclude one whose outcome is
 // unknown.
-type tie struct {
-	key   string
-	stamp uint64
+type inDoubtCommit struct {
+	key         string
+	modRevision uint64
 }
 
-// tieTo remembers a commit without an answer: it may be carried out late, after
+// markInDoubt remembers a commit without an answer: it may be carried out late, after
 // newer ones of this node. Until that is settled every task commit writes one of
 // its values again, under the condition that it hasn't changed; so of all these
 // commits one at most is ever carried out, and no two of them can together book
 // more than this node's share of a team's limit, or more than a machine holds.
-func (c *Core) tieTo(t Txn) {
-	if c.tied.key != "" {
+func (c *Controller) markInDoubt(t Transaction) {
+	if c.commits.inDoubt.key != "" {
 		return // this one, too, excludes the first
 	}
 	rank := func(key string) int {
 		switch {
-		case strings.HasPrefix(key, prePack):
+		case strings.HasPrefix(key, prefixPack):
 			return 1
-		case strings.HasPrefix(key, preTask), strings.HasPrefix(key, preJob):
+		case strings.HasPrefix(key, prefixTask), strings.HasPrefix(key, prefixJob):
 			return 2
-		case strings.HasPrefix(key, preTeam):
+		case strings.HasPrefix(key, prefixTeam):
 			return 3
 		}
 		return 4
 	}
 	had := map[string]uint64{}
-	for _, k := range t.When {
-		if had[k.Key] = k.Stamp; c.st.stamps[k.Key] != k.Stamp {
+	for _, k := range t.Conditions {
+		if had[k.Key] = k.ModRevision; c.cache.modRevisions[k.Key] != k.ModRevision {
 			return // carried out, or never to be
 		}
 	}
-	for _, a := range t.Apply {
-		if rank(a.Key) < 4 && (c.tied.key == "" || rank(a.Key) < rank(c.tied.key)) {
-			c.tied = tie{a.Key, had[a.Key]}
+	for _, a := range t.Puts {
+		if rank(a.Key) < 4 && (c.commits.inDoubt.key == "" || rank(a.Key) < rank(c.commits.inDoubt.key)) {
+			c.commits.inDoubt = inDoubtCommit{a.Key, had[a.Key]}
 		}
 	}
 }
 
-// tie puts the tied value into a draft as it is.
-func (d *draft) tie() {
+// excludeInDoubt puts the tied value into a draft as it is.
+func (d *draft) excludeInDoubt() {
 	c := d.c
-	key := c.tied.key
+	key := c.commits.inDoubt.key
 	if key == "" {
 		return
 	}
-	if c.st.stamps[key] != c.tied.stamp {
-		c.tied = tie{} // carried out, or never to be
+	if c.cache.modRevisions[key] != c.commits.inDoubt.modRevision {
+		c.commits.inDoubt = inDoubtCommit{} // carried out, or never to be
 		return
 	}
 	switch {
-	case strings.HasPrefix(key, prePack):
+	case strings.HasPrefix(key, prefixPack):
 		d.keys[key] = true
 		d.bytes += c.valueBytes(key)
-		d.cond(key)
-	case strings.HasPrefix(key, preTeam):
-		d.keepTeam(key[len(preTeam):])
-	case strings.HasPrefix(key, preJob):
-		if j := c.st.jobs[key[len(preJob):]]; j != nil {
-			d.head(j)
+		d.addCondition(key)
+	case strings.HasPrefix(key, prefixTeam):
+		d.keepShare(key[len(prefixTeam):])
+	case strings.HasPrefix(key, prefixJob):
+		if j := c.cache.jobs[key[len(prefixJob):]]; j != nil {
+			d.header(j)
 		}
 	default:
-		f := strings.Split(key[len(preTask):], "/")
-		j := c.st.jobs[f[0]]
-		if j == nil || j.H.Spec == nil {
+		f := strings.Split(key[len(prefixTask):], "/")
+		j := c.cache.jobs[f[0]]
+		if j == nil || j.Header.Spec == nil {
 			return
 		}
-		if i, ok := j.first(f[1:]); ok && keyOf(j, i) == key {
+		if i, ok := j.firstTaskOf(f[1:]); ok && keyOf(j, i) == key {
 			d.copyCell(j, i)
 			d.keys[key] = true
 			d.bytes += c.valueBytes(key)
-			d.cond(key)
+			d.addCondition(key)
 		}
 	}
 }
 
-func (d *draft) ops() int { return len(d.heads) + len(d.keys) + len(d.teams) + len(d.raw) }
+func (d *draft) changes() int { return len(d.headers) + len(d.keys) + len(d.shares) + len(d.rawPuts) }
 
 // keyOf is where the draft keeps task i of a job.
 func (d *draft) keyOf(j *Job, i int) string {
 	if q, ok := d.moved[j.ID]; ok {
-		return prePack + q
+		return prefixPack + q
 	}
 	return keyOf(j, i)
 }
 
 // ref of the cell with task i.
-func (j *Job) ref(i int) ref {
+func (j *Job) ref(i int) cellRef {
 	from, _ := j.cell(i)
-	return ref{j.ID, from}
+	return cellRef{j.ID, from}
 }
 
-// cellTasks copies the records of the cell with task i.
-func (j *Job) cellTasks(i int) []Task {
+// copyOfCell copies the records of the cell with task i.
+func (j *Job) copyOfCell(i int) []Task {
 	from, to := j.cell(i)
 	ch := make([]Task, to-from)
 	if j.Tasks != nil {
@@ -157,80 +157,80 @@
 // copyCell takes a copy of the records of the cell with task i into the draft.
 func (d *draft) copyCell(j *Job, i int) []Task {
 	r := j.ref(i)
-	if d.chunks[r] == nil {
-		d.copied[j.ID] = append(d.copied[j.ID], r.from)
+	if d.cells[r] == nil {
+		d.copiedCells[j.ID] = append(d.copiedCells[j.ID], r.from)
 	}
-	d.chunks[r] = j.cellTasks(i)
-	return d.chunks[r]
+	d.cells[r] = j.copyOfCell(i)
+	return d.cells[r]
 }
 
-// room tells whether the change of one more task of j may still go in: one
+// hasRoomFor tells whether the change of one more task of j may still go in: one
 // chunk, one header and one team at most. grows: the value may get longer.
-func (d *draft) room(j *Job, i int, header, grows bool) bool {
-	n, b := d.ops(), d.bytes
+func (d *draft) hasRoomFor(j *Job, i int, header, grows bool) bool {
+	n, b := d.changes(), d.bytes
 	key := keyOf(j, i)
-	if foreign := d.c.foreign(j); foreign && key != d.only {
-		d.c.others[key] = true
+	if foreign := d.c.isForeign(j); foreign && key != d.foreignKey {
+		d.c.planner.foreignValues[key] = true
 		return false
-	} else if !foreign && d.only != "" {
+	} else if !foreign && d.foreignKey != "" {
 		return false
 	}
 	leave := ""
-	if (d.c.limitsFell || grows && d.c.formatOn()) && !j.H.In && d.c.isStuck(key) {
+	if (d.c.formats.limitsFell || grows && d.c.formatOn()) && !j.Header.Inline && d.c.isOversizedInPlan(key) {
 		// The value can't be written any more, or must not grow. A pack's job leaves
 		// it with this change; a chunk is cut first.
 		ok := false
-		if j.H.Pack != "" {
+		if j.Header.Pack != "" {
 			leave, ok = d.target(j)
 		}
 		if !ok {
-			d.c.dirty = true
+			d.c.planner.dirty = true
 			return false
 		}
-		key, header = prePack+leave, true
+		key, header = prefixPack+leave, true
 	}
-	header = header || j.H.In
-	if !d.keys[key] && !j.H.In {
+	header = header || j.Header.Inline
+	if !d.keys[key] && !j.Header.Inline {
 		n++
 		b += d.c.valueBytes(key)
 	}
-	if header && d.heads[j.ID] == nil {
+	if header && d.headers[j.ID] == nil {
 		n++
 		b += tuning.HeaderBytes
 	}
-	if _, ok := d.teams[j.H.Spec.Team]; !ok {
+	if _, ok := d.shares[j.Header.Spec.Team]; !ok {
 		n++
 	}
 	// A value that is full takes no more bookings until others of it end.
-	most := d.c.bound()
+	most := d.c.valueBound()
 	if d.c.formatOn() {
-		most = d.c.cfg.ValueB
+		most = d.c.cfg.ValueLimit
 	}
-	if grows && !j.H.In && d.c.st.sizes[key]+d.add[key]+2*tuning.TaskBytes+len(j.ID) > most-tuning.PackSlack {
-		d.c.full[key] = true
+	if grows && !j.Header.Inline && d.c.cache.valueSizes[key]+d.growth[key]+2*tuning.TaskBytes+len(j.ID) > most-tuning.PackSlack {
+		d.c.commits.fullValues[key] = true
 		return false
 	}
 	// Conditions are few where transactions are small: counted as they are, the
 	// view's among them, with one for the page of the machine's mark.
 	more := 1
-	for _, k := range [4]string{key, keyOf(j, i), keyJob(j.ID), preTeam + j.H.Spec.Team} {
-		if !d.conds[k] {
+	for _, k := range [4]string{key, keyOf(j, i), keyJob(j.ID), prefixTeam + j.Header.Spec.Team} {
+		if !d.conditions[k] {
 			more++
 		}
 	}
-	if n > d.most || b > d.maxB || 1+len(d.conds)+more > 4*d.c.cfg.TxnOps {
+	if n > d.maxChanges || b > d.maxBytes || 1+len(d.conditions)+more > 4*d.c.cfg.TransactionLimit {
 		return false
 	}
 	if leave != "" {
-		d.leave[j.ID] = leave
+		d.leaving[j.ID] = leave
 	}
 	return true
 }
 
 // bookBytes is what a booking is planned to add to its value: what it mostly takes,
 // or, when a draft came out too large by that, the most that it may take.
-func (c *Core) bookBytes() int {
-	if c.formatOn() && !c.planLongest {
+func (c *Controller) bookBytes() int {
+	if c.formatOn() && !c.planner.reserveLongestTexts {
 		return tuning.TaskBytesShort
 	}
 	return tuning.TaskBytes
@@ -238,76 +238,76 @@
 
 // tooLarge tells whether a transaction has a value that outgrew its bound in this
 // draft: estimates are for what is usual.
-func (c *Core) tooLarge(t Txn) bool {
-	for _, a := range t.Apply {
-		if len(a.Value) > c.cfg.ValueB && !c.st.large[a.Key] {
+func (c *Controller) tooLarge(t Transaction) bool {
+	for _, a := range t.Puts {
+		if len(a.Value) > c.cfg.ValueLimit && !c.cache.oversized[a.Key] {
 			return true
 		}
 	}
 	return false
 }
 
-// isStuck asks stuck once a plan.
-func (c *Core) isStuck(key string) bool {
-	if !c.st.large[key] {
+// isOversizedInPlan asks stuck once a plan.
+func (c *Controller) isOversizedInPlan(key string) bool {
+	if !c.cache.oversized[key] {
 		return false
 	}
-	x, ok := c.stuckNow[key]
+	x, ok := c.commits.oversizedInPlan[key]
 	if !ok {
-		x = c.stuck(key)
-		c.stuckNow[key] = x
+		x = c.isOversized(key)
+		c.commits.oversizedInPlan[key] = x
 	}
 	return x
 }
 
 // isAvoided tells whether a task's chunk lost a conflict just now.
-func (c *Core) isAvoided(j *Job, i int) bool {
-	if len(c.avoid) == 0 {
+func (c *Controller) isAvoided(j *Job, i int) bool {
+	if len(c.commits.avoidUntil) == 0 {
 		return false
 	}
 	k := keyOf(j, i)
-	if till, ok := c.avoid[k]; ok && c.now < till {
-		c.dirty = true
+	if till, ok := c.commits.avoidUntil[k]; ok && c.now < till {
+		c.planner.dirty = true
 		return true
 	}
-	delete(c.avoid, k)
+	delete(c.commits.avoidUntil, k)
 	return false
 }
 
 // valueBytes is what a chunk's key may take in a transaction.
-func (c *Core) valueBytes(key string) int {
-	return min(c.bound(), c.st.sizes[key]+tuning.ValueGrow)
+func (c *Controller) valueBytes(key string) int {
+	return min(c.valueBound(), c.cache.valueSizes[key]+tuning.ValueGrow)
 }
 
-func (d *draft) cond(key string) { d.conds[key] = true }
+func (d *draft) addCondition(key string) { d.conditions[key] = true }
 
 // task returns the copy of task i to change.
 func (d *draft) task(j *Job, i int) *Task {
 	r := j.ref(i)
-	ch := d.chunks[r]
+	ch := d.cells[r]
 	if ch == nil {
 		key := keyOf(j, i)
-		if q, ok := d.leave[j.ID]; ok {
+		if q, ok := d.leaving[j.ID]; ok {
 			d.move(j, q)
 		}
-		if ch = d.chunks[r]; ch == nil {
+		if ch = d.cells[r]; ch == nil {
 			ch = d.copyCell(j, i)
 		}
 		// While a value is too large, jobs may leave it without a change of its
 		// stamp (move, cut): only their headers show it.
-		if d.c.st.large[key] {
-			d.cond(keyJob(j.ID))
+		if d.c.cache.oversized[key] {
+			d.addCondition(keyJob(j.ID))
 		}
 		key = d.keyOf(j, i)
-		if j.H.In {
-			d.head(j)
+		if j.Header.Inline {
+			d.header(j)
 		} else if !d.keys[key] {
 			d.keys[key] = true
 			d.bytes += d.c.valueBytes(key)
-			d.cond(key)
+			d.addCondition(key)
 		}
 		if j.Tasks == nil {
-			d.add[key] += tuning.TaskBytes + len(j.ID)
+			d.growth[key] += tuning.TaskBytes + len(j.ID)
 		}
 	}
 	d.changed[TaskID{j.ID, i}] = true
@@ -318,23 +318,23 @@
 // run of it may go out any more, since this transaction may land late.
 func (d *draft) release(j *Job, i int, done bool) {
 	t := d.task(j, i)
-	d.dooms = append(d.dooms, doom{TaskID{j.ID, i}, t.Attempt})
-	d.machs[t.Machine] = true
-	d.used[t.Machine] = d.used[t.Machine].Plus(j.H.Spec.Need, -1) // the same commit may book there again
-	if t.Part == d.c.cfg.Node {
-		d.mine[j.H.Spec.Team] = d.mine[j.H.Spec.Team].Plus(j.H.Spec.Need, -1)
-		d.settleTeam(j.H.Spec.Team, j.H.Spec.Need)
-	}
-	t.Machine, t.Shift, t.Zone = "", 0, ""
-	t.State, t.Part = Queued, ""
-	d.add[d.keyOf(j, i)] += tuning.ReleaseBytes
+	d.releases = append(d.releases, attemptID{TaskID{j.ID, i}, t.Attempt})
+	d.machines[t.Machine] = true
+	d.usedOn[t.Machine] = d.usedOn[t.Machine].Plus(j.Header.Spec.Request, -1) // the same commit may book there again
+	if t.Shard == d.c.cfg.Node {
+		d.usage[j.Header.Spec.Team] = d.usage[j.Header.Spec.Team].Plus(j.Header.Spec.Request, -1)
+		d.settleShare(j.Header.Spec.Team, j.Header.Spec.Request)
+	}
+	t.Machine, t.AgentEpoch, t.Zone = "", 0, ""
+	t.State, t.Shard = Queued, ""
+	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	if !done {
 		return
 	}
 	d.finish(j, i)
-	if j.H.Spec.Shape == Gang {
+	if j.Header.Spec.Shape == Gang {
 		// They complete together: a mate whose own report was lost is done too.
-		for k := 0; k < j.H.N; k++ {
+		for k := 0; k < j.Header.TaskCount; k++ {
 			if o := d.peek(j, k); o.State == Queued {
 				d.finish(j, k)
 			}
@@ -344,8 +344,8 @@
 
 // peek reads task i as the draft has it, without touching its chunk.
 func (d *draft) peek(j *Job, i int) Task {
-	if r := j.ref(i); d.chunks[r] != nil {
-		return d.chunks[r][i-r.from]
+	if r := j.ref(i); d.cells[r] != nil {
+		return d.cells[r][i-r.from]
 	}
 	return j.task(i)
 }
@@ -355,104 +355,104 @@
 func (d *draft) finish(j *Job, i int) {
 	t := d.task(j, i)
 	*t = Task{State: Done}
-	cell := d.chunks[j.ref(i)]
+	cell := d.cells[j.ref(i)]
 	for _, o := range cell {
 		if o.State != Done {
 			return
 		}
 	}
-	h := d.head(j)
+	h := d.header(j)
 	over := false
-	if h.Sub > 0 {
-		h.Fin += len(cell)
-		over = h.Fin >= h.N
+	if h.CellSize > 0 {
+		h.DoneTasks += len(cell)
+		over = h.DoneTasks >= h.TaskCount
 	} else {
-		h.Chunks++
-		over = h.Chunks*h.Chunk >= h.N
+		h.DoneChunks++
+		over = h.DoneChunks*h.ChunkSize >= h.TaskCount
 	}
 	if over {
-		h.State, h.Spec, h.Cut, h.Sub = JobDone, nil, nil, 0
+		h.State, h.Spec, h.SplitChunks, h.CellSize = StateDone, nil, nil, 0
 		if d.c.formatOn() {
-			h.End = d.c.wallMS()
+			h.DoneAtMS = d.c.wallMS()
 		}
-		d.drop[j.ID] = true // the header says all there is to know
+		d.finished[j.ID] = true // the header says all there is to know
 	}
 }
 
 // gangDone tells whether one of a gang's tasks is done, and hence all are.
-func (c *Core) gangDone(j *Job, d *draft) bool {
-	return j.H.Spec.Shape == Gang && c.placementOf(j, d).done > 0
+func (c *Controller) gangDone(j *Job, d *draft) bool {
+	return j.Header.Spec.Shape == Gang && c.placementOf(j, d).done > 0
 }
 
-func (d *draft) head(j *Job) *Header {
-	h := d.heads[j.ID]
+func (d *draft) header(j *Job) *JobHeader {
+	h := d.headers[j.ID]
 	if h == nil {
-		cp := *j.H
+		cp := *j.Header
 		h = &cp
-		d.c.fit(h)
-		d.heads[j.ID] = h
-		d.cond(keyJob(j.ID))
+		d.c.fitHeader(h)
+		d.headers[j.ID] = h
+		d.addCondition(keyJob(j.ID))
 		d.bytes += tuning.HeaderBytes
 	}
 	return h
 }
 
-// txn writes the draft as one transaction, conditional on all that it read.
-func (d *draft) txn() Txn {
+// transaction writes the draft as one transaction, conditional on all that it read.
+func (d *draft) transaction() Transaction {
 	c := d.c
-	t := Txn{When: []Cond{{keyView, c.st.stamps[keyView]}}}
-	for _, k := range slices.Sorted(maps.Keys(d.conds)) {
-		t.When = append(t.When, Cond{k, c.st.stamps[k]})
+	t := Transaction{Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}}}
+	for _, k := range slices.Sorted(maps.Keys(d.conditions)) {
+		t.Conditions = append(t.Conditions, Condition{k, c.cache.modRevisions[k]})
 	}
 	// Headers first: a cache takes a chunk only below a header.
-	for _, id := range slices.Sorted(maps.Keys(d.heads)) {
-		h := d.heads[id]
-		if h.In {
-			h.T = nil
-			if j := c.st.jobs[id]; !d.drop[id] && h.Spec != nil {
-				ts := d.chunks[ref{id, 0}]
+	for _, id := range slices.Sorted(maps.Keys(d.headers)) {
+		h := d.headers[id]
+		if h.Inline {
+			h.InlineTasks = nil
+			if j := c.cache.jobs[id]; !d.finished[id] && h.Spec != nil {
+				ts := d.cells[cellRef{id, 0}]
 				if ts == nil {
 					ts = j.Tasks
 				}
 				if ts != nil {
-					h.T = c.chunkOf(map[string][]Task{id: ts})
+					h.InlineTasks = c.chunkOf(map[string][]Task{id: ts})
 				}
 			}
 		}
-		t.Apply = append(t.Apply, Put{Key: keyJob(id), Value: enc(h)})
+		t.Puts = append(t.Puts, Put{Key: keyJob(id), Value: mustEncode(h)})
 	}
 	vals := map[string]map[string][]Task{}
 	for key := range d.keys {
 		vals[key] = map[string][]Task{}
-		if !strings.HasPrefix(key, prePack) {
+		if !strings.HasPrefix(key, prefixPack) {
 			continue
 		}
-		jobs := c.st.packs[key[len(prePack):]]
+		jobs := c.cache.jobsByPack[key[len(prefixPack):]]
 		for _, id := range slices.Sorted(maps.Keys(jobs)) {
-			if j := jobs[id]; j.Tasks != nil && !d.drop[id] && d.chunks[ref{id, 0}] == nil && d.moved[id] == "" {
+			if j := jobs[id]; j.Tasks != nil && !d.finished[id] && d.cells[cellRef{id, 0}] == nil && d.moved[id] == "" {
 				vals[key][id] = j.Tasks
 			}
 		}
 	}
-	refs := slices.SortedFunc(maps.Keys(d.chunks), func(a, b ref) int {
+	refs := slices.SortedFunc(maps.Keys(d.cells), func(a, b cellRef) int {
 		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.from, b.from))
 	})
 	for _, r := range refs {
-		if j := c.st.jobs[r.job]; !d.drop[r.job] && !j.H.In {
-			vals[d.keyOf(j, r.from)][r.job] = d.chunks[r]
+		if j := c.cache.jobs[r.job]; !d.finished[r.job] && !j.Header.Inline {
+			vals[d.keyOf(j, r.from)][r.job] = d.cells[r]
 		}
 	}
-	t.Apply = append(t.Apply, d.raw...)
+	t.Puts = append(t.Puts, d.rawPuts...)
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
 		switch {
-		case len(vals[key]) > 0 || strings.HasPrefix(key, prePack):
-			t.Apply = append(t.Apply, Put{Key: key, Value: enc(c.chunkOf(vals[key]))})
-		case c.st.stamps[key] != 0:
-			t.Apply = append(t.Apply, Put{Key: key})
+		case len(vals[key]) > 0 || strings.HasPrefix(key, prefixPack):
+			t.Puts = append(t.Puts, Put{Key: key, Value: mustEncode(c.chunkOf(vals[key]))})
+		case c.cache.modRevisions[key] != 0:
+			t.Puts = append(t.Puts, Put{Key: key})
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(d.teams)) {
-		t.Apply = append(t.Apply, Put{Key: preTeam + n, Value: enc(d.teams[n])})
+	for _, n := range slices.Sorted(maps.Keys(d.shares)) {
+		t.Puts = append(t.Puts, Put{Key: prefixTeam + n, Value: mustEncode(d.shares[n])})
 	}
 	return t
 }
@@ -463,30 +463,30 @@
 		panic("booking " + j.ID + " before what it awaits") // no list of open jobs has it
 	}
 	t := d.task(j, i)
-	d.cond(keyJob(j.ID)) // it may have been cancelled or passed on
-	*t = Task{State: Booked, Attempt: attempt, Machine: m, Shift: shift, Zone: zone, Part: d.c.cfg.Node}
+	d.addCondition(keyJob(j.ID)) // it may have been cancelled or passed on
+	*t = Task{State: Booked, Attempt: attempt, Machine: m, AgentEpoch: shift, Zone: zone, Shard: d.c.cfg.Node}
 	if d.c.guard(GuardGone) {
-		d.cond(preMach + d.c.markHome(m))
+		d.addCondition(prefixCordons + d.c.cordonPageOf(m))
 	}
-	d.machs[m] = true
-	d.add[d.keyOf(j, i)] += d.c.bookBytes()
-	d.mine[j.H.Spec.Team] = d.mine[j.H.Spec.Team].Plus(j.H.Spec.Need, 1)
-	d.settleTeam(j.H.Spec.Team, j.H.Spec.Need)
-	d.used[m] = d.used[m].Plus(j.H.Spec.Need, 1)
+	d.machines[m] = true
+	d.growth[d.keyOf(j, i)] += d.c.bookBytes()
+	d.usage[j.Header.Spec.Team] = d.usage[j.Header.Spec.Team].Plus(j.Header.Spec.Request, 1)
+	d.settleShare(j.Header.Spec.Team, j.Header.Spec.Request)
+	d.usedOn[m] = d.usedOn[m].Plus(j.Header.Spec.Request, 1)
 }
 
-// noteBooking counts and logs a booking once it is committed.
-func (d *draft) noteBooking(id TaskID, machine, zone string, attempt uint64, pass PlanningPass) {
-	d.notes = append(d.notes, func() {
+// recordBooking counts and logs a booking once it is committed.
+func (d *draft) recordBooking(id TaskID, machine, zone string, attempt uint64, pass PlanningPass) {
+	d.onCommit = append(d.onCommit, func() {
 		d.c.Work.Bookings[pass]++
-		d.c.log(2, "task booked", "task", id, "machine", machine, "zone", zone, "attempt", attempt, "pass", pass)
+		d.c.debug("task booked", "task", id, "machine", machine, "zone", zone, "attempt", attempt, "pass", pass)
 	})
 }
 
-// txnBytes is what a transaction's values take.
-func txnBytes(t Txn) int {
+// transactionBytes is what a transaction's values take.
+func transactionBytes(t Transaction) int {
 	n := 0
-	for _, a := range t.Apply {
+	for _, a := range t.Puts {
 		n += len(a.Value)
 	}
 	return n
--- a/internal/core/flavors.go
+++ b/internal/core/flavors.go
@@ -8,65 +8,65 @@
 	"brassglade/internal/tuning"
 )
 
-func (c *Core) onFlavors(e EvFlavors) {
-	f := &c.fleet
-	f.flavBusy = false
+func (c *Controller) onMachineTypesListed(e MachineTypesListed) {
+	f := &c.scaling
+	f.listingTypes = false
 	if !e.OK {
-		f.flavAt = c.now + 3*time.Second
+		f.nextTypesAt = c.now + 3*time.Second
 		return
 	}
-	f.flavAt = c.now + tuning.FlavorsEvery
-	if c.isLeader() && string(enc(e.F)) != string(enc(c.st.flavors)) {
-		c.commit(LaneUser, Txn{
-			When:  []Cond{{keyView, c.st.stamps[keyView]}},
-			Apply: c.flavorPages(e.F),
-		}, func(r CommitResult, _ EvCommit) {
+	f.nextTypesAt = c.now + tuning.FlavorsEvery
+	if c.isLeader() && string(mustEncode(e.Types)) != string(mustEncode(c.cache.machineTypes)) {
+		c.commit(LaneUser, Transaction{
+			Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}},
+			Puts:       c.machineTypePages(e.Types),
+		}, func(r CommitResult, _ CommitAnswered) {
 			if r != Committed {
-				c.fleet.flavAt = c.now + time.Second
+				c.scaling.nextTypesAt = c.now + time.Second
 			}
 		})
 	}
 }
 
-// flavorPages are the values that the types go into: one, or where they would not
+// machineTypePages are the values that the types go into: one, or where they would not
 // fit a smaller bound, several, once all controllers read those.
-func (c *Core) flavorPages(fs []Flavor) []Put {
-	if b := enc(Flavors{F: fs}); len(b) <= c.cfg.ValueB || !c.formatOn() && len(b) <= c.bound() {
-		return []Put{{Key: keyFlavors, Value: b}}
+func (c *Controller) machineTypePages(fs []MachineType) []Put {
+	if b := mustEncode(MachineTypePage{Types: fs}); len(b) <= c.cfg.ValueLimit || !c.formatOn() && len(b) <= c.valueBound() {
+		return []Put{{Key: keyMachineTypes, Value: b}}
 	}
-	var pages []Flavors
+	var pages []MachineTypePage
 	for _, f := range fs {
 		n := len(pages)
 		if n > 0 {
-			if p := append(slices.Clone(pages[n-1].F), f); len(enc(Flavors{F: p, More: 99})) <= c.cfg.ValueB {
-				pages[n-1].F = p
+			if p := append(slices.Clone(pages[n-1].Types), f); len(mustEncode(MachineTypePage{Types: p, More: 99})) <= c.cfg.ValueLimit {
+				pages[n-1].Types = p
 				continue
 			}
 		}
-		pages = append(pages, Flavors{F: []Flavor{f}})
+		pages = append(pages, MachineTypePage{Types: []MachineType{f}})
 	}
-	if n := len(pages); n > c.cfg.TxnOps {
-		c.log(0, "too many machine types", "pages", n)
-		pages = pages[:c.cfg.TxnOps]
+	if n := len(pages); n > c.cfg.TransactionLimit {
+		c.error("too many machine types", "pages", n)
+		pages = pages[:c.cfg.TransactionLimit]
 	}
 	pages[0].More = len(pages) - 1
 	var puts []Put
 	for i, p := range pages {
-		key := keyFlavors
+		key := keyMachineTypes
 		if i > 0 {
-			key = preFlavors + strconv.Itoa(i)
+			key = prefixMachineTypes + strconv.Itoa(i)
 		}
-		puts = append(puts, Put{Key: key, Value: enc(p)})
+		puts = append(puts, Put{Key: key, Value: mustEncode(p)})
 	}
 	return puts
 }
 
-// applyFlavors takes a page of types.
-func (c *Core) applyFlavors(key string, f Flavors) {
-	c.st.flavorPages[key] = f
-	first := c.st.flavorPages[keyFlavors]
-	c.st.flavors = slices.Clone(first.F)
+// applyMachineTypes takes a page of types.
+func (c *Controller) applyMachineTypes(key string, f MachineTypePage) {
+	c.cache.machineTypePages[key] = f
+	first := c.cache.machineTypePages[keyMachineTypes]
+	c.cache.machineTypes = slices.Clone(first.Types)
 	for i := 1; i <= first.More; i++ {
-		c.st.flavors = append(c.st.flavors, c.st.flavorPages[preFlavors+strconv.Itoa(i)].F...)
+		c.cache.machineTypes = append(c.cache.machineTypes, c.cache.machineTypePages[prefixMachineTypes+strconv.Itoa(i)].Types...)
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -9,177 +9,177 @@
 	"brassglade/internal/tuning"
 )
 
-// fleet is the leader's care for machines. All of it is rebuilt from the
+// scaling is the leader's care for machines. All of it is rebuilt from the
 // cloud's list and the cache by a new leader.
-type fleet struct {
-	list      map[string]Inst
-	listed    bool
-	listing   bool
-	listSent  time.Duration
-	listAt    time.Duration
-	born      map[string]Inst          // rented, not yet listed
-	bornAt    map[string]time.Duration // when first known here
-	hireN     int
-	renting   map[string]rent
-	pauses    map[option]pause
-	returning bool
-	backoff   time.Duration
-	hold      map[string]bool
-	evict     map[string]bool
-	ranWhole  map[string]time.Duration // when a whole job was last seen there
-	rest      map[string]bool          // no new tasks: the cheaper machines suffice
-	idle      map[string]time.Duration
-	decideAt  time.Duration
-	flavAt    time.Duration
-	flavBusy  bool
-	tellAt    time.Duration
-	unheard   map[string]time.Duration
-	zoneDown  map[string]time.Duration // since when most of a zone's machines are unheard
-	wholeSeen map[string]wholeSeen
-	wholeRate map[string]float64 // tasks a second that came lately, by class
+type scaling struct {
+	instances      map[string]Instance
+	listed         bool
+	listing        bool
+	listSentAt     time.Duration
+	nextListAt     time.Duration
+	unlisted       map[string]Instance      // rented, not yet listed
+	knownSince     map[string]time.Duration // when first known here
+	rentalCount    int
+	rentals        map[string]rental
+	pauses         map[machineKind]rentalPause
+	returning      bool
+	nextReturnAt   time.Duration
+	reserved       map[string]bool
+	evicting       map[string]bool
+	ranGangAt      map[string]time.Duration // when a whole job was last seen there
+	resting        map[string]bool          // no new tasks: the cheaper machines suffice
+	idleSince      map[string]time.Duration
+	nextDecisionAt time.Duration
+	nextTypesAt    time.Duration
+	listingTypes   bool
+	nextLogAt      time.Duration
+	unheardSince   map[string]time.Duration
+	zoneDownSince  map[string]time.Duration // since when most of a zone's machines are unheard
+	gangClasses    map[string]gangClass
+	gangTaskRate   map[string]float64 // tasks a second that came lately, by class
 }
 
-type wholeSeen struct {
-	sp *Spec
-	at time.Duration
+type gangClass struct {
+	spec   *JobSpec
+	seenAt time.Duration
 }
 
-func (f *fleet) init() { f.reset(0) }
+func (f *scaling) init() { f.reset(0) }
 
-func (f *fleet) reset(time.Duration) {
-	n := f.hireN
-	*f = fleet{
-		list: map[string]Inst{}, born: map[string]Inst{}, bornAt: map[string]time.Duration{}, hireN: n,
-		renting: map[string]rent{}, pauses: map[option]pause{}, hold: map[string]bool{}, evict: map[string]bool{}, unheard: map[string]time.Duration{}, zoneDown: map[string]time.Duration{}, ranWhole: map[string]time.Duration{}, rest: map[string]bool{},
-		idle: map[string]time.Duration{}, wholeSeen: map[string]wholeSeen{},
+func (f *scaling) reset(time.Duration) {
+	n := f.rentalCount
+	*f = scaling{
+		instances: map[string]Instance{}, unlisted: map[string]Instance{}, knownSince: map[string]time.Duration{}, rentalCount: n,
+		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{}, reserved: map[string]bool{}, evicting: map[string]bool{}, unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{}, ranGangAt: map[string]time.Duration{}, resting: map[string]bool{},
+		idleSince: map[string]time.Duration{}, gangClasses: map[string]gangClass{},
 	}
 }
 
-func (c *Core) driveFleet() {
-	f := &c.fleet
-	if !c.fenceOK() || !c.isLeader() {
+func (c *Controller) scale() {
+	f := &c.scaling
+	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !f.flavBusy && c.now >= f.flavAt {
-		f.flavBusy = true
-		c.emit(EfFlavors{})
+	if !f.listingTypes && c.now >= f.nextTypesAt {
+		f.listingTypes = true
+		c.emit(ListMachineTypes{})
 	}
-	if len(c.st.flavors) == 0 {
+	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !f.listing && c.now >= f.listAt {
-		f.listing, f.listSent = true, c.now
-		c.emit(EfList{})
+	if !f.listing && c.now >= f.nextListAt {
+		f.listing, f.listSentAt = true, c.now
+		c.emit(ListInstances{})
 	}
-	if c.now < f.decideAt {
+	if c.now < f.nextDecisionAt {
 		return
 	}
-	f.decideAt = c.now + max(tuning.FleetEvery, 2*c.pace())
-	c.decideReturns()
+	f.nextDecisionAt = c.now + max(tuning.FleetEvery, 2*c.pace())
+	c.planScaleIn()
 	if f.listed {
 		ms := c.machines()
-		pend := c.pending(ms)
-		c.decideMarks(ms, pend)
-		c.decideHolds(ms, pend)
-		c.decideRest(ms, pend)
-		c.decideRents(ms, pend)
+		pend := c.pendingWork(ms)
+		c.planCordons(ms, pend)
+		c.planReservations(ms, pend)
+		c.planResting(ms, pend)
+		c.planScaleOut(ms, pend)
 	}
 }
 
-func (c *Core) onList(e EvList) {
-	f := &c.fleet
+func (c *Controller) onInstancesListed(e InstancesListed) {
+	f := &c.scaling
 	f.listing = false
-	f.listAt = c.now + tuning.ListEvery
+	f.nextListAt = c.now + tuning.ListEvery
 	if !e.OK {
 		return
 	}
 	f.listed = true
-	f.list = map[string]Inst{}
-	for _, i := range e.L {
-		f.list[i.Name] = i
-		delete(f.born, i.Name)
-		if _, ok := f.bornAt[i.Name]; !ok {
-			f.bornAt[i.Name] = c.now - time.Duration(i.Held*float64(time.Second))
+	f.instances = map[string]Instance{}
+	for _, i := range e.Instances {
+		f.instances[i.Name] = i
+		delete(f.unlisted, i.Name)
+		if _, ok := f.knownSince[i.Name]; !ok {
+			f.knownSince[i.Name] = c.now - time.Duration(i.HeldSeconds*float64(time.Second))
 		}
 	}
-	for n := range f.bornAt {
-		_, l := f.list[n]
-		_, b := f.born[n]
-		if !l && !b && c.now-f.bornAt[n] > 5*time.Minute {
-			delete(f.bornAt, n)
-			delete(f.idle, n)
+	for n := range f.knownSince {
+		_, l := f.instances[n]
+		_, b := f.unlisted[n]
+		if !l && !b && c.now-f.knownSince[n] > 5*time.Minute {
+			delete(f.knownSince, n)
+			delete(f.idleSince, n)
 		}
 	}
 }
 
-// known is a machine that the leader counts on or has to care for.
-type known struct {
-	Inst
-	up   bool
-	mark MachineMark
-	free Res
-	busy int
+// machineState is a machine that the leader counts on or has to care for.
+type machineState struct {
+	Instance
+	heard  bool
+	cordon Cordon
+	free   Resources
+	tasks  int
 }
 
 // machines joins list, own rentals and what the nodes hear.
-func (c *Core) machines() []known {
-	f := &c.fleet
-	all := map[string]*known{}
-	for n, i := range f.list {
-		all[n] = &known{Inst: i}
+func (c *Controller) machines() []machineState {
+	f := &c.scaling
+	all := map[string]*machineState{}
+	for n, i := range f.instances {
+		all[n] = &machineState{Instance: i}
 	}
-	for n, i := range f.born {
-		if c.now-f.bornAt[n] > 2*time.Minute+2*c.cfg.ListLag && all[n] == nil {
-			delete(f.born, n) // never listed: gone again
+	for n, i := range f.unlisted {
+		if c.now-f.knownSince[n] > 2*time.Minute+2*c.cfg.ListLag && all[n] == nil {
+			delete(f.unlisted, n) // never listed: gone again
 			continue
 		}
 		if all[n] == nil {
-			all[n] = &known{Inst: i}
+			all[n] = &machineState{Instance: i}
 		}
 	}
 	for _, i := range c.inventory() {
 		k := all[i.name]
 		if k == nil {
-			k = &known{Inst: Inst{Name: i.name, Addr: i.addr, Type: i.typ, Zone: i.zone, Spot: i.spot, Status: "running"}}
+			k = &machineState{Instance: Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: "running"}}
 			all[i.name] = k
 		}
-		k.up = true
-		if _, ok := f.bornAt[i.name]; !ok {
-			f.bornAt[i.name] = c.now
+		k.heard = true
+		if _, ok := f.knownSince[i.name]; !ok {
+			f.knownSince[i.name] = c.now
 		}
 	}
-	var l []known
+	var l []machineState
 	for n, k := range all {
-		k.mark = c.st.marks[n]
-		if k.mark.State == MarkGone {
+		k.cordon = c.cache.cordons[n]
+		if k.cordon.State == CordonGone {
 			continue
 		}
-		fl := c.flavor(k.Type)
+		fl := c.machineType(k.Type)
 		if fl == nil {
 			continue
 		}
-		k.free = c.free(n, fl.Size, nil)
-		k.busy = len(c.st.byMach[n])
+		k.free = c.freeOn(n, fl.Capacity, nil)
+		k.tasks = len(c.cache.bookedOn[n])
 		l = append(l, *k)
 	}
 	sort.Slice(l, func(a, b int) bool { return l[a].Name < l[b].Name })
 	return l
 }
 
-// decideReturns returns drained machines; only after the cloud's 200 a machine
+// planScaleIn returns drained machines; only after the cloud's 200 a machine
 // is marked gone, which proves its tasks off.
-func (c *Core) decideReturns() {
-	f := &c.fleet
-	if f.returning || c.now < f.backoff {
+func (c *Controller) planScaleIn() {
+	f := &c.scaling
+	if f.returning || c.now < f.nextReturnAt {
 		return
 	}
 	var names []string
-	for _, n := range slices.Sorted(maps.Keys(c.st.marks)) {
-		m := c.st.marks[n]
-		if _, gone := c.wantMark[n]; m.State != MarkDrain || gone || c.st.ledger < c.st.stamps[preMach+c.markHome(n)] {
+	for _, n := range slices.Sorted(maps.Keys(c.cache.cordons)) {
+		m := c.cache.cordons[n]
+		if _, gone := c.cordons.wanted[n]; m.State != CordonDrain || gone || c.cache.revision < c.cache.modRevisions[prefixCordons+c.cordonPageOf(n)] {
 			continue
 		}
-		if (m.Why == WhyIdle || m.Why == WhySick) && len(c.st.byMach[n]) > 0 {
+		if (m.Reason == DrainIdle || m.Reason == DrainFaulty) && len(c.cache.bookedOn[n]) > 0 {
 			continue
 		}
 		if len(names) < tuning.ReturnMost {
@@ -188,32 +188,32 @@
 	}
 	if len(names) > 0 {
 		f.returning = true
-		c.emit(EfReturn{Names: names})
+		c.emit(ReturnMachines{Names: names})
 	}
 }
 
-func (c *Core) onReturned(e EvReturned) {
-	f := &c.fleet
+func (c *Controller) onReturnAnswered(e ReturnAnswered) {
+	f := &c.scaling
 	f.returning = false
 	if !e.OK {
-		f.backoff = c.now + 2*time.Second
+		f.nextReturnAt = c.now + 2*time.Second
 		return
 	}
 	for _, n := range e.Names {
-		c.mark(n, MachineMark{State: MarkGone})
+		c.cordon(n, Cordon{State: CordonGone})
 	}
-	c.log(1, "machines returned", "names", e.Names)
+	c.info("machines returned", "names", e.Names)
 }
 
-// decideMarks drains what is failed, stuck or idle for long.
-func (c *Core) decideMarks(ms []known, pend []need) {
-	f := &c.fleet
+// planCordons drains what is failed, stuck or idle for long.
+func (c *Controller) planCordons(ms []machineState, pend []pendingWork) {
+	f := &c.scaling
 	fresh, leaving := c.peersFresh(), c.leaving()
 	// A zone of which most machines are unheard is cut off for now, and its
 	// machines get their time anew when they can be heard again.
 	up, down, cut := map[string]int{}, map[string]int{}, map[string]bool{}
 	for _, k := range ms {
-		if k.up {
+		if k.heard {
 			up[k.Zone]++
 		} else if k.Status == "running" {
 			down[k.Zone]++
@@ -221,59 +221,59 @@
 	}
 	for _, z := range c.cfg.Zones {
 		if down[z] <= up[z] || down[z] <= tuning.SilentFew {
-			delete(f.zoneDown, z)
-		} else if since, ok := f.zoneDown[z]; !ok {
-			f.zoneDown[z], cut[z] = c.now, true
+			delete(f.zoneDownSince, z)
+		} else if since, ok := f.zoneDownSince[z]; !ok {
+			f.zoneDownSince[z], cut[z] = c.now, true
 		} else {
 			cut[z] = c.now-since < tuning.UnheardCut
 		}
 	}
 	for _, k := range ms {
-		fl := c.flavor(k.Type)
-		age := c.now - f.bornAt[k.Name]
-		if k.mark.State != "" {
+		fl := c.machineType(k.Type)
+		age := c.now - f.knownSince[k.Name]
+		if k.cordon.State != "" {
 			continue
 		}
-		if k.busy > 0 || !k.up {
-			delete(f.idle, k.Name)
-		} else if _, ok := f.idle[k.Name]; !ok {
-			f.idle[k.Name] = c.now
+		if k.tasks > 0 || !k.heard {
+			delete(f.idleSince, k.Name)
+		} else if _, ok := f.idleSince[k.Name]; !ok {
+			f.idleSince[k.Name] = c.now
 		}
 		// A running machine that nobody hears, though every node is heard.
-		unheard := fresh && k.Status == "running" && !k.up && k.busy == 0 && !leaving[k.Name] && !cut[k.Zone]
+		unheard := fresh && k.Status == "running" && !k.heard && k.tasks == 0 && !leaving[k.Name] && !cut[k.Zone]
 		if !unheard {
-			delete(f.unheard, k.Name)
-		} else if _, ok := f.unheard[k.Name]; !ok {
-			f.unheard[k.Name] = c.now
+			delete(f.unheardSince, k.Name)
+		} else if _, ok := f.unheardSince[k.Name]; !ok {
+			f.unheardSince[k.Name] = c.now
 		}
 		switch {
 		case k.Status == "failed":
-			c.mark(k.Name, MachineMark{MarkDrain, WhyFailed})
-		case k.Status == "booting" && !k.up && age > time.Duration(tuning.BootPatience*fl.BootS*float64(time.Second)):
-			c.mark(k.Name, MachineMark{MarkDrain, WhyStuck})
-		case unheard && c.now-f.unheard[k.Name] > tuning.UnheardPatience:
-			c.mark(k.Name, MachineMark{MarkDrain, WhyStuck})
-		case k.up && k.busy == 0 && age > tuning.MinHeld:
+			c.cordon(k.Name, Cordon{CordonDrain, DrainFailed})
+		case k.Status == "booting" && !k.heard && age > time.Duration(tuning.BootPatience*fl.BootSeconds*float64(time.Second)):
+			c.cordon(k.Name, Cordon{CordonDrain, DrainStuck})
+		case unheard && c.now-f.unheardSince[k.Name] > tuning.UnheardPatience:
+			c.cordon(k.Name, Cordon{CordonDrain, DrainStuck})
+		case k.heard && k.tasks == 0 && age > tuning.MinHeld:
 			keep := tuning.IdleKeep
 			if k.Spot {
 				keep = tuning.IdleKeepSpot
 			}
-			if f.rest[k.Name] && c.wide() {
+			if f.resting[k.Name] && c.isLargeFleet() {
 				keep = tuning.IdleKeepRest // beyond the headroom, which grows with the fleet
 			}
-			if f.hold[k.Name] {
+			if f.reserved[k.Name] {
 				keep = tuning.IdleKeepWhole
 			}
-			if since, ok := f.idle[k.Name]; ok && c.now-since > keep && (f.rest[k.Name] || !c.wanted(k, pend)) {
-				c.mark(k.Name, MachineMark{MarkDrain, WhyIdle})
+			if since, ok := f.idleSince[k.Name]; ok && c.now-since > keep && (f.resting[k.Name] || !c.wanted(k, pend)) {
+				c.cordon(k.Name, Cordon{CordonDrain, DrainIdle})
 			}
 		}
 	}
 }
 
-func (c *Core) wanted(k known, pend []need) bool {
+func (c *Controller) wanted(k machineState, pend []pendingWork) bool {
 	for _, p := range pend {
-		if p.zones.left(k.Zone, int64(p.n)) > 0 && c.fits(p.sp, k.Type, k.Zone, k.Spot) && k.free.Holds(p.sp.Need) {
+		if p.zones.left(k.Zone, int64(p.tasks)) > 0 && c.allowsMachine(p.spec, k.Type, k.Zone, k.Spot) && k.free.Fits(p.spec.Request) {
 			return true
 		}
 	}
--- a/internal/core/format.go
+++ b/internal/core/format.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"maps"
 	"math"
 	"slices"
@@ -17,70 +18,78 @@
 // no grant. A controller that has announced never comes back as an older one, so
 // the leader then writes that the format is on, and it stays on.
 const (
-	keyFormat = "b/format"
-	preFormat = "b/format/"
+	keyFormat    = "b/format"
+	prefixFormat = "b/format/"
 	// formatNow: jobs that await others; values that move when they are too large.
 	formatNow = 2
 )
 
+// formats is how far this controller is with announcing its format, and whether the
+// state service's limits are known to have fallen.
+type formats struct {
+	announcing         bool
+	nextAnnouncementAt time.Duration
+	limitsFell         bool // a refusal showed that values must be smaller now
+}
+
 // Format is the value of format and of format/NODE.
 type Format struct {
-	V   int    `json:"v"`
-	Inc string `json:"i,omitempty"`
+	Version     int    `json:"v"`
+	Incarnation string `json:"i,omitempty"`
 }
 
 // formatOn tells whether all controllers read and keep what this version writes.
-func (c *Core) formatOn() bool { return c.st.format >= formatNow }
+func (c *Controller) formatOn() bool { return c.cache.format >= formatNow }
 
-// driveFormat announces this controller's format, and as the leader turns it on.
-func (c *Core) driveFormat() {
-	if c.formatOn() || c.formatBusy || c.now < c.formatAt || !c.fenceOK() || c.cfg.AsBefore {
+// announceFormat announces this controller's format, and as the leader turns it on.
+func (c *Controller) announceFormat() {
+	if c.formatOn() || c.formats.announcing || c.now < c.formats.nextAnnouncementAt || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	// Announced only behind a view that has this incarnation: whatever an earlier
 	// process of this controller sent was conditional on an older view, so nothing
 	// of it can be carried out any more once the format is on.
-	key, v := preFormat+c.cfg.Node, Format{formatNow, c.inc}
-	if c.st.formats[c.cfg.Node] >= formatNow {
+	key, v := prefixFormat+c.cfg.Node, Format{formatNow, c.membership.incarnation}
+	if c.cache.announcedFormats[c.cfg.Node] >= formatNow {
 		if !c.isLeader() {
 			return
 		}
 		for _, n := range c.cfg.Nodes {
-			if c.st.formats[n] < formatNow {
+			if c.cache.announcedFormats[n] < formatNow {
 				return
 			}
 		}
-		key, v = keyFormat, Format{V: formatNow}
-	}
-	c.formatBusy = true
-	c.commit(LaneView, Txn{
-		When:  []Cond{{keyView, c.st.stamps[keyView]}, {key, c.st.stamps[key]}},
-		Apply: []Put{{Key: key, Value: enc(v)}},
-	}, func(CommitResult, EvCommit) {
-		c.formatBusy = false
-		c.formatAt = c.now + tuning.FormatRetry
+		key, v = keyFormat, Format{Version: formatNow}
+	}
+	c.formats.announcing = true
+	c.commit(LaneView, Transaction{
+		Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}, {key, c.cache.modRevisions[key]}},
+		Puts:       []Put{{Key: key, Value: mustEncode(v)}},
+	}, func(CommitResult, CommitAnswered) {
+		c.formats.announcing = false
+		c.formats.nextAnnouncementAt = c.now + tuning.FormatRetry
 	})
 }
 
 // applyFormat takes the value of format or of one controller's announcement.
-func (c *Core) applyFormat(key string, f Format) {
+func (c *Controller) applyFormat(key string, f Format) {
 	if key != keyFormat {
-		c.st.formats[strings.TrimPrefix(key, preFormat)] = f.V
+		c.cache.announcedFormats[strings.TrimPrefix(key, prefixFormat)] = f.Version
 		return
 	}
-	if !c.formatOn() && f.V >= formatNow {
-		c.log(1, "format on", "version", f.V)
+	if !c.formatOn() && f.Version >= formatNow {
+		c.info("format on", "version", f.Version)
 	}
-	c.st.format = max(c.st.format, f.V)
+	c.cache.format = max(c.cache.format, f.Version)
 }
 
 // wallMS is the time of day now, in ms. It dates jobs for orders and ages after a
 // restart, never for anything that a rule depends on.
-func (c *Core) wallMS() int64 { return c.cfg.Wall + c.now.Milliseconds() }
+func (c *Controller) wallMS() int64 { return c.cfg.WallClockMS + c.now.Milliseconds() }
 
-// steady turns a time of day into this node's steady time.
-func (c *Core) steady(ms int64) int64 {
-	return int64(time.Duration(ms-c.cfg.Wall) * time.Millisecond)
+// steadyTime turns a time of day into this node's steady time.
+func (c *Controller) steadyTime(ms int64) int64 {
+	return int64(time.Duration(ms-c.cfg.WallClockMS) * time.Millisecond)
 }
 
 // --- values that no longer fit ---
@@ -90,110 +99,110 @@
 // or by the version before, may be larger. These stay readable; a rewrite of one is
 // refused from then on.
 
-// bound is how large a value may be written. Until a refusal shows that the
+// valueBound is how large a value may be written. Until a refusal shows that the
 // limit fell, what is there already may be written at its size of today: jobs of
 // the version before could not go on otherwise.
-func (c *Core) bound() int {
-	if c.limitsFell {
-		return c.cfg.ValueB
+func (c *Controller) valueBound() int {
+	if c.formats.limitsFell {
+		return c.cfg.ValueLimit
 	}
-	return max(c.cfg.ValueB, c.cfg.ValueNow)
+	return max(c.cfg.ValueLimit, c.cfg.ValueLimitNow)
 }
 
-// noteRefusal learns from a refused transaction that the limits fell.
-func (c *Core) noteRefusal(t Txn) {
-	for _, a := range t.Apply {
-		if len(a.Value) > c.cfg.ValueB {
+// recordRefusal learns from a refused transaction that the limits fell.
+func (c *Controller) recordRefusal(t Transaction) {
+	for _, a := range t.Puts {
+		if len(a.Value) > c.cfg.ValueLimit {
 			c.Work.TooLarge++
-			c.log(1, "value refused as too large", "key", a.Key, "bytes", len(a.Value), "count", c.Work.TooLarge)
-			if !c.limitsFell {
-				c.limitsFell = true
-				c.log(1, "the state service's limits fell", "value_bytes", c.cfg.ValueB)
+			c.info("value refused as too large", "key", a.Key, "bytes", len(a.Value), "count", c.Work.TooLarge)
+			if !c.formats.limitsFell {
+				c.formats.limitsFell = true
+				c.info("the state service's limits fell", "value_bytes", c.cfg.ValueLimit)
 			}
 		}
 	}
 }
 
-// noteSize keeps the set of values that are larger than they may be soon.
-func (c *Core) noteSize(key string, n int) {
-	c.st.sizes[key] = n
-	if n > c.cfg.ValueB {
-		c.st.large[key] = true
+// recordSize keeps the set of values that are larger than they may be soon.
+func (c *Controller) recordSize(key string, n int) {
+	c.cache.valueSizes[key] = n
+	if n > c.cfg.ValueLimit {
+		c.cache.oversized[key] = true
 	} else {
-		delete(c.st.large, key)
+		delete(c.cache.oversized, key)
 	}
 }
 
-// stuck tells whether a value can't be written again as it is: it is too large,
+// isOversized tells whether a value can't be written again as it is: it is too large,
 // and would be without the texts of jobs that moved or ended, too.
-func (c *Core) stuck(key string) bool {
-	if !c.st.large[key] || !c.formatOn() && !c.limitsFell {
+func (c *Controller) isOversized(key string) bool {
+	if !c.cache.oversized[key] || !c.formatOn() && !c.formats.limitsFell {
 		return false
 	}
-	if !strings.HasPrefix(key, prePack) {
+	if !strings.HasPrefix(key, prefixPack) {
 		return true
 	}
 	live := map[string][]Task{}
-	for id, j := range c.st.packs[key[len(prePack):]] {
+	for id, j := range c.cache.jobsByPack[key[len(prefixPack):]] {
 		if j.Tasks != nil {
 			live[id] = j.Tasks
 		}
 	}
-	return len(enc(c.chunkOf(live))) > c.cfg.ValueB-tuning.PackSlack
+	return len(mustEncode(c.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
 }
 
-// packPart is the part that cares for a pack.
-func (c *Core) packPart(pack string) string {
+// packShard is the part that cares for a pack.
+func (c *Controller) packShard(pack string) string {
 	n, _, _ := strings.Cut(pack, "/")
-	if slices.Contains(c.st.view.Serving, n) {
+	if slices.Contains(c.cache.view.Serving, n) {
 		return n
 	}
-	return rendezvous(pack, c.st.view.Serving)
+	return rendezvous(pack, c.cache.view.Serving)
 }
 
-// planSplit brings one value of this part that is too large to fit again. Jobs
+// planSplits brings one value of this part that is too large to fit again. Jobs
 // leave a pack for others, the longest texts first, until the rest fits; a job
 // that fits no pack, and a chunk, is cut into cells. Every such transaction fits
 // the smaller limits, so it goes on when they have fallen.
-func (c *Core) planSplit(d *draft) {
+func (c *Controller) planSplits(d *draft) {
 	// A value that had no room for a booking is relieved the same way, but written
 	// again in the same commit, since others may go on changing it.
-	keys := slices.Sorted(maps.Keys(c.st.large))
-	for _, key := range slices.Sorted(maps.Keys(c.full)) {
-		if !c.st.large[key] {
+	keys := slices.Sorted(maps.Keys(c.cache.oversized))
+	for _, key := range slices.Sorted(maps.Keys(c.commits.fullValues)) {
+		if !c.cache.oversized[key] {
 			keys = append(keys, key)
 		}
 	}
-	defer clear(c.full)
+	defer clear(c.commits.fullValues)
 	for _, key := range keys {
-		full := !c.st.large[key]
-		if till, ok := c.avoid[key]; ok && c.now < till {
+		full := !c.cache.oversized[key]
+		if till, ok := c.commits.avoidUntil[key]; ok && c.now < till {
 			continue
 		}
-		if strings.HasPrefix(key, preTask) {
-			id, _, _ := strings.Cut(key[len(preTask):], "/")
-			j := c.st.jobs[id]
+		if strings.HasPrefix(key, prefixTask) {
+			id, _, _ := strings.Cut(key[len(prefixTask):], "/")
+			j := c.cache.jobs[id]
 			cut := true // or over
-			if j != nil && j.H.Spec != nil {
-				for i := 0; i < j.H.N; i = j.cellEnd(i) {
+			if j != nil && j.Header.Spec != nil {
+				for i := 0; i < j.Header.TaskCount; i = j.cellEnd(i) {
 					cut = cut && keyOf(j, i) != key
-					if keyOf(j, i) == key && c.homeOf(j) == c.cfg.Node && c.cut(d, j, i) {
+					if keyOf(j, i) == key && c.shardOf(j) == c.cfg.Node && c.splitCell(d, j, i) {
 						return
 					}
 				}
 			}
 			if cut {
-				delete(c.st.large, key)
+				delete(c.cache.oversized, key)
 			}
 			continue
 		}
-		if !strings.HasPrefix(key, prePack) || c.packPart(key[len(prePack):]) != c.cfg.Node {
+		if !strings.HasPrefix(key, prefixPack) || c.packShard(key[len(prefixPack):]) != c.cfg.Node {
 			continue
 		}
-		jobs := c.st.packs[key[len(prePack):]]
-		if !full && !c.stuck(key) {
+		jobs := c.cache.jobsByPack[key[len(prefixPack):]]
+		if !full && !c.isOversized(key) {
 			d.keys[key] = true // written again without what left it
-			d.cond(key)
+			d.addCondition(key)
 			return
 		}
 		text := map[string]int{}
@@ -212,35 +221,35 @@
 			if len(ids) > 1 {
 				ids = ids[:1]
 			}
-			if c.st.sizes[key] < c.cfg.ValueB/2 {
+			if c.cache.valueSizes[key] < c.cfg.ValueLimit/2 {
 				continue // it has room again
 			}
 			d.keys[key] = true
-			d.cond(key)
+			d.addCondition(key)
 		}
 		for _, id := range ids {
 			j := jobs[id]
 			if full && len(jobs) < 2 {
-				if d.keys, d.conds = map[string]bool{}, map[string]bool{}; c.cut(d, j, 0) {
+				if d.keys, d.conditions = map[string]bool{}, map[string]bool{}; c.splitCell(d, j, 0) {
 					return
 				}
 				continue
 			}
 			if q, ok := d.target(j); ok {
-				if d.ops()+d.moveOps(j, q) > c.cfg.TxnOps || len(d.conds)+4 > 4*c.cfg.TxnOps {
+				if d.changes()+d.moveOps(j, q) > c.cfg.TransactionLimit || len(d.conditions)+4 > 4*c.cfg.TransactionLimit {
 					return
 				}
 				d.move(j, q)
-				level := 1
+				level := slog.LevelInfo
 				if full {
-					level = 2
+					level = slog.LevelDebug
 				}
-				d.notes = append(d.notes, func() { c.log(level, "value made smaller", "key", key, "job", id, "to", q) })
-			} else if d.ops() == 0 && c.cut(d, j, 0) {
+				d.onCommit = append(d.onCommit, func() { c.log(level, "value made smaller", "key", key, "job", id, "to", q) })
+			} else if d.changes() == 0 && c.splitCell(d, j, 0) {
 				return
 			}
 		}
-		if len(d.heads) > 0 {
+		if len(d.headers) > 0 {
 			return
 		}
 		delete(d.keys, key)
@@ -254,17 +263,17 @@
 	}
 	c := d.c
 	need := c.textBytes(j) + len(j.ID) + 3*tuning.TaskBytes
-	if need > c.cfg.ValueB-2*tuning.PackSlack {
+	if need > c.cfg.ValueLimit-2*tuning.PackSlack {
 		return "", false // it would take a whole pack, and soon not fit that
 	}
-	part, _, _ := strings.Cut(j.H.Pack, "/")
+	part, _, _ := strings.Cut(j.Header.Pack, "/")
 	for k := 0; ; k++ {
 		q := packName(part, k)
-		key := prePack + q
-		if till, ok := c.avoid[key]; q == j.H.Pack || c.st.large[key] || ok && c.now < till {
+		key := prefixPack + q
+		if till, ok := c.commits.avoidUntil[key]; q == j.Header.Pack || c.cache.oversized[key] || ok && c.now < till {
 			continue
 		}
-		if c.st.sizes[key]+d.add[key]+need <= c.cfg.ValueB*tuning.PackPercent/100 {
+		if c.cache.valueSizes[key]+d.growth[key]+need <= c.cfg.ValueLimit*tuning.PackPercent/100 {
 			return q, true
 		}
 	}
@@ -273,10 +282,10 @@
 // moveOps is how many changes a move adds to the draft.
 func (d *draft) moveOps(j *Job, q string) int {
 	n := 0
-	if d.heads[j.ID] == nil {
+	if d.headers[j.ID] == nil {
 		n++
 	}
-	if j.Tasks != nil && !d.keys[prePack+q] {
+	if j.Tasks != nil && !d.keys[prefixPack+q] {
 		n++
 	}
 	return n
@@ -292,52 +301,52 @@
 	if _, ok := d.moved[j.ID]; ok {
 		return
 	}
-	d.cond(prePack + j.H.Pack)
-	d.head(j).Pack = q
+	d.addCondition(prefixPack + j.Header.Pack)
+	d.header(j).Pack = q
 	d.moved[j.ID] = q
 	if j.Tasks == nil {
 		return
 	}
-	key := prePack + q
+	key := prefixPack + q
 	if !d.keys[key] {
 		d.keys[key] = true
 		d.bytes += d.c.valueBytes(key)
-		d.cond(key)
+		d.addCondition(key)
 	}
-	d.add[key] += d.c.textBytes(j) + len(j.ID) + 8
+	d.growth[key] += d.c.textBytes(j) + len(j.ID) + 8
 	d.copyCell(j, 0) // a pack holds all tasks of a job
 }
 
-// cut splits the cell of task i, or the whole of a job that fits no pack, into
+// splitCell splits the cell of task i, or the whole of a job that fits no pack, into
 // cells whose text fits whatever is booked in them. If they are too many for one
 // commit, those that the header doesn't name yet are written first, each commit
 // conditional on the value that they come from, which can't change meanwhile
 // without failing the last one.
-func (c *Core) cut(d *draft, j *Job, i int) bool {
-	h := j.H
-	if h.In || h.Sub > 0 && h.wasCut(i/h.Chunk) || j.Tasks == nil {
+func (c *Controller) splitCell(d *draft, j *Job, i int) bool {
+	h := j.Header
+	if h.Inline || h.CellSize > 0 && h.IsSplit(i/h.ChunkSize) || j.Tasks == nil {
 		return false
 	}
-	sub := h.Sub
+	sub := h.CellSize
 	if sub == 0 {
-		sub = max(1, (c.cfg.ValueB-tuning.PackSlack)/tuning.TaskBytes)
+		sub = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/tuning.TaskBytes)
 	}
-	k := i / h.Chunk
-	from, to := k*h.Chunk, min((k+1)*h.Chunk, h.N)
+	k := i / h.ChunkSize
+	from, to := k*h.ChunkSize, min((k+1)*h.ChunkSize, h.TaskCount)
 	source := keyOf(j, i)
 	n := (to - from + sub - 1) / sub
 	next := *h
-	next.Pack, next.Sub = "", sub
-	next.Cut = slices.Clone(h.Cut)
-	for len(next.Cut) <= k/8 {
-		next.Cut = append(next.Cut, 0)
-	}
-	next.Cut[k/8] |= 1 << (k % 8)
-	if h.Sub == 0 {
-		next.Fin, next.Chunks = 0, 0
-		for x := 0; x < h.N; x += h.Chunk {
+	next.Pack, next.CellSize = "", sub
+	next.SplitChunks = slices.Clone(h.SplitChunks)
+	for len(next.SplitChunks) <= k/8 {
+		next.SplitChunks = append(next.SplitChunks, 0)
+	}
+	next.SplitChunks[k/8] |= 1 << (k % 8)
+	if h.CellSize == 0 {
+		next.DoneTasks, next.DoneChunks = 0, 0
+		for x := 0; x < h.TaskCount; x += h.ChunkSize {
 			if x != from {
-				next.Fin += done(j.Tasks[x:min(x+h.Chunk, h.N)])
+				next.DoneTasks += doneTasks(j.Tasks[x:min(x+h.ChunkSize, h.TaskCount)])
 			}
 		}
 	}
@@ -348,20 +357,20 @@
 	var cells []cell
 	for s := 0; s < n; s++ {
 		a, b := from+s*sub, min(from+(s+1)*sub, to)
-		next.Fin += done(j.Tasks[a:b])
-		cells = append(cells, cell{keyCell(j.ID, k, s), enc(c.chunkOf(map[string][]Task{j.ID: j.Tasks[a:b]}))})
+		next.DoneTasks += doneTasks(j.Tasks[a:b])
+		cells = append(cells, cell{keyCell(j.ID, k, s), mustEncode(c.chunkOf(map[string][]Task{j.ID: j.Tasks[a:b]}))})
 	}
-	d.cond(source)
-	d.cond(keyJob(j.ID))
+	d.addCondition(source)
+	d.addCondition(keyJob(j.ID))
 	// A value that is not too large may be changed under the same stamp by who
 	// doesn't look at the header: it goes, or is written without the job.
-	room, last := c.cfg.TxnOps-1, func() {}
-	if !c.st.large[source] {
+	room, last := c.cfg.TransactionLimit-1, func() {}
+	if !c.cache.oversized[source] {
 		room--
 		if h.Pack != "" {
-			last = func() { d.keys[source], d.drop[j.ID] = true, true }
+			last = func() { d.keys[source], d.finished[j.ID] = true, true }
 		} else {
-			last = func() { d.raw = append(d.raw, Put{Key: source}) }
+			last = func() { d.rawPuts = append(d.rawPuts, Put{Key: source}) }
 		}
 	}
 	left := 0
@@ -369,27 +378,27 @@
 		// Written already if it is there since source and header last changed. The
 		// commit that names the cells is conditional on those two: then no late one
 		// of these can have changed a cell meanwhile, and conditions are few.
-		if n > room && c.st.stamps[x.key] > max(c.st.stamps[source], c.st.stamps[keyJob(j.ID)]) {
+		if n > room && c.cache.modRevisions[x.key] > max(c.cache.modRevisions[source], c.cache.modRevisions[keyJob(j.ID)]) {
 			continue
 		}
-		if len(d.raw) < room {
-			d.raw = append(d.raw, Put{Key: x.key, Value: x.v})
-			d.cond(x.key)
+		if len(d.rawPuts) < room {
+			d.rawPuts = append(d.rawPuts, Put{Key: x.key, Value: x.v})
+			d.addCondition(x.key)
 		} else {
 			left++
 		}
 	}
 	if left == 0 {
 		last()
-		d.heads[j.ID] = &next
+		d.headers[j.ID] = &next
 		id := j.ID
-		d.notes = append(d.notes, func() { c.log(1, "value made smaller", "key", source, "job", id, "cells", n) })
+		d.onCommit = append(d.onCommit, func() { c.info("value made smaller", "key", source, "job", id, "cells", n) })
 	}
 	return true
 }
 
-// done is the number of tasks in a cell of which all are done, else 0.
-func done(ts []Task) int {
+// doneTasks is the number of tasks in a cell of which all are done, else 0.
+func doneTasks(ts []Task) int {
 	for _, t := range ts {
 		if t.State != Done {
 			return 0
@@ -398,45 +407,45 @@
 	return len(ts)
 }
 
-// thin leaves out loads evenly until a window's record fits its value: the
+// encodeWindow leaves out loads evenly until a window's record fits its value: the
 // critic's features hardly change with a sample.
-func (c *Core) thin(rec WindowRec) []byte {
-	b := enc(rec)
-	for len(b) > c.cfg.ValueB && len(rec.Loads) > 0 {
-		step := math.Ceil(float64(len(b)) / float64(c.cfg.ValueB))
+func (c *Controller) encodeWindow(rec WindowRecord) []byte {
+	b := mustEncode(rec)
+	for len(b) > c.cfg.ValueLimit && len(rec.Loads) > 0 {
+		step := math.Ceil(float64(len(b)) / float64(c.cfg.ValueLimit))
 		var l []float64
 		for i := 0; i < len(rec.Loads); i += max(2, int(step)) {
 			l = append(l, rec.Loads[i])
 		}
 		rec.Loads = l
-		b = enc(rec)
+		b = mustEncode(rec)
 	}
 	return b
 }
 
-// fit shortens what users chose freely in a header of the version before, which
+// fitHeader shortens what users chose freely in a header of the version before, which
 // had no bound for it: the class and the image serve as names here, and of the
 // types only those that exist count.
-func (c *Core) fit(h *Header) {
+func (c *Controller) fitHeader(h *JobHeader) {
 	s := h.Spec
-	if s == nil || !c.formatOn() && !c.limitsFell || len(s.Types) < 4 && len(s.Class) <= tuning.NameBytes && len(s.Image) <= tuning.NameBytes {
+	if s == nil || !c.formatOn() && !c.formats.limitsFell || len(s.MachineTypes) < 4 && len(s.Class) <= tuning.NameBytes && len(s.Image) <= tuning.NameBytes {
 		return
 	}
 	cp := *s
-	cp.Types = c.knownTypes(s.Types)
+	cp.MachineTypes = c.knownTypes(s.MachineTypes)
 	cp.Class, cp.Image = s.Class[:min(len(s.Class), tuning.NameBytes)], s.Image[:min(len(s.Image), tuning.NameBytes)]
 	h.Spec = &cp
 }
 
 // knownTypes are those of a list that exist; of none of them, one that doesn't,
 // since an empty list would allow all.
-func (c *Core) knownTypes(l []string) []string {
-	if len(l) < 4 || len(c.st.flavors) == 0 {
+func (c *Controller) knownTypes(l []string) []string {
+	if len(l) < 4 || len(c.cache.machineTypes) == 0 {
 		return l
 	}
 	var keep []string
 	for _, t := range l {
-		if c.flavor(t) != nil && !slices.Contains(keep, t) {
+		if c.machineType(t) != nil && !slices.Contains(keep, t) {
 			keep = append(keep, t)
 		}
 	}
--- a/internal/core/holds.go
+++ b/internal/core/holds.go
@@ -10,50 +10,50 @@
 	"brassglade/internal/tuning"
 )
 
-// decideHolds keeps machines for jobs that need a whole one: idle ones first;
+// planReservations keeps machines for jobs that need a whole one: idle ones first;
 // if more jobs wait than are idle, those that will be empty soonest, and where
 // all that runs there has lower priority, they are emptied.
-func (c *Core) decideHolds(ms []known, pend []need) {
-	f := &c.fleet
-	old := f.hold
-	f.hold, f.evict = map[string]bool{}, map[string]bool{}
-	for _, class := range slices.Sorted(maps.Keys(f.wholeSeen)) {
-		w := f.wholeSeen[class]
-		if c.now-w.at > tuning.WholeMemory {
-			delete(f.wholeSeen, class)
+func (c *Controller) planReservations(ms []machineState, pend []pendingWork) {
+	f := &c.scaling
+	old := f.reserved
+	f.reserved, f.evicting = map[string]bool{}, map[string]bool{}
+	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
+		w := f.gangClasses[class]
+		if c.now-w.seenAt > tuning.WholeMemory {
+			delete(f.gangClasses, class)
 			continue
 		}
 		waiting := 0
 		for _, p := range pend {
-			if p.sp.Class == class && whole(p.sp) {
-				waiting += p.n
+			if p.spec.Class == class && placedByLeader(p.spec) {
+				waiting += p.tasks
 			}
 		}
-		n := waiting + c.spare(w.sp)
+		n := waiting + c.spareMachines(w.spec)
 		type cand struct {
-			k    known
+			k    machineState
 			wait float64
 			low  bool // all on it has lower priority
 		}
 		var cs []cand
 		for _, k := range ms {
-			fl := c.flavor(k.Type)
-			if !k.up || k.mark.State != "" || f.hold[k.Name] || !c.fits(w.sp, k.Type, k.Zone, k.Spot) || !fl.Size.Holds(w.sp.Need) {
+			fl := c.machineType(k.Type)
+			if !k.heard || k.cordon.State != "" || f.reserved[k.Name] || !c.allowsMachine(w.spec, k.Type, k.Zone, k.Spot) || !fl.Capacity.Fits(w.spec.Request) {
 				continue
 			}
 			x := cand{k: k, low: true}
 			ok := true
-			for id := range c.st.byMach[k.Name] {
-				sp := c.st.jobs[id.Job].H.Spec
-				if sp != nil && holdsMachines(sp) {
-					f.ranWhole[k.Name] = c.now
+			for id := range c.cache.bookedOn[k.Name] {
+				sp := c.cache.jobs[id.Job].Header.Spec
+				if sp != nil && reservesMachines(sp) {
+					f.ranGangAt[k.Name] = c.now
 				}
-				if sp == nil || holdsMachines(sp) || sp.Shape == Service {
+				if sp == nil || reservesMachines(sp) || sp.Shape == Service {
 					ok = false
 					break
 				}
-				x.low = x.low && c.st.jobs[id.Job].prio < w.sp.Prio
-				left := c.runTime(sp) - (c.now - c.booked[id].at).Seconds()
+				x.low = x.low && c.cache.jobs[id.Job].priority < w.spec.Priority
+				left := c.runTime(sp) - (c.now - c.cache.bookings[id].seenAt).Seconds()
 				x.wait = max(x.wait, left, 3)
 			}
 			if old[k.Name] {
@@ -67,188 +67,188 @@
 		idle := 0
 		for _, x := range cs {
 			// It has the image, and the next such job is likely soon.
-			if at, was := f.ranWhole[x.k.Name]; was && x.k.busy == 0 && c.now-at < tuning.HoldAfter {
-				f.hold[x.k.Name] = true
+			if at, was := f.ranGangAt[x.k.Name]; was && x.k.tasks == 0 && c.now-at < tuning.HoldAfter {
+				f.reserved[x.k.Name] = true
 				idle++
 			}
 		}
 		for _, x := range cs {
-			if f.hold[x.k.Name] {
+			if f.reserved[x.k.Name] {
 				continue
 			}
-			if len(f.hold) >= n {
+			if len(f.reserved) >= n {
 				break
 			}
-			if x.k.busy > 0 && idle >= waiting && !x.low {
+			if x.k.tasks > 0 && idle >= waiting && !x.low {
 				break
 			}
-			f.hold[x.k.Name] = true
-			if x.k.busy == 0 {
+			f.reserved[x.k.Name] = true
+			if x.k.tasks == 0 {
 				idle++
 			} else if x.low && idle < waiting {
-				f.evict[x.k.Name] = true
+				f.evicting[x.k.Name] = true
 				idle++
 			}
 		}
 	}
 }
 
-// decideRest lets the dearest machines run empty while the cheaper ones have
+// planResting lets the dearest machines run empty while the cheaper ones have
 // room for all that runs and waits, with some headroom: draws by load alone
 // would spread tasks over all machines, and none could ever be returned.
-func (c *Core) decideRest(ms []known, pend []need) {
-	f := &c.fleet
-	old := f.rest
-	f.rest = map[string]bool{}
+func (c *Controller) planResting(ms []machineState, pend []pendingWork) {
+	f := &c.scaling
+	old := f.resting
+	f.resting = map[string]bool{}
 	type cand struct {
-		k     known
+		k     machineState
 		price float64
 	}
 	var cs []cand
 	// In a wide fleet each part needs the room for its own jobs: those that wait in
 	// one can't use what another one keeps free.
-	wide := c.wide()
-	wants, all := map[string]Res{}, Res{}
-	part := func(k known) string {
+	wide := c.isLargeFleet()
+	wants, all := map[string]Resources{}, Resources{}
+	part := func(k machineState) string {
 		if !wide {
 			return ""
 		}
 		return c.ownerIn(k.Name, k.Zone)
 	}
 	for _, k := range ms {
-		if !k.up || k.mark.State != "" || f.hold[k.Name] {
+		if !k.heard || k.cordon.State != "" || f.reserved[k.Name] {
 			continue
 		}
-		fl := c.flavor(k.Type)
-		o := c.st.occ[k.Name]
-		if o.whole > 0 {
+		fl := c.machineType(k.Type)
+		o := c.cache.occupancy[k.Name]
+		if o.gangTasks > 0 {
 			continue
 		}
 		here := o.used
 		wants[part(k)] = wants[part(k)].Plus(here, 1)
 		p := fl.Price
 		if k.Spot {
-			p = fl.Spot
+			p = fl.SpotPrice
 		}
-		size := float64(max(fl.Size.GPU, 1000))
-		if fl.Size.GPU == 0 {
-			size = float64(max(fl.Size.CPU, 1000))
+		size := float64(max(fl.Capacity.GPU, 1000))
+		if fl.Capacity.GPU == 0 {
+			size = float64(max(fl.Capacity.CPU, 1000))
 		}
 		p /= size
 		if old[k.Name] {
 			p *= tuning.RestSticky
 		}
 		// Among equals those with little to run go empty first.
-		p *= 1.1 - 0.1*min(float64(k.busy), 10)/10
+		p *= 1.1 - 0.1*min(float64(k.tasks), 10)/10
 		cs = append(cs, cand{k, p})
 	}
 	for _, p := range pend {
 		switch {
-		case holdsMachines(p.sp):
-		case wide && p.j != nil && !largeArray(p.sp):
-			n := c.homeOf(p.j)
-			wants[n] = wants[n].Plus(p.sp.Need, int64(p.n))
+		case reservesMachines(p.spec):
+		case wide && p.job != nil && !largeArray(p.spec):
+			n := c.shardOf(p.job)
+			wants[n] = wants[n].Plus(p.spec.Request, int64(p.tasks))
 		default:
-			wants[""] = wants[""].Plus(p.sp.Need, int64(p.n))
+			wants[""] = wants[""].Plus(p.spec.Request, int64(p.tasks))
 		}
 	}
 	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
 	for n, w := range wants {
-		wants[n] = Res{grow(w.CPU), grow(w.GPU), grow(w.Mem)}
+		wants[n] = Resources{grow(w.CPU), grow(w.GPU), grow(w.Memory)}
 		all = all.Plus(wants[n], 1)
 	}
 	sort.SliceStable(cs, func(a, b int) bool { return cs[a].price < cs[b].price })
-	if c.now >= f.tellAt {
-		f.tellAt = c.now + tuning.FleetTell
+	if c.now >= f.nextLogAt {
+		f.nextLogAt = c.now + tuning.FleetTell
 		busy := ""
 		for _, k := range ms {
 			tag := ""
-			if f.hold[k.Name] {
+			if f.reserved[k.Name] {
 				tag = "h"
 			}
 			if old[k.Name] {
 				tag += "r"
 			}
-			if k.mark.State != "" {
+			if k.cordon.State != "" {
 				tag += "d"
 			}
-			if !k.up {
+			if !k.heard {
 				tag += "-"
 			}
 			if k.Spot {
 				tag += "s"
 			}
-			busy += fmt.Sprintf(" %d%s", k.busy, tag)
+			busy += fmt.Sprintf(" %d%s", k.tasks, tag)
 		}
-		c.log(2, "fleet", "want", all, "tasks_by_machine", busy)
+		c.debug("fleet", "want", all, "tasks_by_machine", busy)
 	}
-	have := map[string]Res{}
+	have := map[string]Resources{}
 	for _, x := range cs {
 		n := part(x.k)
-		if have[n].Holds(wants[n]) {
-			f.rest[x.k.Name] = true
+		if have[n].Fits(wants[n]) {
+			f.resting[x.k.Name] = true
 			continue
 		}
-		have[n] = have[n].Plus(c.flavor(x.k.Type).Size, 1)
+		have[n] = have[n].Plus(c.machineType(x.k.Type).Capacity, 1)
 	}
-	ks := make([]known, len(cs))
+	ks := make([]machineState, len(cs))
 	for i, x := range cs {
 		ks[i] = x.k
 	}
-	c.wakeFor(ks, pend, part)
+	c.endRestFor(ks, pend, part)
 }
 
-// wakeFor ends the rest of machines that waiting tasks need: sums of room say
+// endRestFor ends the rest of machines that waiting tasks need: sums of room say
 // nothing of tasks that fit no single hole, or that their zone or kind keeps from
 // the cheaper machines. Such jobs waited beside empty machines until those were
 // returned, and their claim on the team's limit kept the others waiting, too.
-func (c *Core) wakeFor(ks []known, pend []need, part func(known) string) {
-	f := &c.fleet
-	if len(f.rest) == 0 {
+func (c *Controller) endRestFor(ks []machineState, pend []pendingWork, part func(machineState) string) {
+	f := &c.scaling
+	if len(f.resting) == 0 {
 		return
 	}
-	free, parts := make([]Res, len(ks)), make([]string, len(ks))
+	free, parts := make([]Resources, len(ks)), make([]string, len(ks))
 	for i, k := range ks {
 		free[i], parts[i] = k.free, part(k)
 	}
-	wide := c.wide()
+	wide := c.isLargeFleet()
 	for _, p := range pend {
-		if whole(p.sp) || p.j == nil {
+		if placedByLeader(p.spec) || p.job == nil {
 			continue
 		}
-		left, home := int64(p.n), c.homeOf(p.j)
+		left, home := int64(p.tasks), c.shardOf(p.job)
 		for _, resting := range [2]bool{false, true} {
 			for i, k := range ks {
 				if left == 0 {
 					break
 				}
-				if f.rest[k.Name] != resting || wide && parts[i] != home || !c.fits(p.sp, k.Type, k.Zone, k.Spot) {
+				if f.resting[k.Name] != resting || wide && parts[i] != home || !c.allowsMachine(p.spec, k.Type, k.Zone, k.Spot) {
 					continue
 				}
-				n := free[i].Times(p.sp.Need, left)
+				n := free[i].CountFitting(p.spec.Request, left)
 				if n > 0 && resting {
-					delete(f.rest, k.Name)
+					delete(f.resting, k.Name)
 				}
-				free[i] = free[i].Plus(p.sp.Need, -n)
+				free[i] = free[i].Plus(p.spec.Request, -n)
 				left -= n
 			}
 		}
 	}
 }
 
-// spare is how many machines are kept ready for a class whose tasks should
+// spareMachines is how many machines are kept ready for a class whose tasks should
 // start sooner than a machine boots.
-func (c *Core) spare(sp *Spec) int {
-	most := max(c.cfg.Spare, int(math.Ceil(c.fleet.wholeRate[sp.Class]*tuning.SpareSeconds)))
-	if c.cfg.Spare == 0 {
+func (c *Controller) spareMachines(sp *JobSpec) int {
+	most := max(c.cfg.SpareMachines, int(math.Ceil(c.scaling.gangTaskRate[sp.Class]*tuning.SpareSeconds)))
+	if c.cfg.SpareMachines == 0 {
 		most = 0
 	}
-	w, ok := c.cfg.Wait[sp.Class]
+	w, ok := c.cfg.StartWithin[sp.Class]
 	if !ok {
 		return 0
 	}
-	for i := range c.st.flavors {
-		if fl := &c.st.flavors[i]; c.typeFits(sp, fl) && w < tuning.SpareReach*(fl.BootS+sp.ImageGB/max(fl.Fetch, 0.01)) {
+	for i := range c.cache.machineTypes {
+		if fl := &c.cache.machineTypes[i]; c.machineTypeFits(sp, fl) && w < tuning.SpareReach*(fl.BootSeconds+sp.ImageGB/max(fl.FetchGBPerS, 0.01)) {
 			return most
 		}
 	}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -6,70 +6,82 @@
 	"brassglade/internal/tuning"
 )
 
+// requests are the users' requests that have no answer yet.
+type requests struct {
+	waiting         []waiter
+	accepting       map[string]bool         // jobs whose submission is being committed
+	lookups         map[uint64]JobSubmitted // submissions that wait for a read, by its ID
+	dependencyLists int                     // lists of dependencies kept in pieces so far
+}
+
+func newRequests() requests {
+	return requests{accepting: map[string]bool{}, lookups: map[uint64]JobSubmitted{}}
+}
+
 // waiter is a user request that needs a read index.
 type waiter struct {
-	req    uint64
-	id     string
-	at     time.Duration
-	submit *EvSubmit // answered as a repeat, or refused with 422
-	why    string
-	abort  bool
+	requestID uint64
+	id        string
+	askedAt   time.Duration
+	submit    *JobSubmitted // answered as a repeat, or refused with 422
+	refusal   string
+	cancel    bool
 }
 
-// ready tells whether this node can take requests.
-func (c *Core) ready() bool { return c.fenceOK() && len(c.st.flavors) > 0 }
+// canTakeRequests tells whether this node can take requests.
+func (c *Controller) canTakeRequests() bool { return c.mayAct() && len(c.cache.machineTypes) > 0 }
 
 // Ready is what GET /up answers.
-func (c *Core) Ready() bool { return c.up }
+func (c *Controller) Ready() bool { return c.membership.ready }
 
-// usable tells whether the state service answered lately.
-func (c *Core) usable() bool {
-	return c.usableAt >= 0 && c.now-c.usableAt < tuning.UsableFor
+// stateServiceAnswers tells whether the state service answered lately.
+func (c *Controller) stateServiceAnswers() bool {
+	return c.membership.stateAnsweredAt >= 0 && c.now-c.membership.stateAnsweredAt < tuning.UsableFor
 }
 
-// driveReady settles what GET /up says. A node that once was ready steps back
+// updateReadiness settles what GET /up says. A node that once was ready steps back
 // only when another one can take requests. While the state service answers
 // nobody, leaving the load balancer would help no user, and its pauses, which
 // double, would keep all nodes out after the outage; users are told at once
 // when to come back instead.
-func (c *Core) driveReady() {
-	if c.ready() && c.usable() {
-		c.up, c.downSince = true, -1
+func (c *Controller) updateReadiness() {
+	if c.canTakeRequests() && c.stateServiceAnswers() {
+		c.membership.ready, c.membership.unreadySince = true, -1
 		return
 	}
-	if !c.up {
+	if !c.membership.ready {
 		return
 	}
 	// Either a peer says that the state service answers it, or no peer is heard
 	// at all: then it is this node that is cut off, since in an outage of the
 	// state service alone the peers still talk.
 	better, heard := false, false
-	for _, p := range c.peers {
-		fresh := c.now-p.at < tuning.PeerFresh
+	for _, p := range c.peers.byName {
+		fresh := c.now-p.heardAt < tuning.PeerFresh
 		heard = heard || fresh
 		better = better || p.usable && fresh
 	}
 	better = better || !heard && len(c.cfg.Nodes) > 1
 	switch {
 	case !better:
-		c.downSince = -1
-	case c.downSince < 0:
-		c.downSince = c.now
-	case c.now-c.downSince > tuning.StepBack:
-		c.up = false
+		c.membership.unreadySince = -1
+	case c.membership.unreadySince < 0:
+		c.membership.unreadySince = c.now
+	case c.now-c.membership.unreadySince > tuning.StepBack:
+		c.membership.ready = false
 	}
 }
 
-func (c *Core) later(req uint64, why string) {
-	c.emit(EfUser{Req: req, Status: 503, Reason: why})
+func (c *Controller) retryLater(req uint64, why string) {
+	c.emit(UserReply{RequestID: req, Status: 503, Reason: why})
 }
 
-// say answers with the job's state as the cache has it.
-func (c *Core) say(req uint64, status int, j *Job) {
-	u := EfUser{Req: req, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
+// replyState answers with the job's state as the cache has it.
+func (c *Controller) replyState(req uint64, status int, j *Job) {
+	u := UserReply{RequestID: req, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
-	case j.H.State == JobDone:
-		u.State, u.Done, u.Running = "done", j.H.N, 0
+	case j.Header.State == StateDone:
+		u.State, u.Done, u.Running = "done", j.Header.TaskCount, 0
 	case j.cancelled():
 		u.State, u.Running = "cancelled", 0
 	case j.counts.booked > 0:
@@ -78,80 +90,80 @@
 	c.emit(u)
 }
 
-func (c *Core) wait(w waiter) {
-	if !c.synced || !c.stateOK {
-		c.later(w.req, "state service unreachable")
+func (c *Controller) awaitReadIndex(w waiter) {
+	if !c.membership.synced || !c.membership.stateReachable {
+		c.retryLater(w.requestID, "state service unreachable")
 		return
 	}
-	w.at = c.now
+	w.askedAt = c.now
 	if !c.guard(GuardIndex) {
-		w.at = c.readAt
+		w.askedAt = c.membership.readIndexAt
 	}
-	c.waiters = append(c.waiters, w)
+	c.requests.waiting = append(c.requests.waiting, w)
 	if !c.guard(GuardIndex) {
 		c.wakeWaiters()
 	}
 }
 
-func (c *Core) onPoll(req uint64, id string, _ bool) {
-	if j := c.st.jobs[id]; j != nil && j.final() {
-		c.say(req, 200, j)
+func (c *Controller) onJobQueried(req uint64, id string, _ bool) {
+	if j := c.cache.jobs[id]; j != nil && j.final() {
+		c.replyState(req, 200, j)
 		return
 	}
-	c.wait(waiter{req: req, id: id})
+	c.awaitReadIndex(waiter{requestID: req, id: id})
 }
 
 // wakeWaiters answers those whose read index the cache has reached.
-func (c *Core) wakeWaiters() {
-	if len(c.waiters) == 0 {
+func (c *Controller) wakeWaiters() {
+	if len(c.requests.waiting) == 0 {
 		return
 	}
-	ws := c.waiters
-	c.waiters = nil
+	ws := c.requests.waiting
+	c.requests.waiting = nil
 	for _, w := range ws {
-		if w.at > c.readAt {
-			c.waiters = append(c.waiters, w)
+		if w.askedAt > c.membership.readIndexAt {
+			c.requests.waiting = append(c.requests.waiting, w)
 			continue
 		}
-		j := c.st.jobs[w.id]
+		j := c.cache.jobs[w.id]
 		switch {
-		case w.abort:
-			c.abort(w.req, w.id)
+		case w.cancel:
+			c.cancel(w.requestID, w.id)
 		case j != nil:
-			c.say(w.req, 200, j)
+			c.replyState(w.requestID, 200, j)
 		case w.submit == nil:
-			c.emit(EfUser{Req: w.req, Status: 404, ID: w.id})
+			c.emit(UserReply{RequestID: w.requestID, Status: 404, ID: w.id})
 		case w.submit.Spec == nil:
-			c.emit(EfUser{Req: w.req, Status: 400, ID: w.id, Reason: w.why})
-		case w.why == "":
+			c.emit(UserReply{RequestID: w.requestID, Status: 400, ID: w.id, Reason: w.refusal})
+		case w.refusal == "":
 			c.accept(*w.submit, nil)
 		default:
-			c.emit(EfUser{Req: w.req, Status: 422, ID: w.id, Reason: w.why})
+			c.emit(UserReply{RequestID: w.requestID, Status: 422, ID: w.id, Reason: w.refusal})
 		}
 	}
 }
 
-func (c *Core) failWaiters() {
-	for _, w := range c.waiters {
-		c.later(w.req, "state service unreachable")
+func (c *Controller) failWaiters() {
+	for _, w := range c.requests.waiting {
+		c.retryLater(w.requestID, "state service unreachable")
 	}
-	c.waiters = nil
+	c.requests.waiting = nil
 }
 
-func (c *Core) driveWaiters() {
-	keep := c.waiters[:0]
-	for _, w := range c.waiters {
-		if c.now-w.at > tuning.PollPatience {
-			c.later(w.req, "state service slow")
+func (c *Controller) expireWaiters() {
+	keep := c.requests.waiting[:0]
+	for _, w := range c.requests.waiting {
+		if c.now-w.askedAt > tuning.PollPatience {
+			c.retryLater(w.requestID, "state service slow")
 			continue
 		}
 		keep = append(keep, w)
 	}
-	c.waiters = keep
+	c.requests.waiting = keep
 }
 
-// never tells why a job can never run, or "".
-func (c *Core) never(s *Spec) string {
+// whyNeverRuns tells why a job can never run, or "".
+func (c *Controller) whyNeverRuns(s *JobSpec) string {
 	if !c.guard(GuardNever) {
 		return ""
 	}
@@ -159,32 +171,32 @@
 	if !ok {
 		return "unknown team"
 	}
-	k := int64(s.N)
+	k := int64(s.TaskCount)
 	if s.Shape == Array {
 		k = 1
 	}
-	if !within(Res{}.Plus(s.Need, k), lim.Max) {
+	if !withinLimit(Resources{}.Plus(s.Request, k), lim.Limit) {
 		return "over the team's limit"
 	}
-	for i := range c.st.flavors {
-		if c.typeFits(s, &c.st.flavors[i]) {
+	for i := range c.cache.machineTypes {
+		if c.machineTypeFits(s, &c.cache.machineTypes[i]) {
 			return ""
 		}
 	}
 	return "a task fits no allowed machine type"
 }
 
-// within tells whether use stays in a limit, where 0 means none.
-func within(use, lim Res) bool {
+// withinLimit tells whether use stays in a limit, where 0 means none.
+func withinLimit(use, lim Resources) bool {
 	return (lim.CPU == 0 || use.CPU <= lim.CPU) && (lim.GPU == 0 || use.GPU <= lim.GPU) &&
-		(lim.Mem == 0 || use.Mem <= lim.Mem)
+		(lim.Memory == 0 || use.Memory <= lim.Memory)
 }
 
-func (c *Core) typeFits(s *Spec, f *Flavor) bool {
-	if !f.Size.Holds(s.Need) || s.ImageGB > f.Cache && f.Cache > 0 {
+func (c *Controller) machineTypeFits(s *JobSpec, f *MachineType) bool {
+	if !f.Capacity.Fits(s.Request) || s.ImageGB > f.ImageCacheGB && f.ImageCacheGB > 0 {
 		return false
 	}
-	if !allowed(s.Types, f.Name) {
+	if !listAllows(s.MachineTypes, f.Name) {
 		return false
 	}
 	if s.Zone == "" {
@@ -198,7 +210,7 @@
 	return false
 }
 
-func allowed(list []string, name string) bool {
+func listAllows(list []string, name string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -210,51 +222,51 @@
 	return false
 }
 
-func (c *Core) onSubmit(e EvSubmit) {
-	if j := c.st.jobs[e.ID]; j != nil && e.ID != "" {
-		c.onPoll(e.Req, e.ID, true)
+func (c *Controller) onJobSubmitted(e JobSubmitted) {
+	if j := c.cache.jobs[e.ID]; j != nil && e.ID != "" {
+		c.onJobQueried(e.RequestID, e.ID, true)
 		return
 	}
 	if e.Spec == nil {
 		if e.ID == "" {
-			c.emit(EfUser{Req: e.Req, Status: 400, Reason: "malformed"})
+			c.emit(UserReply{RequestID: e.RequestID, Status: 400, Reason: "malformed"})
 			return
 		}
-		c.wait(waiter{req: e.Req, id: e.ID, submit: &e, why: "malformed"})
+		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: "malformed"})
 		return
 	}
-	if !c.ready() {
-		c.later(e.Req, "not ready")
+	if !c.canTakeRequests() {
+		c.retryLater(e.RequestID, "not ready")
 		return
 	}
-	if why := c.never(e.Spec); why != "" {
-		c.wait(waiter{req: e.Req, id: e.ID, submit: &e, why: why})
+	if why := c.whyNeverRuns(e.Spec); why != "" {
+		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: why})
 		return
 	}
-	if len(e.Spec.Needs) > 0 {
+	if len(e.Spec.Dependencies) > 0 {
 		// Until all controllers know what awaiting is, one that doesn't might start
 		// the job; the user comes back.
 		if !c.formatOn() {
-			c.later(e.Req, "not all controllers know Awaits yet")
+			c.retryLater(e.RequestID, "not all controllers know Awaits yet")
 			return
 		}
-		c.lookUp(e)
+		c.lookUpDependencies(e)
 		return
 	}
-	if c.subs[e.ID] {
-		c.later(e.Req, "being accepted")
+	if c.requests.accepting[e.ID] {
+		c.retryLater(e.RequestID, "being accepted")
 		return
 	}
-	c.subs[e.ID] = true
-	c.put(e, c.header(e.Spec))
+	c.requests.accepting[e.ID] = true
+	c.putJob(e, c.newHeader(e.Spec))
 }
 
-// header is that of a new job.
-func (c *Core) header(sp *Spec) *Header {
-	sp.Types = c.knownTypes(sp.Types)
-	h := &Header{State: JobOpen, Spec: sp, N: sp.N, Part: c.roomiest(sp), Order: c.st.ledger + 1}
+// newHeader is that of a new job.
+func (c *Controller) newHeader(sp *JobSpec) *JobHeader {
+	sp.MachineTypes = c.knownTypes(sp.MachineTypes)
+	h := &JobHeader{State: StateOpen, Spec: sp, TaskCount: sp.TaskCount, Shard: c.roomiest(sp), AcceptOrder: c.cache.revision + 1}
 	if c.formatOn() {
-		h.Born = c.wallMS()
+		h.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked at once, so its chunks have room for all of
 	// them; in others bookings wait where a chunk is full (draft.room).
@@ -262,73 +274,73 @@
 	if sp.Shape == Gang {
 		size = tuning.TaskBytes
 	}
-	h.Chunk = max(1, (c.cfg.ValueB-tuning.PackSlack)/size)
-	if pack, ok := c.packFor(sp, h.Part); ok {
-		h.Pack, h.Chunk = pack, h.N
-	} else if whole(sp) && h.N <= tuning.InHeader {
-		h.In, h.Chunk = true, h.N
+	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
+	if pack, ok := c.packFor(sp, h.Shard); ok {
+		h.Pack, h.ChunkSize = pack, h.TaskCount
+	} else if placedByLeader(sp) && h.TaskCount <= tuning.InHeader {
+		h.Inline, h.ChunkSize = true, h.TaskCount
 	}
 	return h
 }
 
-// put writes the header of a new job and tells its user.
-func (c *Core) put(e EvSubmit, h *Header) {
-	t := Txn{When: []Cond{{keyJob(e.ID), 0}}, Apply: []Put{{Key: keyJob(e.ID), Value: enc(h)}}}
-	c.commit(LaneUser, t, func(r CommitResult, _ EvCommit) {
-		delete(c.subs, e.ID)
+// putJob writes the header of a new job and tells its user.
+func (c *Controller) putJob(e JobSubmitted, h *JobHeader) {
+	t := Transaction{Conditions: []Condition{{keyJob(e.ID), 0}}, Puts: []Put{{Key: keyJob(e.ID), Value: mustEncode(h)}}}
+	c.commit(LaneUser, t, func(r CommitResult, _ CommitAnswered) {
+		delete(c.requests.accepting, e.ID)
 		switch r {
 		case Committed:
-			c.log(2, "job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.N, "part", h.Part,
-				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.waitIn, "est_s", e.Spec.Est, "due_s", e.Spec.Due,
-				"awaits", e.Spec.Needs)
-			if j := c.st.jobs[e.ID]; j != nil {
-				c.say(e.Req, 201, j)
+			c.debug("job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.TaskCount, "part", h.Shard,
+				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.peers.waitingByShard, "est_s", e.Spec.EstimatedRuntime, "due_s", e.Spec.Deadline,
+				"awaits", e.Spec.Dependencies)
+			if j := c.cache.jobs[e.ID]; j != nil {
+				c.replyState(e.RequestID, 201, j)
 			}
 		case Conflict: // somebody else took it: a repeat
-			c.wait(waiter{req: e.Req, id: e.ID})
+			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
 		default:
-			c.later(e.Req, "state service")
+			c.retryLater(e.RequestID, "state service")
 		}
 	})
 }
 
-func (c *Core) onAbort(e EvAbort) {
-	if j := c.st.jobs[e.ID]; j != nil && j.final() {
-		c.say(e.Req, 200, j)
+func (c *Controller) onJobCancelled(e JobCancelled) {
+	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
+		c.replyState(e.RequestID, 200, j)
 		return
 	}
-	if c.st.jobs[e.ID] == nil {
-		c.wait(waiter{req: e.Req, id: e.ID, abort: true})
+	if c.cache.jobs[e.ID] == nil {
+		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, cancel: true})
 		return
 	}
-	c.abort(e.Req, e.ID)
+	c.cancel(e.RequestID, e.ID)
 }
 
-func (c *Core) abort(req uint64, id string) {
-	j := c.st.jobs[id]
+func (c *Controller) cancel(req uint64, id string) {
+	j := c.cache.jobs[id]
 	if j == nil {
-		c.emit(EfUser{Req: req, Status: 404, ID: id})
+		c.emit(UserReply{RequestID: req, Status: 404, ID: id})
 		return
 	}
 	if j.final() {
-		c.say(req, 200, j)
+		c.replyState(req, 200, j)
 		return
 	}
-	h := *j.H
-	h.State = JobCancelled
+	h := *j.Header
+	h.State = StateCancelled
 	key := keyJob(id)
-	c.commit(LaneUser, Txn{
-		When:  []Cond{{key, c.st.stamps[key]}},
-		Apply: []Put{{Key: key, Value: enc(&h)}},
-	}, func(r CommitResult, _ EvCommit) {
+	c.commit(LaneUser, Transaction{
+		Conditions: []Condition{{key, c.cache.modRevisions[key]}},
+		Puts:       []Put{{Key: key, Value: mustEncode(&h)}},
+	}, func(r CommitResult, _ CommitAnswered) {
 		switch r {
 		case Committed:
-			c.log(2, "job cancelled", "job", id)
-			c.say(req, 200, j)
+			c.debug("job cancelled", "job", id)
+			c.replyState(req, 200, j)
 		case Conflict:
-			c.wait(waiter{req: req, id: id, abort: true})
+			c.awaitReadIndex(waiter{requestID: req, id: id, cancel: true})
 		default:
-			c.later(req, "state service")
+			c.retryLater(req, "state service")
 		}
 	})
 }
@@ -336,23 +348,23 @@
 // packFor is the pack of a part that a new job's tasks go to: the first with
 // room for all of them booked. Two nodes may fill one at the same time; then
 // some bookings wait until others end (draft.room).
-func (c *Core) packFor(sp *Spec, part string) (string, bool) {
+func (c *Controller) packFor(sp *JobSpec, part string) (string, bool) {
 	each := tuning.BookedBytes
 	if c.formatOn() {
 		each = tuning.BookedBytesShort
 	}
 	cost := func(n int) int { return tuning.TaskBytes + n*each }
-	most := c.cfg.ValueB * tuning.PackPercent / 100
-	if whole(sp) || cost(sp.N) > most {
+	most := c.cfg.ValueLimit * tuning.PackPercent / 100
+	if placedByLeader(sp) || cost(sp.TaskCount) > most {
 		return "", false
 	}
 	for k := 0; ; k++ {
 		name := packName(part, k)
-		if c.st.large[prePack+name] {
+		if c.cache.oversized[prefixPack+name] {
 			continue
 		}
-		sum := cost(sp.N)
-		for _, j := range c.st.packs[name] {
+		sum := cost(sp.TaskCount)
+		for _, j := range c.cache.jobsByPack[name] {
 			sum += cost(j.counts.queued + j.counts.booked)
 		}
 		if sum <= most {
--- a/internal/core/large.go
+++ b/internal/core/large.go
@@ -9,18 +9,18 @@
 
 // largeArray tells whether the leader places the job's tasks only because there are
 // so many of them: each may go anywhere its job allows.
-func largeArray(sp *Spec) bool {
-	return sp.Shape != Gang && !sp.OneZone && !sp.Spread && sp.N >= tuning.LargeJob
+func largeArray(sp *JobSpec) bool {
+	return sp.Shape != Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJob
 }
 
-// holdsMachines tells whether the leader keeps machines for jobs like this one. It
+// reservesMachines tells whether the leader keeps machines for jobs like this one. It
 // doesn't for large arrays, which take the room that other jobs leave: for thousands of
 // waiting tasks it would keep all machines that fit, and parts place nothing on those.
-func holdsMachines(sp *Spec) bool { return whole(sp) && !largeArray(sp) }
+func reservesMachines(sp *JobSpec) bool { return placedByLeader(sp) && !largeArray(sp) }
 
 // planLargeArrays books tasks of large arrays, by priority and then first come,
 // first served. Only the leader does.
-func (c *Core) planLargeArrays(d *draft) {
+func (c *Controller) planLargeArrays(d *draft) {
 	if !c.isLeader() {
 		return
 	}
@@ -28,8 +28,8 @@
 	if len(jobs) == 0 {
 		return
 	}
-	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.prio, a.prio) })
-	machines, claims := c.wholeRoom(jobs, d), c.claims(d)
+	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(b.priority, a.priority) })
+	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
 	for _, j := range jobs {
 		if !c.bookLargeArray(d, j, machines, claims) {
 			return
@@ -39,10 +39,10 @@
 
 // waitingJobs are the open jobs that match, have tasks to book and don't pause after
 // an error.
-func (c *Core) waitingJobs(matches func(*Spec) bool) []*Job {
+func (c *Controller) waitingJobs(matches func(*JobSpec) bool) []*Job {
 	var jobs []*Job
-	for _, j := range c.st.open {
-		if matches(j.H.Spec) && j.counts.queued > 0 && int64(c.now) >= j.hold {
+	for _, j := range c.cache.openJobs {
+		if matches(j.Header.Spec) && j.counts.queued > 0 && int64(c.now) >= j.pausedUntil {
 			jobs = append(jobs, j)
 		}
 	}
@@ -53,27 +53,27 @@
 // is full. Tasks that share a value go to machines of one owner. If they were spread
 // over all machines, every owner would change most of the array's values to release
 // its tasks, and such commits have no room left for the bookings of other jobs.
-func (c *Core) bookLargeArray(d *draft, j *Job, machines []inv, claims map[string]claim) bool {
+func (c *Controller) bookLargeArray(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim) bool {
 	if c.isAvoided(j, 0) {
 		return true
 	}
-	owners := c.ownersFitting(j.H.Spec)
+	owners := c.ownersFitting(j.Header.Spec)
 	if len(owners) == 0 {
 		return true
 	}
 	left := tuning.LargeAtOnce
-	if j.doubtful() {
+	if j.isDoubtful() {
 		left = 1 - c.placementOf(j, d).booked
 	}
-	rooms := map[string][]inv{} // by owner
-	for cell, from := 0, 0; from < j.H.N && left > 0; cell, from = cell+1, j.cellEnd(from) {
+	rooms := map[string][]inventoryMachine{} // by owner
+	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.cellEnd(from) {
 		if !j.anyQueued(from) {
 			continue
 		}
 		owner := owners[cell%len(owners)]
 		room, known := rooms[owner]
 		if !known {
-			room = c.roomOf(d, j.H.Spec, machines, owner)
+			room = c.roomOf(d, j.Header.Spec, machines, owner)
 		}
 		n, rest, ok := c.bookCell(d, j, from, left, room, claims)
 		left -= n
@@ -97,11 +97,11 @@
 
 // ownersFitting are the controllers with machines that may take a task of the job,
 // sorted by name.
-func (c *Core) ownersFitting(sp *Spec) []string {
+func (c *Controller) ownersFitting(sp *JobSpec) []string {
 	var owners []string
 	for _, m := range c.inventory() {
-		f := c.flavor(m.typ)
-		if f == nil || !f.Size.Holds(sp.Need) || !c.fits(sp, m.typ, m.zone, m.spot) || slices.Contains(owners, m.owner) {
+		f := c.machineType(m.machineType)
+		if f == nil || !f.Capacity.Fits(sp.Request) || !c.allowsMachine(sp, m.machineType, m.zone, m.spot) || slices.Contains(owners, m.owner) {
 			continue
 		}
 		owners = append(owners, m.owner)
@@ -111,60 +111,60 @@
 }
 
 // roomOf lists an owner's machines with room for a task of the job, best first.
-func (c *Core) roomOf(d *draft, sp *Spec, machines []inv, owner string) []inv {
-	var room []inv
+func (c *Controller) roomOf(d *draft, sp *JobSpec, machines []inventoryMachine, owner string) []inventoryMachine {
+	var room []inventoryMachine
 	for _, m := range machines {
-		f := c.flavor(m.typ)
-		if m.owner == owner && f != nil && c.fits(sp, m.typ, m.zone, m.spot) && c.free(m.name, f.Size, d).Holds(sp.Need) {
+		f := c.machineType(m.machineType)
+		if m.owner == owner && f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) && c.freeOn(m.name, f.Capacity, d).Fits(sp.Request) {
 			room = append(room, m)
 		}
 	}
-	slices.SortStableFunc(room, func(a, b inv) int { return c.comparePlaces(sp, &a, &b) })
+	slices.SortStableFunc(room, func(a, b inventoryMachine) int { return c.comparePlaces(sp, &a, &b) })
 	return room
 }
 
 // bookCell books up to most queued tasks of the cell that begins with task from, and
 // tells how many, and which machines still have room; false: the draft is full.
-func (c *Core) bookCell(d *draft, j *Job, from, most int, room []inv, claims map[string]claim) (int, []inv, bool) {
-	sp, booked := j.H.Spec, 0
+func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []inventoryMachine, claims map[string]quotaClaim) (int, []inventoryMachine, bool) {
+	sp, booked := j.Header.Spec, 0
 	end := j.cellEnd(from)
 	for i := from; i < end && booked < most && len(room) > 0; i++ {
 		id := TaskID{j.ID, i}
 		if j.task(i).State != Queued || d.changed[id] {
 			continue
 		}
-		if !c.wholeAllowed(sp, d.teamUsed(sp.Team).Plus(sp.Need, 1), claims) {
+		if !c.quotaAllowsPlaced(sp, d.teamUsed(sp.Team).Plus(sp.Request, 1), claims) {
 			return booked, room, true
 		}
-		if !d.room(j, i, false, true) {
-			c.dirty = true
-			return booked, room, d.ops() < d.most
+		if !d.hasRoomFor(j, i, false, true) {
+			c.planner.dirty = true
+			return booked, room, d.changes() < d.maxChanges
 		}
 		m, attempt := room[0], j.task(i).Attempt+1
-		d.book(j, i, m.name, m.zone, m.shift, attempt)
-		d.noteBooking(id, m.name, m.zone, attempt, PassLargeArray)
+		d.book(j, i, m.name, m.zone, m.agentEpoch, attempt)
+		d.recordBooking(id, m.name, m.zone, attempt, PassLargeArray)
 		booked++
-		if !c.free(m.name, c.flavor(m.typ).Size, d).Holds(sp.Need) {
+		if !c.freeOn(m.name, c.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
 			room = room[1:]
 		}
 	}
 	return booked, room, true
 }
 
-// wholeAllowed tells whether a team's use, with a task of a job placed whole in it,
+// quotaAllowsPlaced tells whether a team's use, with a task of a job placed whole in it,
 // stays within its limit and leaves a starving job its part.
-func (c *Core) wholeAllowed(sp *Spec, used Res, claims map[string]claim) bool {
-	lim := c.cfg.Teams[sp.Team].Max
-	return within(used, lim) && (!claims[sp.Team].gangs || claims[sp.Team].leavesFirst(sp.ID, used, lim))
+func (c *Controller) quotaAllowsPlaced(sp *JobSpec, used Resources, claims map[string]quotaClaim) bool {
+	lim := c.cfg.Teams[sp.Team].Limit
+	return withinLimit(used, lim) && (!claims[sp.Team].aheadOfGangs || claims[sp.Team].leavesFirst(sp.ID, used, lim))
 }
 
 // comparePlaces orders machines for a task of a job placed whole: first those that
 // have its image, then those kept for such jobs, spot machines, and the fullest.
-func (c *Core) comparePlaces(sp *Spec, a, b *inv) int {
+func (c *Controller) comparePlaces(sp *JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
-		trueFirst(a.has(sp.Image), b.has(sp.Image)),
-		trueFirst(c.fleet.hold[a.name], c.fleet.hold[b.name]),
+		trueFirst(a.hasImage(sp.Image), b.hasImage(sp.Image)),
+		trueFirst(c.scaling.reserved[a.name], c.scaling.reserved[b.name]),
 		trueFirst(a.spot, b.spot),
-		cmp.Compare(len(c.st.byMach[b.name]), len(c.st.byMach[a.name])),
+		cmp.Compare(len(c.cache.bookedOn[b.name]), len(c.cache.bookedOn[a.name])),
 	)
 }
--- a/internal/core/learn.go
+++ b/internal/core/learn.go
@@ -9,36 +9,36 @@
 	"brassglade/internal/tuning"
 )
 
-// WindowRec is the value of window/NODE: what one node tells all at the end of
+// WindowRecord is the value of window/NODE: what one node tells all at the end of
 // each window.
-type WindowRec struct {
-	Seq    uint64    `json:"q"`
-	Loads  []float64 `json:"x"`
-	Passes int       `json:"p"`
-	Theta  []float64 `json:"t"`
+type WindowRecord struct {
+	Sequence      uint64    `json:"q"`
+	Loads         []float64 `json:"x"`
+	Passes        int       `json:"p"`
+	CriticWeights []float64 `json:"t"`
 }
 
 // policy is a linear softmax policy over targets that come and go: a weight
 // for each pair of names and a bias for each name, with the starting values
 // for names not met yet.
 type policy struct {
-	sign float64 // of the starting weight on a target's own load
-	w    map[string]map[string]float64
-	b    map[string]float64
-	gw   map[string]map[string]float64 // gradients of this window
-	gb   map[string]float64
-	n    int
+	sign            float64 // of the starting weight on a target's own load
+	weights         map[string]map[string]float64
+	biases          map[string]float64
+	weightGradients map[string]map[string]float64 // gradients of this window
+	biasGradients   map[string]float64
+	draws           int
 }
 
 func newPolicy(sign float64) policy {
 	return policy{
-		sign: sign, w: map[string]map[string]float64{}, b: map[string]float64{},
-		gw: map[string]map[string]float64{}, gb: map[string]float64{},
+		sign: sign, weights: map[string]map[string]float64{}, biases: map[string]float64{},
+		weightGradients: map[string]map[string]float64{}, biasGradients: map[string]float64{},
 	}
 }
 
 func (p *policy) weight(i, j string) float64 {
-	if r, ok := p.w[i]; ok {
+	if r, ok := p.weights[i]; ok {
 		if v, ok := r[j]; ok {
 			return v
 		}
@@ -54,7 +54,7 @@
 	z := make([]float64, len(cs))
 	top := math.Inf(-1)
 	for i := range cs {
-		z[i] = p.b[cs[i].name] - cs[i].cost
+		z[i] = p.biases[cs[i].name] - cs[i].cost
 		for j := range cs {
 			z[i] += p.weight(cs[i].name, cs[j].name) * cs[j].load
 		}
@@ -76,17 +76,17 @@
 	if len(cs) < 2 {
 		return
 	}
-	p.n++
+	p.draws++
 	for i := range cs {
 		g := -pr[i]
 		if i == k {
 			g++
 		}
-		p.gb[cs[i].name] += g
-		r := p.gw[cs[i].name]
+		p.biasGradients[cs[i].name] += g
+		r := p.weightGradients[cs[i].name]
 		if r == nil {
 			r = map[string]float64{}
-			p.gw[cs[i].name] = r
+			p.weightGradients[cs[i].name] = r
 		}
 		for j := range cs {
 			r[cs[j].name] += g * cs[j].load * tuning.LoadScale
@@ -98,41 +98,41 @@
 // values go back to their start. It returns how many did.
 func (p *policy) step(delta float64, alive map[string]bool) (reset int) {
 	ok := func(v float64) bool { return !math.IsNaN(v) && math.Abs(v) <= tuning.WeightBound }
-	if p.n > 0 && ok(delta/1e6) {
-		k := tuning.ActorRate * delta / float64(p.n)
-		for _, i := range slices.Sorted(maps.Keys(p.gw)) {
-			if v := p.b[i] + k*p.gb[i]; ok(v) {
-				p.b[i] = v
+	if p.draws > 0 && ok(delta/1e6) {
+		k := tuning.ActorRate * delta / float64(p.draws)
+		for _, i := range slices.Sorted(maps.Keys(p.weightGradients)) {
+			if v := p.biases[i] + k*p.biasGradients[i]; ok(v) {
+				p.biases[i] = v
 			} else {
-				delete(p.b, i)
+				delete(p.biases, i)
 				reset++
 			}
-			if p.w[i] == nil {
-				p.w[i] = map[string]float64{}
+			if p.weights[i] == nil {
+				p.weights[i] = map[string]float64{}
 			}
-			for j, g := range p.gw[i] {
+			for j, g := range p.weightGradients[i] {
 				if v := p.weight(i, j) + k*g; ok(v) {
-					p.w[i][j] = v
+					p.weights[i][j] = v
 				} else {
-					delete(p.w[i], j)
+					delete(p.weights[i], j)
 					reset++
 				}
 			}
 		}
 	}
-	clear(p.gw)
-	clear(p.gb)
-	p.n = 0
+	clear(p.weightGradients)
+	clear(p.biasGradients)
+	p.draws = 0
 	if alive != nil {
-		for i := range p.w {
+		for i := range p.weights {
 			if !alive[i] {
-				delete(p.w, i)
-				delete(p.b, i)
+				delete(p.weights, i)
+				delete(p.biases, i)
 				continue
 			}
-			for j := range p.w[i] {
+			for j := range p.weights[i] {
 				if !alive[j] {
-					delete(p.w[i], j)
+					delete(p.weights[i], j)
 				}
 			}
 		}
@@ -143,18 +143,18 @@
 // learner is the online actor-critic of one node.
 type learner struct {
 	arrive, steal policy
-	theta         []float64
-	at            time.Duration
+	criticWeights []float64
+	windowEndedAt time.Duration
 	seq           uint64
 	passes        int
 	finishes      int
-	last          []float64 // features at the window's start
+	lastFeatures  []float64 // features at the window's start
 }
 
 func (l *learner) init(string) {
 	l.arrive = newPolicy(1)
 	l.steal = newPolicy(-1) // steals look for the most loaded
-	l.theta = make([]float64, 4)
+	l.criticWeights = make([]float64, 4)
 }
 
 // features of the loads for the linear critic: a constant, the mean, the
@@ -198,34 +198,34 @@
 	return s
 }
 
-// driveLearn ends windows: writes the record, takes the temporal-difference
+// endLearningWindow ends windows: writes the record, takes the temporal-difference
 // step, and averages the critics every ConsensusEvery windows.
-func (c *Core) driveLearn() {
-	l := &c.learn
-	if !c.fenceOK() || c.now < l.at+tuning.Window {
+func (c *Controller) endLearningWindow() {
+	l := &c.learner
+	if !c.mayAct() || c.now < l.windowEndedAt+tuning.Window {
 		return
 	}
-	l.at = c.now
+	l.windowEndedAt = c.now
 	l.seq++
 	// Loads go without names: the critic's features need none, and with them
 	// the record of a few hundred machines would not fit its value.
 	loads := []float64{}
 	alive := map[string]bool{}
-	for _, name := range c.machNames() {
-		if m := c.mach[name]; c.owns(name) {
+	for _, name := range c.machineNames() {
+		if m := c.heartbeats.machines[name]; c.owns(name) {
 			alive[name] = true
-			if c.bookable(m) && !c.kept(name) {
+			if c.isBookable(m) && !c.isReserved(name) {
 				loads = append(loads, math.Round(c.load(m)*10)/10)
 			}
 		}
 	}
 	var x []float64
 	passes := l.passes
-	for _, n := range c.st.view.Serving {
+	for _, n := range c.cache.view.Serving {
 		alive[n] = true
 		ls := loads
 		if n != c.cfg.Node {
-			w := c.st.windows[n]
+			w := c.cache.windows[n]
 			if w == nil {
 				continue
 			}
@@ -235,50 +235,50 @@
 		x = append(x, ls...)
 	}
 	f, imb := features(x)
-	if l.last != nil && c.cfg.Learn {
+	if l.lastFeatures != nil && c.cfg.Learn {
 		phi := (-imb - tuning.PassCost*float64(passes)/float64(max(len(x), 1))) * tuning.LoadScale
-		delta := phi + tuning.Gamma*dot(l.theta, f) - dot(l.theta, l.last)
-		for i := range l.theta {
-			l.theta[i] += tuning.CriticRate * delta * l.last[i]
-			if math.IsNaN(l.theta[i]) || math.Abs(l.theta[i]) > tuning.WeightBound {
-				l.theta[i] = 0
-				c.log(1, "critic weight reset", "i", i)
+		delta := phi + tuning.Gamma*dot(l.criticWeights, f) - dot(l.criticWeights, l.lastFeatures)
+		for i := range l.criticWeights {
+			l.criticWeights[i] += tuning.CriticRate * delta * l.lastFeatures[i]
+			if math.IsNaN(l.criticWeights[i]) || math.Abs(l.criticWeights[i]) > tuning.WeightBound {
+				l.criticWeights[i] = 0
+				c.info("critic weight reset", "i", i)
 			}
 		}
 		r := l.arrive.step(delta, alive) + l.steal.step(delta, alive)
 		if r > 0 {
-			c.log(1, "policy weights reset", "count", r)
+			c.info("policy weights reset", "count", r)
 		}
-		c.log(2, "window", "imbalance", imb, "passes", passes, "delta", delta, "finishes", l.finishes, "theta", l.theta)
+		c.debug("window", "imbalance", imb, "passes", passes, "delta", delta, "finishes", l.finishes, "theta", l.criticWeights)
 		if l.seq%tuning.ConsensusEvery == 0 {
 			c.consensus()
 		}
 	}
-	l.last = f
-	rec := WindowRec{Seq: l.seq, Loads: loads, Passes: l.passes, Theta: l.theta}
+	l.lastFeatures = f
+	rec := WindowRecord{Sequence: l.seq, Loads: loads, Passes: l.passes, CriticWeights: l.criticWeights}
 	l.passes, l.finishes = 0, 0
-	b := c.thin(rec)
-	c.commit(LaneIdle, Txn{Apply: []Put{{Key: preWindow + c.cfg.Node, Value: b}}}, func(CommitResult, EvCommit) {})
+	b := c.encodeWindow(rec)
+	c.commit(LaneIdle, Transaction{Puts: []Put{{Key: prefixWindow + c.cfg.Node, Value: b}}}, func(CommitResult, CommitAnswered) {})
 }
 
 // consensus averages the critics over the serving nodes.
-func (c *Core) consensus() {
-	sum := slices.Clone(c.learn.theta)
+func (c *Controller) consensus() {
+	sum := slices.Clone(c.learner.criticWeights)
 	n := 1.0
-	for _, o := range c.st.view.Serving {
-		w := c.st.windows[o]
-		if o == c.cfg.Node || w == nil || len(w.Theta) != len(sum) {
+	for _, o := range c.cache.view.Serving {
+		w := c.cache.windows[o]
+		if o == c.cfg.Node || w == nil || len(w.CriticWeights) != len(sum) {
 			continue
 		}
 		for i := range sum {
-			sum[i] += w.Theta[i]
+			sum[i] += w.CriticWeights[i]
 		}
 		n++
 	}
 	for i := range sum {
 		sum[i] /= n
 	}
-	c.learn.theta = sum
+	c.learner.criticWeights = sum
 }
 
-func (c *Core) learnFinish(*Machine) { c.learn.finishes++ }
+func (c *Controller) recordFinish(*Machine) { c.learner.finishes++ }
--- a/internal/core/learn_test.go
+++ b/internal/core/learn_test.go
@@ -13,29 +13,29 @@
 func TestPolicyGradient(t *testing.T) {
 	cs := []choice{{name: "a", load: 3, cost: 1}, {name: "b", load: 5}, {name: "c", load: 4}}
 	p := newPolicy(1)
-	p.b["a"] = 0.3
+	p.biases["a"] = 0.3
 	k := 1
 	p.gather(cs, p.probs(cs), k)
 	logp := func(q *policy) float64 { return math.Log(q.probs(cs)[k]) }
 	const h = 1e-6
 	for _, i := range []string{"a", "b", "c"} {
 		q := newPolicy(1)
-		q.b["a"] = 0.3
-		q.b[i] += h
-		if fd := (logp(&q) - logp(&p)) / h; math.Abs(fd-p.gb[i]) > 1e-4 {
-			t.Errorf("bias %s: gathered %g, finite difference %g", i, p.gb[i], fd)
+		q.biases["a"] = 0.3
+		q.biases[i] += h
+		if fd := (logp(&q) - logp(&p)) / h; math.Abs(fd-p.biasGradients[i]) > 1e-4 {
+			t.Errorf("bias %s: gathered %g, finite difference %g", i, p.biasGradients[i], fd)
 		}
 		for _, j := range []string{"a", "b", "c"} {
 			q := newPolicy(1)
-			q.b["a"] = 0.3
-			q.w[i] = map[string]float64{j: p.weight(i, j) + h}
+			q.biases["a"] = 0.3
+			q.weights[i] = map[string]float64{j: p.weight(i, j) + h}
 			fd := (logp(&q) - logp(&p)) / h
-			if g := p.gw[i][j] / tuning.LoadScale; math.Abs(fd-g) > 1e-4 {
+			if g := p.weightGradients[i][j] / tuning.LoadScale; math.Abs(fd-g) > 1e-4 {
 				t.Errorf("weight %s,%s: gathered %g, finite difference %g", i, j, g, fd)
 			}
 		}
 	}
-	if p.gw["z"] != nil {
+	if p.weightGradients["z"] != nil {
 		t.Error("a masked choice got a gradient")
 	}
 }
@@ -75,7 +75,7 @@
 	for i := 0; i < 50; i++ {
 		p.gather(cs, p.probs(cs), i%2)
 		p.step(-1e5, nil)
-		for n, row := range p.w {
+		for n, row := range p.weights {
 			for m, v := range row {
 				if math.IsNaN(v) || math.Abs(v) > tuning.WeightBound {
 					t.Fatalf("weight %s,%s is %g", n, m, v)
@@ -84,11 +84,11 @@
 		}
 	}
 	p.gather(cs, p.probs(cs), 0)
-	if n := p.n; n != 1 {
+	if n := p.draws; n != 1 {
 		t.Fatalf("gathered %d", n)
 	}
 	p.step(math.NaN(), nil)
-	if math.IsNaN(p.b["a"]) {
+	if math.IsNaN(p.biases["a"]) {
 		t.Error("NaN got into a bias")
 	}
 }
@@ -124,7 +124,7 @@
 // TestRendezvous: only the machines of a node that leaves change owner.
 func TestRendezvous(t *testing.T) {
 	three, two := &View{Serving: []string{"a", "b", "c"}}, &View{Serving: []string{"a", "c"}}
-	n, c := map[string]int{}, &Core{}
+	n, c := map[string]int{}, &Controller{}
 	for i := 0; i < 300; i++ {
 		m := "n-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 		o := c.owner(three, m, "")
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -9,164 +9,180 @@
 	"brassglade/internal/tuning"
 )
 
+// heartbeats is what the machines last said, and their heartbeats that wait for an answer.
+type heartbeats struct {
+	machines     map[string]*Machine          // by name
+	sortedNames  []string                     // of machines; nil: to be made anew
+	pending      map[string]*pendingHeartbeat // by machine
+	touched      map[string]bool              // machines whose pending heartbeat is to be looked at again
+	nextReviewAt time.Duration                // no walk over all pending heartbeats before
+	nextWalkAt   time.Duration                // no walk over all machines before
+}
+
+func newHeartbeats() heartbeats {
+	return heartbeats{
+		machines: map[string]*Machine{}, pending: map[string]*pendingHeartbeat{}, touched: map[string]bool{},
+	}
+}
+
 // Machine is what this node knows of a machine. Only the owner acts on it.
 type Machine struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool
 
-	heardOnce bool
-	shift     uint64 // of the newest report
-	tally     uint64
-	baton     uint64
-	tasks     map[TaskID]Seen
-	heard     time.Duration // when last heard (or the end of a grace period)
-	spoke     time.Duration // when a report last came here as the owner; < 0: not yet
-	recallAt  time.Duration // when the cloud takes it; < 0: no notice
-	deadShift uint64        // sessions up to it are given up: never answered again
-	fresh     bool          // the newest report came by check-in
+	heardOnce      bool
+	agentEpoch     uint64 // of the newest report
+	sequence       uint64
+	fencingToken   uint64
+	reported       map[TaskID]TaskReport
+	heardAt        time.Duration // when last heard (or the end of a grace period)
+	heartbeatAt    time.Duration // when a report last came here as the owner; < 0: not yet
+	preemptionAt   time.Duration // when the cloud takes it; < 0: no notice
+	abandonedEpoch uint64        // sessions up to it are given up: never answered again
+	byHeartbeat    bool          // the newest report came by check-in
 
-	ownEpoch uint64        // epoch at which this incarnation became owner
-	ownSince time.Duration // when it saw that
-	last200  time.Duration // when it last answered with 200; < 0: not yet
-	session  time.Duration // when this node first heard of session shift
+	ownedEpoch   uint64        // epoch at which this incarnation became owner
+	ownedSince   time.Duration // when it saw that
+	answeredAt   time.Duration // when it last answered with 200; < 0: not yet
+	epochHeardAt time.Duration // when this node first heard of session shift
 
-	// sent: check-in whose answer last carried the run of a booking
-	sent map[doom]uint64
+	// startsSent: check-in whose answer last carried the run of a booking
+	startsSent map[attemptID]uint64
 
-	unheeded   int           // reports in a row that show that an answer had no effect
-	unheededAt time.Duration // when the first of them came
-	sentBaton  uint64        // of the last answer
+	unheededReplies int           // reports in a row that show that an answer had no effect
+	unheededAt      time.Duration // when the first of them came
+	sentToken       uint64        // of the last answer
 
-	queue    []TaskID
-	errs     map[string]errRun // errors since a task was last done here, by job
-	fullTill time.Duration
-	haltAt   time.Duration
-	rate     runStat
-	images   map[string]time.Duration
-	idleAt   time.Duration
-	firstRun map[doom]time.Duration
+	queue            []TaskID
+	failures         map[string]failureCount // errors since a task was last done here, by job
+	noBookingsUntil  time.Duration
+	nextDirectStopAt time.Duration
+	runTime          smoothedValue
+	images           map[string]time.Duration
+	idleAt           time.Duration
+	runningSince     map[attemptID]time.Duration
 }
 
 func newMachine(name string) *Machine {
 	return &Machine{
-		Name: name, tasks: map[TaskID]Seen{}, recallAt: -1, last200: -1, spoke: -1,
-		sent: map[doom]uint64{}, errs: map[string]errRun{}, images: map[string]time.Duration{},
-		firstRun: map[doom]time.Duration{},
+		Name: name, reported: map[TaskID]TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
+		startsSent: map[attemptID]uint64{}, failures: map[string]failureCount{}, images: map[string]time.Duration{},
+		runningSince: map[attemptID]time.Duration{},
 	}
 }
 
-// newer tells whether (shift, tally) is newer than what m last said.
-func (m *Machine) newer(shift, tally uint64) bool {
-	return !m.heardOnce || shift > m.shift || shift == m.shift && tally > m.tally
+// isNewer tells whether (shift, tally) is newer than what m last said.
+func (m *Machine) isNewer(shift, tally uint64) bool {
+	return !m.heardOnce || shift > m.agentEpoch || shift == m.agentEpoch && tally > m.sequence
 }
 
-// onCheckin answers a worker's report. 200 is said only by the entitled owner
+// onHeartbeat answers a worker's report. 200 is said only by the entitled owner
 // behind its fence; everyone else names the owner or says 503.
-func (c *Core) onCheckin(e EvCheckin) {
-	r := e.R
-	if !c.fenceOK() {
-		c.emit(EfCheckin{Req: e.Req, Status: 503})
+func (c *Controller) onHeartbeat(e HeartbeatReceived) {
+	r := e.Heartbeat
+	if !c.mayAct() {
+		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
-	if r.Baton > c.st.view.Epoch {
+	if r.FencingToken > c.cache.view.Epoch {
 		// The worker has seen a later view than this node.
-		c.confirmAt = min(c.confirmAt, c.now)
-		c.emit(EfCheckin{Req: e.Req, Status: 503})
+		c.membership.nextConfirmationAt = min(c.membership.nextConfirmationAt, c.now)
+		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
 	owner := c.ownerIn(r.Machine, r.Zone)
 	if owner != c.cfg.Node {
-		if c.st.marks[r.Machine].State != MarkGone {
-			c.noteBounce(r.Machine, r.Zone, owner, r.Shift, r.Tally, r.Baton)
+		if c.cache.cordons[r.Machine].State != CordonGone {
+			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
 		}
-		c.emit(EfCheckin{Req: e.Req, Status: 421, Owner: owner})
+		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 421, Owner: owner})
 		return
 	}
-	m := c.mach[r.Machine]
+	m := c.heartbeats.machines[r.Machine]
 	if m == nil {
 		m = c.addMachine(r.Machine)
-		m.ownEpoch, m.ownSince = c.st.view.Epoch, c.now
+		m.ownedEpoch, m.ownedSince = c.cache.view.Epoch, c.now
 	}
 	// A session given up, or a machine that the cloud took back, must not be
 	// kept alive by an answer: its tasks may already run elsewhere.
-	if c.guard(GuardDead) && r.Shift <= m.deadShift || c.st.marks[r.Machine].State == MarkGone {
-		c.emit(EfCheckin{Req: e.Req, Status: 503})
+	if c.guard(GuardDead) && r.AgentEpoch <= m.abandonedEpoch || c.cache.cordons[r.Machine].State == CordonGone {
+		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
-	if !m.newer(r.Shift, r.Tally) {
+	if !m.isNewer(r.AgentEpoch, r.Sequence) {
 		// A late copy: the worker has given it up, and its list is old.
-		c.emit(EfCheckin{Req: e.Req, Status: 503})
+		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
-	c.checkHeeded(m, &r)
-	c.takeReport(m, &r, true)
-	if h := c.held[m.Name]; h != nil { // given up by the worker
-		delete(c.held, m.Name)
-		c.emit(EfCheckin{Req: h.req, Status: 503})
+	c.checkRepliesHeeded(m, &r)
+	c.recordHeartbeat(m, &r, true)
+	if h := c.heartbeats.pending[m.Name]; h != nil { // given up by the worker
+		delete(c.heartbeats.pending, m.Name)
+		c.emit(HeartbeatReply{RequestID: h.requestID, Status: 503})
 	}
-	c.dirty = true
-	c.drivePlace()
-	c.drivePlan()
-	h := &heldCheckin{m.Name, e.Req, r.Tally, r.Shift, c.now + tuning.CheckinHold}
-	if c.worthHolding(m) {
-		c.held[m.Name] = h
+	c.planner.dirty = true
+	c.placeTasks()
+	c.planCommit()
+	h := &pendingHeartbeat{m.Name, e.RequestID, r.Sequence, r.AgentEpoch, c.now + tuning.CheckinHold}
+	if c.worthDelaying(m) {
+		c.heartbeats.pending[m.Name] = h
 		return
 	}
-	c.answer(h)
+	c.answerHeartbeat(h)
 }
 
-// booking tells whether s is the committed booking of its task.
-func (c *Core) booking(m *Machine, s Seen) bool {
-	j := c.st.jobs[s.Task.Job]
-	if j == nil || s.Task.I < 0 || s.Task.I >= j.H.N {
+// isBooking tells whether s is the committed booking of its task.
+func (c *Controller) isBooking(m *Machine, s TaskReport) bool {
+	j := c.cache.jobs[s.Task.Job]
+	if j == nil || s.Task.Index < 0 || s.Task.Index >= j.Header.TaskCount {
 		return false
 	}
-	t := j.task(s.Task.I)
-	return t.State == Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.Shift == m.shift
+	t := j.task(s.Task.Index)
+	return t.State == Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.AgentEpoch == m.agentEpoch
 }
 
-// takeReport takes a report that is newer than what m said before.
-func (c *Core) takeReport(m *Machine, r *Report, checkin bool) {
+// recordHeartbeat takes a report that is newer than what m said before.
+func (c *Controller) recordHeartbeat(m *Machine, r *Heartbeat, checkin bool) {
 	if m.Addr == "" || m.Type == "" {
-		c.log(2, "machine", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot)
+		c.debug("machine", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot)
 	}
 	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	if !m.heardOnce || r.Shift > m.shift {
-		m.session = c.now
+	if !m.heardOnce || r.AgentEpoch > m.agentEpoch {
+		m.epochHeardAt = c.now
 	}
-	if m.heardOnce && r.Shift > m.shift {
-		c.log(1, "machine lost its lease", "machine", m.Name, "shift", r.Shift)
+	if m.heardOnce && r.AgentEpoch > m.agentEpoch {
+		c.info("machine lost its lease", "machine", m.Name, "shift", r.AgentEpoch)
 		clear(m.images)
 	}
-	m.heardOnce, m.shift, m.tally, m.baton, m.heard, m.spoke, m.fresh = true, r.Shift, r.Tally, r.Baton, c.now, c.now, checkin
-	if r.Recall >= 0 {
-		if m.recallAt < 0 {
-			c.log(1, "machine recalled", "machine", m.Name, "in_s", r.Recall)
-			c.unplaceMachine(m.Name)
+	m.heardOnce, m.agentEpoch, m.sequence, m.fencingToken, m.heardAt, m.heartbeatAt, m.byHeartbeat = true, r.AgentEpoch, r.Sequence, r.FencingToken, c.now, c.now, checkin
+	if r.PreemptionNotice >= 0 {
+		if m.preemptionAt < 0 {
+			c.info("machine recalled", "machine", m.Name, "in_s", r.PreemptionNotice)
+			c.dequeueAll(m.Name)
 		}
-		m.recallAt = c.now + time.Duration(r.Recall*float64(time.Second))
-	} else if m.recallAt >= 0 {
-		m.recallAt = -1
+		m.preemptionAt = c.now + time.Duration(r.PreemptionNotice*float64(time.Second))
+	} else if m.preemptionAt >= 0 {
+		m.preemptionAt = -1
 	}
-	clear(m.tasks)
+	clear(m.reported)
 	for _, s := range r.Tasks {
-		m.tasks[s.Task] = s
-		j := c.st.jobs[s.Task.Job]
-		if j == nil || j.H.Spec == nil {
+		m.reported[s.Task] = s
+		j := c.cache.jobs[s.Task.Job]
+		if j == nil || j.Header.Spec == nil {
 			continue
 		}
-		k := doom{s.Task, s.Attempt}
-		if s.State == SeenRunning {
-			m.images[j.H.Spec.Image] = c.now
-			if _, ok := m.firstRun[k]; !ok {
-				m.firstRun[k] = c.now
-				c.log(2, "task runs", "task", s.Task, "machine", m.Name, "attempt", s.Attempt)
+		k := attemptID{s.Task, s.Attempt}
+		if s.State == ReportedRunning {
+			m.images[j.Header.Spec.Image] = c.now
+			if _, ok := m.runningSince[k]; !ok {
+				m.runningSince[k] = c.now
+				c.debug("task runs", "task", s.Task, "machine", m.Name, "attempt", s.Attempt)
 			}
 		}
 	}
-	for k := range m.firstRun {
-		if s, ok := m.tasks[k.T]; !ok || s.Attempt != k.A {
-			delete(m.firstRun, k)
+	for k := range m.runningSince {
+		if s, ok := m.reported[k.Task]; !ok || s.Attempt != k.Attempt {
+			delete(m.runningSince, k)
 		}
 	}
 	if len(r.Tasks) > 0 {
@@ -174,18 +190,18 @@
 	}
 }
 
-// onDirect takes a worker's direct answer; it obeys (Shift, Tally) like any
+// onCommandsAnswered takes a worker's direct answer; it obeys (Shift, Tally) like any
 // report, but never proves a run undelivered: an answer to a check-in may
 // still be under way.
-func (c *Core) onDirect(e EvDirect) {
-	m := c.mach[e.Machine]
-	if e.R == nil || m == nil || !c.owns(e.Machine) || !m.newer(e.R.Shift, e.R.Tally) || e.R.Shift <= m.deadShift {
+func (c *Controller) onCommandsAnswered(e CommandsAnswered) {
+	m := c.heartbeats.machines[e.Machine]
+	if e.Heartbeat == nil || m == nil || !c.owns(e.Machine) || !m.isNewer(e.Heartbeat.AgentEpoch, e.Heartbeat.Sequence) || e.Heartbeat.AgentEpoch <= m.abandonedEpoch {
 		return
 	}
-	heard := m.heard
-	c.takeReport(m, e.R, false)
-	m.heard = max(heard, c.now)
-	c.dirty = true
+	heard := m.heardAt
+	c.recordHeartbeat(m, e.Heartbeat, false)
+	m.heardAt = max(heard, c.now)
+	c.planner.dirty = true
 }
 
 func sortedTasks[V any](m map[TaskID]V) []TaskID { return inOrder(slices.Collect(maps.Keys(m))) }
@@ -195,56 +211,56 @@
 		if ids[a].Job != ids[b].Job {
 			return ids[a].Job < ids[b].Job
 		}
-		return ids[a].I < ids[b].I
+		return ids[a].Index < ids[b].Index
 	})
 	return ids
 }
 
-// offProof tells whether the booking of task id is proven off its machine,
+// provenOff tells whether the booking of task id is proven off its machine,
 // as this node can know it: see docs/design.md, invariant 5.
-func (c *Core) offProof(m *Machine, id TaskID, t Task) bool {
-	if !c.guard(GuardProof) && c.now-m.heard > 4*time.Second {
+func (c *Controller) provenOff(m *Machine, id TaskID, t Task) bool {
+	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true
 	}
-	if c.st.marks[m.Name].State == MarkGone {
+	if c.cache.cordons[m.Name].State == CordonGone {
 		return true
 	}
-	if m.heardOnce && m.shift > t.Shift || m.deadShift >= t.Shift {
+	if m.heardOnce && m.agentEpoch > t.AgentEpoch || m.abandonedEpoch >= t.AgentEpoch {
 		return true
 	}
-	if m.heardOnce && m.shift == t.Shift {
-		if s, ok := m.tasks[id]; ok {
+	if m.heardOnce && m.agentEpoch == t.AgentEpoch {
+		if s, ok := m.reported[id]; ok {
 			if s.Attempt == t.Attempt {
-				return s.State == SeenEnded
+				return s.State == ReportedEnded
 			}
-		} else if m.fresh && m.baton >= m.ownEpoch && m.tally > m.sent[doom{id, t.Attempt}] {
+		} else if m.byHeartbeat && m.fencingToken >= m.ownedEpoch && m.sequence > m.startsSent[attemptID{id, t.Attempt}] {
 			return true // never arrived, and no answer with it is under way
 		}
 	}
 	return false
 }
 
-// leaseOver tells whether no one can have renewed m's lease since too long. A
+// leaseExpired tells whether no one can have renewed m's lease since too long. A
 // session heard of may have begun just then: without that term a new session,
 // heard but not yet answered, would be given up for the age of the last one's
 // answer, and its live tasks started elsewhere later on.
-func (c *Core) leaseOver(m *Machine) bool {
-	from := max(m.ownSince+c.cfg.Fence, m.last200, m.session)
-	lease := c.cfg.Lease + c.cfg.Lease/1000
+func (c *Controller) leaseExpired(m *Machine) bool {
+	from := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
+	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > from+lease+tuning.DriftMargin
 }
 
-// driveMachines gives up dead sessions, marks silent machines and sends direct
+// reviewMachines gives up dead sessions, marks silent machines and sends direct
 // halts where time matters.
-func (c *Core) driveMachines() {
-	if !c.fenceOK() || c.now < c.machAt {
+func (c *Controller) reviewMachines() {
+	if !c.mayAct() || c.now < c.heartbeats.nextWalkAt {
 		return
 	}
-	c.machAt = c.now + c.pace()
-	for n := range c.st.byMach {
-		if c.mach[n] == nil && c.owns(n) {
+	c.heartbeats.nextWalkAt = c.now + c.pace()
+	for n := range c.cache.bookedOn {
+		if c.heartbeats.machines[n] == nil && c.owns(n) {
 			m := c.addMachine(n)
-			m.ownEpoch, m.ownSince, m.heard = c.st.view.Epoch, c.now, c.now+tuning.TakeoverSilence
+			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
 		}
 	}
 	silent, near, all := map[string][]*Machine{}, map[string]int{}, map[string]int{} // by zone
@@ -253,47 +269,47 @@
 	if !c.peersFresh() {
 		limit = tuning.SilentCut
 	}
-	c.Work.Machines += len(c.mach)
-	for _, n := range c.machNames() {
-		m := c.mach[n]
+	c.Work.Machines += len(c.heartbeats.machines)
+	for _, n := range c.machineNames() {
+		m := c.heartbeats.machines[n]
 		if !c.owns(n) {
-			if c.now-m.heard > time.Minute {
+			if c.now-m.heardAt > time.Minute {
 				c.dropMachine(n)
 			}
 			continue
 		}
-		mark := c.st.marks[n]
-		if mark.State == MarkGone {
-			if len(c.st.byMach[n]) == 0 && c.now-m.heard > time.Minute {
+		mark := c.cache.cordons[n]
+		if mark.State == CordonGone {
+			if len(c.cache.bookedOn[n]) == 0 && c.now-m.heardAt > time.Minute {
 				c.dropMachine(n)
 			}
 			continue
 		}
-		if len(c.st.byMach[n]) > 0 && c.leaseOver(m) {
-			dead := max(m.shift, m.deadShift)
-			for id := range c.st.byMach[n] {
-				dead = max(dead, c.st.jobs[id.Job].task(id.I).Shift)
+		if len(c.cache.bookedOn[n]) > 0 && c.leaseExpired(m) {
+			dead := max(m.agentEpoch, m.abandonedEpoch)
+			for id := range c.cache.bookedOn[n] {
+				dead = max(dead, c.cache.jobs[id.Job].task(id.Index).AgentEpoch)
 			}
-			if dead > m.deadShift {
-				c.log(1, "session given up", "machine", n, "shift", dead)
-				m.deadShift = dead
-				c.dirty = true
+			if dead > m.abandonedEpoch {
+				c.info("session given up", "machine", n, "shift", dead)
+				m.abandonedEpoch = dead
+				c.planner.dirty = true
 			}
 		}
 		zone := c.zoneOf(n)
 		all[zone]++
 		switch {
-		case c.now-m.heard > limit:
+		case c.now-m.heardAt > limit:
 			if mark.State == "" {
 				silent[zone] = append(silent[zone], m)
 				quiet++
 			}
-		case m.spoke >= 0 && c.now-m.spoke <= limit: // not just taken over and yet to come
+		case m.heartbeatAt >= 0 && c.now-m.heartbeatAt <= limit: // not just taken over and yet to come
 			heard++
-			if c.now-m.spoke <= c.cfg.Report+c.cfg.Report/4 {
+			if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
 				near[zone]++
 			}
-			c.directHalts(m)
+			c.sendDirectStops(m)
 		}
 	}
 	// Machines that fall silent together are rather cut off from here: all of
@@ -306,37 +322,37 @@
 		l := silent[z]
 		few := all[z] <= tuning.SilentFew && quiet <= heard || quiet == 1 && heard == 0
 		if len(l) > near[z] && !few {
-			c.zoneOut[z] = c.now
+			c.views.zoneSilentAt[z] = c.now
 		}
-		if out, was := c.zoneOut[z]; !few && was && c.now-out < tuning.SilentCut {
+		if out, was := c.views.zoneSilentAt[z]; !few && was && c.now-out < tuning.SilentCut {
 			continue
 		}
 		for _, m := range l {
-			c.mark(m.Name, MachineMark{MarkDrain, WhyLost})
+			c.cordon(m.Name, Cordon{CordonDrain, DrainLost})
 		}
 	}
 	// If answers to many have no effect, it is this node that is slow or cut off.
 	deaf := 0
-	for _, m := range c.mach {
-		if c.deaf(m) {
+	for _, m := range c.heartbeats.machines {
+		if c.ignoresReplies(m) {
 			deaf++
 		}
 	}
-	for _, n := range c.machNames() {
-		m := c.mach[n]
-		if c.deaf(m) && deaf <= 2+heard/10 && c.owns(n) && c.st.marks[n].State == "" {
-			c.mark(n, MachineMark{MarkDrain, WhyDeaf})
+	for _, n := range c.machineNames() {
+		m := c.heartbeats.machines[n]
+		if c.ignoresReplies(m) && deaf <= 2+heard/10 && c.owns(n) && c.cache.cordons[n].State == "" {
+			c.cordon(n, Cordon{CordonDrain, DrainUnheeding})
 		}
-		if c.owns(m.Name) && len(m.errs) > 0 && c.st.marks[m.Name].State == "" && c.sick(m) {
-			c.mark(m.Name, MachineMark{MarkDrain, WhySick})
+		if c.owns(m.Name) && len(m.failures) > 0 && c.cache.cordons[m.Name].State == "" && c.isFaulty(m) {
+			c.cordon(m.Name, Cordon{CordonDrain, DrainFaulty})
 		}
 	}
 }
 
 // peersFresh tells whether all other serving nodes were heard just now.
-func (c *Core) peersFresh() bool {
-	for _, n := range c.st.view.Serving {
-		if p := c.peers[n]; n != c.cfg.Node && (p == nil || c.now-p.at > tuning.PeerFresh) {
+func (c *Controller) peersFresh() bool {
+	for _, n := range c.cache.view.Serving {
+		if p := c.peers.byName[n]; n != c.cfg.Node && (p == nil || c.now-p.heardAt > tuning.PeerFresh) {
 			return false
 		}
 	}
--- a/internal/core/marks.go
+++ b/internal/core/marks.go
@@ -4,72 +4,83 @@
 	"maps"
 	"slices"
 	"strings"
+	"time"
 
 	"brassglade/internal/tuning"
 )
 
-// mark wants a machine's mark written; driveMarks does it, many at a time.
-func (c *Core) mark(name string, m MachineMark) {
-	now := c.st.marks[name]
-	if _, ok := c.wantMark[name]; ok && m.State != MarkGone || now.State == MarkGone || now.State == m.State {
+// cordons are the cordons that this controller wants written.
+type cordons struct {
+	wanted      map[string]Cordon // by machine
+	writing     bool
+	nextWriteAt time.Duration
+	lastWriteAt time.Duration
+}
+
+func newCordons() cordons { return cordons{wanted: map[string]Cordon{}} }
+
+// cordon wants a machine's mark written; writeCordons does it, many at a time.
+func (c *Controller) cordon(name string, m Cordon) {
+	now := c.cache.cordons[name]
+	if _, ok := c.cordons.wanted[name]; ok && m.State != CordonGone || now.State == CordonGone || now.State == m.State {
 		return
 	}
-	c.wantMark[name] = m
-	c.log(1, "machine marked", "machine", name, "mark", m.State, "why", m.Why)
+	c.cordons.wanted[name] = m
+	c.info("machine marked", "machine", name, "mark", m.State, "why", m.Reason)
 }
 
-// driveMarks writes the wanted marks, page by page in one commit.
-func (c *Core) driveMarks() {
-	if c.markBusy || len(c.wantMark) == 0 || c.now < c.markAt || !c.fenceOK() || c.cfg.WriteRate > 0 && c.tokens <= -c.cfg.WriteRate*tuning.MarkDebt {
+// writeCordons writes the wanted marks, page by page in one commit.
+func (c *Controller) writeCordons() {
+	if c.cordons.writing || len(c.cordons.wanted) == 0 || c.now < c.cordons.nextWriteAt || !c.mayAct() || c.cfg.WriteRate > 0 && c.commits.tokens <= -c.cfg.WriteRate*tuning.MarkDebt {
 		return
 	}
 	// Task commits spend changes as soon as there are any: marks may go into
 	// debt, or machines taken away would be neither returned nor replaced.
-	c.markAt = c.now + c.pace()
-	if c.wide() {
-		c.markAt = c.now + tuning.MarkEvery
+	c.cordons.nextWriteAt = c.now + c.pace()
+	if c.isLargeFleet() {
+		c.cordons.nextWriteAt = c.now + tuning.MarkEvery
 		// Idle machines can wait for others: each change of a page fails the
 		// bookings under way on the machines that share it.
 		urgent := false
-		for _, m := range c.wantMark {
-			urgent = urgent || m.State == MarkDrain && m.Why != WhyIdle
+		for _, m := range c.cordons.wanted {
+			urgent = urgent || m.State == CordonDrain && m.Reason != DrainIdle
 		}
-		if !urgent && c.now-c.markedAt < tuning.MarkIdleEvery {
+		if !urgent && c.now-c.cordons.lastWriteAt < tuning.MarkIdleEvery {
 			return
 		}
-		c.markedAt = c.now
+		c.cordons.lastWriteAt = c.now
 	}
-	pages := map[string]MarkPage{}
-	t := Txn{When: []Cond{{keyView, c.st.stamps[keyView]}}}
+	pages := map[string]CordonPage{}
+	t := Transaction{Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}}}
 	var names []string
-	for _, n := range slices.Sorted(maps.Keys(c.wantMark)) {
-		m, now := c.wantMark[n], c.st.marks[n]
-		if now.State == MarkGone || now.State == m.State {
-			delete(c.wantMark, n)
+	for _, n := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
+		m, now := c.cordons.wanted[n], c.cache.cordons[n]
+		if now.State == CordonGone || now.State == m.State {
+			delete(c.cordons.wanted, n)
 			continue
 		}
-		home := c.markHome(n)
+		home := c.cordonPageOf(n)
 		p, ok := pages[home]
 		if !ok {
-			if len(pages) >= c.cfg.TxnOps {
+			if len(pages) >= c.cfg.TransactionLimit {
 				continue
 			}
-			p = MarkPage{maps.Clone(c.st.pages[home].Drain), slices.Clone(c.st.pages[home].Gone)}
-			if p.Drain == nil {
-				p.Drain = map[string]string{}
+			p = CordonPage{maps.Clone(c.cache.cordonPages[home].Draining), slices.Clone(c.cache.cordonPages[home].Gone)}
+			if p.Draining == nil {
+				p.Draining = map[string]string{}
 			}
-			c.dropDrainMarks(&p)
+			c.dropDraining(&p)
 		}
-		was, drained := p.Drain[n]
-		if m.State == MarkGone {
-			delete(p.Drain, n)
+		was, drained := p.Draining[n]
+		if m.State == CordonGone {
+			delete(p.Draining, n)
 			p.Gone = append(p.Gone, n)
 		} else {
-			p.Drain[n] = m.Why
+			p.Draining[n] = m.Reason
 		}
-		if !c.trimPage(&p) {
-			if delete(p.Drain, n); drained { // no room until others are returned
-				p.Drain[n] = was
+		if !c.trimCordonPage(&p) {
+			if delete(p.Draining, n); drained { // no room until others are returned
+				p.Draining[n] = was
 			}
 			continue
 		}
@@ -77,53 +88,53 @@
 		names = append(names, n)
 	}
 	for _, home := range slices.Sorted(maps.Keys(pages)) {
-		key := preMach + home
-		t.When = append(t.When, Cond{key, c.st.stamps[key]})
-		t.Apply = append(t.Apply, Put{Key: key, Value: enc(pages[home])})
+		key := prefixCordons + home
+		t.Conditions = append(t.Conditions, Condition{key, c.cache.modRevisions[key]})
+		t.Puts = append(t.Puts, Put{Key: key, Value: mustEncode(pages[home])})
 	}
 	if len(names) == 0 {
 		return
 	}
-	c.markBusy = true
-	c.commit(LaneTask, t, func(r CommitResult, e EvCommit) {
-		c.markBusy = false
+	c.cordons.writing = true
+	c.commit(LaneTask, t, func(r CommitResult, e CommitAnswered) {
+		c.cordons.writing = false
 		if r != Committed {
-			c.markAt = c.now + tuning.ConfirmRetry // and again, by then the cache knows more
+			c.cordons.nextWriteAt = c.now + tuning.ConfirmRetry // and again, by then the cache knows more
 			return
 		}
 		for _, n := range names {
-			if c.st.marks[n].State == c.wantMark[n].State {
-				delete(c.wantMark, n)
+			if c.cache.cordons[n].State == c.cordons.wanted[n].State {
+				delete(c.cordons.wanted, n)
 			}
 		}
 	})
 }
 
-// dropDrainMarks drops drain marks from a page written under larger limits until it fits
+// dropDraining drops drain marks from a page written under larger limits until it fits
 // again: such a machine takes bookings once more, until it is marked anew.
-func (c *Core) dropDrainMarks(p *MarkPage) {
-	if c.trimPage(p) {
+func (c *Controller) dropDraining(p *CordonPage) {
+	if c.trimCordonPage(p) {
 		return
 	}
-	names := slices.SortedFunc(maps.Keys(p.Drain), func(a, b string) int {
-		if ia, ib := p.Drain[a] == WhyIdle, p.Drain[b] == WhyIdle; ia != ib {
+	names := slices.SortedFunc(maps.Keys(p.Draining), func(a, b string) int {
+		if ia, ib := p.Draining[a] == DrainIdle, p.Draining[b] == DrainIdle; ia != ib {
 			return map[bool]int{true: -1, false: 1}[ia]
 		}
 		return strings.Compare(b, a)
 	})
 	for _, n := range names {
-		if delete(p.Drain, n); c.trimPage(p) {
+		if delete(p.Draining, n); c.trimCordonPage(p) {
 			return
 		}
 	}
 }
 
-// trimPage forgets the machines gone longest until the page fits its value;
+// trimCordonPage forgets the machines gone longest until the page fits its value;
 // false: it doesn't fit even so.
-func (c *Core) trimPage(p *MarkPage) bool {
+func (c *Controller) trimCordonPage(p *CordonPage) bool {
 	size := func() int {
 		n := tuning.PackSlack
-		for name, why := range p.Drain {
+		for name, why := range p.Draining {
 			n += len(name) + len(why) + 6
 		}
 		for _, name := range p.Gone {
@@ -131,8 +142,8 @@
 		}
 		return n
 	}
-	for i := 0; size() > c.cfg.ValueB; {
-		for i < len(p.Gone) && len(c.st.byMach[p.Gone[i]]) > 0 {
+	for i := 0; size() > c.cfg.ValueLimit; {
+		for i < len(p.Gone) && len(c.cache.bookedOn[p.Gone[i]]) > 0 {
 			i++
 		}
 		if i == len(p.Gone) {
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -30,15 +30,15 @@
 )
 
 // mayStart is the one place that says whether tasks of a job may start at all.
-func (c *Core) mayStart(j *Job) bool {
-	return j.lack == 0 && j.unmet == 0 && !j.lost || !c.guard(GuardNeeds)
+func (c *Controller) mayStart(j *Job) bool {
+	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardNeeds)
 }
 
-func (c *Core) phaseOf(j *Job) phase {
+func (c *Controller) phaseOf(j *Job) phase {
 	switch {
-	case j.H.State == JobDone:
+	case j.Header.State == StateDone:
 		return phaseDone
-	case j.H.State == JobCancelled || j.lost:
+	case j.Header.State == StateCancelled || j.dependencyFailed:
 		return phaseCancelled
 	case c.mayStart(j):
 		return phaseOpen
@@ -46,10 +46,10 @@
 	return phaseWaiting
 }
 
-// settle puts a job into the phase that its header and those before it call for,
+// settlePhase puts a job into the phase that its header and those before it call for,
 // and all after it: from one to the next over a list, however long the users'
 // pipelines are, each edge once.
-func (c *Core) settle(j *Job) {
+func (c *Controller) settlePhase(j *Job) {
 	work := []*Job{j}
 	for len(work) > 0 {
 		x := work[len(work)-1]
@@ -59,49 +59,49 @@
 		if x.phase == was || x.phase < phaseDone {
 			continue
 		}
-		for _, d := range c.st.needed[x.ID] {
+		for _, d := range c.cache.dependents[x.ID] {
 			if x.phase == phaseDone {
-				d.unmet--
-				d.doneAt = max(d.doneAt, c.endOf(x))
+				d.unfinishedDependencies--
+				d.dependenciesDoneAt = max(d.dependenciesDoneAt, c.endOf(x))
 			} else if c.guard(GuardCascade) {
-				d.lost = true
+				d.dependencyFailed = true
 			}
 			work = append(work, d)
 		}
-		delete(c.st.needed, x.ID)
+		delete(c.cache.dependents, x.ID)
 	}
 }
 
 // setPhase is the one change of a job's phase.
-func (c *Core) setPhase(j *Job, p phase) {
+func (c *Controller) setPhase(j *Job, p phase) {
 	old := j.phase
 	if old == phaseOpen && p != old {
-		for k, o := range c.st.open {
+		for k, o := range c.cache.openJobs {
 			if o == j {
-				c.st.open = append(c.st.open[:k:k], c.st.open[k+1:]...)
+				c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
 				break
 			}
 		}
-		for i := 0; i < j.H.N && j.queued > 0; i++ {
-			c.unplace(TaskID{j.ID, i})
+		for i := 0; i < j.Header.TaskCount && j.queuedHere > 0; i++ {
+			c.dequeue(TaskID{j.ID, i})
 		}
 	}
 	if p == phaseOpen && p != old {
 		// Order and ages count from the last job before it; after a restart from
 		// the times that the headers tell.
-		j.seenAt = int64(c.now)
-		if c.st.reading {
-			j.seenAt = max(j.bornAt, j.doneAt)
+		j.readyAt = int64(c.now)
+		if c.cache.loadingSnapshot {
+			j.readyAt = max(j.submittedAt, j.dependenciesDoneAt)
 		}
 		c.insertOpen(j)
-		if j.H.Spec != nil && len(j.H.Spec.Needs) > 0 && old == phaseWaiting {
-			c.log(2, "job may start", "job", j.ID, "waited_s", (c.now - time.Duration(j.bornAt)).Seconds())
+		if j.Header.Spec != nil && len(j.Header.Spec.Dependencies) > 0 && old == phaseWaiting {
+			c.debug("job may start", "job", j.ID, "waited_s", (c.now - time.Duration(j.submittedAt)).Seconds())
 		}
 	}
-	if p == phaseCancelled && !j.H.Clean {
-		c.st.cleaning[j.ID] = j
+	if p == phaseCancelled && !j.Header.Released {
+		c.cache.awaitingRelease[j.ID] = j
 	} else if p >= phaseDone {
-		delete(c.st.cleaning, j.ID)
+		delete(c.cache.awaitingRelease, j.ID)
 	}
 	j.phase = p
 	if p >= phaseDone && p != old {
@@ -110,66 +110,66 @@
 }
 
 // endOf is when a job was done, as its header tells or, if it doesn't, now.
-func (c *Core) endOf(j *Job) int64 {
-	if c.st.reading && j.H.End > 0 {
-		return min(int64(c.now), c.steady(j.H.End))
+func (c *Controller) endOf(j *Job) int64 {
+	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
+		return min(int64(c.now), c.steadyTime(j.Header.DoneAtMS))
 	}
 	return int64(c.now)
 }
 
-// link reads what a job just met awaits and joins it to those jobs.
-func (c *Core) link(j *Job) {
-	sp := j.H.Spec
+// linkDependencies reads what a job just met awaits and joins it to those jobs.
+func (c *Controller) linkDependencies(j *Job) {
+	sp := j.Header.Spec
 	if sp == nil {
 		return
 	}
-	j.prio, j.dueLen = sp.Prio, sp.Due
-	j.dueAt = j.bornAt + int64(sp.Due*float64(time.Second))
-	if j.lack = sp.AwaitN; j.lack > 0 {
-		c.takePieces(j)
+	j.priority, j.deadlineSeconds = sp.Priority, sp.Deadline
+	j.deadlineAt = j.submittedAt + int64(sp.Deadline*float64(time.Second))
+	if j.missingPieces = sp.DependencyListPieces; j.missingPieces > 0 {
+		c.countMissingPieces(j)
 	}
-	sp.Needs = names(sp.Await)
-	c.joinTo(j, sp.Needs)
-	if j.lack == 0 {
-		for k := 0; k < sp.AwaitN; k++ {
-			c.takePiece(j, k)
+	sp.Dependencies = parseNames(sp.DependencyText)
+	c.dependOn(j, sp.Dependencies)
+	if j.missingPieces == 0 {
+		for k := 0; k < sp.DependencyListPieces; k++ {
+			c.takeDependencyPiece(j, k)
 		}
 	}
-	for _, d := range c.st.needed[j.ID] {
-		c.inherit(j, d)
+	for _, d := range c.cache.dependents[j.ID] {
+		c.inheritUrgency(j, d)
 	}
-	c.passBack(j)
+	c.propagateUrgency(j)
 }
 
-func (c *Core) joinTo(j *Job, ids []string) {
+func (c *Controller) dependOn(j *Job, ids []string) {
 	for _, id := range ids {
-		n := c.st.jobs[id]
+		n := c.cache.jobs[id]
 		switch {
 		case n != nil && n.phase == phaseDone:
-			j.doneAt = max(j.doneAt, c.endOf(n))
+			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.endOf(n))
 		case n != nil && n.phase == phaseCancelled:
-			j.lost = c.guard(GuardCascade)
-			if !j.lost {
-				j.unmet++
+			j.dependencyFailed = c.guard(GuardCascade)
+			if !j.dependencyFailed {
+				j.unfinishedDependencies++
 			}
 		default:
-			j.unmet++
-			c.st.needed[id] = append(c.st.needed[id], j)
+			j.unfinishedDependencies++
+			c.cache.dependents[id] = append(c.cache.dependents[id], j)
 		}
 	}
 }
 
-// inherit makes n as urgent as d, which needs it. True: it became more so.
-func (c *Core) inherit(n, d *Job) bool {
-	if d.H.Spec == nil || d.phase >= phaseDone {
+// inheritUrgency makes n as urgent as d, which needs it. True: it became more so.
+func (c *Controller) inheritUrgency(n, d *Job) bool {
+	if d.Header.Spec == nil || d.phase >= phaseDone {
 		return false
 	}
-	more := d.prio > n.prio
-	n.prio = max(n.prio, d.prio)
-	if d.dueLen > 0 {
-		at := d.dueAt - int64((c.runTime(d.H.Spec)+tuning.StartLag)*float64(time.Second))
-		if n.dueLen == 0 || at < n.dueAt {
-			n.dueAt, n.dueLen, more = at, d.dueLen, true
+	more := d.priority > n.priority
+	n.priority = max(n.priority, d.priority)
+	if d.deadlineSeconds > 0 {
+		at := d.deadlineAt - int64((c.runTime(d.Header.Spec)+tuning.StartLag)*float64(time.Second))
+		if n.deadlineSeconds == 0 || at < n.deadlineAt {
+			n.deadlineAt, n.deadlineSeconds, more = at, d.deadlineSeconds, true
 		}
 	}
 	return more
@@ -180,7 +180,7 @@
 type latest []*Job
 
 func (l latest) Len() int           { return len(l) }
-func (l latest) Less(a, b int) bool { return l[a].H.Order > l[b].H.Order }
+func (l latest) Less(a, b int) bool { return l[a].Header.AcceptOrder > l[b].Header.AcceptOrder }
 func (l latest) Swap(a, b int)      { l[a], l[b] = l[b], l[a] }
 func (l *latest) Push(x any)        { *l = append(*l, x.(*Job)) }
 func (l *latest) Pop() any {
@@ -190,20 +190,20 @@
 	return x
 }
 
-// passBack passes a job's priority and deadline on to all before it that are not
+// propagateUrgency passes a job's priority and deadline on to all before it that are not
 // over: the latest finish of each is the least, over those that need it, of theirs
 // less their own time.
-func (c *Core) passBack(j *Job) {
+func (c *Controller) propagateUrgency(j *Job) {
 	l := latest{j}
 	in := map[*Job]bool{j: true}
 	for len(l) > 0 {
 		x := heap.Pop(&l).(*Job)
 		delete(in, x)
-		if x.H.Spec == nil {
+		if x.Header.Spec == nil {
 			continue
 		}
-		for _, id := range x.H.Spec.Needs {
-			if n := c.st.jobs[id]; n != nil && n.phase < phaseDone && c.inherit(n, x) && !in[n] {
+		for _, id := range x.Header.Spec.Dependencies {
+			if n := c.cache.jobs[id]; n != nil && n.phase < phaseDone && c.inheritUrgency(n, x) && !in[n] {
 				in[n] = true
 				heap.Push(&l, n)
 			}
@@ -219,7 +219,7 @@
 
 const namePrefix = "job-"
 
-func names(text string) []string {
+func parseNames(text string) []string {
 	l := strings.Fields(text)
 	for i := range l {
 		l[i] = namePrefix + l[i]
@@ -227,8 +227,8 @@
 	return l
 }
 
-// texts joins names to texts of at most the given bytes each.
-func texts(ids []string, most int) []string {
+// joinNames joins names to texts of at most the given bytes each.
+func joinNames(ids []string, most int) []string {
 	var l []string
 	for _, id := range ids {
 		s := strings.TrimPrefix(id, namePrefix)
@@ -241,56 +241,58 @@
 	return l
 }
 
-func keyPiece(id, tag string, k int) string { return fmt.Sprintf("%s%s/%s/%d", preNeed, id, tag, k) }
+func keyDependencyPiece(id, tag string, k int) string {
+	return fmt.Sprintf("%s%s/%s/%d", prefixDependencies, id, tag, k)
+}
 
-// applyPiece takes a piece of a list. Its header mostly comes later.
-func (c *Core) applyPiece(key string, v []byte) {
+// applyDependencyPiece takes a piece of a list. Its header mostly comes later.
+func (c *Controller) applyDependencyPiece(key string, v []byte) {
 	var text string
 	if v == nil || json.Unmarshal(v, &text) != nil {
-		delete(c.st.pieces, key)
+		delete(c.cache.dependencyPieces, key)
 		return
 	}
-	c.st.pieces[key] = text
-	id, _, _ := strings.Cut(key[len(preNeed):], "/")
-	if j := c.st.jobs[id]; j != nil && j.lack > 0 && j.H.Spec != nil {
-		if c.takePieces(j); j.lack == 0 {
-			for k := 0; k < j.H.Spec.AwaitN; k++ {
-				c.takePiece(j, k)
+	c.cache.dependencyPieces[key] = text
+	id, _, _ := strings.Cut(key[len(prefixDependencies):], "/")
+	if j := c.cache.jobs[id]; j != nil && j.missingPieces > 0 && j.Header.Spec != nil {
+		if c.countMissingPieces(j); j.missingPieces == 0 {
+			for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
+				c.takeDependencyPiece(j, k)
 			}
-			c.passBack(j)
-			c.settle(j)
+			c.propagateUrgency(j)
+			c.settlePhase(j)
 		}
 	}
 }
 
-// takePieces counts the pieces of a job's list that are not here yet.
-func (c *Core) takePieces(j *Job) {
-	j.lack = 0
-	for k := 0; k < j.H.Spec.AwaitN; k++ {
-		if _, ok := c.st.pieces[keyPiece(j.ID, j.H.Spec.AwaitAt, k)]; !ok {
-			j.lack++
+// countMissingPieces counts the pieces of a job's list that are not here yet.
+func (c *Controller) countMissingPieces(j *Job) {
+	j.missingPieces = 0
+	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
+		if _, ok := c.cache.dependencyPieces[keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
+			j.missingPieces++
 		}
 	}
 }
 
-func (c *Core) takePiece(j *Job, k int) {
-	key := keyPiece(j.ID, j.H.Spec.AwaitAt, k)
-	ids := names(c.st.pieces[key])
-	delete(c.st.pieces, key)
-	j.H.Spec.Needs = append(j.H.Spec.Needs, ids...)
-	c.joinTo(j, ids)
+func (c *Controller) takeDependencyPiece(j *Job, k int) {
+	key := keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
+	ids := parseNames(c.cache.dependencyPieces[key])
+	delete(c.cache.dependencyPieces, key)
+	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
+	c.dependOn(j, ids)
 }
 
-// lookUp finds the jobs that a submission names. What the cache has was accepted;
+// lookUpDependencies finds the jobs that a submission names. What the cache has was accepted;
 // what it lacks another node may have accepted a moment ago, so the state service
 // is asked for those, if they are few. Only a read index shows that a job was never
 // accepted: by then everything accepted before the submission came is in the cache.
-func (c *Core) lookUp(e EvSubmit) {
+func (c *Controller) lookUpDependencies(e JobSubmitted) {
 	var keys []string
-	for _, id := range e.Spec.Needs {
-		if c.st.jobs[id] == nil && !slices.Contains(keys, keyJob(id)) {
+	for _, id := range e.Spec.Dependencies {
+		if c.cache.jobs[id] == nil && !slices.Contains(keys, keyJob(id)) {
 			if keys = append(keys, keyJob(id)); len(keys) > tuning.LookUps {
-				c.wait(waiter{req: e.Req, id: e.ID, submit: &e})
+				c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
 				return
 			}
 		}
@@ -299,27 +301,27 @@
 		c.accept(e, nil)
 		return
 	}
-	c.nextID++
-	c.reads[c.nextID] = e
-	c.emit(EfRead{c.nextID, keys})
+	c.commits.nextID++
+	c.requests.lookups[c.commits.nextID] = e
+	c.emit(ReadKeys{c.commits.nextID, keys})
 }
 
-func (c *Core) onRead(ev EvRead) {
-	e, ok := c.reads[ev.ID]
+func (c *Controller) onRead(ev KeysRead) {
+	e, ok := c.requests.lookups[ev.ID]
 	if !ok {
 		return
 	}
-	delete(c.reads, ev.ID)
-	found := map[string]*Header{}
+	delete(c.requests.lookups, ev.ID)
+	found := map[string]*JobHeader{}
 	for _, kv := range ev.Items {
-		h := &Header{}
+		h := &JobHeader{}
 		if json.Unmarshal(kv.Value, h) == nil {
-			found[strings.TrimPrefix(kv.Key, preJob)] = h
+			found[strings.TrimPrefix(kv.Key, prefixJob)] = h
 		}
 	}
-	for _, id := range e.Spec.Needs {
-		if c.st.jobs[id] == nil && found[id] == nil {
-			c.wait(waiter{req: e.Req, id: e.ID, submit: &e})
+	for _, id := range e.Spec.Dependencies {
+		if c.cache.jobs[id] == nil && found[id] == nil {
+			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
 			return
 		}
 	}
@@ -328,80 +330,80 @@
 
 // accept takes a submission that names jobs; found are those that the cache may
 // lack, as the state service had them a moment ago.
-func (c *Core) accept(e EvSubmit, found map[string]*Header) {
-	refuse := func(why string) { c.emit(EfUser{Req: e.Req, Status: 422, ID: e.ID, Reason: why}) }
+func (c *Controller) accept(e JobSubmitted, found map[string]*JobHeader) {
+	refuse := func(why string) { c.emit(UserReply{RequestID: e.RequestID, Status: 422, ID: e.ID, Reason: why}) }
 	sp := *e.Spec
-	ids := slices.Clone(sp.Needs)
+	ids := slices.Clone(sp.Dependencies)
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	var open []string
-	state := JobOpen
+	state := StateOpen
 	for _, id := range ids {
-		n := c.st.jobs[id]
+		n := c.cache.jobs[id]
 		if h := found[id]; n == nil && h != nil {
-			n = &Job{ID: id, H: h}
+			n = &Job{ID: id, Header: h}
 		}
 		switch {
 		case n == nil:
 			refuse("awaits a job that was never accepted")
 			return
-		case n.H.Spec != nil && n.H.Spec.Shape == Service:
+		case n.Header.Spec != nil && n.Header.Spec.Shape == Service:
 			refuse("awaits a service, which never ends")
 			return
 		case n.cancelled():
-			state = JobCancelled
-		case n.H.State != JobDone:
+			state = StateCancelled
+		case n.Header.State != StateDone:
 			open = append(open, id)
 		}
 	}
-	if !c.ready() {
-		c.later(e.Req, "not ready")
+	if !c.canTakeRequests() {
+		c.retryLater(e.RequestID, "not ready")
 		return
 	}
-	if c.subs[e.ID] {
-		c.later(e.Req, "being accepted")
+	if c.requests.accepting[e.ID] {
+		c.retryLater(e.RequestID, "being accepted")
 		return
 	}
-	c.subs[e.ID] = true
-	sp.Needs = nil
-	if state == JobCancelled {
+	c.requests.accepting[e.ID] = true
+	sp.Dependencies = nil
+	if state == StateCancelled {
 		// Accepted all the same, and over.
-		c.put(e, &Header{State: state, N: sp.N, Clean: true})
+		c.putJob(e, &JobHeader{State: state, TaskCount: sp.TaskCount, Released: true})
 		return
 	}
-	h := c.header(&sp)
-	if t := texts(open, tuning.NeedsInHeader); len(t) <= 1 {
+	h := c.newHeader(&sp)
+	if t := joinNames(open, tuning.NeedsInHeader); len(t) <= 1 {
 		if len(t) == 1 {
-			sp.Await = t[0]
+			sp.DependencyText = t[0]
 		}
-		c.put(e, h)
+		c.putJob(e, h)
 		return
 	}
-	c.nextNeed++
-	sp.AwaitAt = fmt.Sprintf("%s-%d", c.inc, c.nextNeed)
+	c.requests.dependencyLists++
+	sp.DependencyListName = fmt.Sprintf("%s-%d", c.membership.incarnation, c.requests.dependencyLists)
 	var puts []Put
-	for k, t := range texts(open, c.cfg.ValueB-tuning.PackSlack) {
-		puts = append(puts, Put{Key: keyPiece(e.ID, sp.AwaitAt, k), Value: enc(t)})
+	for k, t := range joinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
+		puts = append(puts, Put{Key: keyDependencyPiece(e.ID, sp.DependencyListName, k), Value: mustEncode(t)})
 	}
-	sp.AwaitN = len(puts)
+	sp.DependencyListPieces = len(puts)
 	c.putPieces(e, h, puts)
 }
 
 // putPieces writes the pieces of a list, some in each commit, then the header.
-func (c *Core) putPieces(e EvSubmit, h *Header, puts []Put) {
+func (c *Controller) putPieces(e JobSubmitted, h *JobHeader, puts []Put) {
 	if len(puts) == 0 {
-		c.put(e, h)
+		c.putJob(e, h)
 		return
 	}
-	n := min(len(puts), c.cfg.TxnOps)
-	t := Txn{Apply: puts[:n]}
-	for _, p := range t.Apply {
-		t.When = append(t.When, Cond{p.Key, 0})
+	n := min(len(puts), c.cfg.TransactionLimit)
+	t := Transaction{Puts: puts[:n]}
+	for _, p := range t.Puts {
+		t.Conditions = append(t.Conditions, Condition{p.Key, 0})
 	}
-	c.commit(LaneUser, t, func(r CommitResult, _ EvCommit) {
+	c.commit(LaneUser, t, func(r CommitResult, _ CommitAnswered) {
 		if r != Committed { // a later try uses another name
-			delete(c.subs, e.ID)
-			c.later(e.Req, "state service")
+			delete(c.requests.accepting, e.ID)
+			c.retryLater(e.RequestID, "state service")
 			return
 		}
 		c.putPieces(e, h, puts[n:])
