--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -10,25 +10,25 @@
 )
 
 // open is the value of a new job's header.
-func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) KV {
+func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) KeyValue {
 	t.Helper()
-	h := Header{State: JobOpen, N: 2, Chunk: 2, Pack: "c-0/0", Part: "c-0", Order: order,
-		Spec: &Spec{Class: "c", Team: "red", Shape: Array, Prio: prio, N: 2, Est: 10, Due: due}}
-	if l := texts(needs, 1<<20); len(l) > 0 {
-		h.Spec.Await = l[0]
+	h := JobHeader{State: StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
+		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: prio, TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
+	if l := joinNames(needs, 1<<20); len(l) > 0 {
+		h.Spec.DependencyText = l[0]
 	}
-	return KV{Key: keyJob(id), Value: enc(h), Stamp: order}
+	return KeyValue{Key: keyJob(id), Value: mustEncode(h), ModRevision: order}
 }
 
-func overHeader(id string, s JobState, stamp uint64) KV {
-	return KV{Key: keyJob(id), Value: enc(Header{State: s, N: 2, Clean: s == JobCancelled}), Stamp: stamp}
+func overHeader(id string, s JobState, stamp uint64) KeyValue {
+	return KeyValue{Key: keyJob(id), Value: mustEncode(JobHeader{State: s, TaskCount: 2, Released: s == StateCancelled}), ModRevision: stamp}
 }
 
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
 
-func openIDs(c *Core) []string {
+func openIDs(c *Controller) []string {
 	var l []string
-	for _, j := range c.st.open {
+	for _, j := range c.cache.openJobs {
 		l = append(l, j.ID)
 	}
 	return l
@@ -39,10 +39,10 @@
 func TestNeedsInAnyOrder(t *testing.T) {
 	// 0 is done; 1 and 2 await it; 3 awaits 1 and 2; 4 awaits 3 and 6; 5 awaits 4;
 	// 6 is cancelled; 7 awaits nothing.
-	kvs := []KV{
-		overHeader(jobName(0), JobDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
+	kvs := []KeyValue{
+		overHeader(jobName(0), StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
-		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), JobCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
+		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
 	}
 	r := rand.New(rand.NewPCG(3, 4))
 	for round := 0; round < 50; round++ {
@@ -55,15 +55,15 @@
 			t.Fatalf("may start: %v", got)
 		}
 		for i, want := range map[int]bool{3: false, 4: true, 5: true, 7: false} {
-			if j := c.st.jobs[jobName(i)]; j.cancelled() != want || j.final() != want {
+			if j := c.cache.jobs[jobName(i)]; j.cancelled() != want || j.final() != want {
 				t.Fatalf("job %d: cancelled %v", i, j.cancelled())
 			}
 		}
-		c.apply(overHeader(jobName(1), JobDone, 30))
-		if j := c.st.jobs[jobName(3)]; j.phase != phaseWaiting {
+		c.apply(overHeader(jobName(1), StateDone, 30))
+		if j := c.cache.jobs[jobName(3)]; j.phase != phaseWaiting {
 			t.Fatal("starts before all that it awaits is done")
 		}
-		c.apply(overHeader(jobName(2), JobDone, 31))
+		c.apply(overHeader(jobName(2), StateDone, 31))
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(3), jobName(7)}) {
 			t.Fatalf("may start: %v", got)
 		}
@@ -80,12 +80,12 @@
 	for i := 1; i < n; i++ {
 		c.apply(openHeader(t, jobName(i), uint64(i+1), 0, 0, jobName(i-1)))
 	}
-	if len(c.st.open) != 1 {
-		t.Fatalf("%d may start", len(c.st.open))
+	if len(c.cache.openJobs) != 1 {
+		t.Fatalf("%d may start", len(c.cache.openJobs))
 	}
-	c.apply(overHeader(jobName(0), JobCancelled, n+10))
-	if j := c.st.jobs[jobName(n-1)]; !j.cancelled() || len(c.st.needed) != 0 {
-		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.st.needed))
+	c.apply(overHeader(jobName(0), StateCancelled, n+10))
+	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
+		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.cache.dependents))
 	}
 	c = New(Settings{Node: "c-0"}, "x")
 	var all []string
@@ -95,15 +95,15 @@
 	}
 	c.apply(openHeader(t, jobName(9999), 3000, 2, 100, all...))
 	for i, id := range all {
-		if c.st.jobs[id].prio != 2 {
+		if c.cache.jobs[id].priority != 2 {
 			t.Fatal("priority not passed back")
 		}
-		if got := c.st.jobs[jobName(9999)].phase; got != phaseWaiting {
+		if got := c.cache.jobs[jobName(9999)].phase; got != phaseWaiting {
 			t.Fatalf("phase %d with %d done", got, i)
 		}
-		c.apply(overHeader(id, JobDone, uint64(4000+i)))
+		c.apply(overHeader(id, StateDone, uint64(4000+i)))
 	}
-	if c.st.jobs[jobName(9999)].phase != phaseOpen {
+	if c.cache.jobs[jobName(9999)].phase != phaseOpen {
 		t.Error("the fan never opens")
 	}
 }
@@ -113,7 +113,7 @@
 func TestUrgencyPassesBack(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
 		c := New(Settings{Node: "c-0"}, "x")
-		kvs := []KV{
+		kvs := []KeyValue{
 			openHeader(t, jobName(1), 1, 0, 0), openHeader(t, jobName(2), 2, 0, 0, jobName(1)), openHeader(t, jobName(3), 3, 1, 0, jobName(1)),
 			openHeader(t, jobName(4), 4, 0, 0, jobName(3)), openHeader(t, jobName(5), 5, 2, 100, jobName(2), jobName(4)),
 		}
@@ -123,10 +123,10 @@
 		for _, kv := range kvs {
 			c.apply(kv)
 		}
-		due := func(i int) float64 { return time.Duration(c.st.jobs[jobName(i)].dueAt).Seconds() }
+		due := func(i int) float64 { return time.Duration(c.cache.jobs[jobName(i)].deadlineAt).Seconds() }
 		for i, want := range map[int]float64{5: 100, 4: 82, 2: 82, 3: 64, 1: 46} { // each stage takes 10 s and 8 s
-			if j := c.st.jobs[jobName(i)]; j.prio != 2 || due(i) != want || j.dueLen != 100 {
-				t.Errorf("job %d: priority %d, due %.0f s, want %.0f s", i, j.prio, due(i), want)
+			if j := c.cache.jobs[jobName(i)]; j.priority != 2 || due(i) != want || j.deadlineSeconds != 100 {
+				t.Errorf("job %d: priority %d, due %.0f s, want %.0f s", i, j.priority, due(i), want)
 			}
 		}
 	}
@@ -136,68 +136,68 @@
 // do, by the times that the headers tell.
 func TestAgesSurviveRestarts(t *testing.T) {
 	wall := int64(1_700_000_000_000)
-	h := Header{State: JobOpen, N: 1, Chunk: 1, Order: 2, Born: wall - 90_000, Spec: &Spec{Class: "c", Shape: Array, N: 1, Due: 100, Await: "000001"}}
-	c := New(Settings{Node: "c-0", Wall: wall}, "x")
+	h := JobHeader{State: StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &JobSpec{Class: "c", Shape: Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
+	c := New(Settings{Node: "c-0", WallClockMS: wall}, "x")
 	c.now = 2 * time.Second
-	c.snapshot(EvSnapshot{Ledger: 9, Items: []KV{
-		{Key: keyJob(jobName(1)), Value: enc(Header{State: JobDone, N: 1, End: wall - 30_000}), Stamp: 5},
-		{Key: keyJob(jobName(2)), Value: enc(h), Stamp: 3},
+	c.loadSnapshot(SnapshotLoaded{Revision: 9, Items: []KeyValue{
+		{Key: keyJob(jobName(1)), Value: mustEncode(JobHeader{State: StateDone, TaskCount: 1, DoneAtMS: wall - 30_000}), ModRevision: 5},
+		{Key: keyJob(jobName(2)), Value: mustEncode(h), ModRevision: 3},
 	}})
-	j := c.st.jobs[jobName(2)]
-	if age := (c.now - time.Duration(j.seenAt)).Seconds(); age != 32 {
+	j := c.cache.jobs[jobName(2)]
+	if age := (c.now - time.Duration(j.readyAt)).Seconds(); age != 32 {
 		t.Errorf("it could start %.0f s ago, want 32 s", age)
 	}
-	if left := time.Duration(j.dueAt - int64(c.now)).Seconds(); left != 8 {
+	if left := time.Duration(j.deadlineAt - int64(c.now)).Seconds(); left != 8 {
 		t.Errorf("%.0f s are left, want 8 s", left)
 	}
 }
 
 // acting is a node that may act, with one machine type.
-func acting() *Core {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueB: 2048, TxnOps: 4, Fence: 7 * time.Second,
-		Teams: map[string]Limits{"red": {}}}, "x")
-	c.now, c.synced, c.stateOK = time.Minute, true, true
-	c.st.members = map[string]string{"c-0": "x"}
-	c.st.view = &View{Epoch: 1, Leader: "c-0", Members: c.st.members, Serving: []string{"c-0"}}
-	c.st.flavors = []Flavor{{Name: "box", Size: Res{CPU: 16000}, Zones: []string{"a"}}}
-	c.fenceAt, c.grantAt, c.readAt, c.st.format, c.st.ledger = c.now, c.now, c.now-1, formatNow, 100
+func acting() *Controller {
+	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
+		Teams: map[string]Quota{"red": {}}}, "x")
+	c.now, c.membership.synced, c.membership.stateReachable = time.Minute, true, true
+	c.cache.members = map[string]string{"c-0": "x"}
+	c.cache.view = &View{Epoch: 1, Leader: "c-0", Members: c.cache.members, Serving: []string{"c-0"}}
+	c.cache.machineTypes = []MachineType{{Name: "box", Capacity: Resources{CPU: 16000}, Zones: []string{"a"}}}
+	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.membership.readIndexAt, c.cache.format, c.cache.revision = c.now, c.now, c.now-1, formatNow, 100
 	return c
 }
 
 // said returns the last answer to a user.
-func said(c *Core) (u EfUser) {
-	for _, e := range c.out {
-		if x, ok := e.(EfUser); ok {
+func said(c *Controller) (u UserReply) {
+	for _, e := range c.effects {
+		if x, ok := e.(UserReply); ok {
 			u = x
 		}
 	}
 	return u
 }
 
-func submission(id string, needs ...string) EvSubmit {
-	return EvSubmit{Req: 1, ID: id, Spec: &Spec{ID: id, Class: "c", Team: "red", Shape: Array, N: 1, Need: Res{CPU: 1000}, Needs: needs}}
+func submission(id string, needs ...string) JobSubmitted {
+	return JobSubmitted{RequestID: 1, ID: id, Spec: &JobSpec{ID: id, Class: "c", Team: "red", Shape: Array, TaskCount: 1, Request: Resources{CPU: 1000}, Dependencies: needs}}
 }
 
 // commitAll carries out what the core wants committed, until nothing is left.
-func commitAll(t *testing.T, c *Core) (keys []string) {
+func commitAll(t *testing.T, c *Controller) (keys []string) {
 	t.Helper()
-	for len(c.commits) > 0 {
-		for _, id := range []uint64{c.nextID} {
-			p := c.commits[id]
+	for len(c.commits.pending) > 0 {
+		for _, id := range []uint64{c.commits.nextID} {
+			p := c.commits.pending[id]
 			if p == nil {
 				t.Fatal("an older commit is still under way")
 			}
-			if len(p.t.Apply) > c.cfg.TxnOps || len(p.t.When) > 4*c.cfg.TxnOps {
-				t.Fatalf("%d changes, %d conditions", len(p.t.Apply), len(p.t.When))
+			if len(p.transaction.Puts) > c.cfg.TransactionLimit || len(p.transaction.Conditions) > 4*c.cfg.TransactionLimit {
+				t.Fatalf("%d changes, %d conditions", len(p.transaction.Puts), len(p.transaction.Conditions))
 			}
-			for _, a := range p.t.Apply {
-				if len(a.Value) > c.cfg.ValueB {
+			for _, a := range p.transaction.Puts {
+				if len(a.Value) > c.cfg.ValueLimit {
 					t.Fatalf("%s has %d bytes", a.Key, len(a.Value))
 				}
 				keys = append(keys, a.Key)
 			}
-			c.st.ledger++
-			c.onCommit(EvCommit{ID: id, Result: Committed, Ledger: c.st.ledger})
+			c.cache.revision++
+			c.onCommit(CommitAnswered{ID: id, Result: Committed, Revision: c.cache.revision})
 		}
 	}
 	return keys
@@ -213,37 +213,37 @@
 		c.apply(openHeader(t, jobName(i), uint64(i+200), 0, 0))
 		needs = append(needs, jobName(i))
 	}
-	c.st.ledger = 5000
+	c.cache.revision = 5000
 	e := submission("job-999999", append(needs, needs...)...) // duplicates count once
-	c.out = nil
-	c.onSubmit(e)
+	c.effects = nil
+	c.onJobSubmitted(e)
 	keys := commitAll(t, c)
 	if len(keys) < 10 || keys[len(keys)-1] != "b/job/job-999999" || said(c).Status != 201 {
 		t.Fatalf("%d keys written, %+v", len(keys), said(c))
 	}
-	j := c.st.jobs["job-999999"]
-	if j.unmet != 4000 || j.phase != phaseWaiting || len(c.st.pieces) != 0 {
-		t.Fatalf("%d jobs awaited, phase %d, %d pieces left", j.unmet, j.phase, len(c.st.pieces))
+	j := c.cache.jobs["job-999999"]
+	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
+		t.Fatalf("%d jobs awaited, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
 	// Another node, the header first.
 	o := New(Settings{Node: "c-1"}, "y")
-	o.apply(KV{Key: keyJob(j.ID), Value: enc(j.H), Stamp: 9000})
-	if o.st.jobs[j.ID].phase != phaseWaiting {
+	o.apply(KeyValue{Key: keyJob(j.ID), Value: mustEncode(j.Header), ModRevision: 9000})
+	if o.cache.jobs[j.ID].phase != phaseWaiting {
 		t.Fatal("starts without its list")
 	}
-	for k, text := range texts(needs, c.cfg.ValueB-400) {
-		o.apply(KV{Key: keyPiece(j.ID, j.H.Spec.AwaitAt, k), Value: enc(text), Stamp: uint64(8000 + k)})
+	for k, text := range joinNames(needs, c.cfg.ValueLimit-400) {
+		o.apply(KeyValue{Key: keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: mustEncode(text), ModRevision: uint64(8000 + k)})
 	}
-	if o.st.jobs[j.ID].unmet != 4000 {
-		t.Fatalf("the other node knows of %d", o.st.jobs[j.ID].unmet)
+	if o.cache.jobs[j.ID].unfinishedDependencies != 4000 {
+		t.Fatalf("the other node knows of %d", o.cache.jobs[j.ID].unfinishedDependencies)
 	}
 	for i, id := range needs {
-		if o.st.jobs[j.ID].phase != phaseWaiting {
+		if o.cache.jobs[j.ID].phase != phaseWaiting {
 			t.Fatalf("starts with %d of 4000 done", i)
 		}
-		o.apply(overHeader(id, JobDone, uint64(10000+i)))
+		o.apply(overHeader(id, StateDone, uint64(10000+i)))
 	}
-	if o.st.jobs[j.ID].phase != phaseOpen {
+	if o.cache.jobs[j.ID].phase != phaseOpen {
 		t.Error("never opens")
 	}
 }
@@ -268,19 +268,19 @@
 		"nothing but known names": {nil, 201, true},
 	} {
 		c := acting()
-		for _, kv := range []KV{overHeader(jobName(1), JobDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), JobCancelled, 9)} {
+		for _, kv := range []KeyValue{overHeader(jobName(1), StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), StateCancelled, 9)} {
 			c.apply(kv)
 		}
-		c.out = nil
-		c.onSubmit(submission(jobName(9), x.needs...))
-		for id := range c.reads { // the state service has what the cache lacks
+		c.effects = nil
+		c.onJobSubmitted(submission(jobName(9), x.needs...))
+		for id := range c.requests.lookups { // the state service has what the cache lacks
 			elsewhere := openHeader(t, jobName(5), 90, 0, 0)
-			c.onRead(EvRead{ID: id, OK: true, Items: []KV{elsewhere}})
+			c.onRead(KeysRead{ID: id, OK: true, Items: []KeyValue{elsewhere}})
 		}
-		if len(c.waiters) > 0 && said(c).Status != 0 {
+		if len(c.requests.waiting) > 0 && said(c).Status != 0 {
 			t.Errorf("%s: answered %d before its read index", name, said(c).Status)
 		}
-		c.readAt = c.now
+		c.membership.readIndexAt = c.now
 		c.wakeWaiters()
 		commitAll(t, c)
 		if u := said(c); u.Status != x.status {
@@ -289,14 +289,14 @@
 		if got := slices.Contains(openIDs(c), jobName(9)); got != x.open {
 			t.Errorf("%s: may start %v", name, got)
 		}
-		if j := c.st.jobs[jobName(9)]; name == "a cancelled one" && (j == nil || !j.cancelled()) {
+		if j := c.cache.jobs[jobName(9)]; name == "a cancelled one" && (j == nil || !j.cancelled()) {
 			t.Error("accepted, but not cancelled")
 		}
 		// A repeat gets 200 whatever it names now.
 		if x.status == 201 {
-			c.out = nil
-			c.onSubmit(submission(jobName(9), jobName(8)))
-			c.readAt = c.now
+			c.effects = nil
+			c.onJobSubmitted(submission(jobName(9), jobName(8)))
+			c.membership.readIndexAt = c.now
 			c.wakeWaiters()
 			if u := said(c); u.Status != 200 {
 				t.Errorf("%s: a repeat gets %d", name, u.Status)
@@ -305,10 +305,10 @@
 	}
 	// Before all controllers know what awaiting is.
 	c := acting()
-	c.st.format = 0
-	c.apply(overHeader(jobName(1), JobDone, 5))
-	c.out = nil
-	c.onSubmit(submission(jobName(9), jobName(1)))
+	c.cache.format = 0
+	c.apply(overHeader(jobName(1), StateDone, 5))
+	c.effects = nil
+	c.onJobSubmitted(submission(jobName(9), jobName(1)))
 	if u := said(c); u.Status != 503 {
 		t.Errorf("before the switch: %+v", u)
 	}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -4,11 +4,11 @@
 // as committed). Every rule about a job's tasks together asks it:
 //
 //   - Committed bookings count as the cache has them, until their release is committed.
-//     A release is drafted only for what is proven off its machine (offProof).
+//     A release is drafted only for what is proven off its machine (provenOff).
 //   - What the draft holds counts in place of the committed record: one plan may look at
 //     a job several times, and its commit is carried out as a whole or not at all.
 //   - A commit of this node whose outcome is unknown doesn't count. The draft and that
-//     commit exclude each other (tieTo): if it was carried out, this one won't be.
+//     commit exclude each other (markInDoubt): if it was carried out, this one won't be.
 //   - Another leader's commits count once they are in the cache. Those that aren't were
 //     conditional on an older view, and all such come before this node's view.
 
@@ -18,7 +18,7 @@
 }
 
 // placementOf counts a job's tasks as the draft would leave them.
-func (c *Core) placementOf(j *Job, d *draft) placement {
+func (c *Controller) placementOf(j *Job, d *draft) placement {
 	p := j.counts
 	d.eachCopied(j, func(committed, drafted *Task) {
 		p.count(committed.State, -1)
@@ -41,7 +41,7 @@
 
 // bookedZones counts a job's booked tasks by zone as the draft would leave them. A zone
 // without any is not listed.
-func (c *Core) bookedZones(j *Job, d *draft) map[string]int {
+func (c *Controller) bookedZones(j *Job, d *draft) map[string]int {
 	zones := map[string]int{}
 	count := func(t *Task, k int) {
 		if t.State != Booked {
@@ -66,8 +66,8 @@
 	if d == nil || !d.c.guard(GuardDraft) {
 		return
 	}
-	for _, from := range d.copied[j.ID] {
-		cell := d.chunks[ref{j.ID, from}]
+	for _, from := range d.copiedCells[j.ID] {
+		cell := d.cells[cellRef{j.ID, from}]
 		for i := range cell {
 			committed := j.task(from + i)
 			f(&committed, &cell[i])
@@ -94,4 +94,4 @@
 
 // mostPerZone is how many tasks of a job may be in one zone whose tasks must be spread:
 // at most half, rounded up.
-func mostPerZone(sp *Spec) int { return (sp.N + 1) / 2 }
+func mostPerZone(sp *JobSpec) int { return (sp.TaskCount + 1) / 2 }
--- a/internal/core/placement_test.go
+++ b/internal/core/placement_test.go
@@ -7,20 +7,20 @@
 
 // twoZones is an acting leader with a machine for four tasks in each zone, both with the
 // image, and one open job of n tasks.
-func twoZones(t *testing.T, change func(*Header)) (*Core, *Job) {
+func twoZones(t *testing.T, change func(*JobHeader)) (*Controller, *Job) {
 	t.Helper()
 	c := acting()
 	c.cfg.Zones = []string{"a", "b"}
 	for i, zone := range c.cfg.Zones {
 		m := c.addMachine(fmt.Sprintf("n-%06d", i))
-		c.takeReport(m, &Report{Machine: m.Name, Type: "box", Zone: zone, Shift: 1, Tally: 1, Recall: -1}, true)
+		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		m.images["img"] = c.now
 	}
-	h := Header{State: JobOpen, N: 6, Chunk: 6, In: true, Part: "c-0", Order: 2,
-		Spec: &Spec{Class: "c", Team: "red", Shape: Array, Prio: 1, N: 6, Need: Res{CPU: 4000}, Spot: true, Image: "img"}}
+	h := JobHeader{State: StateOpen, TaskCount: 6, ChunkSize: 6, Inline: true, Shard: "c-0", AcceptOrder: 2,
+		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: 1, TaskCount: 6, Request: Resources{CPU: 4000}, Spot: true, Image: "img"}}
 	change(&h)
-	c.apply(KV{Key: keyJob(jobName(1)), Stamp: 5, Value: enc(h)})
-	return c, c.st.jobs[jobName(1)]
+	c.apply(KeyValue{Key: keyJob(jobName(1)), ModRevision: 5, Value: mustEncode(h)})
+	return c, c.cache.jobs[jobName(1)]
 }
 
 // TestTwoPassesOneZone: the leader walks its jobs twice in one plan. The second walk must
@@ -29,16 +29,16 @@
 func TestTwoPassesOneZone(t *testing.T) {
 	for name, x := range map[string]struct {
 		guard  string
-		change func(*Header)
+		change func(*JobHeader)
 		want   string
 	}{
-		"one zone":                    {"", func(h *Header) { h.Spec.OneZone = true }, "map[a:4]"},
-		"one zone, without the draft": {GuardDraft, func(h *Header) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
-		"at most half":                {"", func(h *Header) { h.Spec.Spread, h.N, h.Chunk, h.Spec.N = true, 4, 4, 4 }, "map[a:2 b:2]"},
-		"anywhere in its own zone":    {"", func(h *Header) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
+		"one zone":                    {"", func(h *JobHeader) { h.Spec.OneZone = true }, "map[a:4]"},
+		"one zone, without the draft": {GuardDraft, func(h *JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
+		"at most half":                {"", func(h *JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 }, "map[a:2 b:2]"},
+		"anywhere in its own zone":    {"", func(h *JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
 	} {
 		c, j := twoZones(t, x.change)
-		c.cfg.DropGuard = x.guard
+		c.cfg.DisabledGuard = x.guard
 		d := c.newDraft()
 		c.planGangs(d)
 		if got := fmt.Sprint(bookedIn(d, j)); got != x.want {
@@ -50,7 +50,7 @@
 // bookedIn counts a draft's bookings of a job by zone, from its copies alone.
 func bookedIn(d *draft, j *Job) map[string]int {
 	zones := map[string]int{}
-	for i := 0; i < j.H.N; i++ {
+	for i := 0; i < j.Header.TaskCount; i++ {
 		if task := d.peek(j, i); task.State == Booked {
 			zones[task.Zone]++
 		}
@@ -62,9 +62,9 @@
 // be there; the second walk must not book the other half.
 func TestSpreadCountsTheDraft(t *testing.T) {
 	for guard, want := range map[string]int{"": 2, GuardDraft: 4} {
-		c, j := twoZones(t, func(h *Header) { h.Spec.Spread, h.N, h.Chunk, h.Spec.N = true, 4, 4, 4 })
-		c.cfg.DropGuard = guard
-		c.mach["n-000001"].fullTill = c.now + 1e9
+		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 })
+		c.cfg.DisabledGuard = guard
+		c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
 		d := c.newDraft()
 		c.planGangs(d)
 		if got := bookedIn(d, j)["a"]; got != want {
@@ -76,9 +76,9 @@
 // TestLeftInTwoZones: a job whose tasks an earlier version put in two zones gets no more
 // until one zone is left, and then all further ones there.
 func TestLeftInTwoZones(t *testing.T) {
-	c, j := twoZones(t, func(h *Header) { h.Spec.OneZone = true })
+	c, j := twoZones(t, func(h *JobHeader) { h.Spec.OneZone = true })
 	for i, zone := range c.cfg.Zones {
-		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i), Shift: 1, Part: "c-0", Zone: zone})
+		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i), AgentEpoch: 1, Shard: "c-0", Zone: zone})
 	}
 	d := c.newDraft()
 	c.planGangs(d)
@@ -95,8 +95,8 @@
 
 // TestPlacementOf: counts follow the draft, for releases as for bookings.
 func TestPlacementOf(t *testing.T) {
-	c, j := twoZones(t, func(h *Header) { h.Spec.OneZone = true })
-	c.setTask(j, 0, Task{State: Booked, Attempt: 1, Machine: "n-000000", Shift: 1, Part: "c-0", Zone: "a"})
+	c, j := twoZones(t, func(h *JobHeader) { h.Spec.OneZone = true })
+	c.setTask(j, 0, Task{State: Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	d := c.newDraft()
 	d.release(j, 0, false)
 	d.book(j, 1, "n-000001", "b", 1, 1)
@@ -116,16 +116,16 @@
 // must be tried in the second walk, too.
 func TestBookedGangIsNoFailure(t *testing.T) {
 	for guard, want := range map[string]int{"": 2, GuardDraft: 0} {
-		c, j := twoZones(t, func(h *Header) { h.Spec.Shape, h.N, h.Chunk, h.Spec.N = Gang, 2, 2, 2 })
-		c.cfg.DropGuard = guard
-		other := *j.H
-		spec := *j.H.Spec
-		spec.Image, other.Spec, other.Order = "not there", &spec, 3
-		c.apply(KV{Key: keyJob(jobName(2)), Stamp: 6, Value: enc(other)})
+		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
+		c.cfg.DisabledGuard = guard
+		other := *j.Header
+		spec := *j.Header.Spec
+		spec.Image, other.Spec, other.AcceptOrder = "not there", &spec, 3
+		c.apply(KeyValue{Key: keyJob(jobName(2)), ModRevision: 6, Value: mustEncode(other)})
 		d := c.newDraft()
 		c.planGangs(d)
 		for id, booked := range map[string]int{jobName(1): 2, jobName(2): want} {
-			if got := len(d.copied[id]) * 2; got != booked {
+			if got := len(d.copiedCells[id]) * 2; got != booked {
 				t.Errorf("without guard %q: %d tasks of %s booked, want %d", guard, got, id, booked)
 			}
 		}
@@ -136,11 +136,11 @@
 // and both come into one draft. All are done; before, the second was queued again, and no
 // plan ever looked at the job again.
 func TestGangEndsTogether(t *testing.T) {
-	for guard, want := range map[string]JobState{"": JobDone, GuardDraft: JobOpen} {
-		c, j := twoZones(t, func(h *Header) { h.Spec.Shape, h.N, h.Chunk, h.Spec.N = Gang, 2, 2, 2 })
-		c.cfg.DropGuard = guard
+	for guard, want := range map[string]JobState{"": StateDone, GuardDraft: StateOpen} {
+		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
+		c.cfg.DisabledGuard = guard
 		d := gangLosesItsLastTask(c, j)
-		if got := d.head(j).State; got != want {
+		if got := d.header(j).State; got != want {
 			t.Errorf("without guard %q: the job is %s, want %s", guard, got, want)
 		}
 	}
@@ -148,13 +148,13 @@
 
 // gangLosesItsLastTask drafts the releases of a gang's two tasks: the first is done, the
 // second's machine began a new session.
-func gangLosesItsLastTask(c *Core, j *Job) *draft {
+func gangLosesItsLastTask(c *Controller, j *Job) *draft {
 	for i, name := range []string{"n-000000", "n-000001"} {
-		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: name, Shift: 1, Part: "c-0", Zone: "a"})
+		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	}
-	done := c.mach["n-000000"]
-	done.tasks[TaskID{j.ID, 0}] = Seen{Task: TaskID{j.ID, 0}, Attempt: 1, State: SeenEnded, Cause: CauseDone}
-	c.mach["n-000001"].shift = 2
+	done := c.heartbeats.machines["n-000000"]
+	done.reported[TaskID{j.ID, 0}] = TaskReport{Task: TaskID{j.ID, 0}, Attempt: 1, State: ReportedEnded, Cause: CauseDone}
+	c.heartbeats.machines["n-000001"].agentEpoch = 2
 	d := c.newDraft()
 	c.planReleases(d)
 	return d
@@ -163,12 +163,12 @@
 // TestGangLeftHalfDone: a gang that an earlier version left with one task done and one
 // queued comes to its end.
 func TestGangLeftHalfDone(t *testing.T) {
-	c, j := twoZones(t, func(h *Header) { h.Spec.Shape, h.N, h.Chunk, h.Spec.N = Gang, 2, 2, 2 })
+	c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
 	c.setTask(j, 0, Task{State: Done})
 	c.setTask(j, 1, Task{State: Queued, Attempt: 1})
 	d := c.newDraft()
 	c.planGangs(d)
-	if got := d.head(j).State; got != JobDone {
+	if got := d.header(j).State; got != StateDone {
 		t.Errorf("the job is %s", got)
 	}
 }
--- a/internal/core/plan.go
+++ b/internal/core/plan.go
@@ -12,30 +12,61 @@
 	"brassglade/internal/tuning"
 )
 
-// foreign: the value that holds the job's tasks belongs to another part, which
+// planner is what lasts from one plan to the next.
+type planner struct {
+	dirty               bool // something changed since the last plan
+	nextPlanAt          time.Duration
+	largeArraysTurn     bool              // large arrays went first in the last plan
+	largestReleasesTurn bool              // the next releases go by how much their values have to change
+	reserveLongestTexts bool              // the next draft keeps room for the longest texts
+	splitTurn           bool              // the next commit brings a value to its new size
+	foreignTurn         bool              // the next commit is for a value of another shard
+	foreignValues       map[string]bool   // values of other shards that wait for a change from here
+	lastForeignValue    string            // the last one that was changed
+	releasesFrom        string            // machine at which releases begin
+	taskHandovers       map[TaskID]string // to other shards, to be committed
+	jobHandovers        map[string]string // untouched jobs to be passed whole, and where to
+	pendingReleases     map[attemptID]bool
+	preempted           map[attemptID]bool // bookings to be stopped for tasks that wait on the same machine
+}
+
+func newPlanner() planner {
+	return planner{
+		foreignValues: map[string]bool{}, taskHandovers: map[TaskID]string{}, jobHandovers: map[string]string{},
+		pendingReleases: map[attemptID]bool{}, preempted: map[attemptID]bool{},
+	}
+}
+
+// attemptID names one attempt of a task.
+type attemptID struct {
+	Task    TaskID
+	Attempt uint64
+}
+
+// isForeign: the value that holds the job's tasks belongs to another part, which
 // writes it a few times a second. Tasks of such a job run on machines of this
 // part after their owners changed: when a zone was cut off, by the hundred.
-func (c *Core) foreign(j *Job) bool {
-	if j.H.In || whole(j.H.Spec) || !c.wide() {
+func (c *Controller) isForeign(j *Job) bool {
+	if j.Header.Inline || placedByLeader(j.Header.Spec) || !c.isLargeFleet() {
 		return false
 	}
-	if j.H.Pack != "" {
-		return !strings.HasPrefix(j.H.Pack, c.cfg.Node+"/")
+	if j.Header.Pack != "" {
+		return !strings.HasPrefix(j.Header.Pack, c.cfg.Node+"/")
 	}
-	return c.homeOf(j) != c.cfg.Node
+	return c.shardOf(j) != c.cfg.Node
 }
 
-// nextOther is the other part's value to be changed next, in turn.
-func (c *Core) nextOther() string {
+// nextForeignValue is the other part's value to be changed next, in turn.
+func (c *Controller) nextForeignValue() string {
 	next, first := "", ""
-	for k := range c.others {
-		if till, ok := c.avoid[k]; ok && c.now < till {
+	for k := range c.planner.foreignValues {
+		if till, ok := c.commits.avoidUntil[k]; ok && c.now < till {
 			continue
 		}
 		if first == "" || k < first {
 			first = k
 		}
-		if k > c.lastOther && (next == "" || k < next) {
+		if k > c.planner.lastForeignValue && (next == "" || k < next) {
 			next = k
 		}
 	}
@@ -45,59 +76,59 @@
 	return next
 }
 
-// drivePlan sends the next task commit if there is something to commit. It is
+// planCommit sends the next task commit if there is something to commit. It is
 // planned only once it can go out: what waits for credit meanwhile is outrun by
 // others' commits.
-func (c *Core) drivePlan() {
-	if c.task != nil || !c.dirty || !c.fenceOK() || c.now < c.blocked || c.st.ledger < c.needRead || c.now < c.planAt ||
-		c.cfg.WriteRate > 0 && c.tokens < min(float64(c.lastOps), tuning.TaskCredit*c.cfg.WriteRate) {
+func (c *Controller) planCommit() {
+	if c.commits.taskCommit != nil || !c.planner.dirty || !c.mayAct() || c.now < c.commits.blockedUntil || c.cache.revision < c.commits.minRevision || c.now < c.planner.nextPlanAt ||
+		c.cfg.WriteRate > 0 && c.commits.tokens < min(float64(c.commits.lastChanges), tuning.TaskCredit*c.cfg.WriteRate) {
 		return
 	}
-	c.planAt = c.now + c.pace()
-	c.dirty = false
+	c.planner.nextPlanAt = c.now + c.pace()
+	c.planner.dirty = false
 	// Own values and one of another part's go in turns, never together: any
 	// change of the other part's fails the whole commit, and with several of them
 	// in each a node can lose every time, for minutes.
-	clear(c.stuckNow)
+	clear(c.commits.oversizedInPlan)
 	d := c.newDraft()
 	// A value is not cut while a commit that may still change it is unsettled.
-	if c.splitTurn = !c.splitTurn; c.splitTurn && c.tied.key == "" && len(c.st.large)+len(c.full) > 0 && (c.formatOn() || c.limitsFell) {
-		c.planSplit(d)
-		if d.ops() > 0 {
-			c.lastOps = d.ops()
+	if c.planner.splitTurn = !c.planner.splitTurn; c.planner.splitTurn && c.commits.inDoubt.key == "" && len(c.cache.oversized)+len(c.commits.fullValues) > 0 && (c.formatOn() || c.formats.limitsFell) {
+		c.planSplits(d)
+		if d.changes() > 0 {
+			c.commits.lastChanges = d.changes()
 			c.sendPlan(d)
 			return
 		}
 		d = c.newDraft()
 	}
-	if only := c.nextOther(); only != "" && c.otherTurn {
-		d.only, c.lastOther = only, only
-		delete(c.others, only)
+	if only := c.nextForeignValue(); only != "" && c.planner.foreignTurn {
+		d.foreignKey, c.planner.lastForeignValue = only, only
+		delete(c.planner.foreignValues, only)
 		c.planTasks(d)
 	}
-	c.otherTurn = !c.otherTurn
-	if d.ops() == 0 {
+	c.planner.foreignTurn = !c.planner.foreignTurn
+	if d.changes() == 0 {
 		d = c.newDraft()
-		clear(c.others)
+		clear(c.planner.foreignValues)
 		c.planTasks(d)
-		c.dirty = c.dirty || len(c.others) > 0
+		c.planner.dirty = c.planner.dirty || len(c.planner.foreignValues) > 0
 	}
-	c.lastOps = d.ops()
-	if d.ops() == 0 {
-		c.giveTo = map[TaskID]string{}
+	c.commits.lastChanges = d.changes()
+	if d.changes() == 0 {
+		c.planner.taskHandovers = map[TaskID]string{}
 		return
 	}
-	if c.formatOn() && !c.planLongest && c.tooLarge(d.txn()) {
-		c.planLongest, c.dirty, c.planAt = true, true, c.now // the same again, with room for the worst
+	if c.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+		c.planner.reserveLongestTexts, c.planner.dirty, c.planner.nextPlanAt = true, true, c.now // the same again, with room for the worst
 		return
 	}
-	c.planLongest = false
+	c.planner.reserveLongestTexts = false
 	c.sendPlan(d)
 }
 
 // planTasks fills a draft stage by stage.
-func (c *Core) planTasks(d *draft) {
-	if d.only != "" {
+func (c *Controller) planTasks(d *draft) {
+	if d.foreignKey != "" {
 		c.planReleases(d)
 		c.planBookings(d)
 		return
@@ -105,115 +136,115 @@
 	// A transaction takes few changes and bytes. Each stage leaves some to those
 	// after it: finishes alone, of many jobs, would fill one after the other. Large
 	// arrays go before other jobs' tasks and after them in turns.
-	c.planHalts(d)
-	d.most = min(c.cfg.TxnOps, max(4, c.cfg.TxnOps-2))
+	c.planGangStops(d)
+	d.maxChanges = min(c.cfg.TransactionLimit, max(4, c.cfg.TransactionLimit-2))
 	c.planGangs(d)
-	if c.largeTurn = !c.largeTurn; c.largeTurn {
+	if c.planner.largeArraysTurn = !c.planner.largeArraysTurn; c.planner.largeArraysTurn {
 		c.planLargeArrays(d)
 	}
-	d.most = min(c.cfg.TxnOps, max(d.ops()+2, c.cfg.TxnOps-c.cfg.TxnOps/4))
-	d.maxB = max(d.bytes, tuning.TxnBytes-tuning.TxnBytes/4)
+	d.maxChanges = min(c.cfg.TransactionLimit, max(d.changes()+2, c.cfg.TransactionLimit-c.cfg.TransactionLimit/4))
+	d.maxBytes = max(d.bytes, tuning.TxnBytes-tuning.TxnBytes/4)
 	c.planReleases(d)
-	d.most, d.maxB = c.cfg.TxnOps, tuning.TxnBytes
+	d.maxChanges, d.maxBytes = c.cfg.TransactionLimit, tuning.TxnBytes
 	c.planBookings(d)
-	if !c.largeTurn {
+	if !c.planner.largeArraysTurn {
 		c.planLargeArrays(d)
 	}
 	c.planHandover(d)
-	d.settleTeams()
+	d.settleShares()
 }
 
 // sendPlan commits a draft and settles what comes of it.
-func (c *Core) sendPlan(d *draft) {
-	t := d.txn()
-	for _, k := range d.dooms {
-		c.doomed[k] = true
-	}
-	c.planMach = d.machs
-	c.log(2, "task commit", "epoch", c.st.view.Epoch, "read_at", c.st.ledger, "headers", len(d.heads), "values", len(d.keys)+len(d.raw), "teams", len(d.teams), "tasks", len(d.changed),
-		"released", len(d.dooms), "conditions", len(t.When), "bytes", txnBytes(t))
-	c.task = c.commit(LaneTask, t, func(r CommitResult, e EvCommit) {
-		c.task = nil
-		c.dirty = true
-		for n := range d.machs {
-			c.touched[n] = true
+func (c *Controller) sendPlan(d *draft) {
+	t := d.transaction()
+	for _, k := range d.releases {
+		c.planner.pendingReleases[k] = true
+	}
+	c.commits.machines = d.machines
+	c.debug("task commit", "epoch", c.cache.view.Epoch, "read_at", c.cache.revision, "headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares), "tasks", len(d.changed),
+		"released", len(d.releases), "conditions", len(t.Conditions), "bytes", transactionBytes(t))
+	c.commits.taskCommit = c.commit(LaneTask, t, func(r CommitResult, e CommitAnswered) {
+		c.commits.taskCommit = nil
+		c.planner.dirty = true
+		for n := range d.machines {
+			c.heartbeats.touched[n] = true
 		}
 		switch r {
 		case Committed:
-			c.log(2, "task committed", "revision", e.Ledger)
-			for _, f := range d.notes {
+			c.debug("task committed", "revision", e.Revision)
+			for _, f := range d.onCommit {
 				f()
 			}
 		case Conflict:
-			c.log(2, "task commit conflict", "failed", e.Failed)
-			c.needRead = max(c.needRead, e.Ledger)
+			c.debug("task commit conflict", "failed", e.Failed)
+			c.commits.minRevision = max(c.commits.minRevision, e.Revision)
 			// One contested value must not keep failing all else that this node
 			// has to write: it waits a little, of random length.
 			for _, k := range e.Failed {
-				if strings.HasPrefix(k, preTeam) || strings.HasPrefix(k, prePack) || strings.HasPrefix(k, preTask) {
-					c.avoid[k] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
+				if strings.HasPrefix(k, prefixTeam) || strings.HasPrefix(k, prefixPack) || strings.HasPrefix(k, prefixTask) {
+					c.commits.avoidUntil[k] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
 				}
 			}
 		default:
-			c.log(2, "task commit not confirmed", "result", int(r))
+			c.debug("task commit not confirmed", "result", int(r))
 			// All nodes together want more than the state service takes, and it
 			// refuses users' submissions as well: each goes back towards its part.
-			if r == Refused && c.stateOK {
-				c.rate = max(min(c.cfg.WriteFair*c.weight(), c.rate), c.rate*tuning.RateCut)
+			if r == Refused && c.membership.stateReachable {
+				c.commits.rate = max(min(c.cfg.FairWriteRate*c.weight(), c.commits.rate), c.commits.rate*tuning.RateCut)
 			}
-			c.blocked = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
-			if r == Unknown {
-				c.tieTo(t)
-			} else if e.Bad {
-				c.tied = tie{} // it may be the tied value that is too large by now
+			c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
+			if r == InDoubt {
+				c.markInDoubt(t)
+			} else if e.Malformed {
+				c.commits.inDoubt = inDoubtCommit{} // it may be the tied value that is too large by now
 			}
 		}
 	})
 }
 
 // planReleases commits outcomes and releases of this node's machines.
-func (c *Core) planReleases(d *draft) {
-	names := c.machNames()
+func (c *Controller) planReleases(d *draft) {
+	names := c.machineNames()
 	// Begin where the last full draft stopped, so that none is always left out.
-	k, _ := slices.BinarySearch(names, c.relFrom)
+	k, _ := slices.BinarySearch(names, c.planner.releasesFrom)
 	names = append(slices.Clone(names[k:]), names[:k]...)
 	type off struct {
 		m           *Machine
 		id          TaskID
-		s           Seen
+		s           TaskReport
 		there, done bool
 	}
 	var offs []off
 	count := map[string]int{} // by value
 	for _, name := range names {
-		m := c.mach[name]
-		if len(c.st.byMach[name]) == 0 || !c.owns(name) {
+		m := c.heartbeats.machines[name]
+		if len(c.cache.bookedOn[name]) == 0 || !c.owns(name) {
 			continue
 		}
-		mark := c.st.marks[name]
+		mark := c.cache.cordons[name]
 		var ids []TaskID
-		for id := range c.st.byMach[name] {
-			if j := c.st.jobs[id.Job]; j.H.Spec != nil && c.offProof(m, id, j.task(id.I)) {
+		for id := range c.cache.bookedOn[name] {
+			if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.provenOff(m, id, j.task(id.Index)) {
 				ids = append(ids, id)
 			}
 		}
 		for _, id := range inOrder(ids) {
-			j := c.st.jobs[id.Job]
-			t := j.task(id.I)
-			s, there := m.tasks[id]
-			there = there && s.Attempt == t.Attempt && m.shift == t.Shift
-			done := there && s.State == SeenEnded && s.Cause == CauseDone || c.gangDone(j, nil)
+			j := c.cache.jobs[id.Job]
+			t := j.task(id.Index)
+			s, there := m.reported[id]
+			there = there && s.Attempt == t.Attempt && m.agentEpoch == t.AgentEpoch
+			done := there && s.State == ReportedEnded && s.Cause == CauseDone || c.gangDone(j, nil)
 			// An undelivered run is simply sent again, unless the booking
 			// has lost its sense.
-			if !there && !c.doomed[doom{id, t.Attempt}] && m.shift == t.Shift && m.deadShift < t.Shift && mark.State != MarkGone &&
-				j.H.State == JobOpen && m.recallAt < 0 && mark.State == "" && c.gangWhole(j, t) &&
-				!c.yielded[doom{id, t.Attempt}] && !(c.evicted(name) && !holdsMachines(j.H.Spec)) && (j.H.Halt == 0 || j.H.Halt < t.Attempt) {
+			if !there && !c.planner.pendingReleases[attemptID{id, t.Attempt}] && m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch && mark.State != CordonGone &&
+				j.Header.State == StateOpen && m.preemptionAt < 0 && mark.State == "" && c.gangIntact(j, t) &&
+				!c.planner.preempted[attemptID{id, t.Attempt}] && !(c.isEvicting(name) && !reservesMachines(j.Header.Spec)) && (j.Header.StopThrough == 0 || j.Header.StopThrough < t.Attempt) {
 				continue
 			}
-			if c.isAvoided(j, id.I) {
+			if c.isAvoided(j, id.Index) {
 				continue
 			}
-			count[keyOf(j, id.I)]++
+			count[keyOf(j, id.Index)]++
 			offs = append(offs, off{m, id, s, there, done})
 		}
 	}
@@ -221,172 +252,172 @@
 	// to change go first, or a backlog with many values takes all changes a second
 	// for two or three releases each. In turns with the order of machines, so that
 	// none is left out.
-	if c.relTurn = !c.relTurn; c.relTurn && len(count) > d.most-d.ops() && c.wide() {
+	if c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn; c.planner.largestReleasesTurn && len(count) > d.maxChanges-d.changes() && c.isLargeFleet() {
 		slices.SortStableFunc(offs, func(a, b off) int {
-			return cmp.Compare(count[keyOf(c.st.jobs[b.id.Job], b.id.I)], count[keyOf(c.st.jobs[a.id.Job], a.id.I)])
+			return cmp.Compare(count[keyOf(c.cache.jobs[b.id.Job], b.id.Index)], count[keyOf(c.cache.jobs[a.id.Job], a.id.Index)])
 		})
 	}
 	full := false
 	for _, o := range offs {
 		m, id, s := o.m, o.id, o.s
-		j := c.st.jobs[id.Job]
-		t := j.task(id.I)
+		j := c.cache.jobs[id.Job]
+		t := j.task(id.Index)
 		done := o.done || c.gangDone(j, d) // a mate's end may stand in this very draft
-		if !d.room(j, id.I, done, false) {
-			c.dirty = true
+		if !d.hasRoomFor(j, id.Index, done, false) {
+			c.planner.dirty = true
 			if !full {
-				full, c.relFrom = true, m.Name
+				full, c.planner.releasesFrom = true, m.Name
 			}
 			continue // others may change values that are in already
 		}
-		d.release(j, id.I, done && j.H.State == JobOpen)
-		if o.there && s.State == SeenEnded {
-			c.noteEnd(d, m, j, id, s)
+		d.release(j, id.Index, done && j.Header.State == StateOpen)
+		if o.there && s.State == ReportedEnded {
+			c.recordTaskEnd(d, m, j, id, s)
 		} else {
-			d.notes = append(d.notes, func() {
-				c.log(2, "task released", "task", id, "machine", m.Name, "attempt", t.Attempt)
+			d.onCommit = append(d.onCommit, func() {
+				c.debug("task released", "task", id, "machine", m.Name, "attempt", t.Attempt)
 			})
 		}
 	}
 	// A cancelled job whose last booking is gone needs no further care.
-	for _, id := range slices.Sorted(maps.Keys(c.st.cleaning)) {
-		j := c.st.cleaning[id]
-		if j.counts.booked > 0 || c.homeOf(j) != c.cfg.Node || j.H.Spec == nil {
+	for _, id := range slices.Sorted(maps.Keys(c.cache.awaitingRelease)) {
+		j := c.cache.awaitingRelease[id]
+		if j.counts.booked > 0 || c.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
 			continue
 		}
-		if foreign := c.foreign(j); foreign && d.only != keyOf(j, 0) {
-			c.others[keyOf(j, 0)] = true
+		if foreign := c.isForeign(j); foreign && d.foreignKey != keyOf(j, 0) {
+			c.planner.foreignValues[keyOf(j, 0)] = true
 			continue
-		} else if !foreign && d.only != "" {
+		} else if !foreign && d.foreignKey != "" {
 			continue
 		}
 		touched := false
-		for r := range d.chunks {
+		for r := range d.cells {
 			touched = touched || r.job == id
 		}
 		chunks := j.cells()
-		if touched || d.ops()+1+min(chunks, c.cfg.TxnOps/2) > c.cfg.TxnOps || len(d.conds)+8 > 4*c.cfg.TxnOps {
+		if touched || d.changes()+1+min(chunks, c.cfg.TransactionLimit/2) > c.cfg.TransactionLimit || len(d.conditions)+8 > 4*c.cfg.TransactionLimit {
 			continue
 		}
-		h := d.head(j)
-		d.drop[id] = true
-		for i := 0; i < j.H.N && d.ops() < c.cfg.TxnOps; i = j.cellEnd(i) {
-			if key := keyOf(j, i); !j.H.In && c.st.stamps[key] != 0 && !d.keys[key] && j.Tasks != nil && !c.isStuck(key) {
+		h := d.header(j)
+		d.finished[id] = true
+		for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.cellEnd(i) {
+			if key := keyOf(j, i); !j.Header.Inline && c.cache.modRevisions[key] != 0 && !d.keys[key] && j.Tasks != nil && !c.isOversizedInPlan(key) {
 				d.keys[key] = true
-				d.bytes += c.bound()
-				d.cond(key)
+				d.bytes += c.valueBound()
+				d.addCondition(key)
 			}
 		}
-		if c.st.large[keyOf(j, 0)] {
-			d.cond(keyOf(j, 0))
+		if c.cache.oversized[keyOf(j, 0)] {
+			d.addCondition(keyOf(j, 0))
 		}
-		h.State = JobCancelled
-		h.Clean, h.Spec, h.Cut, h.Sub = true, nil, nil, 0
+		h.State = StateCancelled
+		h.Released, h.Spec, h.SplitChunks, h.CellSize = true, nil, nil, 0
 	}
 }
 
-// planHalts asks for the orderly stop of gangs that have a task on a machine
+// planGangStops asks for the orderly stop of gangs that have a task on a machine
 // about to be taken away: the header carries it to all owners, which halt
 // their tasks well within gang_peer_s of each other.
-func (c *Core) planHalts(d *draft) {
-	for _, name := range c.machNames() {
-		m := c.mach[name]
-		if len(c.st.byMach[name]) == 0 {
+func (c *Controller) planGangStops(d *draft) {
+	for _, name := range c.machineNames() {
+		m := c.heartbeats.machines[name]
+		if len(c.cache.bookedOn[name]) == 0 {
 			continue
 		}
-		mark := c.st.marks[name]
-		if m.recallAt < 0 && !(mark.State == MarkDrain && mark.Why == WhySick) {
+		mark := c.cache.cordons[name]
+		if m.preemptionAt < 0 && !(mark.State == CordonDrain && mark.Reason == DrainFaulty) {
 			continue
 		}
 		if !c.owns(name) {
 			continue
 		}
-		for _, id := range sortedTasks(c.st.byMach[name]) {
-			j := c.st.jobs[id.Job]
-			sp := j.H.Spec
-			t := j.task(id.I)
-			if sp == nil || sp.Shape != Gang || sp.N == 1 || j.H.State != JobOpen || j.H.Halt >= t.Attempt ||
-				d.ops() >= c.cfg.TxnOps {
+		for _, id := range sortedTasks(c.cache.bookedOn[name]) {
+			j := c.cache.jobs[id.Job]
+			sp := j.Header.Spec
+			t := j.task(id.Index)
+			if sp == nil || sp.Shape != Gang || sp.TaskCount == 1 || j.Header.State != StateOpen || j.Header.StopThrough >= t.Attempt ||
+				d.changes() >= c.cfg.TransactionLimit {
 				continue
 			}
-			d.head(j).Halt = t.Attempt
+			d.header(j).StopThrough = t.Attempt
 		}
 	}
 }
 
-// noteEnd learns from a task's end once it is committed.
-func (c *Core) noteEnd(d *draft, m *Machine, j *Job, id TaskID, s Seen) {
-	sp := j.H.Spec
-	k := doom{id, s.Attempt}
-	from, ran := m.firstRun[k]
-	d.notes = append(d.notes, func() {
-		c.log(2, "task ended", "task", id, "machine", m.Name, "attempt", s.Attempt, "cause", s.Cause, "saved", s.Saved)
+// recordTaskEnd learns from a task's end once it is committed.
+func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id TaskID, s TaskReport) {
+	sp := j.Header.Spec
+	k := attemptID{id, s.Attempt}
+	from, ran := m.runningSince[k]
+	d.onCommit = append(d.onCommit, func() {
+		c.debug("task ended", "task", id, "machine", m.Name, "attempt", s.Attempt, "cause", s.Cause, "saved", s.Saved)
 		switch s.Cause {
 		case CauseDone:
-			clear(m.errs)
-			j.errs, j.hold = 0, 0
+			clear(m.failures)
+			j.failures, j.pausedUntil = 0, 0
 			if ran {
-				c.learnRun(m, sp, (c.now - from).Seconds())
+				c.recordRunTime(m, sp, (c.now - from).Seconds())
 			}
 		case CauseError:
-			e, was := m.errs[j.ID]
+			e, was := m.failures[j.ID]
 			if !was {
-				e.at = c.now
+				e.firstAt = c.now
 			}
-			e.n++
-			m.errs[j.ID] = e
+			e.count++
+			m.failures[j.ID] = e
 			row := 0
-			for _, x := range m.errs {
-				row += x.n
+			for _, x := range m.failures {
+				row += x.count
 			}
 			// Until it shows whose fault it is, the machine is given less to fail.
-			m.fullTill = c.now + min(time.Duration(row)*tuning.RefusedPause, tuning.ErrorRowMost)
-			if int64(c.now) >= j.hold { // its tasks that fail together count as one try
-				j.errs++
+			m.noBookingsUntil = c.now + min(time.Duration(row)*tuning.RefusedPause, tuning.ErrorRowMost)
+			if int64(c.now) >= j.pausedUntil { // its tasks that fail together count as one try
+				j.failures++
 			}
-			p := min(tuning.ErrorPause<<min(j.errs-1, 10), tuning.ErrorPauseMost)
-			j.hold = int64(c.now + p)
+			p := min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.ErrorPauseMost)
+			j.pausedUntil = int64(c.now + p)
 		case CauseNoRoom, CauseBusy:
-			m.fullTill = c.now + tuning.RefusedPause
+			m.noBookingsUntil = c.now + tuning.RefusedPause
 		case CauseUnknown:
-			j.errs++
-			j.hold = int64(c.now + min(tuning.ErrorPause<<min(j.errs, 10), tuning.ErrorPauseMost))
+			j.failures++
+			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.ErrorPauseMost))
 		}
-		c.learnFinish(m)
+		c.recordFinish(m)
 	})
 }
 
-// free is the room on a machine as committed, less what the draft books.
-func (c *Core) free(name string, size Res, d *draft) Res {
-	r := size.Plus(c.st.occ[name].used, -1)
+// freeOn is the room on a machine as committed, less what the draft books.
+func (c *Controller) freeOn(name string, size Resources, d *draft) Resources {
+	r := size.Plus(c.cache.occupancy[name].used, -1)
 	if d != nil {
-		r = r.Plus(d.used[name], -1)
+		r = r.Plus(d.usedOn[name], -1)
 	}
 	return r
 }
 
-func (c *Core) flavor(name string) *Flavor {
-	for i := range c.st.flavors {
-		if c.st.flavors[i].Name == name {
-			return &c.st.flavors[i]
+func (c *Controller) machineType(name string) *MachineType {
+	for i := range c.cache.machineTypes {
+		if c.cache.machineTypes[i].Name == name {
+			return &c.cache.machineTypes[i]
 		}
 	}
 	return nil
 }
 
-// bookable: the machine takes new bookings.
-func (c *Core) bookable(m *Machine) bool {
-	return m.heardOnce && m.shift > m.deadShift && m.recallAt < 0 && c.st.marks[m.Name].State == "" &&
-		c.now >= m.fullTill && c.now-m.heard < 2*c.cfg.Report+time.Second && c.flavor(m.Type) != nil
+// isBookable: the machine takes new bookings.
+func (c *Controller) isBookable(m *Machine) bool {
+	return m.heardOnce && m.agentEpoch > m.abandonedEpoch && m.preemptionAt < 0 && c.cache.cordons[m.Name].State == "" &&
+		c.now >= m.noBookingsUntil && c.now-m.heardAt < 2*c.cfg.HeartbeatInterval+time.Second && c.machineType(m.Type) != nil
 }
 
-// fits: the machine may take a task of the job, room aside.
-func (c *Core) fits(sp *Spec, typ, zone string, spot bool) bool {
-	return allowed(sp.Types, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
+// allowsMachine: the machine may take a task of the job, room aside.
+func (c *Controller) allowsMachine(sp *JobSpec, typ, zone string, spot bool) bool {
+	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
 }
 
 // planBookings starts heads of queues where there is room.
-func (c *Core) planBookings(d *draft) {
+func (c *Controller) planBookings(d *draft) {
 	type cand struct {
 		m  *Machine
 		id TaskID
@@ -398,8 +429,8 @@
 	}
 	claims := c.claims(d)
 	var ms []*Machine
-	for _, name := range c.machNames() {
-		if m := c.mach[name]; len(m.queue) > 0 && c.owns(name) && c.bookable(m) && !c.kept(name) {
+	for _, name := range c.machineNames() {
+		if m := c.heartbeats.machines[name]; len(m.queue) > 0 && c.owns(name) && c.isBookable(m) && !c.isReserved(name) {
 			ms = append(ms, m)
 		}
 	}
@@ -407,32 +438,32 @@
 		var cs []cand
 		for _, m := range ms {
 			name := m.Name
-			free := c.free(name, c.flavor(m.Type).Size, d)
-			for _, id := range c.byPriority(m) {
-				j := c.st.jobs[id.Job]
-				if c.placed[id] != name || j == nil || j.phase != phaseOpen || d.changed[id] ||
-					j.task(id.I).State != Queued || c.partOf(j, j.task(id.I)) != c.cfg.Node {
+			free := c.freeOn(name, c.machineType(m.Type).Capacity, d)
+			for _, id := range c.queueByPriority(m) {
+				j := c.cache.jobs[id.Job]
+				if c.queues.machineOf[id] != name || j == nil || j.phase != phaseOpen || d.changed[id] ||
+					j.task(id.Index).State != Queued || c.taskShard(j, j.task(id.Index)) != c.cfg.Node {
 					continue
 				}
-				if int64(c.now) < j.hold || c.giveTo[id] != "" || c.giveJob[id.Job] != "" {
+				if int64(c.now) < j.pausedUntil || c.planner.taskHandovers[id] != "" || c.planner.jobHandovers[id.Job] != "" {
 					continue
 				}
-				if m.failed(j) {
-					c.unplace(id)
-					c.dirty = true
+				if m.failedHere(j) {
+					c.dequeue(id)
+					c.planner.dirty = true
 					continue
 				}
-				if c.isAvoided(j, id.I) {
+				if c.isAvoided(j, id.Index) {
 					continue
 				}
-				sp := j.H.Spec
-				if !c.teamAllows(sp, d, claims) {
+				sp := j.Header.Spec
+				if !c.quotaAllows(sp, d, claims) {
 					continue // waits for its team without blocking others
 				}
-				if !free.Holds(sp.Need) {
+				if !free.Fits(sp.Request) {
 					break // first come, first served
 				}
-				cs = append(cs, cand{m, id, j, c.owed(sp, d)})
+				cs = append(cs, cand{m, id, j, c.withinGuarantee(sp, d)})
 				break
 			}
 		}
@@ -444,27 +475,27 @@
 			if x.o != y.o {
 				return x.o
 			}
-			if x.j.prio != y.j.prio {
-				return x.j.prio > y.j.prio
+			if x.j.priority != y.j.priority {
+				return x.j.priority > y.j.priority
 			}
-			return x.j.H.Order < y.j.H.Order
+			return x.j.Header.AcceptOrder < y.j.Header.AcceptOrder
 		})
 		any := false
 		for _, x := range cs {
-			sp := x.j.H.Spec
-			if !c.teamAllows(sp, d, claims) {
+			sp := x.j.Header.Spec
+			if !c.quotaAllows(sp, d, claims) {
 				continue
 			}
-			if !d.room(x.j, x.id.I, false, true) {
-				c.dirty = true
-				if d.ops() >= c.cfg.TxnOps-2 && c.cfg.TxnOps > 4 || len(d.conds)+3 > 4*c.cfg.TxnOps {
+			if !d.hasRoomFor(x.j, x.id.Index, false, true) {
+				c.planner.dirty = true
+				if d.changes() >= c.cfg.TransactionLimit-2 && c.cfg.TransactionLimit > 4 || len(d.conditions)+3 > 4*c.cfg.TransactionLimit {
 					return
 				}
 				continue // its pack is full; others may still go in
 			}
-			at := x.j.task(x.id.I).Attempt + 1
-			d.book(x.j, x.id.I, x.m.Name, x.m.Zone, x.m.shift, at)
-			d.noteBooking(x.id, x.m.Name, x.m.Zone, at, PassQueue)
+			at := x.j.task(x.id.Index).Attempt + 1
+			d.book(x.j, x.id.Index, x.m.Name, x.m.Zone, x.m.agentEpoch, at)
+			d.recordBooking(x.id, x.m.Name, x.m.Zone, at, PassQueue)
 			any = true
 		}
 		if !any {
@@ -473,13 +504,13 @@
 	}
 }
 
-// byPriority is a machine's queue, first come, first served among tasks of the same
+// queueByPriority is a machine's queue, first come, first served among tasks of the same
 // priority. A small urgent task that fits must not wait behind a large one that
 // doesn't: on a day of pipelines their last jobs waited 30 s so.
-func (c *Core) byPriority(m *Machine) []TaskID {
+func (c *Controller) queueByPriority(m *Machine) []TaskID {
 	prio := func(id TaskID) int {
-		if j := c.st.jobs[id.Job]; j != nil {
-			return j.prio
+		if j := c.cache.jobs[id.Job]; j != nil {
+			return j.priority
 		}
 		return 0
 	}
@@ -493,82 +524,82 @@
 }
 
 // planHandover writes the parts of jobs and tasks passed or stolen.
-func (c *Core) planHandover(d *draft) {
-	for _, id := range slices.Sorted(maps.Keys(c.giveJob)) {
-		to, j := c.giveJob[id], c.st.jobs[id]
-		if d.ops() >= c.cfg.TxnOps || len(d.conds)+4 > 4*c.cfg.TxnOps {
-			c.dirty = true
+func (c *Controller) planHandover(d *draft) {
+	for _, id := range slices.Sorted(maps.Keys(c.planner.jobHandovers)) {
+		to, j := c.planner.jobHandovers[id], c.cache.jobs[id]
+		if d.changes() >= c.cfg.TransactionLimit || len(d.conditions)+4 > 4*c.cfg.TransactionLimit {
+			c.planner.dirty = true
 			return
 		}
-		delete(c.giveJob, id)
-		if j == nil || j.H.State != JobOpen || !untouched(j) || j.queued > 0 || !slices.Contains(c.st.view.Serving, to) ||
-			c.homeOf(j) != c.cfg.Node {
+		delete(c.planner.jobHandovers, id)
+		if j == nil || j.Header.State != StateOpen || !isUntouched(j) || j.queuedHere > 0 || !slices.Contains(c.cache.view.Serving, to) ||
+			c.shardOf(j) != c.cfg.Node {
 			continue
 		}
-		h := d.head(j)
-		h.Part, h.Hops = to, h.Hops+1
+		h := d.header(j)
+		h.Shard, h.Handovers = to, h.Handovers+1
 		if h.Pack != "" {
-			pack, ok := c.packFor(j.H.Spec, to)
+			pack, ok := c.packFor(j.Header.Spec, to)
 			if !ok {
 				pack = h.Pack
 			}
 			h.Pack = pack
 		}
-		d.notes = append(d.notes, func() {
-			c.learn.passes += j.H.N
-			c.log(2, "job handed over", "job", id, "to", to)
+		d.onCommit = append(d.onCommit, func() {
+			c.learner.passes += j.Header.TaskCount
+			c.debug("job handed over", "job", id, "to", to)
 		})
 	}
-	for _, id := range sortedTasks(c.giveTo) {
-		to := c.giveTo[id]
-		j := c.st.jobs[id.Job]
-		delete(c.giveTo, id)
-		if j == nil || j.H.State != JobOpen || d.changed[id] || j.task(id.I).State != Queued ||
-			!slices.Contains(c.st.view.Serving, to) || c.partOf(j, j.task(id.I)) != c.cfg.Node {
+	for _, id := range sortedTasks(c.planner.taskHandovers) {
+		to := c.planner.taskHandovers[id]
+		j := c.cache.jobs[id.Job]
+		delete(c.planner.taskHandovers, id)
+		if j == nil || j.Header.State != StateOpen || d.changed[id] || j.task(id.Index).State != Queued ||
+			!slices.Contains(c.cache.view.Serving, to) || c.taskShard(j, j.task(id.Index)) != c.cfg.Node {
 			continue
 		}
-		if c.isAvoided(j, id.I) {
+		if c.isAvoided(j, id.Index) {
 			continue
 		}
-		if !d.room(j, id.I, false, true) {
-			c.dirty = true
+		if !d.hasRoomFor(j, id.Index, false, true) {
+			c.planner.dirty = true
 			return
 		}
-		t := d.task(j, id.I)
-		d.cond(keyJob(j.ID))
-		d.add[d.keyOf(j, id.I)] += tuning.ReleaseBytes
-		t.Part = to
-		c.unplace(id)
-		d.notes = append(d.notes, func() {
-			c.learn.passes++
-			c.log(2, "task handed over", "task", id, "to", to)
+		t := d.task(j, id.Index)
+		d.addCondition(keyJob(j.ID))
+		d.growth[d.keyOf(j, id.Index)] += tuning.ReleaseBytes
+		t.Shard = to
+		c.dequeue(id)
+		d.onCommit = append(d.onCommit, func() {
+			c.learner.passes++
+			c.debug("task handed over", "task", id, "to", to)
 		})
 	}
 }
 
-// learnRun keeps smoothed run times per machine, class and type.
-func (c *Core) learnRun(m *Machine, sp *Spec, run float64) {
+// recordRunTime keeps smoothed run times per machine, class and type.
+func (c *Controller) recordRunTime(m *Machine, sp *JobSpec, run float64) {
 	if run <= 0 || math.IsNaN(run) {
 		return
 	}
-	m.rate.add(run)
-	if c.runs[sp.Class] == nil {
-		c.runs[sp.Class] = &runStat{}
+	m.runTime.add(run)
+	if c.queues.runTimeRatios[sp.Class] == nil {
+		c.queues.runTimeRatios[sp.Class] = &smoothedValue{}
 	}
-	c.runs[sp.Class].add(run / max(sp.Est, 1))
+	c.queues.runTimeRatios[sp.Class].add(run / max(sp.EstimatedRuntime, 1))
 }
 
-// runStat is a smoothed value.
-type runStat struct {
-	v float64
-	n int
+// smoothedValue is a smoothed value.
+type smoothedValue struct {
+	value   float64
+	samples int
 }
 
-func (r *runStat) add(x float64) {
-	if r.n == 0 {
-		r.v = x
+func (r *smoothedValue) add(x float64) {
+	if r.samples == 0 {
+		r.value = x
 	} else {
-		r.v += tuning.RateSmooth * (x - r.v)
+		r.value += tuning.RateSmooth * (x - r.value)
 	}
-	r.n++
+	r.samples++
 }
--- a/internal/core/plan_test.go
+++ b/internal/core/plan_test.go
@@ -9,14 +9,14 @@
 
 // stocked is an acting node of five with idle machines and a job of many tasks in
 // their queues, in the smallest transactions in use.
-func stocked(t *testing.T, machines int) *Core {
+func stocked(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := acting()
 	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // homes of marks
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
 		m := c.addMachine(fmt.Sprintf("n-%06d", i))
-		c.takeReport(m, &Report{Machine: m.Name, Type: "box", Zone: "a", Shift: 1, Tally: 1, Recall: -1}, true)
+		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for k := 0; k < 4; k++ {
 			c.enqueue(TaskID{jobName(1), 4*i + k}, m)
 		}
@@ -25,10 +25,10 @@
 }
 
 // openJob is the header of an array in the pack c-0/0.
-func openJob(t *testing.T, i, n, prio int, cpu int64) KV {
+func openJob(t *testing.T, i, n, prio int, cpu int64) KeyValue {
 	t.Helper()
-	return KV{Key: keyJob(jobName(i)), Stamp: uint64(i + 10), Value: enc(Header{State: JobOpen, N: n, Chunk: n, Pack: "c-0/0", Part: "c-0", Order: uint64(i + 1),
-		Spec: &Spec{Class: "c", Team: "red", Shape: Array, Prio: prio, N: n, Need: Res{CPU: cpu}, Est: 10, Spot: true}})}
+	return KeyValue{Key: keyJob(jobName(i)), ModRevision: uint64(i + 10), Value: mustEncode(JobHeader{State: StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
+		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: prio, TaskCount: n, Request: Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
 // TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
@@ -38,15 +38,15 @@
 	c := stocked(t, 30)
 	d := c.newDraft()
 	for i := 0; i < 4; i++ { // what releases put in before
-		d.cond(fmt.Sprintf("b/pack/c-0/%d", 90+i))
+		d.addCondition(fmt.Sprintf("b/pack/c-0/%d", 90+i))
 	}
 	c.planBookings(d)
 	if n := len(d.changed); n < 100 {
 		t.Errorf("%d of 120 tasks are booked", n)
 	}
-	txn := d.txn()
-	if len(txn.When) > 16 || len(txn.Apply) > 4 || c.tooLarge(txn) {
-		t.Errorf("%d conditions, %d changes, too large %v", len(txn.When), len(txn.Apply), c.tooLarge(txn))
+	txn := d.transaction()
+	if len(txn.Conditions) > 16 || len(txn.Puts) > 4 || c.tooLarge(txn) {
+		t.Errorf("%d conditions, %d changes, too large %v", len(txn.Conditions), len(txn.Puts), c.tooLarge(txn))
 	}
 }
 
@@ -56,8 +56,8 @@
 	for prio, want := range map[int]string{1: "", 2: jobName(3)} {
 		c := acting()
 		m := c.addMachine("n-000001")
-		c.takeReport(m, &Report{Machine: m.Name, Type: "box", Zone: "a", Shift: 1, Tally: 1, Recall: -1}, true)
-		c.st.occ[m.Name] = occ{used: Res{CPU: 14000}}
+		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		c.cache.occupancy[m.Name] = occupancy{used: Resources{CPU: 14000}}
 		c.apply(openJob(t, 2, 1, 1, 5000))
 		c.apply(openJob(t, 3, 1, prio, 1000))
 		c.enqueue(TaskID{jobName(2), 0}, m)
@@ -78,20 +78,20 @@
 // By the sum over all, the part with a backlog rested the machines it wanted.
 func TestRestByPart(t *testing.T) {
 	c := wideCore()
-	for _, p := range c.peers {
+	for _, p := range c.peers.byName {
 		for i := range p.machines {
 			p.machines[i].Type = "box"
 		}
 	}
-	h := Header{State: JobOpen, N: 300, Chunk: 300, Pack: "c-0/0", Part: "c-0", Order: 2,
-		Spec: &Spec{Class: "c", Team: "red", Shape: Array, N: 300, Need: Res{CPU: 16000}, Spot: true}}
-	c.cfg.Teams = map[string]Limits{"red": {}}
-	c.apply(KV{Key: keyJob(jobName(1)), Value: enc(h), Stamp: 5})
-	c.invAt = -1
-	c.decideRest(c.machines(), c.pending(c.machines()))
+	h := JobHeader{State: StateOpen, TaskCount: 300, ChunkSize: 300, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 2,
+		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: 300, Request: Resources{CPU: 16000}, Spot: true}}
+	c.cfg.Teams = map[string]Quota{"red": {}}
+	c.apply(KeyValue{Key: keyJob(jobName(1)), Value: mustEncode(h), ModRevision: 5})
+	c.peers.inventoryAt = -1
+	c.planResting(c.machines(), c.pendingWork(c.machines()))
 	awake := map[string]int{}
 	for _, m := range c.inventory() {
-		if !c.fleet.rest[m.name] {
+		if !c.scaling.resting[m.name] {
 			awake[m.owner]++
 		}
 	}
@@ -101,32 +101,32 @@
 }
 
 // planned returns the task commit that the core wants now.
-func planned(t *testing.T, c *Core) EfCommit {
+func planned(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
-	c.fenceAt, c.grantAt, c.out, c.dirty, c.tokens = c.now, c.now, nil, true, 1e6
-	c.drivePlan()
-	for _, e := range c.out {
-		if x, ok := e.(EfCommit); ok && x.Lane == LaneTask {
+	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.effects, c.planner.dirty, c.commits.tokens = c.now, c.now, nil, true, 1e6
+	c.planCommit()
+	for _, e := range c.effects {
+		if x, ok := e.(Commit); ok && x.Lane == LaneTask {
 			return x
 		}
 	}
-	return EfCommit{}
+	return Commit{}
 }
 
 // exclude tells whether two transactions change a value that both found unchanged:
 // whichever is carried out first, the other never is.
-func exclude(a, b Txn) bool {
+func exclude(a, b Transaction) bool {
 	had := map[string]uint64{}
-	for _, k := range a.When {
-		had[k.Key] = k.Stamp
+	for _, k := range a.Conditions {
+		had[k.Key] = k.ModRevision
 	}
-	for _, k := range b.When {
+	for _, k := range b.Conditions {
 		stamp, both := had[k.Key]
-		writes := func(t Txn) bool {
-			return slices.ContainsFunc(t.Apply, func(p Put) bool { return p.Key == k.Key })
+		writes := func(t Transaction) bool {
+			return slices.ContainsFunc(t.Puts, func(p Put) bool { return p.Key == k.Key })
 		}
-		if both && stamp == k.Stamp && writes(a) && writes(b) {
+		if both && stamp == k.ModRevision && writes(a) && writes(b) {
 			return true
 		}
 	}
@@ -145,43 +145,43 @@
 		in    bool
 	}{"pack": {pack: "c-0/1"}, "chunk": {chunk: 40}, "header": {in: true}, "team": {pack: "c-0/1"}} {
 		c := acting()
-		c.cfg.Teams = map[string]Limits{"red": {Max: Res{CPU: 16000}}}
-		c.apply(KV{Key: preTeam + "red", Stamp: 5, Value: enc(Team{Res: map[string]Res{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
-		c.avoid[preTeam+"red"] = time.Hour
-		h := Header{State: JobOpen, N: 4, Chunk: 4, Pack: spec.pack, In: spec.in, Part: "c-0", Order: 1,
-			Spec: &Spec{Class: "c", Team: "red", Shape: Array, Prio: 1, N: 4, Need: Res{CPU: 1000}, Est: 10, Spot: true}}
-		c.apply(KV{Key: keyJob(jobName(2)), Stamp: 6, Value: enc(h)})
+		c.cfg.Teams = map[string]Quota{"red": {Limit: Resources{CPU: 16000}}}
+		c.apply(KeyValue{Key: prefixTeam + "red", ModRevision: 5, Value: mustEncode(TeamShares{ByNode: map[string]Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
+		c.commits.avoidUntil[prefixTeam+"red"] = time.Hour
+		h := JobHeader{State: StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.in, Shard: "c-0", AcceptOrder: 1,
+			Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: 1, TaskCount: 4, Request: Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
+		c.apply(KeyValue{Key: keyJob(jobName(2)), ModRevision: 6, Value: mustEncode(h)})
 		c.apply(openJob(t, 1, 4, 1, 1000))
 		m := c.addMachine("n-000001")
-		c.takeReport(m, &Report{Machine: m.Name, Type: "box", Zone: "a", Shift: 1, Tally: 1, Recall: -1}, true)
+		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for i := range 4 {
 			c.enqueue(TaskID{jobName(2), i}, m)
 		}
 		if kind == "team" {
-			c.unplaceMachine(m.Name)
-			delete(c.avoid, preTeam+"red") // it has too large a share, and gives it back
+			c.dequeueAll(m.Name)
+			delete(c.commits.avoidUntil, prefixTeam+"red") // it has too large a share, and gives it back
 		}
 		first := planned(t, c)
-		if len(first.T.Apply) == 0 {
+		if len(first.Transaction.Puts) == 0 {
 			t.Fatalf("%s: nothing planned", kind)
 		}
-		c.onCommit(EvCommit{ID: first.ID, Result: Unknown})
-		c.unplaceMachine(m.Name)
+		c.onCommit(CommitAnswered{ID: first.ID, Result: InDoubt})
+		c.dequeueAll(m.Name)
 		for i := range 4 {
 			c.enqueue(TaskID{jobName(1), i}, m)
 		}
 		second := planned(t, c)
-		if len(second.T.Apply) == 0 || !exclude(first.T, second.T) {
-			t.Errorf("%s: both %v and %v may be carried out", kind, first.T, second.T)
+		if len(second.Transaction.Puts) == 0 || !exclude(first.Transaction, second.Transaction) {
+			t.Errorf("%s: both %v and %v may be carried out", kind, first.Transaction, second.Transaction)
 		}
-		c.onCommit(EvCommit{ID: second.ID, Result: Unknown})
+		c.onCommit(CommitAnswered{ID: second.ID, Result: InDoubt})
 		third := planned(t, c)
-		if !exclude(first.T, third.T) || !exclude(second.T, third.T) {
-			t.Errorf("%s: the third, %v, excludes not all before it", kind, third.T)
+		if !exclude(first.Transaction, third.Transaction) || !exclude(second.Transaction, third.Transaction) {
+			t.Errorf("%s: the third, %v, excludes not all before it", kind, third.Transaction)
 		}
-		c.onCommit(EvCommit{ID: third.ID, Result: Committed, Ledger: 200})
-		if d := c.newDraft(); c.tied.key != "" || d.ops() > 0 {
-			t.Errorf("%s: %d values are written again though all is settled", kind, d.ops())
+		c.onCommit(CommitAnswered{ID: third.ID, Result: Committed, Revision: 200})
+		if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
+			t.Errorf("%s: %d values are written again though all is settled", kind, d.changes())
 		}
 	}
 }
@@ -191,19 +191,19 @@
 func TestLargeArraysHoldNoMachines(t *testing.T) {
 	for shape, held := range map[Shape]bool{Array: false, Gang: true} {
 		c := stocked(t, 10)
-		h := Header{State: JobOpen, N: 3000, Chunk: 100, Part: "c-0", Order: 50,
-			Spec: &Spec{Class: "large", Team: "red", Shape: shape, Prio: 1, N: 3000, Need: Res{CPU: 4000}, Est: 5}}
+		h := JobHeader{State: StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
+			Spec: &JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: Resources{CPU: 4000}, EstimatedRuntime: 5}}
 		if shape == Gang {
-			h.N, h.Spec.N = 4, 4
+			h.TaskCount, h.Spec.TaskCount = 4, 4
 		}
-		c.apply(KV{Key: keyJob(jobName(9)), Value: enc(h), Stamp: 60})
-		pending := c.pending(c.machines())
+		c.apply(KeyValue{Key: keyJob(jobName(9)), Value: mustEncode(h), ModRevision: 60})
+		pending := c.pendingWork(c.machines())
 		if len(pending) < 2 {
 			t.Fatalf("%s: %d jobs want machines", shape, len(pending))
 		}
-		c.decideHolds(c.machines(), pending)
-		if got := len(c.fleet.hold) > 0; got != held {
-			t.Errorf("%s: %d machines are held", shape, len(c.fleet.hold))
+		c.planReservations(c.machines(), pending)
+		if got := len(c.scaling.reserved) > 0; got != held {
+			t.Errorf("%s: %d machines are held", shape, len(c.scaling.reserved))
 		}
 	}
 }
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -11,117 +11,117 @@
 	"brassglade/internal/tuning"
 )
 
-// option is a kind of machine that can be rented.
-type option struct {
-	typ, zone string
-	spot      bool
+// machineKind is a kind of machine that can be rented.
+type machineKind struct {
+	machineType, zone string
+	spot              bool
 }
 
-type pause struct {
-	till time.Duration
-	n    int
+type rentalPause struct {
+	until    time.Duration
+	failures int
 }
 
-type rent struct {
-	e  EfRent
-	at time.Duration
+type rental struct {
+	request RentMachines
+	sentAt  time.Duration
 }
 
-// need is unbooked work of one job that its team's limit lets run.
-type need struct {
-	sp *Spec
-	n  int
-	j  *Job // nil: none yet
+// pendingWork is unbooked work of one job that its team's limit lets run.
+type pendingWork struct {
+	spec  *JobSpec
+	tasks int
+	job   *Job // nil: none yet
 	// How many of them each zone may take; nil: any number.
 	zones zoneAllowance
 }
 
-// pending is the work that waits, given the machines that are there or boot.
-func (c *Core) pending(machines []known) []need {
-	used := map[string]Res{}
+// pendingWork is the work that waits, given the machines that are there or boot.
+func (c *Controller) pendingWork(machines []machineState) []pendingWork {
+	used := map[string]Resources{}
 	for n := range c.cfg.Teams {
 		used[n] = c.teamUsed(n, nil)
 	}
 	claims := c.claims(nil)
-	var l []need
+	var l []pendingWork
 	came := map[string]int{}
-	for _, j := range c.st.open {
-		sp := j.H.Spec
-		if holdsMachines(sp) {
-			c.fleet.wholeSeen[sp.Class] = wholeSeen{sp, c.now}
-			if c.now-time.Duration(j.seenAt) < tuning.RateWindow {
-				came[sp.Class] += j.H.N
+	for _, j := range c.cache.openJobs {
+		sp := j.Header.Spec
+		if reservesMachines(sp) {
+			c.scaling.gangClasses[sp.Class] = gangClass{sp, c.now}
+			if c.now-time.Duration(j.readyAt) < tuning.RateWindow {
+				came[sp.Class] += j.Header.TaskCount
 			}
 		}
-		if j.counts.queued == 0 || j.errs > 3 {
+		if j.counts.queued == 0 || j.failures > 3 {
 			continue
 		}
-		lim := c.cfg.Teams[sp.Team].Max
+		lim := c.cfg.Teams[sp.Team].Limit
 		n := 0
-		for n < j.counts.queued && n < 2000 && within(used[sp.Team].Plus(sp.Need, 1), lim) && claims[sp.Team].allows(sp, used[sp.Team], lim) {
-			used[sp.Team] = used[sp.Team].Plus(sp.Need, 1)
+		for n < j.counts.queued && n < 2000 && withinLimit(used[sp.Team].Plus(sp.Request, 1), lim) && claims[sp.Team].allows(sp, used[sp.Team], lim) {
+			used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 			n++
 		}
-		if sp.Shape == Gang && n < sp.N {
+		if sp.Shape == Gang && n < sp.TaskCount {
 			continue
 		}
 		if n > 0 {
-			l = append(l, need{sp: sp, n: n, j: j, zones: c.zoneAllowance(j, n, machines)})
+			l = append(l, pendingWork{spec: sp, tasks: n, job: j, zones: c.zoneAllowance(j, n, machines)})
 		}
 	}
-	c.fleet.wholeRate = map[string]float64{}
+	c.scaling.gangTaskRate = map[string]float64{}
 	for class, n := range came {
-		c.fleet.wholeRate[class] = float64(n) / tuning.RateWindow.Seconds()
+		c.scaling.gangTaskRate[class] = float64(n) / tuning.RateWindow.Seconds()
 	}
 	return l
 }
 
-// decideRents packs what is pending on what is there or boots, and rents for
+// planScaleOut packs what is pending on what is there or boots, and rents for
 // the rest the kind with the least price per task that fits.
-func (c *Core) decideRents(ms []known, pend []need) {
-	f := &c.fleet
-	for _, h := range slices.Sorted(maps.Keys(f.renting)) {
-		r := f.renting[h]
-		if c.now-r.at > tuning.CloudTimeout+time.Second {
-			r.at = c.now
-			f.renting[h] = r
-			c.emit(r.e) // the same name: a repeat rents nothing more
+func (c *Controller) planScaleOut(ms []machineState, pend []pendingWork) {
+	f := &c.scaling
+	for _, h := range slices.Sorted(maps.Keys(f.rentals)) {
+		r := f.rentals[h]
+		if c.now-r.sentAt > tuning.CloudTimeout+time.Second {
+			r.sentAt = c.now
+			f.rentals[h] = r
+			c.emit(r.request) // the same name: a repeat rents nothing more
 		}
 	}
-	if len(f.renting) > 0 {
+	if len(f.rentals) > 0 {
 		return
 	}
 	type slot struct {
-		k    known
-		free Res
-		idle Res // held by tasks that yield
+		k    machineState
+		free Resources
+		idle Resources // held by tasks that yield
 	}
 	var slots []slot
 	leaving := c.leaving()
 	for _, k := range ms {
-		if k.mark.State != "" || leaving[k.Name] || k.Status == "failed" || !k.up && k.Status == "running" && k.busy > 0 {
+		if k.cordon.State != "" || leaving[k.Name] || k.Status == "failed" || !k.heard && k.Status == "running" && k.tasks > 0 {
 			continue
 		}
-		slots = append(slots, slot{k, k.free, c.st.occ[k.Name].idle.used})
+		slots = append(slots, slot{k, k.free, c.cache.occupancy[k.Name].preemptible.used})
 	}
 	type plan struct {
-		o    option
-		free Res
+		o    machineKind
+		free Resources
 	}
 	var plans []plan
 	pend = slices.Clone(pend)
-	for _, class := range slices.Sorted(maps.Keys(f.wholeSeen)) {
-		if n := c.spare(f.wholeSeen[class].sp); n > 0 {
-			pend = append(pend, need{sp: f.wholeSeen[class].sp, n: n})
+	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
+		if n := c.spareMachines(f.gangClasses[class].spec); n > 0 {
+			pend = append(pend, pendingWork{spec: f.gangClasses[class].spec, tasks: n})
 		}
 	}
 	// Whole machines first: small tasks find room in what is left, and those that
 	// yield in what these leave.
-	rank := func(p need) int {
+	rank := func(p pendingWork) int {
 		switch {
-		case yields(p.sp):
+		case preemptible(p.spec):
 			return 2
-		case holdsMachines(p.sp):
+		case reservesMachines(p.spec):
 			return 0
 		}
 		return 1
@@ -131,20 +131,20 @@
 	// new machine.
 	busy := 0
 	for _, s := range slots {
-		if s.k.up && !f.hold[s.k.Name] {
-			busy += s.k.busy
+		if s.k.heard && !f.reserved[s.k.Name] {
+			busy += s.k.tasks
 		}
 	}
 	credit := int(float64(busy) * tuning.TurnoverCredit)
 	for _, p := range pend {
-		left, zones := int64(p.n), maps.Clone(p.zones)
+		left, zones := int64(p.tasks), maps.Clone(p.zones)
 		for s := range slots {
 			if left == 0 {
 				break
 			}
-			if c.fits(p.sp, slots[s].k.Type, slots[s].k.Zone, slots[s].k.Spot) && (holdsMachines(p.sp) || !f.hold[slots[s].k.Name]) {
-				n := roomBeside(slots[s].free, slots[s].idle, yields(p.sp)).Times(p.sp.Need, zones.left(slots[s].k.Zone, left))
-				slots[s].free = slots[s].free.Plus(p.sp.Need, -n)
+			if c.allowsMachine(p.spec, slots[s].k.Type, slots[s].k.Zone, slots[s].k.Spot) && (reservesMachines(p.spec) || !f.reserved[slots[s].k.Name]) {
+				n := roomBeside(slots[s].free, slots[s].idle, preemptible(p.spec)).CountFitting(p.spec.Request, zones.left(slots[s].k.Zone, left))
+				slots[s].free = slots[s].free.Plus(p.spec.Request, -n)
 				zones.take(slots[s].k.Zone, n)
 				left -= n
 			}
@@ -153,32 +153,32 @@
 			if left == 0 {
 				break
 			}
-			if c.fits(p.sp, plans[s].o.typ, plans[s].o.zone, plans[s].o.spot) {
-				n := plans[s].free.Times(p.sp.Need, zones.left(plans[s].o.zone, left))
-				plans[s].free = plans[s].free.Plus(p.sp.Need, -n)
+			if c.allowsMachine(p.spec, plans[s].o.machineType, plans[s].o.zone, plans[s].o.spot) {
+				n := plans[s].free.CountFitting(p.spec.Request, zones.left(plans[s].o.zone, left))
+				plans[s].free = plans[s].free.Plus(p.spec.Request, -n)
 				zones.take(plans[s].o.zone, n)
 				left -= n
 			}
 		}
-		if !holdsMachines(p.sp) && (p.j == nil || !c.starves(p.j, c.placementOf(p.j, nil))) {
+		if !reservesMachines(p.spec) && (p.job == nil || !c.isStarving(p.job, c.placementOf(p.job, nil))) {
 			n := min(left, int64(credit))
 			credit -= int(n)
 			left -= n
 		}
 		for left > 0 && len(plans) < tuning.RentPlans {
-			o, ok := c.cheapest(p.sp, int(left), zones)
+			o, ok := c.cheapest(p.spec, int(left), zones)
 			if !ok {
 				break
 			}
-			size := c.flavor(o.typ).Size
-			n := max(size.Times(p.sp.Need, zones.left(o.zone, left)), 1)
+			size := c.machineType(o.machineType).Capacity
+			n := max(size.CountFitting(p.spec.Request, zones.left(o.zone, left)), 1)
 			zones.take(o.zone, n)
-			plans = append(plans, plan{o, size.Plus(p.sp.Need, -n)})
+			plans = append(plans, plan{o, size.Plus(p.spec.Request, -n)})
 			left -= n
 		}
 	}
-	count := map[option]int{}
-	var order []option
+	count := map[machineKind]int{}
+	var order []machineKind
 	for _, p := range plans {
 		if count[p.o] == 0 {
 			order = append(order, p.o)
@@ -188,15 +188,15 @@
 	hires := 0
 	for _, o := range order {
 		for n := count[o]; n > 0 && hires < tuning.RentsAtOnce; n -= tuning.RentMost {
-			if n < count[o] && f.pauses[o].n > 0 {
+			if n < count[o] && f.pauses[o].failures > 0 {
 				break // was short last time: one request tells
 			}
 			hires++
-			f.hireN++
-			e := EfRent{Hire: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.inc, f.hireN), Type: o.typ, Zone: o.zone, Spot: o.spot,
+			f.rentalCount++
+			e := RentMachines{RentalID: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount), Type: o.machineType, Zone: o.zone, Spot: o.spot,
 				Count: min(n, tuning.RentMost)}
-			f.renting[e.Hire] = rent{e, c.now}
-			c.log(1, "renting", "type", o.typ, "zone", o.zone, "spot", o.spot, "count", e.Count)
+			f.rentals[e.RentalID] = rental{e, c.now}
+			c.info("renting", "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", e.Count)
 			c.emit(e)
 		}
 	}
@@ -204,19 +204,19 @@
 
 // leaving are the machines that the cloud takes back soon, or that take no
 // bookings for another reason their owners see.
-func (c *Core) leaving() map[string]bool {
+func (c *Controller) leaving() map[string]bool {
 	l := map[string]bool{}
-	for name, m := range c.mach {
-		if c.owns(name) && m.recallAt >= 0 {
+	for name, m := range c.heartbeats.machines {
+		if c.owns(name) && m.preemptionAt >= 0 {
 			l[name] = true
 		}
 	}
-	for _, p := range c.peers {
-		if c.now-p.at > 4*tuning.DrawEvery {
+	for _, p := range c.peers.byName {
+		if c.now-p.heardAt > 4*tuning.DrawEvery {
 			continue
 		}
 		for _, m := range p.machines {
-			if m.Recall {
+			if m.Leaving {
 				l[m.Name] = true
 			}
 		}
@@ -226,14 +226,14 @@
 
 // cheapest is the kind with the least price per task of which n are left, in the zones
 // that may take any.
-func (c *Core) cheapest(sp *Spec, n int, zones zoneAllowance) (option, bool) {
-	best, bestP, found := option{}, math.Inf(1), false
-	for i := range c.st.flavors {
-		fl := &c.st.flavors[i]
-		if !c.typeFits(sp, fl) {
+func (c *Controller) cheapest(sp *JobSpec, n int, zones zoneAllowance) (machineKind, bool) {
+	best, bestP, found := machineKind{}, math.Inf(1), false
+	for i := range c.cache.machineTypes {
+		fl := &c.cache.machineTypes[i]
+		if !c.machineTypeFits(sp, fl) {
 			continue
 		}
-		k := float64(fl.Size.Times(sp.Need, int64(max(n, 1))))
+		k := float64(fl.Capacity.CountFitting(sp.Request, int64(max(n, 1))))
 		if k < 1 {
 			continue
 		}
@@ -242,16 +242,16 @@
 				continue
 			}
 			for _, spot := range [2]bool{true, false} {
-				o := option{fl.Name, z, spot}
-				if spot && !sp.Spot || sp.Zone != "" && z != sp.Zone || c.now < c.fleet.pauses[o].till {
+				o := machineKind{fl.Name, z, spot}
+				if spot && !sp.Spot || sp.Zone != "" && z != sp.Zone || c.now < c.scaling.pauses[o].until {
 					continue
 				}
-				if !spot && sp.Spot && yields(sp) {
+				if !spot && sp.Spot && preemptible(sp) {
 					continue // idle work takes ordinary machines only while others leave them empty
 				}
 				p := fl.Price / k
 				if spot {
-					p = fl.Spot / k
+					p = fl.SpotPrice / k
 				}
 				// Among equals, spread over zones.
 				p *= 1 + 0.001*float64(hash64(z, sp.ID)%16)
@@ -264,30 +264,30 @@
 	return best, found
 }
 
-func (c *Core) onRented(e EvRented) {
-	f := &c.fleet
-	r, ok := f.renting[e.Hire]
+func (c *Controller) onRentalAnswered(e RentalAnswered) {
+	f := &c.scaling
+	r, ok := f.rentals[e.RentalID]
 	if !ok {
 		return // an earlier leadership's; the list will show what came of it
 	}
-	if !e.OK && !e.None {
+	if !e.OK && !e.NoCapacity {
 		// Unknown or refused for now: the same name again, later.
-		r.at = c.now - tuning.CloudTimeout + 500*time.Millisecond
-		f.renting[e.Hire] = r
+		r.sentAt = c.now - tuning.CloudTimeout + 500*time.Millisecond
+		f.rentals[e.RentalID] = r
 		return
 	}
-	delete(f.renting, e.Hire)
-	o := option{r.e.Type, r.e.Zone, r.e.Spot}
+	delete(f.rentals, e.RentalID)
+	o := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
 	p := f.pauses[o]
-	if len(e.Names) < r.e.Count && c.now >= p.till {
-		d := min(tuning.NoCapacityPause<<min(p.n, 8), tuning.NoCapacityMost)
-		f.pauses[o] = pause{c.now + d, p.n + 1}
-	} else if len(e.Names) == r.e.Count {
+	if len(e.Names) < r.request.Count && c.now >= p.until {
+		d := min(tuning.NoCapacityPause<<min(p.failures, 8), tuning.NoCapacityMost)
+		f.pauses[o] = rentalPause{c.now + d, p.failures + 1}
+	} else if len(e.Names) == r.request.Count {
 		delete(f.pauses, o)
 	}
 	for _, n := range e.Names {
-		f.born[n] = Inst{Name: n, Type: o.typ, Zone: o.zone, Spot: o.spot, Status: "booting"}
-		f.bornAt[n] = c.now
+		f.unlisted[n] = Instance{Name: n, Type: o.machineType, Zone: o.zone, Spot: o.spot, Status: "booting"}
+		f.knownSince[n] = c.now
 	}
-	c.log(1, "rented", "type", o.typ, "zone", o.zone, "spot", o.spot, "asked", r.e.Count, "got", len(e.Names))
+	c.info("rented", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", r.request.Count, "got", len(e.Names))
 }
--- a/internal/core/sick.go
+++ b/internal/core/sick.go
@@ -6,66 +6,66 @@
 	"brassglade/internal/tuning"
 )
 
-// checkHeeded notices a machine whose reports arrive while answers don't reach it: a
+// checkRepliesHeeded notices a machine whose reports arrive while answers don't reach it: a
 // report newer than an answer must show the answer's token and tasks.
-func (c *Core) checkHeeded(m *Machine, r *Report) {
+func (c *Controller) checkRepliesHeeded(m *Machine, r *Heartbeat) {
 	// Reports that a cut held back come all at once; none of them can show an
 	// answer given a moment ago.
-	if !m.heardOnce || r.Shift != m.shift || m.last200 < 0 || c.now-m.last200 < tuning.HeedAfter {
+	if !m.heardOnce || r.AgentEpoch != m.agentEpoch || m.answeredAt < 0 || c.now-m.answeredAt < tuning.HeedAfter {
 		return
 	}
-	missed := r.Baton < m.sentBaton
+	missed := r.FencingToken < m.sentToken
 	there := map[TaskID]bool{}
 	for _, s := range r.Tasks {
 		there[s.Task] = true
 	}
-	for k, tally := range m.sent {
-		if !c.st.byMach[m.Name][k.T] {
-			delete(m.sent, k)
+	for k, tally := range m.startsSent {
+		if !c.cache.bookedOn[m.Name][k.Task] {
+			delete(m.startsSent, k)
 			continue
 		}
-		if !missed && tally < r.Tally && tally > 0 && !there[k.T] && c.st.byMach[m.Name][k.T] && c.st.jobs[k.T.Job].task(k.T.I).Attempt == k.A {
+		if !missed && tally < r.Sequence && tally > 0 && !there[k.Task] && c.cache.bookedOn[m.Name][k.Task] && c.cache.jobs[k.Task.Job].task(k.Task.Index).Attempt == k.Attempt {
 			missed = true
 		}
 	}
 	if !missed {
-		m.unheeded = 0
+		m.unheededReplies = 0
 		return
 	}
-	if m.unheeded == 0 {
+	if m.unheededReplies == 0 {
 		m.unheededAt = c.now
 	}
-	m.unheeded++
+	m.unheededReplies++
 }
 
-// errRun counts a job's errors on a machine, from the first on.
-type errRun struct {
-	n  int
-	at time.Duration
+// failureCount counts a job's errors on a machine, from the first on.
+type failureCount struct {
+	count   int
+	firstAt time.Duration
 }
 
-// sick tells whether tasks keep failing on m for the machine's sake. A job that was
+// isFaulty tells whether tasks keep failing on m for the machine's sake. A job that was
 // submitted with a mistake fails on every machine, so the errors of a job count at
 // once only if a task of it was done somewhere, and else when it had time to be tried
 // elsewhere and wasn't. On a day of the users with such jobs 196 of 1,160 machines
 // were returned as sick when all errors counted.
-func (c *Core) sick(m *Machine) bool {
+func (c *Controller) isFaulty(m *Machine) bool {
 	n, jobs := 0, 0
-	for id, e := range m.errs {
-		j := c.st.jobs[id]
-		if j == nil || j.cancelled() || j.counts.done == 0 && j.H.State != JobDone && (c.now-e.at < tuning.SickSettle || j.failsElsewhere(e.n)) {
+	for id, e := range m.failures {
+		j := c.cache.jobs[id]
+		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != StateDone && (c.now-e.firstAt < tuning.SickSettle || j.failsElsewhere(e.count)) {
 			continue
 		}
-		n += e.n
+		n += e.count
 		jobs++
 	}
 	return n >= tuning.SickErrors && (jobs >= 2 || n >= 2*tuning.SickErrors)
 }
 
-// failed: tasks of the job failed here, and none was ever done. It is tried elsewhere
+// failedHere: tasks of the job failed here, and none was ever done. It is tried elsewhere
 // next, which shows whose fault it is.
-func (m *Machine) failed(j *Job) bool {
-	return j.counts.done == 0 && m.errs[j.ID].n >= tuning.SickErrors
+func (m *Machine) failedHere(j *Job) bool {
+	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.SickErrors
 }
 
 // failsElsewhere: of a job of which nothing was ever done, a good part of the tries
@@ -78,7 +78,7 @@
 		if t.State == Booked {
 			tries--
 		}
-		if j.H.Spec != nil && j.H.Spec.Shape == Gang {
+		if j.Header.Spec != nil && j.Header.Spec.Shape == Gang {
 			break // an attempt is one for all
 		}
 		if tries >= max(2, here) {
@@ -88,10 +88,10 @@
 	return tries >= 2 && 2*tries >= here
 }
 
-// deaf: answers to m had no effect, twice in a row. In wide fleets also for two
+// ignoresReplies: answers to m had no effect, twice in a row. In wide fleets also for two
 // reports' time: after a cut hundreds of workers are answered late, and each
 // that gave an answer up would be returned, while one that really hears nothing
 // loses its tasks with its lease anyway.
-func (c *Core) deaf(m *Machine) bool {
-	return m.unheeded >= tuning.UnheededMost && (!c.wide() || c.now-m.unheededAt >= 2*c.cfg.Report)
+func (c *Controller) ignoresReplies(m *Machine) bool {
+	return m.unheededReplies >= tuning.UnheededMost && (!c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval)
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -24,20 +24,20 @@
 	return []PlanningPass{PassQueue, PassCached, PassAny, PassLargeArray}
 }
 
-// OrderReason says why a command was given.
-type OrderReason string
+// CommandReason says why a command was given.
+type CommandReason string
 
 // The reasons for commands. A start has only one: its booking is committed and names
 // the worker's session.
 const (
-	ReasonBooked     OrderReason = "booked"
-	ReasonSettled    OrderReason = "settled"     // clear: the outcome is committed
-	ReasonNotBooked  OrderReason = "not_booked"  // the task is no longer wanted on that machine
-	ReasonGangBroken OrderReason = "gang_broken" // not all tasks of the attempt are booked any more
-	ReasonGangHalt   OrderReason = "gang_halt"   // the whole gang saves together
-	ReasonPreempted  OrderReason = "preempted"   // for work of higher priority, or idle work for any other
-	ReasonRecalled   OrderReason = "recalled"    // the cloud takes the machine
-	ReasonDraining   OrderReason = "draining"    // the machine takes no more work
+	ReasonBooked           CommandReason = "booked"
+	ReasonSettled          CommandReason = "settled"     // clear: the outcome is committed
+	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer wanted on that machine
+	ReasonGangBroken       CommandReason = "gang_broken" // not all tasks of the attempt are booked any more
+	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves together
+	ReasonPreempted        CommandReason = "preempted"   // for work of higher priority, or idle work for any other
+	ReasonPreemptionNotice CommandReason = "recalled"    // the cloud takes the machine
+	ReasonDraining         CommandReason = "draining"    // the machine takes no more work
 )
 
 // Status is what a controller knows of itself at one moment.
@@ -54,13 +54,13 @@
 }
 
 // Status returns the controller's status as of the last step.
-func (c *Core) Status() Status {
-	s := Status{Acts: c.fenceOK(), Revision: c.st.ledger, Confirmed: -1, Machines: len(c.mach), OpenJobs: len(c.st.open), Work: c.Work}
-	if c.st.view != nil {
-		s.Epoch, s.Leader, s.Leads = c.st.view.Epoch, c.st.view.Leader, c.isLeader()
+func (c *Controller) Status() Status {
+	s := Status{Acts: c.mayAct(), Revision: c.cache.revision, Confirmed: -1, Machines: len(c.heartbeats.machines), OpenJobs: len(c.cache.openJobs), Work: c.Work}
+	if c.cache.view != nil {
+		s.Epoch, s.Leader, s.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
-	if c.fenceAt >= 0 {
-		s.Confirmed = c.now - c.fenceAt
+	if c.membership.fenceConfirmedAt >= 0 {
+		s.Confirmed = c.now - c.membership.fenceConfirmedAt
 	}
 	return s
 }
--- a/internal/core/urgency.go
+++ b/internal/core/urgency.go
@@ -7,36 +7,36 @@
 	"brassglade/internal/tuning"
 )
 
-// byUrgency orders the open jobs that parts place: what a team is owed first,
+// jobsByUrgency orders the open jobs that parts place: what a team is owed first,
 // then priority, then such that as many jobs as can be meet their aims.
-func (c *Core) byUrgency() []*Job {
+func (c *Controller) jobsByUrgency() []*Job {
 	var l []*urgent
-	before := map[string]Res{}
-	for _, j := range c.st.open {
-		sp := j.H.Spec
-		lim := c.cfg.Teams[sp.Team].Guar
-		all := before[sp.Team].Plus(sp.Need, int64(j.H.N-j.counts.done))
-		age := (c.now - time.Duration(j.seenAt)).Seconds()
-		owed := lim != (Res{}) && within(all, lim) && age <= c.cfg.GuarWait
+	before := map[string]Resources{}
+	for _, j := range c.cache.openJobs {
+		sp := j.Header.Spec
+		lim := c.cfg.Teams[sp.Team].Guarantee
+		all := before[sp.Team].Plus(sp.Request, int64(j.Header.TaskCount-j.counts.done))
+		age := (c.now - time.Duration(j.readyAt)).Seconds()
+		owed := lim != (Resources{}) && withinLimit(all, lim) && age <= c.cfg.GuaranteeWithin
 		before[sp.Team] = all
-		if j.counts.queued == 0 || whole(sp) || int64(c.now) < j.hold {
+		if j.counts.queued == 0 || placedByLeader(sp) || int64(c.now) < j.pausedUntil {
 			continue
 		}
 		// The rule below lets the jobs with the most work give way; none of them
 		// may do so for ever.
-		if c.starves(j, c.placementOf(j, nil)) {
+		if c.isStarving(j, c.placementOf(j, nil)) {
 			owed = true
 		}
-		x := &urgent{j: j, owed: owed, run: c.runTime(sp) + tuning.StartLag}
+		x := &urgent{job: j, withinGuarantee: owed, run: c.runTime(sp) + tuning.StartLag}
 		x.work = float64(j.counts.queued) * c.runTime(sp) / c.slots(sp)
-		if j.dueLen > 0 {
+		if j.deadlineSeconds > 0 {
 			// Its own deadline, or what is left of that of a job which needs it.
-			left := time.Duration(j.dueAt - int64(c.now)).Seconds()
-			for _, k := range c.cfg.Dues {
-				x.goals = append(x.goals, left+(k-1)*j.dueLen)
+			left := time.Duration(j.deadlineAt - int64(c.now)).Seconds()
+			for _, k := range c.cfg.DeadlineMultiples {
+				x.goals = append(x.goals, left+(k-1)*j.deadlineSeconds)
 			}
 		}
-		for _, g := range c.cfg.Goals[sp.Class] {
+		for _, g := range c.cfg.FinishWithin[sp.Class] {
 			x.goals = append(x.goals, g-age)
 		}
 		l = append(l, x)
@@ -44,11 +44,11 @@
 	assignTiers(l)
 	sort.SliceStable(l, func(a, b int) bool {
 		x, y := l[a], l[b]
-		if x.owed != y.owed {
-			return x.owed
+		if x.withinGuarantee != y.withinGuarantee {
+			return x.withinGuarantee
 		}
-		if x.j.prio != y.j.prio {
-			return x.j.prio > y.j.prio
+		if x.job.priority != y.job.priority {
+			return x.job.priority > y.job.priority
 		}
 		if x.tier != y.tier {
 			return x.tier < y.tier
@@ -57,32 +57,32 @@
 	})
 	js := make([]*Job, 0, len(l))
 	for _, x := range l {
-		x.j.late = len(x.goals) > 0 && x.tier >= len(x.goals)
-		if x.j.queued < min(x.j.counts.queued, tuning.QueuedPerJob) {
-			js = append(js, x.j)
+		x.job.beyondAims = len(x.goals) > 0 && x.tier >= len(x.goals)
+		if x.job.queuedHere < min(x.job.counts.queued, tuning.QueuedPerJob) {
+			js = append(js, x.job)
 		}
 	}
 	return js
 }
 
-// doubtful: all tries so far failed, several times over. Such a job is tried one task
+// isDoubtful: all tries so far failed, several times over. Such a job is tried one task
 // at a time, or a mistaken one would take machines and changes from all others.
-func (j *Job) doubtful() bool { return j.counts.done == 0 && j.errs >= tuning.DoubtAfter }
+func (j *Job) isDoubtful() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
 
-// starves: it could have begun long ago, and has nothing to show for it. A job
+// isStarving: it could have begun long ago, and has nothing to show for it. A job
 // whose bookings came to nothing is no better off than one that never had any.
-func (c *Core) starves(j *Job, at placement) bool {
-	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.seenAt) > tuning.StarveAfter
+func (c *Controller) isStarving(j *Job, at placement) bool {
+	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
 }
 
 // urgent is a job in the order of a pool.
 type urgent struct {
-	j     *Job
-	owed  bool
-	run   float64   // s a task
-	work  float64   // s of the whole fleet
-	goals []float64 // s left until each aim
-	tier  int       // the aim it is put down for; len(goals): none
+	job             *Job
+	withinGuarantee bool
+	run             float64   // s a task
+	work            float64   // s of the whole fleet
+	goals           []float64 // s left until each aim
+	tier            int       // the aim it is put down for; len(goals): none
 }
 
 // left is the time until the aim the job is put down for; beyond all aims the
@@ -137,12 +137,12 @@
 }
 
 // slots is how many tasks like this the machines heard of can run at once.
-func (c *Core) slots(sp *Spec) float64 {
+func (c *Controller) slots(sp *JobSpec) float64 {
 	c.inventory()
 	n := int64(0)
-	for k, count := range c.kinds {
-		if f := c.flavor(k.typ); f != nil && c.fits(sp, k.typ, k.zone, k.spot) {
-			n += count * f.Size.Times(sp.Need, 64)
+	for k, count := range c.peers.machinesByKind {
+		if f := c.machineType(k.machineType); f != nil && c.allowsMachine(sp, k.machineType, k.zone, k.spot) {
+			n += count * f.Capacity.CountFitting(sp.Request, 64)
 		}
 	}
 	return float64(max(n, 1))
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -11,22 +11,48 @@
 	"brassglade/internal/tuning"
 )
 
-type bounceMark struct{ shift, tally uint64 }
+// views is what this controller weighs when it proposes views, and what it derives from
+// the present one.
+type views struct {
+	proposing       bool
+	nextProposalAt  time.Duration
+	nextReviewAt    time.Duration
+	adoptedAt       time.Duration            // when the view was taken from the watch
+	redirects       map[string][]redirect    // workers sent on to their owners, by machine
+	lastRedirect    map[string]redirectMark  // newest heartbeat that was sent on, by machine
+	notServingSince map[string]time.Duration // by controller
+	peersHeardSince time.Duration            // since when all serving peers are heard; < 0: they aren't
+	zoneSilentAt    map[string]time.Duration // when most of a zone's machines were last silent
+	ownersView      *View                    // that ownerByMachine was made for
+	ownerByMachine  map[string]string
+	overrideChanges map[string]overrideChange // by machine
+	overrideSeenAt  map[string]time.Duration  // when an override was first seen, by machine
+}
+
+func newViews() views {
+	return views{
+		peersHeardSince: -1, redirects: map[string][]redirect{}, lastRedirect: map[string]redirectMark{},
+		notServingSince: map[string]time.Duration{}, zoneSilentAt: map[string]time.Duration{},
+		overrideChanges: map[string]overrideChange{}, overrideSeenAt: map[string]time.Duration{},
+	}
+}
+
+type redirectMark struct{ agentEpoch, sequence uint64 }
 
-// move counts a machine's changes of override.
-type move struct {
-	n  int
-	at time.Duration
+// overrideChange counts a machine's changes of override.
+type overrideChange struct {
+	count  int
+	lastAt time.Duration
 }
 
-type bounce struct {
+type redirect struct {
 	at     time.Duration
 	owner  string
 	weight int
 	zone   string // the machine's
 }
 
-func enc(v any) []byte {
+func mustEncode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // own records always encode
@@ -64,11 +90,11 @@
 // zones are apart it is the hash over the nodes of the machine's own zone, if any
 // serve there. A machine never changes its zone, so whoever knows the zone finds
 // the same owner; whoever doesn't finds none.
-func (c *Core) owner(v *View, machine, zone string) string {
+func (c *Controller) owner(v *View, machine, zone string) string {
 	if v == nil {
 		return ""
 	}
-	if o := v.Over[machine]; o != "" && slices.Contains(v.Serving, o) {
+	if o := v.OwnerOverrides[machine]; o != "" && slices.Contains(v.Serving, o) {
 		return o
 	}
 	if !v.Zoned {
@@ -90,86 +116,86 @@
 }
 
 // zoneOf a machine, as its reports or its bookings name it; "" if neither does.
-func (c *Core) zoneOf(machine string) string {
-	if m := c.mach[machine]; m != nil && m.Zone != "" {
+func (c *Controller) zoneOf(machine string) string {
+	if m := c.heartbeats.machines[machine]; m != nil && m.Zone != "" {
 		return m.Zone
 	}
-	return c.st.occ[machine].zone
+	return c.cache.occupancy[machine].zone
 }
 
 // ownerOf a machine under the current view.
-func (c *Core) ownerOf(machine string) string { return c.ownerIn(machine, "") }
+func (c *Controller) ownerOf(machine string) string { return c.ownerIn(machine, "") }
 
 // ownerIn is the same where the zone is at hand.
-func (c *Core) ownerIn(machine, zone string) string {
-	v := c.st.view
+func (c *Controller) ownerIn(machine, zone string) string {
+	v := c.cache.view
 	if v == nil {
 		return ""
 	}
-	if c.ownersOf != v {
-		c.ownersOf, c.owners = v, map[string]string{}
+	if c.views.ownersView != v {
+		c.views.ownersView, c.views.ownerByMachine = v, map[string]string{}
 	}
-	o, ok := c.owners[machine]
+	o, ok := c.views.ownerByMachine[machine]
 	if !ok {
 		if v.Zoned && zone == "" {
 			zone = c.zoneOf(machine)
 		}
 		if o = c.owner(v, machine, zone); o != "" {
-			c.owners[machine] = o
+			c.views.ownerByMachine[machine] = o
 		}
 	}
 	return o
 }
 
-func (c *Core) isLeader() bool {
-	return c.st.view != nil && c.st.view.Leader == c.cfg.Node && c.st.view.Members[c.cfg.Node] == c.inc
+func (c *Controller) isLeader() bool {
+	return c.cache.view != nil && c.cache.view.Leader == c.cfg.Node && c.cache.view.Members[c.cfg.Node] == c.membership.incarnation
 }
 
-func (c *Core) owns(machine string) bool {
-	v := c.st.view
-	return v != nil && v.Members[c.cfg.Node] == c.inc && c.ownerOf(machine) == c.cfg.Node
+func (c *Controller) owns(machine string) bool {
+	v := c.cache.view
+	return v != nil && v.Members[c.cfg.Node] == c.membership.incarnation && c.ownerOf(machine) == c.cfg.Node
 }
 
-// partOf tells whose queue a queued task belongs to. A part that doesn't
+// taskShard tells whose queue a queued task belongs to. A part that doesn't
 // serve falls to a hash over the view without any write.
-func (c *Core) partOf(j *Job, t Task) string {
-	p := t.Part
+func (c *Controller) taskShard(j *Job, t Task) string {
+	p := t.Shard
 	if p == "" {
-		p = j.H.Part
+		p = j.Header.Shard
 	}
-	v := c.st.view
+	v := c.cache.view
 	if v == nil || slices.Contains(v.Serving, p) {
 		return p
 	}
 	return rendezvous(j.ID, v.Serving)
 }
 
-// homeOf is the part of a job, where its tasks wait unless they were passed on.
-func (c *Core) homeOf(j *Job) string { return c.partOf(j, Task{}) }
+// shardOf is the part of a job, where its tasks wait unless they were passed on.
+func (c *Controller) shardOf(j *Job) string { return c.taskShard(j, Task{}) }
 
 // adoptView takes a newer view from the watch and settles from when on this
 // node owns each machine.
-func (c *Core) adoptView(v *View) {
-	old := c.st.view
-	c.st.view, c.viewSeen = v, c.now
+func (c *Controller) adoptView(v *View) {
+	old := c.cache.view
+	c.cache.view, c.views.adoptedAt = v, c.now
 	// The confirmations so far were about the old view; the watch that brought
 	// this one shows that it held at some time after the watch was sent.
-	c.fenceAt = c.watchSent
+	c.membership.fenceConfirmedAt = c.membership.watchSentAt
 	// Continuous: this incarnation saw the view just before this one.
-	cont := old != nil && old.Epoch+1 == v.Epoch && old.Members[c.cfg.Node] == c.inc
+	cont := old != nil && old.Epoch+1 == v.Epoch && old.Members[c.cfg.Node] == c.membership.incarnation
 	names := map[string]bool{}
-	for n := range c.mach {
+	for n := range c.heartbeats.machines {
 		names[n] = true
 	}
-	for n := range c.st.byMach {
+	for n := range c.cache.bookedOn {
 		names[n] = true
 	}
 	for n := range names {
 		if !c.owns(n) {
-			c.unplaceMachine(n)
+			c.dequeueAll(n)
 			// Known by its bookings alone: should its zone show again later in a
 			// zoned view, ownership must begin then, not when it once began.
-			if m := c.mach[n]; m != nil && m.Zone == "" {
+			if m := c.heartbeats.machines[n]; m != nil && m.Zone == "" {
 				c.dropMachine(n)
 			}
 			continue
@@ -177,73 +203,73 @@
 		if cont && c.owner(old, n, c.zoneOf(n)) == c.cfg.Node {
 			continue
 		}
-		c.takeOver(n)
+		c.takeOwnership(n)
 	}
-	c.placed = map[TaskID]string{}
-	for _, m := range c.mach {
+	c.queues.machineOf = map[TaskID]string{}
+	for _, m := range c.heartbeats.machines {
 		m.queue = nil
 	}
-	for _, j := range c.st.jobs {
-		j.queued = 0
+	for _, j := range c.cache.jobs {
+		j.queuedHere = 0
 	}
-	for m := range c.overAt {
-		if _, ok := v.Over[m]; !ok {
-			delete(c.overAt, m)
+	for m := range c.views.overrideSeenAt {
+		if _, ok := v.OwnerOverrides[m]; !ok {
+			delete(c.views.overrideSeenAt, m)
 		}
 	}
-	for m, o := range v.Over {
-		if old == nil || old.Over[m] != o {
-			c.overAt[m] = c.now
+	for m, o := range v.OwnerOverrides {
+		if old == nil || old.OwnerOverrides[m] != o {
+			c.views.overrideSeenAt[m] = c.now
 		}
-		if old != nil && old.Over[m] != o {
-			mv := c.moves[m]
-			if c.now-mv.at > tuning.MoveMemory {
-				mv.n = 0
+		if old != nil && old.OwnerOverrides[m] != o {
+			mv := c.views.overrideChanges[m]
+			if c.now-mv.lastAt > tuning.MoveMemory {
+				mv.count = 0
 			}
-			c.moves[m] = move{mv.n + 1, c.now}
+			c.views.overrideChanges[m] = overrideChange{mv.count + 1, c.now}
 		}
 	}
-	c.doomed = map[doom]bool{} // their transactions named the old view
-	c.tied = tie{}
-	for team, by := range c.st.sums {
+	c.planner.pendingReleases = map[attemptID]bool{} // their transactions named the old view
+	c.commits.inDoubt = inDoubtCommit{}
+	for team, by := range c.cache.usage {
 		for n, use := range by {
-			if have := c.st.teams[team].Res[n]; !have.Holds(limited(use, c.cfg.Teams[team].Max)) {
-				c.log(1, "bookings exceed a node's share", "team", team, "node", n, "share", have, "bookings", use)
+			if have := c.cache.shares[team].ByNode[n]; !have.Fits(limited(use, c.cfg.Teams[team].Limit)) {
+				c.info("bookings exceed a node's share", "team", team, "node", n, "share", have, "bookings", use)
 			}
 		}
 	}
 	if old == nil || old.Leader != v.Leader {
-		c.fleet.reset(c.now)
+		c.scaling.reset(c.now)
 	}
-	args := []any{"epoch", v.Epoch, "leader", v.Leader, "serving", v.Serving, "overrides", len(v.Over)}
+	args := []any{"epoch", v.Epoch, "leader", v.Leader, "serving", v.Serving, "overrides", len(v.OwnerOverrides)}
 	if v.Zoned {
 		args = append(args, "zoned", true)
 	}
-	c.log(1, "view", args...)
+	c.info("view", args...)
 }
 
-// takeOver starts this node's ownership of a machine.
-func (c *Core) takeOver(name string) {
-	m := c.mach[name]
+// takeOwnership starts this node's ownership of a machine.
+func (c *Controller) takeOwnership(name string) {
+	m := c.heartbeats.machines[name]
 	if m == nil {
 		m = c.addMachine(name)
 	}
-	m.ownEpoch, m.ownSince, m.last200 = c.st.view.Epoch, c.now, -1
-	m.heard = c.now + tuning.TakeoverSilence
-	m.unheeded, m.sentBaton, m.spoke = 0, 0, -1
-	m.deadShift = 0 // another owner may have known better meanwhile
-	clear(m.sent)
+	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
+	m.heardAt = c.now + tuning.TakeoverSilence
+	m.unheededReplies, m.sentToken, m.heartbeatAt = 0, 0, -1
+	m.abandonedEpoch = 0 // another owner may have known better meanwhile
+	clear(m.startsSent)
 }
 
-// driveView proposes a new view where the member keys, or workers that can't
+// proposeView proposes a new view where the member keys, or workers that can't
 // reach their owners, ask for one. Only the conditional write decides.
-func (c *Core) driveView() {
-	if c.proposing || !c.synced || c.grant != grantMember || c.st.members[c.cfg.Node] != c.inc || c.now < c.proposeAt ||
-		c.now < c.viewAt {
+func (c *Controller) proposeView() {
+	if c.views.proposing || !c.membership.synced || c.membership.lease != memberKeyWritten || c.cache.members[c.cfg.Node] != c.membership.incarnation || c.now < c.views.nextProposalAt ||
+		c.now < c.views.nextReviewAt {
 		return
 	}
-	c.viewAt = c.now + min(tuning.Tick, c.pace())
-	v := c.st.view
+	c.views.nextReviewAt = c.now + min(tuning.Tick, c.pace())
+	v := c.cache.view
 	next := c.desiredView()
 	if next == nil {
 		return
@@ -253,20 +279,20 @@
 		epoch = v.Epoch
 	}
 	next.Epoch = epoch + 1
-	c.proposing = true
-	c.log(1, "proposing a view", "epoch", next.Epoch, "leader", next.Leader, "serving", next.Serving)
-	c.commit(LaneView, Txn{
-		When:  []Cond{{keyView, c.st.stamps[keyView]}},
-		Apply: []Put{{Key: keyView, Value: enc(next)}},
-	}, func(CommitResult, EvCommit) {
-		c.proposing = false
-		c.proposeAt = c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause)))
+	c.views.proposing = true
+	c.info("proposing a view", "epoch", next.Epoch, "leader", next.Leader, "serving", next.Serving)
+	c.commit(LaneView, Transaction{
+		Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}},
+		Puts:       []Put{{Key: keyView, Value: mustEncode(next)}},
+	}, func(CommitResult, CommitAnswered) {
+		c.views.proposing = false
+		c.views.nextProposalAt = c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause)))
 	})
 }
 
-func (c *Core) desiredView() *View {
-	v := c.st.view
-	next := &View{Members: maps.Clone(c.st.members), Over: map[string]string{}}
+func (c *Controller) desiredView() *View {
+	v := c.cache.view
+	next := &View{Members: maps.Clone(c.cache.members), OwnerOverrides: map[string]string{}}
 	changed := v == nil || !maps.Equal(v.Members, next.Members)
 	names := slices.Sorted(maps.Keys(next.Members))
 	if v == nil {
@@ -278,25 +304,25 @@
 		was := v.Members[n] == next.Members[n]
 		out := was && !slices.Contains(v.Serving, n)
 		if out {
-			since, ok := c.offSince[n]
+			since, ok := c.views.notServingSince[n]
 			if !ok {
-				c.offSince[n], since = c.now, c.now
+				c.views.notServingSince[n], since = c.now, c.now
 			}
 			if c.now-since < tuning.ReserveAfter {
 				continue
 			}
 			changed = true
 		}
-		delete(c.offSince, n)
+		delete(c.views.notServingSince, n)
 		next.Serving = append(next.Serving, n)
 	}
-	bad, over, apart := c.unreachable()
+	bad, over, apart := c.unreachableOwners()
 	for n := range bad {
 		if len(next.Serving) > 1 && slices.Contains(next.Serving, n) {
 			next.Serving = slices.DeleteFunc(next.Serving, func(s string) bool { return s == n })
 			changed = true
-			for m := range c.bounces {
-				delete(c.bounces, m)
+			for m := range c.views.redirects {
+				delete(c.views.redirects, m)
 			}
 		}
 	}
@@ -305,7 +331,7 @@
 	}
 	// Overrides have room for some of the machines that zones apart from each
 	// other part from their owners, and each would be a change of the view.
-	next.Zoned = v.Zoned && !c.together()
+	next.Zoned = v.Zoned && !c.zonesReconnected()
 	if len(apart) >= tuning.ApartMachines {
 		next.Zoned = true
 	}
@@ -323,34 +349,34 @@
 	// again: overrides have room up to a bound, and machines beyond it wait. Those
 	// of a view written under larger limits are dropped beyond it: any node may own
 	// a machine after a change of epoch.
-	most := max(8, (c.cfg.ValueB-tuning.ViewBytes)/tuning.OverBytes)
-	if len(v.Over) > most && (c.formatOn() || c.limitsFell) {
+	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverBytes)
+	if len(v.OwnerOverrides) > most && (c.formatOn() || c.formats.limitsFell) {
 		changed, overOnly = true, false
 	}
-	for _, m := range slices.Sorted(maps.Keys(v.Over)) {
-		o := v.Over[m]
-		if next.Zoned || len(next.Over) >= most {
+	for _, m := range slices.Sorted(maps.Keys(v.OwnerOverrides)) {
+		o := v.OwnerOverrides[m]
+		if next.Zoned || len(next.OwnerOverrides) >= most {
 			break
 		}
-		if c.wide() && c.now-c.overAt[m] > tuning.OverKeep {
+		if c.isLargeFleet() && c.now-c.views.overrideSeenAt[m] > tuning.OverKeep {
 			continue // its worker comes back if the reason is still there
 		}
-		if _, ok := next.Members[o]; ok && c.st.marks[m].State != MarkGone && rendezvous(m, next.Serving) != o {
-			next.Over[m] = o
+		if _, ok := next.Members[o]; ok && c.cache.cordons[m].State != CordonGone && rendezvous(m, next.Serving) != o {
+			next.OwnerOverrides[m] = o
 		}
 	}
 	for _, m := range slices.Sorted(maps.Keys(over)) {
-		if _, was := next.Over[m]; !was && len(next.Over) >= most {
+		if _, was := next.OwnerOverrides[m]; !was && len(next.OwnerOverrides) >= most {
 			continue
 		}
-		if next.Over[m] != c.cfg.Node {
-			next.Over[m] = c.cfg.Node
+		if next.OwnerOverrides[m] != c.cfg.Node {
+			next.OwnerOverrides[m] = c.cfg.Node
 			changed = true
-			delete(c.bounces, m)
+			delete(c.views.redirects, m)
 		}
 	}
 	if next.Zoned && !v.Zoned {
-		clear(c.bounces)
+		clear(c.views.redirects)
 	}
 	next.Leader = v.Leader
 	if v.Members[v.Leader] != next.Members[v.Leader] || next.Members[v.Leader] == "" || !slices.Contains(next.Serving, v.Leader) {
@@ -362,67 +388,67 @@
 			}
 		}
 	}
-	if !changed || overOnly && c.wide() && c.now-c.viewSeen < tuning.OverPause {
+	if !changed || overOnly && c.isLargeFleet() && c.now-c.views.adoptedAt < tuning.OverPause {
 		return nil
 	}
 	return next
 }
 
-// together tells whether the zones are no longer apart: all serving nodes have
+// zonesReconnected tells whether the zones are no longer apart: all serving nodes have
 // been heard for a while. Only the leader's word counts, so that a node cut off
 // from its peers alone doesn't decide.
-func (c *Core) together() bool {
+func (c *Controller) zonesReconnected() bool {
 	if !c.peersFresh() {
-		c.metAt = -1
+		c.views.peersHeardSince = -1
 		return false
 	}
-	if c.metAt < 0 {
-		c.metAt = c.now
+	if c.views.peersHeardSince < 0 {
+		c.views.peersHeardSince = c.now
 	}
-	return c.isLeader() && c.now-c.metAt > tuning.ZonedKeep && c.now-c.viewSeen > tuning.ZonedKeep
+	return c.isLeader() && c.now-c.views.peersHeardSince > tuning.ZonedKeep && c.now-c.views.adoptedAt > tuning.ZonedKeep
 }
 
-// noteBounce remembers that a worker was sent on to its owner.
+// recordRedirect remembers that a worker was sent on to its owner.
 // One that had an answer in this epoch has lost its owner for certain; another
 // may only just be looking for it.
-func (c *Core) noteBounce(machine, zone, owner string, shift, tally, baton uint64) {
+func (c *Controller) recordRedirect(machine, zone, owner string, shift, tally, baton uint64) {
 	// A late copy of a report says nothing about the machine now, and a machine
 	// that answers don't reach comes round to all nodes: neither may move it
 	// again and again.
-	last := c.bounced[machine]
-	if shift < last.shift || shift == last.shift && tally <= last.tally {
+	last := c.views.lastRedirect[machine]
+	if shift < last.agentEpoch || shift == last.agentEpoch && tally <= last.sequence {
 		return
 	}
-	c.bounced[machine] = bounceMark{shift, tally}
-	if mv := c.moves[machine]; mv.n >= tuning.MovesMost && c.now-mv.at < tuning.MoveMemory {
+	c.views.lastRedirect[machine] = redirectMark{shift, tally}
+	if mv := c.views.overrideChanges[machine]; mv.count >= tuning.MovesMost && c.now-mv.lastAt < tuning.MoveMemory {
 		return
 	}
-	owner += "/" + c.st.view.Members[owner] // a new incarnation starts afresh
+	owner += "/" + c.cache.view.Members[owner] // a new incarnation starts afresh
 	weight := 1
-	if baton == c.st.view.Epoch {
+	if baton == c.cache.view.Epoch {
 		weight = tuning.BounceCount
 	}
-	keep := c.bounces[machine][:0]
-	for _, b := range c.bounces[machine] {
+	keep := c.views.redirects[machine][:0]
+	for _, b := range c.views.redirects[machine] {
 		if c.now-b.at < tuning.BounceWindow && b.owner == owner {
 			keep = append(keep, b)
 		}
 	}
-	c.bounces[machine] = append(keep, bounce{c.now, owner, weight, zone})
+	c.views.redirects[machine] = append(keep, redirect{c.now, owner, weight, zone})
 }
 
-// unreachable returns the owners that several workers can't reach, single
+// unreachableOwners returns the owners that several workers can't reach, single
 // machines that this node should rather own, and machines of this zone that
 // reach none of another's owners.
-func (c *Core) unreachable() (nodes, machines map[string]bool, apart []string) {
+func (c *Controller) unreachableOwners() (nodes, machines map[string]bool, apart []string) {
 	count := map[string][]string{}
-	wide := c.wide()
+	wide := c.isLargeFleet()
 	zones := map[string]string{}
-	for m, bs := range c.bounces {
+	for m, bs := range c.views.redirects {
 		n := 0
 		first, last := c.now, time.Duration(0)
 		owner := c.ownerIn(m, bs[len(bs)-1].zone)
-		inc := owner + "/" + c.st.view.Members[owner]
+		inc := owner + "/" + c.cache.view.Members[owner]
 		for _, b := range bs {
 			if c.now-b.at < tuning.BounceWindow && b.owner == inc {
 				n += b.weight
@@ -440,7 +466,7 @@
 			count[owner] = append(count[owner], m)
 		}
 		if n == 0 {
-			delete(c.bounces, m)
+			delete(c.views.redirects, m)
 		}
 	}
 	nodes, machines = map[string]bool{}, map[string]bool{}
@@ -451,7 +477,7 @@
 		}
 		sort.Strings(count[o])
 		owned := 0
-		if p := c.peers[o]; p != nil {
+		if p := c.peers.byName[o]; p != nil {
 			owned = len(p.machines)
 		}
 		// Workers of its own zone may well reach it, if all these are of another.
@@ -463,7 +489,7 @@
 			nodes[o] = true
 			continue
 		}
-		if p := c.peers[o]; across && (p == nil || c.now-p.at > tuning.PeerFresh) {
+		if p := c.peers.byName[o]; across && (p == nil || c.now-p.heardAt > tuning.PeerFresh) {
 			apart = append(apart, count[o]...)
 			continue
 		}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -6,15 +6,15 @@
 )
 
 // zoneBound tells whether a task's place depends on where the job's other tasks are.
-func zoneBound(sp *Spec) bool { return sp.N > 1 && (sp.OneZone || sp.Spread) }
+func zoneBound(sp *JobSpec) bool { return sp.TaskCount > 1 && (sp.OneZone || sp.Spread) }
 
 // spreadOverZones tells whether each zone takes only a part of the job's tasks.
-func spreadOverZones(sp *Spec) bool { return zoneBound(sp) && sp.Spread }
+func spreadOverZones(sp *JobSpec) bool { return zoneBound(sp) && sp.Spread }
 
 // bindingZones counts a job's booked tasks by zone as the draft would leave them. The map
 // is empty, never nil, for a job whose tasks don't depend on each other's zones.
-func (c *Core) bindingZones(j *Job, d *draft) map[string]int {
-	if !zoneBound(j.H.Spec) {
+func (c *Controller) bindingZones(j *Job, d *draft) map[string]int {
+	if !zoneBound(j.Header.Spec) {
 		return map[string]int{}
 	}
 	return c.bookedZones(j, d)
@@ -44,8 +44,8 @@
 // or boot. Arrays are left out, since their tasks end one by one and make room for those
 // left: counted strictly, too, five days of zone-bound arrays scored 0.68 in place of 0.71
 // (docs/incidents/production-wrong-place.md).
-func (c *Core) zoneAllowance(j *Job, n int, machines []known) zoneAllowance {
-	sp := j.H.Spec
+func (c *Controller) zoneAllowance(j *Job, n int, machines []machineState) zoneAllowance {
+	sp := j.Header.Spec
 	if !zoneBound(sp) || sp.Shape == Array {
 		return nil
 	}
@@ -65,15 +65,15 @@
 // chooseZone is the zone to gather room in for n tasks that must be together: one that has
 // it already, else of those where machines can be rented now, or of all if there are none,
 // the one with most room, and of these the cheapest.
-func (c *Core) chooseZone(sp *Spec, n int64, machines []known, choices []string) (string, bool) {
+func (c *Controller) chooseZone(sp *JobSpec, n int64, machines []machineState, choices []string) (string, bool) {
 	if len(choices) == 0 {
 		return "", false
 	}
 	room, open := map[string]int64{}, zoneAllowance{}
 	for i := range machines {
 		k := &machines[i]
-		if k.mark.State == "" && c.fits(sp, k.Type, k.Zone, k.Spot) {
-			room[k.Zone] += k.free.Times(sp.Need, n)
+		if k.cordon.State == "" && c.allowsMachine(sp, k.Type, k.Zone, k.Spot) {
+			room[k.Zone] += k.free.CountFitting(sp.Request, n)
 		}
 	}
 	for _, zone := range choices {
@@ -92,7 +92,7 @@
 }
 
 // rentable tells whether a machine for the job's tasks may be asked for in the zone now.
-func (c *Core) rentable(sp *Spec, n int64, zone string) bool {
+func (c *Controller) rentable(sp *JobSpec, n int64, zone string) bool {
 	_, ok := c.cheapest(sp, int(n), zoneAllowance{zone: n})
 	return ok
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -55,7 +55,7 @@
 
 // Event counts an event that the core is about to take.
 func (m *Controller) Event(event core.Event) {
-	commit, is := event.(core.EvCommit)
+	commit, is := event.(core.CommitAnswered)
 	if !is {
 		return
 	}
@@ -70,14 +70,14 @@
 // Effect counts an effect of the core.
 func (m *Controller) Effect(effect core.Effect) {
 	switch e := effect.(type) {
-	case core.EfCommit:
+	case core.Commit:
 		m.lanes[e.ID] = e.Lane
-	case core.EfCheckin:
+	case core.HeartbeatReply:
 		m.checkins.WithLabelValues(strconv.Itoa(e.Status)).Inc()
-		m.countOrders(e.Orders)
-	case core.EfDirect:
-		m.countOrders(e.Orders)
-	case core.EfUser:
+		m.countOrders(e.Commands)
+	case core.SendCommands:
+		m.countOrders(e.Commands)
+	case core.UserReply:
 		m.answers.WithLabelValues(strconv.Itoa(e.Status), e.State).Inc()
 	}
 }
@@ -85,9 +85,9 @@
 // Status takes the core's status after a step.
 func (m *Controller) Status(status core.Status) { m.status.latest.Store(&status) }
 
-func (m *Controller) countOrders(orders []core.Order) {
+func (m *Controller) countOrders(orders []core.Command) {
 	for _, o := range orders {
-		m.orders.WithLabelValues(string(o.Verb), string(o.Reason)).Inc()
+		m.orders.WithLabelValues(string(o.Kind), string(o.Reason)).Inc()
 	}
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -22,17 +22,17 @@
 	if s := scrape(m); strings.Contains(s, "brassglade_epoch") {
 		t.Errorf("a status before the first step: %s", s)
 	}
-	run := core.Order{Verb: core.Run, Reason: core.ReasonBooked}
-	halt := core.Order{Verb: core.Halt, Reason: core.ReasonRecalled}
-	m.Effect(core.EfCheckin{Status: 200, Orders: []core.Order{run, run, halt}})
-	m.Effect(core.EfCheckin{Status: 421})
-	m.Effect(core.EfDirect{Orders: []core.Order{halt}})
-	m.Effect(core.EfUser{Status: 201, State: "pending"})
-	m.Effect(core.EfCommit{ID: 7, Lane: core.LaneTask})
-	m.Effect(core.EfCommit{ID: 8, Lane: core.LaneUser})
-	m.Event(core.EvCommit{ID: 7, Result: core.Conflict})
-	m.Event(core.EvCommit{ID: 7, Result: core.Conflict}) // a repeat is no second commit
-	m.Event(core.EvCommit{ID: 8, Result: core.Unknown})
+	run := core.Command{Kind: core.StartTask, Reason: core.ReasonBooked}
+	halt := core.Command{Kind: core.StopTask, Reason: core.ReasonPreemptionNotice}
+	m.Effect(core.HeartbeatReply{Status: 200, Commands: []core.Command{run, run, halt}})
+	m.Effect(core.HeartbeatReply{Status: 421})
+	m.Effect(core.SendCommands{Commands: []core.Command{halt}})
+	m.Effect(core.UserReply{Status: 201, State: "pending"})
+	m.Effect(core.Commit{ID: 7, Lane: core.LaneTask})
+	m.Effect(core.Commit{ID: 8, Lane: core.LaneUser})
+	m.Event(core.CommitAnswered{ID: 7, Result: core.Conflict})
+	m.Event(core.CommitAnswered{ID: 7, Result: core.Conflict}) // a repeat is no second commit
+	m.Event(core.CommitAnswered{ID: 8, Result: core.InDoubt})
 	status := core.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[core.PassCached], status.Work.Events = 5, 99
 	m.Status(status)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,15 +35,15 @@
 
 // Node is one running controller.
 type Node struct {
-	start   time.Time
-	core    *core.Core
-	self    string
-	events  chan core.Event // answers to the core's own requests
-	users   chan ask
-	workers chan ask
-	waiting map[uint64]chan core.Effect
-	nextReq uint64
-	ready   atomic.Bool
+	start      time.Time
+	controller *core.Controller
+	self       string
+	events     chan core.Event // answers to the core's own requests
+	users      chan ask
+	workers    chan ask
+	waiting    map[uint64]chan core.Effect
+	nextReq    uint64
+	ready      atomic.Bool
 
 	state   *state.Client
 	cloud   *cloud.Client
@@ -68,9 +68,9 @@
 	share := s.Share()
 	rps, writeRps, _, _ := s.Least()
 	start, set := time.Now(), s.Core(op, tuning.Seed)
-	set.Wall = start.UnixMilli()
+	set.WallClockMS = start.UnixMilli()
 	n := &Node{
-		start: start, core: core.New(set, inc), self: s.Member,
+		start: start, controller: core.New(set, inc), self: s.Member,
 		events: make(chan core.Event, tuning.WorkerQueue), users: make(chan ask, tuning.UserQueue),
 		workers: make(chan ask, tuning.WorkerQueue), waiting: map[uint64]chan core.Effect{},
 		state:  state.New(s.External.State, rps*share, writeRps*min(1, s.WriteShare()*tuning.LeaderWeight)),
@@ -97,8 +97,8 @@
 	}
 	failed := make(chan error, 3)
 	go func() {
-		failed <- peer.Serve(back, func(from string, m core.PeerMsg) {
-			n.events <- core.EvPeer{From: from, Msg: m}
+		failed <- peer.Serve(back, func(from string, m core.PeerMessage) {
+			n.events <- core.PeerMessageReceived{From: from, Message: m}
 		})
 	}()
 	go func() {
@@ -159,7 +159,7 @@
 		case a := <-n.users:
 			n.request(a)
 		case <-tick.C:
-			n.step(core.EvTick{})
+			n.step(core.Tick{})
 		}
 	}
 }
@@ -180,17 +180,17 @@
 func (n *Node) step(ev core.Event) {
 	if n.metrics != nil {
 		n.metrics.Event(ev)
-		defer func() { n.metrics.Status(n.core.Status()) }()
+		defer func() { n.metrics.Status(n.controller.Status()) }()
 	}
 	// The same message goes to all peers: written once.
 	var frame []byte
-	for _, e := range n.core.Step(time.Since(n.start), ev) {
+	for _, e := range n.controller.Step(time.Since(n.start), ev) {
 		if n.metrics != nil {
 			n.metrics.Effect(e)
 		}
-		if x, ok := e.(core.EfPeer); ok && x.Msg.Steal == nil {
+		if x, ok := e.(core.SendPeerMessage); ok && x.Message.Steal == nil {
 			if frame == nil {
-				frame = peer.Encode(n.self, x.Msg)
+				frame = peer.Encode(n.self, x.Message)
 			}
 			if l := n.links[x.To]; l != nil {
 				l.Send(frame)
@@ -199,7 +199,7 @@
 		}
 		n.carry(e)
 	}
-	n.ready.Store(n.core.Ready())
+	n.ready.Store(n.controller.Ready())
 }
 
 func (n *Node) send(f func() core.Event) {
@@ -209,33 +209,33 @@
 // carry carries out one effect.
 func (n *Node) carry(e core.Effect) {
 	switch x := e.(type) {
-	case core.EfCheckin:
-		n.answer(x.Req, x)
-	case core.EfUser:
-		n.answer(x.Req, x)
-	case core.EfConfirm:
+	case core.HeartbeatReply:
+		n.answer(x.RequestID, x)
+	case core.UserReply:
+		n.answer(x.RequestID, x)
+	case core.ConfirmView:
 		n.send(func() core.Event { return n.state.Confirm(x) })
-	case core.EfCommit:
+	case core.Commit:
 		n.send(func() core.Event { return n.state.Commit(x) })
-	case core.EfRead:
+	case core.ReadKeys:
 		n.send(func() core.Event { return n.state.Read(x) })
-	case core.EfGrant:
+	case core.GrantLease:
 		n.send(func() core.Event { return n.state.Grant(x) })
-	case core.EfRenew:
+	case core.RenewLease:
 		n.send(func() core.Event { return n.state.Renew(x) })
-	case core.EfFlavors:
+	case core.ListMachineTypes:
 		n.send(func() core.Event { return n.cloud.Flavors() })
-	case core.EfList:
+	case core.ListInstances:
 		n.send(func() core.Event { return n.cloud.List() })
-	case core.EfRent:
+	case core.RentMachines:
 		n.send(func() core.Event { return n.cloud.Rent(x) })
-	case core.EfReturn:
+	case core.ReturnMachines:
 		n.send(func() core.Event { return n.cloud.Return(x) })
-	case core.EfPeer:
+	case core.SendPeerMessage:
 		if l := n.links[x.To]; l != nil {
-			l.Send(peer.Encode(n.self, x.Msg))
+			l.Send(peer.Encode(n.self, x.Message))
 		}
-	case core.EfDirect:
+	case core.SendCommands:
 		select {
 		case n.direct <- struct{}{}:
 			n.send(func() core.Event {
@@ -244,13 +244,12 @@
 			})
 		default: // the next check-in carries it
 		}
-	case core.EfLog:
-		level := [...]slog.Level{slog.LevelError, slog.LevelInfo, slog.LevelDebug}[x.Level]
-		slog.Log(context.Background(), level, x.Msg, x.Args...)
+	case core.LogLine:
+		slog.Log(context.Background(), x.Level, x.Message, x.Args...)
 	}
 }
 
-func (n *Node) order(x core.EfDirect) core.Event {
+func (n *Node) order(x core.SendCommands) core.Event {
 	n.workMu.Lock()
 	w := n.workCon[x.Addr]
 	if w == nil {
@@ -261,7 +260,7 @@
 		n.workCon[x.Addr] = w
 	}
 	n.workMu.Unlock()
-	ev := core.EvDirect{Machine: x.Machine}
+	ev := core.CommandsAnswered{Machine: x.Machine}
 	body, err := json.Marshal(api.NewCommands(x))
 	if err != nil {
 		return ev
@@ -272,7 +271,7 @@
 	}
 	ev.OK = st == 200
 	if r, ok := api.ParseReport(out); ok && r.Machine == x.Machine {
-		ev.R = &r
+		ev.Heartbeat = &r
 	}
 	return ev
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -20,7 +20,7 @@
 )
 
 // Encode writes a message as a FlatBuffer.
-func Encode(from string, m core.PeerMsg) []byte {
+func Encode(from string, m core.PeerMessage) []byte {
 	b := flatbuffers.NewBuilder(1024)
 	str := func(l []string) []flatbuffers.UOffsetT {
 		o := make([]flatbuffers.UOffsetT, len(l))
@@ -47,13 +47,13 @@
 		fb.MachineAddType(b, typ)
 		fb.MachineAddZone(b, zone)
 		fb.MachineAddSpot(b, x.Spot)
-		fb.MachineAddRecall(b, x.Recall)
-		fb.MachineAddShift(b, x.Shift)
+		fb.MachineAddRecall(b, x.Leaving)
+		fb.MachineAddShift(b, x.AgentEpoch)
 		fb.MachineAddLoad(b, x.Load)
 		fb.MachineAddImages(b, images)
 		ms[i] = fb.MachineEnd(b)
 	}
-	machines, holds, evict := vector(ms), vector(str(m.Holds)), vector(str(m.Evict))
+	machines, holds, evict := vector(ms), vector(str(m.Reserved)), vector(str(m.Evicting))
 	var steal flatbuffers.UOffsetT
 	if s := m.Steal; s != nil {
 		typ, zone := b.CreateString(s.Type), b.CreateString(s.Zone)
@@ -63,8 +63,8 @@
 		fb.StealAddSpot(b, s.Spot)
 		fb.StealAddCpu(b, s.Room.CPU)
 		fb.StealAddGpu(b, s.Room.GPU)
-		fb.StealAddMem(b, s.Room.Mem)
-		fb.StealAddMost(b, int32(s.Most))
+		fb.StealAddMem(b, s.Room.Memory)
+		fb.StealAddMost(b, int32(s.MaxTasks))
 		steal = fb.StealEnd(b)
 	}
 	f := b.CreateString(from)
@@ -84,7 +84,7 @@
 }
 
 // Decode reads a message; malformed bytes give an error, never a panic.
-func Decode(p []byte) (from string, m core.PeerMsg, err error) {
+func Decode(p []byte) (from string, m core.PeerMessage, err error) {
 	defer func() {
 		if recover() != nil {
 			err = errors.New("malformed peer message")
@@ -111,7 +111,7 @@
 		r.Machines(&x, i)
 		pm := core.PeerMachine{
 			Name: string(x.Name()), Addr: string(x.Addr()), Type: str(x.Type()), Zone: str(x.Zone()),
-			Spot: x.Spot(), Recall: x.Recall(), Shift: x.Shift(), Load: x.Load(),
+			Spot: x.Spot(), Leaving: x.Recall(), AgentEpoch: x.Shift(), Load: x.Load(),
 		}
 		if n := x.ImagesLength(); n > 0 && n <= len(p)/4 {
 			pm.Images = make([]string, 0, n)
@@ -122,15 +122,15 @@
 		m.Machines = append(m.Machines, pm)
 	}
 	for i := 0; i < r.HoldsLength(); i++ {
-		m.Holds = append(m.Holds, string(r.Holds(i)))
+		m.Reserved = append(m.Reserved, string(r.Holds(i)))
 	}
 	for i := 0; i < r.EvictLength(); i++ {
-		m.Evict = append(m.Evict, string(r.Evict(i)))
+		m.Evicting = append(m.Evicting, string(r.Evict(i)))
 	}
 	if s := r.Steal(nil); s != nil {
-		m.Steal = &core.Steal{
-			Type: string(s.Type()), Zone: string(s.Zone()), Spot: s.Spot(), Most: int(s.Most()),
-			Room: core.Res{CPU: s.Cpu(), GPU: s.Gpu(), Mem: s.Mem()},
+		m.Steal = &core.StealRequest{
+			Type: string(s.Type()), Zone: string(s.Zone()), Spot: s.Spot(), MaxTasks: int(s.Most()),
+			Room: core.Resources{CPU: s.Cpu(), GPU: s.Gpu(), Memory: s.Mem()},
 		}
 	}
 	return from, m, nil
@@ -206,7 +206,7 @@
 }
 
 // Serve accepts links and hands each message to take.
-func Serve(ln net.Listener, take func(from string, m core.PeerMsg)) error {
+func Serve(ln net.Listener, take func(from string, m core.PeerMessage)) error {
 	var bad atomic.Int64
 	for {
 		c, err := ln.Accept()
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -8,10 +8,10 @@
 )
 
 // word is what a node that owns n machines tells the others.
-func word(n int) core.PeerMsg {
-	m := core.PeerMsg{Epoch: 7, Load: 30, Usable: true}
+func word(n int) core.PeerMessage {
+	m := core.PeerMessage{Epoch: 7, Load: 30, Usable: true}
 	for i := 0; i < n; i++ {
-		x := core.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", Shift: 1, Load: 40}
+		x := core.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
 		for k := 0; k < 6; k++ {
 			x.Images = append(x.Images, fmt.Sprintf("drawscan-img-%02d", k))
 		}
--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // grown is a deployment of the size that the grown ones have.
-func grown(nodes, fill int, change ...func(*core.Settings)) *World {
+func grown(nodes, fill int, change ...func(*core.Settings)) *Cluster {
 	w := New(1, grownSettings(nodes, fill, change...))
 	w.fill = fill
 	return w
@@ -24,11 +24,11 @@
 		set.Nodes = append(set.Nodes, n)
 		set.ZoneOf[n] = set.Zones[i%len(set.Zones)]
 	}
-	set.Report = 5 * time.Second
+	set.HeartbeatInterval = 5 * time.Second
 	set.WriteRate, set.ReadRate = 25*0.92/float64(nodes), 100*0.92/float64(nodes)
-	set.Teams = map[string]core.Limits{
-		"red":  {Guar: core.Res{GPU: 800000}, Max: core.Res{GPU: int64(fill) * 12000}},
-		"blue": {Guar: core.Res{GPU: 800000}, Max: core.Res{GPU: int64(fill) * 12000}},
+	set.Teams = map[string]core.Quota{
+		"red":  {Guarantee: core.Resources{GPU: 800000}, Limit: core.Resources{GPU: int64(fill) * 12000}},
+		"blue": {Guarantee: core.Resources{GPU: 800000}, Limit: core.Resources{GPU: int64(fill) * 12000}},
 	}
 	for _, f := range change {
 		f(&set)
@@ -37,27 +37,27 @@
 }
 
 // feed submits arrays and gangs as they come in a grown deployment.
-func (w *World) feed(jobs int, every time.Duration) {
+func (w *Cluster) feed(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		w.fed++
 		id := fmt.Sprintf("job-%06d", 100000+w.fed)
 		team := []string{"red", "blue"}[i%2]
-		sp := core.Spec{ID: id, Class: "c", Team: team, Shape: core.Array, Prio: 1, N: 20 + i%7*10,
-			Need: core.Res{CPU: 2000, GPU: 1000, Mem: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
-			Est: 40, Ckpt: 10, Save: 2}
+		sp := core.JobSpec{ID: id, Class: "c", Team: team, Shape: core.Array, Priority: 1, TaskCount: 20 + i%7*10,
+			Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+			EstimatedRuntime: 40, CheckpointInterval: 10, CheckpointCost: 2}
 		if i%4 == 3 {
-			sp.Shape, sp.N, sp.Spot, sp.Prio, sp.Class = core.Gang, 1+i%3, false, 2, "g"
-			sp.Need = core.Res{CPU: 12000, GPU: 4000, Mem: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority, sp.Class = core.Gang, 1+i%3, false, 2, "g"
+			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(25+i%50)*time.Second) })
 	}
 }
 
 // work sums up what all controllers did.
-func (w *World) work() (all core.Work) {
+func (w *Cluster) work() (all core.Work) {
 	for _, n := range w.nodes {
-		x := n.core.Work
-		all.Events, all.Held = all.Events+x.Events, all.Held+x.Held
+		x := n.controller.Work
+		all.Events, all.PendingHeartbeats = all.Events+x.Events, all.PendingHeartbeats+x.PendingHeartbeats
 		all.Machines, all.Targets = all.Machines+x.Machines, all.Targets+x.Targets
 	}
 	return all
--- a/internal/standin/digest_test.go
+++ b/internal/standin/digest_test.go
@@ -32,39 +32,39 @@
 func newDigest() *digest { return &digest{sum: sha256.New()} }
 
 func (d *digest) add(n *node, effect core.Effect) {
-	if _, isLog := effect.(core.EfLog); isLog {
+	if _, isLog := effect.(core.LogLine); isLog {
 		return
 	}
 	d.effects++
 	fmt.Fprintf(d.sum, "%d %s ", n.w.Now, n.name)
 	switch e := effect.(type) {
-	case core.EfConfirm:
-		d.line("confirm", e.Key, e.Stamp)
-	case core.EfCommit:
+	case core.ConfirmView:
+		d.line("confirm", e.Key, e.ModRevision)
+	case core.Commit:
 		d.transaction(e)
-	case core.EfRead:
+	case core.ReadKeys:
 		d.line("read", e.ID, e.Keys)
-	case core.EfGrant:
-		d.line("grant", int64(e.Life))
-	case core.EfRenew:
-		d.line("renew", e.Permit)
-	case core.EfCheckin:
-		d.line("answer", e.Req, e.Status, e.Owner, e.Baton, len(e.Orders))
-		d.commands(e.Orders)
-	case core.EfDirect:
-		d.line("direct", e.Machine, e.Addr, e.Baton, e.Shift, len(e.Orders))
-		d.commands(e.Orders)
-	case core.EfUser:
-		d.line("user", e.Req, e.Status, e.ID, e.State, e.Done, e.Running, e.Reason)
-	case core.EfFlavors:
+	case core.GrantLease:
+		d.line("grant", int64(e.TTL))
+	case core.RenewLease:
+		d.line("renew", e.LeaseID)
+	case core.HeartbeatReply:
+		d.line("answer", e.RequestID, e.Status, e.Owner, e.FencingToken, len(e.Commands))
+		d.commands(e.Commands)
+	case core.SendCommands:
+		d.line("direct", e.Machine, e.Addr, e.FencingToken, e.AgentEpoch, len(e.Commands))
+		d.commands(e.Commands)
+	case core.UserReply:
+		d.line("user", e.RequestID, e.Status, e.ID, e.State, e.Done, e.Running, e.Reason)
+	case core.ListMachineTypes:
 		d.line("types")
-	case core.EfList:
+	case core.ListInstances:
 		d.line("list")
-	case core.EfRent:
-		d.line("rent", e.Hire, e.Type, e.Zone, e.Spot, e.Count)
-	case core.EfReturn:
+	case core.RentMachines:
+		d.line("rent", e.RentalID, e.Type, e.Zone, e.Spot, e.Count)
+	case core.ReturnMachines:
 		d.line("return", e.Names)
-	case core.EfPeer:
+	case core.SendPeerMessage:
 		d.message(e)
 	default:
 		panic(fmt.Sprintf("effect %T is in no digest", effect))
@@ -75,31 +75,31 @@
 	fmt.Fprintf(d.sum, "%s %q\n", what, fmt.Sprintln(fields...))
 }
 
-func (d *digest) transaction(e core.EfCommit) {
-	d.line("commit", e.ID, e.Lane, len(e.T.When), len(e.T.Apply))
-	for _, c := range e.T.When {
-		d.line("if", c.Key, c.Stamp)
+func (d *digest) transaction(e core.Commit) {
+	d.line("commit", e.ID, e.Lane, len(e.Transaction.Conditions), len(e.Transaction.Puts))
+	for _, c := range e.Transaction.Conditions {
+		d.line("if", c.Key, c.ModRevision)
 	}
-	for _, a := range e.T.Apply {
-		d.line("put", a.Key, a.Value == nil, a.Permit, len(a.Value))
+	for _, a := range e.Transaction.Puts {
+		d.line("put", a.Key, a.Value == nil, a.LeaseID, len(a.Value))
 		d.sum.Write(a.Value)
 	}
 }
 
-func (d *digest) commands(commands []core.Order) {
+func (d *digest) commands(commands []core.Command) {
 	for _, c := range commands {
-		d.line("command", string(c.Verb), c.Task.Job, c.Task.I, c.Attempt, c.Leeway, string(c.Reason))
+		d.line("command", string(c.Kind), c.Task.Job, c.Task.Index, c.Attempt, c.GraceSeconds, string(c.Reason))
 	}
 }
 
-func (d *digest) message(e core.EfPeer) {
-	m := e.Msg
-	d.line("message", e.To, m.Epoch, m.Load, m.Usable, m.Holds, m.Evict, len(m.Machines))
+func (d *digest) message(e core.SendPeerMessage) {
+	m := e.Message
+	d.line("message", e.To, m.Epoch, m.Load, m.Usable, m.Reserved, m.Evicting, len(m.Machines))
 	for _, p := range m.Machines {
-		d.line("machine", p.Name, p.Addr, p.Type, p.Zone, p.Spot, p.Recall, p.Shift, p.Load, p.Images)
+		d.line("machine", p.Name, p.Addr, p.Type, p.Zone, p.Spot, p.Leaving, p.AgentEpoch, p.Load, p.Images)
 	}
 	if s := m.Steal; s != nil {
-		d.line("steal", s.Type, s.Zone, s.Spot, s.Room.CPU, s.Room.GPU, s.Room.Mem, s.Most)
+		d.line("steal", s.Type, s.Zone, s.Spot, s.Room.CPU, s.Room.GPU, s.Room.Memory, s.MaxTasks)
 	}
 }
 
@@ -148,8 +148,8 @@
 	w := withGuest(seed, 4)
 	w.onEffect = d.add
 	w.after(time.Second, func() {
-		w.Submit(core.Spec{ID: "job-000001", Class: "x", Team: "guest", Shape: core.Array, Prio: 0, N: 150,
-			Need: core.Res{CPU: 2000, GPU: 1000, Mem: 4000}, Spot: true, Image: "img", ImageGB: 1, Est: 300, Ckpt: 20, Save: 2}, 300*time.Second)
+		w.Submit(core.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: core.Array, Priority: 0, TaskCount: 150,
+			Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
 	})
 	w.feed(25, 4*time.Second)
 	w.Run(300 * time.Second)
@@ -175,10 +175,10 @@
 	w.Run(110 * time.Second)
 }
 
-func busyFleet(d *digest) *World {
+func busyFleet(d *digest) *Cluster {
 	w := grown(5, 175, func(s *core.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/5, 120*0.92/5
-		s.Lease, s.Cancel = 31*time.Second, 56*time.Second
+		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
 	w.onEffect = d.add
 	w.feed(120, time.Millisecond)
--- a/internal/standin/fleet_test.go
+++ b/internal/standin/fleet_test.go
@@ -18,7 +18,7 @@
 // times as long; `make test` runs them without it.
 
 // answered counts the machines that got a 200 since the given time.
-func (w *World) answered(since time.Duration) (n, up int) {
+func (w *Cluster) answered(since time.Duration) (n, up int) {
 	for _, k := range w.workers {
 		if k.gone || !k.up {
 			continue
@@ -33,10 +33,10 @@
 
 // fleet is a deployment of the size and rates that the fleet ones have; fill is
 // the number of machines a zone and kind.
-func fleet(fill int, change ...func(*core.Settings)) *World {
+func fleet(fill int, change ...func(*core.Settings)) *Cluster {
 	rates := func(s *core.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
-		s.Lease, s.Cancel = 31*time.Second, 56*time.Second
+		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	}
 	return grown(7, fill, append([]func(*core.Settings){rates}, change...)...)
 }
@@ -56,8 +56,8 @@
 	b := w.work()
 	events, machines := float64(b.Events-a.Events), float64(len(w.workers))*10
 	t.Logf("%.0f events a second; held check-ins for each %.2f; looks at each machine a second %.2f, weighed for tasks %.1f",
-		events/10, float64(b.Held-a.Held)/events, float64(b.Machines-a.Machines)/machines, float64(b.Targets-a.Targets)/machines)
-	if x := float64(b.Held-a.Held) / events; x > 10 {
+		events/10, float64(b.PendingHeartbeats-a.PendingHeartbeats)/events, float64(b.Machines-a.Machines)/machines, float64(b.Targets-a.Targets)/machines)
+	if x := float64(b.PendingHeartbeats-a.PendingHeartbeats) / events; x > 10 {
 		t.Errorf("%.1f held check-ins are looked at for each event", x)
 	}
 	if x := float64(b.Machines-a.Machines) / machines; x > 5 {
@@ -154,9 +154,9 @@
 // pipelines run, and in the end no value of a job is too large.
 func TestFleetUpgrade(t *testing.T) {
 	set := grownSettings(7, 500, func(s *core.Settings) {
-		s.ValueNow, s.ValueB, s.TxnOps = 4096, 2048, 4
-		s.WriteRate, s.WriteFair, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
-		s.Lease, s.Cancel = 31*time.Second, 56*time.Second
+		s.ValueLimitNow, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
+		s.WriteRate, s.FairWriteRate, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
+		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
 	w := newWorld(1, set, 8, true)
 	w.fill = 500
@@ -178,16 +178,16 @@
 	}
 	large := 0
 	for _, e := range w.st.kv {
-		if len(e.v) > set.ValueB {
+		if len(e.v) > set.ValueLimit {
 			large++
 		}
 	}
-	w.st.lower(set.ValueB, set.TxnOps)
+	w.st.lower(set.ValueLimit, set.TransactionLimit)
 	for i := 0; i < 20; i++ {
 		a, b := fmt.Sprintf("job-%06d", 900000+2*i), fmt.Sprintf("job-%06d", 900001+2*i)
-		sp := core.Spec{ID: a, Class: "p", Team: "red", Shape: core.Array, N: 3, Need: core.Res{CPU: 1000, Mem: 1000}, Spot: true, Est: 5}
+		sp := core.JobSpec{ID: a, Class: "p", Team: "red", Shape: core.Array, TaskCount: 3, Request: core.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
 		next := sp
-		next.ID, next.Needs = b, []string{a}
+		next.ID, next.Dependencies = b, []string{a}
 		w.after(time.Duration(i)*time.Second, func() { w.Submit(sp, 5*time.Second); w.Submit(next, 5*time.Second) })
 	}
 	starts := w.Starts()
@@ -204,7 +204,7 @@
 	}
 	left := 0
 	for k, e := range w.st.kv {
-		if len(e.v) > set.ValueB && !strings.HasPrefix(k, "b/task/") { // what was cut stays where it was
+		if len(e.v) > set.ValueLimit && !strings.HasPrefix(k, "b/task/") { // what was cut stays where it was
 			left++
 		}
 	}
@@ -221,11 +221,11 @@
 // deployment. What each controller holds stays far below its memory, and what the
 // array's tasks cost leaves the state service changes for others.
 func TestFleetLargestArray(t *testing.T) {
-	w := grown(5, 120, func(s *core.Settings) { s.Teams["guest"] = core.Limits{} })
+	w := grown(5, 120, func(s *core.Settings) { s.Teams["guest"] = core.Quota{} })
 	w.feed(200, 400*time.Millisecond)
 	w.Run(50 * time.Second)
-	w.Submit(core.Spec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: core.Array, Prio: 1, N: 100000,
-		Need: core.Res{CPU: 250, Mem: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, Est: 5}, 5*time.Second)
+	w.Submit(core.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: core.Array, Priority: 1, TaskCount: 100000,
+		Request: core.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
 	changes := w.st.changes
 	w.Run(110 * time.Second)
 	perSecond := float64(w.st.changes-changes) / 60
@@ -244,19 +244,19 @@
 }
 
 // feedZoneBound submits arrays and gangs bound to one zone, or spread over zones.
-func (w *World) feedZoneBound(jobs int, every time.Duration) {
+func (w *Cluster) feedZoneBound(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		w.fed++
-		sp := core.Spec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: core.Array, Prio: 1,
-			N: 30 + i%5*40, Need: core.Res{CPU: 2000, GPU: 1000, Mem: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
-			Est: 30, Ckpt: 10, Save: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
+		sp := core.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: core.Array, Priority: 1,
+			TaskCount: 30 + i%5*40, Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+			EstimatedRuntime: 30, CheckpointInterval: 10, CheckpointCost: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
 		switch i % 4 {
 		case 1: // whole machines: seldom are as many empty in one zone
-			sp.N = 10 + i%7*5
-			sp.Need = core.Res{CPU: 12000, GPU: 4000, Mem: 40000}
+			sp.TaskCount = 10 + i%7*5
+			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		case 3:
-			sp.Shape, sp.N, sp.Spot, sp.Prio = core.Gang, 2+i%3, false, 2
-			sp.Need = core.Res{CPU: 12000, GPU: 4000, Mem: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = core.Gang, 2+i%3, false, 2
+			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(15+i%40)*time.Second) })
 	}
@@ -265,8 +265,8 @@
 // zoneBoundFleet plays two minutes of a fleet of four times fill machines: zone-bound
 // arrays, each booked in several commits, meet leaders that end between these, late
 // transactions, lost answers and an outage.
-func zoneBoundFleet(fill int, drop string) *World {
-	w := fleet(fill, func(s *core.Settings) { s.DropGuard = drop })
+func zoneBoundFleet(fill int, drop string) *Cluster {
+	w := fleet(fill, func(s *core.Settings) { s.DisabledGuard = drop })
 	size := fill / 250
 	w.feed(150*size, time.Millisecond)
 	w.feed(300*size, 300*time.Millisecond/time.Duration(size))
--- a/internal/standin/guests_test.go
+++ b/internal/standin/guests_test.go
@@ -13,9 +13,9 @@
 
 // withGuest is the small deployment with a further team that has neither guarantee
 // nor limit.
-func withGuest(seed uint64, fill int) *World {
+func withGuest(seed uint64, fill int) *Cluster {
 	set := Settings()
-	set.Teams["guest"] = core.Limits{}
+	set.Teams["guest"] = core.Quota{}
 	w := New(seed, set)
 	w.fill = fill
 	w.Watchful()
@@ -23,7 +23,7 @@
 }
 
 // firstRuns tells when each task first ran, in seconds, by the trace.
-func (w *World) firstRuns(job string) []float64 {
+func (w *Cluster) firstRuns(job string) []float64 {
 	first := map[string]float64{}
 	for _, l := range w.Trace {
 		var at float64
@@ -49,8 +49,8 @@
 func TestIdleWorkYields(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		w := withGuest(seed, 2)
-		idle := core.Spec{ID: "job-000001", Class: "sims", Team: "guest", Shape: core.Array, Prio: tuning.PrioIdle, N: 40,
-			Need: core.Res{CPU: 4000, Mem: 8000}, Spot: true, Image: "sims", ImageGB: 1, Est: 300, Ckpt: 10, Save: 2}
+		idle := core.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: core.Array, Priority: tuning.PrioIdle, TaskCount: 40,
+			Request: core.Resources{CPU: 4000, Memory: 8000}, Spot: true, Image: "sims", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 10, CheckpointCost: 2}
 		w.after(2*time.Second, func() { w.Submit(idle, 300*time.Second) })
 		w.Run(59 * time.Second)
 		if n := len(w.firstRuns(idle.ID)); n < 16 {
@@ -63,8 +63,8 @@
 		}
 		const jobs = 8
 		for i := 0; i < jobs; i++ {
-			sp := core.Spec{ID: fmt.Sprintf("job-%06d", 100+i), Class: "c", Team: "blue", Shape: core.Array, Prio: 1, N: 2,
-				Need: core.Res{CPU: 4000, GPU: 1000, Mem: 4000}, Spot: true, Image: "img", ImageGB: 1, Est: 20}
+			sp := core.JobSpec{ID: fmt.Sprintf("job-%06d", 100+i), Class: "c", Team: "blue", Shape: core.Array, Priority: 1, TaskCount: 2,
+				Request: core.Resources{CPU: 4000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 20}
 			w.after(time.Duration(60+8*i)*time.Second-w.Now, func() { w.Submit(sp, 20*time.Second) })
 		}
 		w.Run(1500 * time.Second)
@@ -85,10 +85,10 @@
 // machines of a grown deployment. The releases of its tasks must leave room in the
 // commits for the bookings of the other teams' jobs, which go on starting.
 func TestLargeArrayLeavesChanges(t *testing.T) {
-	w := grown(5, 60, func(s *core.Settings) { s.Teams["guest"] = core.Limits{} })
+	w := grown(5, 60, func(s *core.Settings) { s.Teams["guest"] = core.Quota{} })
 	w.feed(500, 350*time.Millisecond)
-	array := core.Spec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: core.Array, Prio: tuning.PrioIdle, N: 12000,
-		Need: core.Res{CPU: 250, Mem: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, Est: 5}
+	array := core.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: core.Array, Priority: tuning.PrioIdle, TaskCount: 12000,
+		Request: core.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
 	w.Run(60 * time.Second)
 	before := w.Starts()
 	w.Run(80 * time.Second)
--- a/internal/standin/meet.go
+++ b/internal/standin/meet.go
@@ -12,7 +12,7 @@
 )
 
 // newView notices a change of leader: kept reports reach every controller then.
-func (w *World) newView(value []byte) {
+func (w *Cluster) newView(value []byte) {
 	var v core.View
 	if json.Unmarshal(value, &v) != nil || v.Leader == w.leader {
 		return
@@ -26,10 +26,10 @@
 	for _, r := range kept {
 		for _, n := range w.nodes {
 			w.after(time.Duration(1+w.rng.IntN(400))*time.Millisecond, func() {
-				if k := w.worker(r.Machine); !k.gone && (r.Shift < k.shift || r.Tally < k.tally) {
+				if k := w.worker(r.Machine); !k.gone && (r.AgentEpoch < k.shift || r.Sequence < k.tally) {
 					w.came("old report under a new leader")
 				}
-				n.ask(func(q uint64) core.Event { return core.EvCheckin{Req: q, R: r} }, func(core.Effect) {})
+				n.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(core.Effect) {})
 			})
 		}
 	}
@@ -37,7 +37,7 @@
 
 // look asks all nodes about a job within milliseconds of news about it, again and
 // again, and submits it anew.
-func (w *World) look(id string) {
+func (w *Cluster) look(id string) {
 	t := w.jobs[id]
 	if !w.strikes("looks") || !t.asked {
 		return
@@ -48,12 +48,12 @@
 				w.userAt(n, func(n *node, done func(core.Effect)) {
 					if k == 3 {
 						sp := t.spec
-						sp.N++ // whatever the other fields say now
-						n.ask(func(r uint64) core.Event { return core.EvSubmit{Req: r, ID: id, Spec: &sp} }, done)
+						sp.TaskCount++ // whatever the other fields say now
+						n.ask(func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: &sp} }, done)
 						return
 					}
-					n.ask(func(r uint64) core.Event { return core.EvPoll{Req: r, ID: id} }, done)
-				}, func(u core.EfUser, asked time.Duration) {
+					n.ask(func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} }, done)
+				}, func(u core.UserReply, asked time.Duration) {
 					if u.Status == 200 {
 						w.came("answer to a close look")
 					}
@@ -69,24 +69,24 @@
 
 // odd sends, once a second, a job that fits no machine or lacks a field, repeats
 // a submission with other fields, and cancels a job that is done.
-func (w *World) odd() {
+func (w *Cluster) odd() {
 	if !w.strikes("odd") {
 		return
 	}
 	w.after(time.Second, w.odd)
-	ask := func(id string, ev func(r uint64) core.Event, done func(core.EfUser)) {
-		w.user(func(n *node, f func(core.Effect)) { n.ask(ev, f) }, func(u core.EfUser, asked time.Duration) {
+	ask := func(id string, ev func(r uint64) core.Event, done func(core.UserReply)) {
+		w.user(func(n *node, f func(core.Effect)) { n.ask(ev, f) }, func(u core.UserReply, asked time.Duration) {
 			w.judge(id, u, asked)
 			done(u)
 		})
 	}
 	w.fed++
 	id := fmt.Sprintf("job-7%06d", w.fed)
-	sp := core.Spec{ID: id, Class: "odd", Team: "red", Shape: core.Array, N: 1, Need: core.Res{CPU: 1000}, Est: 5}
+	sp := core.JobSpec{ID: id, Class: "odd", Team: "red", Shape: core.Array, TaskCount: 1, Request: core.Resources{CPU: 1000}, EstimatedRuntime: 5}
 	spec, want := &sp, 422
 	switch w.fed % 4 {
 	case 0:
-		sp.Need.GPU = size.GPU + 1
+		sp.Request.GPU = size.GPU + 1
 	case 1:
 		sp.Team = "none"
 	case 2:
@@ -95,7 +95,7 @@
 		spec, want = nil, 400
 	}
 	w.jobs[id] = &truth{spec: sp, done: map[int]bool{}, cancelAt: -1, readyAt: -1, wrong: true}
-	ask(id, func(r uint64) core.Event { return core.EvSubmit{Req: r, ID: id, Spec: spec} }, func(u core.EfUser) {
+	ask(id, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: spec} }, func(u core.UserReply) {
 		if u.Status == want {
 			w.came("odd submission refused")
 		} else if u.Status >= 400 && u.Status < 500 {
@@ -108,12 +108,12 @@
 			continue
 		}
 		if t.told == "done" {
-			ask(id, func(r uint64) core.Event { return core.EvAbort{Req: r, ID: id} }, func(core.EfUser) { w.came("done job cancelled") })
+			ask(id, func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} }, func(core.UserReply) { w.came("done job cancelled") })
 			continue
 		}
 		again := t.spec
-		again.Need.GPU = size.GPU + 1 // a repeat is known by its id alone
-		ask(id, func(r uint64) core.Event { return core.EvSubmit{Req: r, ID: id, Spec: &again} }, func(u core.EfUser) {
+		again.Request.GPU = size.GPU + 1 // a repeat is known by its id alone
+		ask(id, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: &again} }, func(u core.UserReply) {
 			if u.Status == 200 {
 				w.came("repeat answered")
 			}
@@ -121,10 +121,10 @@
 	}
 }
 
-func (w *World) ids() []string { return sorted(w.jobs) }
+func (w *Cluster) ids() []string { return sorted(w.jobs) }
 
 // onMachines counts a job's tasks on machines.
-func (w *World) onMachines(job string) int {
+func (w *Cluster) onMachines(job string) int {
 	n := 0
 	for _, k := range w.workers {
 		for id, x := range k.tasks {
@@ -138,7 +138,7 @@
 
 // callOff cancels n running jobs within a fifth of a second; up to eight of the
 // machines that run them hang.
-func (w *World) callOff(n int, hang time.Duration) {
+func (w *Cluster) callOff(n int, hang time.Duration) {
 	hung := 0
 	for _, id := range w.ids() {
 		t := w.jobs[id]
@@ -165,36 +165,36 @@
 }
 
 // roomOn is how many tasks of a job a machine still has room for.
-func (k *worker) roomOn(sp *core.Spec) int64 {
+func (k *worker) roomOn(sp *core.JobSpec) int64 {
 	if k.gone || !k.up || k.hung || k.sick || k.recall >= 0 || k.w.Now < k.deafTill || k.w.Now < k.muteTill ||
 		k.spot && !sp.Spot || sp.Zone != "" && sp.Zone != k.zone {
 		return 0
 	}
 	free := size
 	for id, x := range k.tasks {
-		if x.state != core.SeenEnded {
-			free = free.Plus(k.w.jobs[id.Job].spec.Need, -1)
+		if x.state != core.ReportedEnded {
+			free = free.Plus(k.w.jobs[id.Job].spec.Request, -1)
 		}
 	}
-	return free.Times(sp.Need, int64(sp.N))
+	return free.CountFitting(sp.Request, int64(sp.TaskCount))
 }
 
 // checkRoom: once all troubles are over, no job is left waiting for 90 s while
 // machines that fit have room for it all the time and its team is under its limit.
 // Wide worlds are left out.
-func (w *World) checkRoom() {
+func (w *Cluster) checkRoom() {
 	if len(w.workers) > tuning.WideFleet {
 		return
 	}
-	used, there := map[string]core.Res{}, map[string]zoneCount{}
+	used, there := map[string]core.Resources{}, map[string]zoneCount{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
 		}
 		for _, id := range k.ids() {
-			if x := k.tasks[id]; x.state != core.SeenEnded {
+			if x := k.tasks[id]; x.state != core.ReportedEnded {
 				sp := w.jobs[id.Job].spec
-				used[sp.Team] = used[sp.Team].Plus(sp.Need, 1)
+				used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 				if there[id.Job] == nil {
 					there[id.Job] = zoneCount{}
 				}
@@ -207,11 +207,11 @@
 		sp := &t.spec
 		at := 1
 		if sp.Shape == core.Gang {
-			at = sp.N
+			at = sp.TaskCount
 		}
-		lim := w.set.Teams[sp.Team].Max
-		after := used[sp.Team].Plus(sp.Need, int64(at))
-		waits := t.accepted && t.told == "" && !t.cancelAsk && !t.mistake && w.allDone(t) && there[id].sum()+int64(len(t.done)) < int64(sp.N) &&
+		lim := w.set.Teams[sp.Team].Limit
+		after := used[sp.Team].Plus(sp.Request, int64(at))
+		waits := t.accepted && t.told == "" && !t.cancelAsk && !t.mistake && w.allDone(t) && there[id].sum()+int64(len(t.done)) < int64(sp.TaskCount) &&
 			(sp.Shape != core.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
 		if !waits {
 			delete(w.room, id)
@@ -250,14 +250,14 @@
 }
 
 // usable is how much of the room a job's zone rule lets it use, given where its tasks are.
-func (z zoneCount) usable(sp *core.Spec, there zoneCount) (n int64) {
+func (z zoneCount) usable(sp *core.JobSpec, there zoneCount) (n int64) {
 	if !sp.OneZone && !sp.Spread {
 		return z.sum()
 	}
 	for zone, room := range z {
 		switch {
 		case sp.Spread:
-			n += min(room, int64(sp.N+1)/2-there[zone])
+			n += min(room, int64(sp.TaskCount+1)/2-there[zone])
 		case there.sum() == there[zone]: // none elsewhere
 			n = max(n, room)
 		}
@@ -267,7 +267,7 @@
 
 // checkServed: at the end of a day at least half of a class, of a team and of a
 // class's largest jobs has been served.
-func (w *World) checkServed() {
+func (w *Cluster) checkServed() {
 	type share struct{ served, all int }
 	by := map[string]*share{}
 	largest := map[string]int{}
@@ -278,10 +278,10 @@
 			}
 		}
 	}
-	each(func(_ string, t *truth) { largest[t.spec.Class] = max(largest[t.spec.Class], t.spec.N) })
+	each(func(_ string, t *truth) { largest[t.spec.Class] = max(largest[t.spec.Class], t.spec.TaskCount) })
 	each(func(_ string, t *truth) {
 		keys := []string{"class " + t.spec.Class, "team " + t.spec.Team}
-		if 2*t.spec.N > largest[t.spec.Class] {
+		if 2*t.spec.TaskCount > largest[t.spec.Class] {
 			keys = append(keys, "largest of class "+t.spec.Class)
 		}
 		for _, k := range keys {
--- a/internal/standin/script.go
+++ b/internal/standin/script.go
@@ -10,7 +10,7 @@
 )
 
 // each runs f every second of the world.
-func (w *World) each(f func()) {
+func (w *Cluster) each(f func()) {
 	var again func()
 	again = func() {
 		f()
@@ -21,7 +21,7 @@
 
 // Watchful starts the checks that run every second, among them gangs whose
 // mates are gone.
-func (w *World) Watchful() {
+func (w *Cluster) Watchful() {
 	w.each(w.checkPlaces)
 	w.each(w.checkKnown)
 	w.each(w.checkRoom)
@@ -34,7 +34,7 @@
 		running := map[key]int{}
 		for _, k := range w.workers {
 			for _, id := range k.ids() {
-				if t := k.tasks[id]; t.state == core.SeenRunning && !k.hung && w.jobs[id.Job].spec.Shape == core.Gang {
+				if t := k.tasks[id]; t.state == core.ReportedRunning && !k.hung && w.jobs[id.Job].spec.Shape == core.Gang {
 					running[key{id.Job, t.attempt}]++
 				}
 			}
@@ -43,16 +43,16 @@
 			for _, id := range k.ids() {
 				t, j := k.tasks[id], w.jobs[id.Job]
 				g := key{id.Job, t.attempt}
-				if t.state != core.SeenRunning || j.spec.Shape != core.Gang || running[g] >= j.spec.N || len(j.done) > 0 {
+				if t.state != core.ReportedRunning || j.spec.Shape != core.Gang || running[g] >= j.spec.TaskCount || len(j.done) > 0 {
 					continue
 				}
 				n := fmt.Sprintf("%s %d", g.job, g.a)
 				if _, ok := lost[n]; !ok {
 					lost[n] = w.Now
 				}
-				if w.Now-lost[n] >= w.set.Peer {
+				if w.Now-lost[n] >= w.set.GangPeerWait {
 					k.do(func() {
-						if t.state == core.SeenRunning {
+						if t.state == core.ReportedRunning {
 							k.end(id, t, "peers", false)
 						}
 					})
@@ -104,10 +104,10 @@
 //	at T odd for=S                   (submissions of what can't run or lacks a field, repeats, cancellations of what is done)
 //	blind                            (the checker takes no trouble for an excuse)
 //	until T
-func Play(script string) (*World, error) { return play(script, nil) }
+func Play(script string) (*Cluster, error) { return play(script, nil) }
 
 // play is Play with a look at all that leaves the cores.
-func play(script string, onEffect func(*node, core.Effect)) (*World, error) {
+func play(script string, onEffect func(*node, core.Effect)) (*Cluster, error) {
 	seed, set := uint64(1), Settings()
 	var until time.Duration
 	blind, old, opsNow, fill := false, false, 0, 5
@@ -128,7 +128,7 @@
 		case "blind":
 			blind = true
 		case "rates":
-			set.WriteRate, set.WriteFair, set.ReadRate = 25*0.92/3, 25*0.92/3, 100*0.92/3
+			set.WriteRate, set.FairWriteRate, set.ReadRate = 25*0.92/3, 25*0.92/3, 100*0.92/3
 		case "zones":
 			set.ZoneOf = map[string]string{"c-0": "a", "c-1": "b", "c-2": "a"}
 		case "fill":
@@ -136,12 +136,12 @@
 		case "old":
 			old = true
 		case "next":
-			set.ValueNow, opsNow = set.ValueB, set.TxnOps
-			if _, err = fmt.Sscanf(l, "next value=%d ops=%d", &set.ValueB, &set.TxnOps); err != nil {
+			set.ValueLimitNow, opsNow = set.ValueLimit, set.TransactionLimit
+			if _, err = fmt.Sscanf(l, "next value=%d ops=%d", &set.ValueLimit, &set.TransactionLimit); err != nil {
 				err = fmt.Errorf("next: %w", err)
 			}
 		case "drop":
-			set.DropGuard = f[1]
+			set.DisabledGuard = f[1]
 		case "until":
 			until, err = secs(f[1])
 		case "at":
@@ -170,7 +170,7 @@
 	return w, nil
 }
 
-func (w *World) node(name string) *node {
+func (w *Cluster) node(name string) *node {
 	if name == "leader" {
 		name = w.leader
 	}
@@ -183,7 +183,7 @@
 }
 
 // act carries out one action of a script.
-func (w *World) act(f []string) error {
+func (w *Cluster) act(f []string) error {
 	opt := map[string]string{}
 	for i, x := range f {
 		if x == "leader" && i > 0 {
@@ -228,7 +228,7 @@
 		w.log("%s is upgraded", n.name)
 		n.crash(dur("back", 4))
 	case "limits":
-		w.st.lower(w.set.ValueB, w.set.TxnOps)
+		w.st.lower(w.set.ValueLimit, w.set.TransactionLimit)
 	case "cut":
 		w.log("cut %s - %s (%s)", f[1], f[2], f[3])
 		if f[2] != "*" {
@@ -289,7 +289,7 @@
 }
 
 // submitLine submits the job that a line describes.
-func (w *World) submitLine(f []string, opt map[string]string, num func(string, float64) float64, dur func(string, float64) time.Duration) error {
+func (w *Cluster) submitLine(f []string, opt map[string]string, num func(string, float64) float64, dur func(string, float64) time.Duration) error {
 	n, err := strconv.Atoi(f[3])
 	if err != nil {
 		return err
@@ -306,18 +306,18 @@
 	_, oneZone := opt["onezone"]
 	_, spread := opt["spread"]
 	_, mistake := opt["mistake"]
-	w.Submit(core.Spec{
-		Needs: needs, Due: num("due", 0),
-		ID: f[1], Class: "c", Team: f[4], Shape: core.Shape(f[2]), Prio: int(num("prio", 1)), N: n,
-		Need: core.Res{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Mem: 4000},
-		Spot: spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], Types: types, Image: "img", ImageGB: 1, Est: num("run", 20), Ckpt: num("ckpt", 0), Save: 2,
+	w.Submit(core.JobSpec{
+		Dependencies: needs, Deadline: num("due", 0),
+		ID: f[1], Class: "c", Team: f[4], Shape: core.Shape(f[2]), Priority: int(num("prio", 1)), TaskCount: n,
+		Request: core.Resources{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Memory: 4000},
+		Spot:    spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], MachineTypes: types, Image: "img", ImageGB: 1, EstimatedRuntime: num("run", 20), CheckpointInterval: num("ckpt", 0), CheckpointCost: 2,
 	}, dur("run", 20))
 	w.jobs[f[1]].mistake = mistake
 	return nil
 }
 
 // trouble strikes one machine.
-func (w *World) trouble(f []string, dur func(string, float64) time.Duration) {
+func (w *Cluster) trouble(f []string, dur func(string, float64) time.Duration) {
 	k := w.worker(f[1])
 	if k == nil || k.gone {
 		w.log("no machine %s", f[1])
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -28,10 +28,10 @@
 
 // service is a state service: one map, one ledger, grants and watches.
 type service struct {
-	w          *World
+	w          *Cluster
 	kv         map[string]entry
 	ledger     uint64
-	log        []core.KV
+	log        []core.KeyValue
 	leases     map[uint64]*lease
 	next       uint64
 	down       bool
@@ -45,8 +45,8 @@
 	limitsFell bool
 }
 
-func newService(w *World) *service {
-	s := &service{w: w, valueB: max(w.set.ValueB, w.set.ValueNow), txnOps: max(w.set.TxnOps, w.opsNow), kv: map[string]entry{}, leases: map[uint64]*lease{}, refuse: map[string]bool{}}
+func newService(w *Cluster) *service {
+	s := &service{w: w, valueB: max(w.set.ValueLimit, w.set.ValueLimitNow), txnOps: max(w.set.TransactionLimit, w.opsNow), kv: map[string]entry{}, leases: map[uint64]*lease{}, refuse: map[string]bool{}}
 	var sweep func()
 	sweep = func() {
 		s.expire()
@@ -102,7 +102,7 @@
 		for _, k := range ks {
 			s.ledger++
 			delete(s.kv, k)
-			s.log = append(s.log, core.KV{Key: k, Stamp: s.ledger})
+			s.log = append(s.log, core.KeyValue{Key: k, ModRevision: s.ledger})
 		}
 	}
 	if len(ended) > 0 {
@@ -110,21 +110,21 @@
 	}
 }
 
-func (s *service) confirm(node string, e core.EfConfirm) any {
+func (s *service) confirm(node string, e core.ConfirmView) any {
 	if s.off(node) {
-		return core.EvConfirm{}
+		return core.ConfirmationAnswered{}
 	}
-	return core.EvConfirm{OK: true, Same: s.kv[e.Key].stamp == e.Stamp, Ledger: s.ledger}
+	return core.ConfirmationAnswered{OK: true, Same: s.kv[e.Key].stamp == e.ModRevision, Revision: s.ledger}
 }
 
 // perform carries a transaction out, unless a trouble strikes: late, after newer
 // ones of the same node, or at once with only the answer lost.
-func (s *service) perform(n *node, x core.EfCommit, reply func(any)) {
+func (s *service) perform(n *node, x core.Commit, reply func(any)) {
 	w := s.w
 	switch {
 	case w.strikes("late") || w.strikes("late "+n.name):
 		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))), func() {
-			ev, _ := s.commit(n.name, x).(core.EvCommit)
+			ev, _ := s.commit(n.name, x).(core.CommitAnswered)
 			w.came("late transaction")
 			if ev.Result == core.Committed {
 				w.came("late transaction that changed something")
@@ -139,7 +139,7 @@
 }
 
 // slowly answers, later than usual while the state service is slow.
-func (w *World) slowly(reply func(any), v any) {
+func (w *Cluster) slowly(reply func(any), v any) {
 	if x := w.spell["slow"]; w.Now < x.till {
 		w.came("slow answer")
 		w.after(time.Duration(w.rng.Int64N(int64(x.by))), func() { reply(v) })
@@ -148,17 +148,17 @@
 	reply(v)
 }
 
-func (s *service) commit(node string, e core.EfCommit) any {
+func (s *service) commit(node string, e core.Commit) any {
 	if s.off(node) {
-		return core.EvCommit{ID: e.ID, Result: core.Refused}
+		return core.CommitAnswered{ID: e.ID, Result: core.Refused}
 	}
-	ev := core.EvCommit{ID: e.ID, Ledger: s.ledger}
-	s.changes += len(e.T.Apply)
+	ev := core.CommitAnswered{ID: e.ID, Revision: s.ledger}
+	s.changes += len(e.Transaction.Puts)
 	over := ""
-	if len(e.T.Apply) > s.txnOps || len(e.T.When) > 4*s.txnOps {
-		over = fmt.Sprintf("transaction of %d changes, %d conditions", len(e.T.Apply), len(e.T.When))
+	if len(e.Transaction.Puts) > s.txnOps || len(e.Transaction.Conditions) > 4*s.txnOps {
+		over = fmt.Sprintf("transaction of %d changes, %d conditions", len(e.Transaction.Puts), len(e.Transaction.Conditions))
 	}
-	for _, a := range e.T.Apply {
+	for _, a := range e.Transaction.Puts {
 		if len(a.Value) > s.valueB {
 			over = fmt.Sprintf("%s has %d bytes", a.Key, len(a.Value))
 		}
@@ -170,22 +170,22 @@
 			s.w.broke("limit", "%s", over)
 		}
 		s.tooLarge++
-		ev.Result, ev.Bad = core.Refused, true
+		ev.Result, ev.Malformed = core.Refused, true
 		return ev
 	}
-	for _, a := range e.T.Apply {
+	for _, a := range e.Transaction.Puts {
 		if _, on := s.kv["b/format"]; !on && a.Value != nil && !strings.HasPrefix(a.Key, "b/format") {
 			if _, whole, _ := asBefore(a.Key, a.Value); !whole {
 				s.w.broke("misread", "%s: %s", a.Key, a.Value)
 			}
 		}
-		if a.Permit != 0 && s.leases[a.Permit] == nil {
-			ev.Result, ev.Bad = core.Refused, true
+		if a.LeaseID != 0 && s.leases[a.LeaseID] == nil {
+			ev.Result, ev.Malformed = core.Refused, true
 			return ev
 		}
 	}
-	for _, k := range e.T.When {
-		if s.kv[k.Key].stamp != k.Stamp {
+	for _, k := range e.Transaction.Conditions {
+		if s.kv[k.Key].stamp != k.ModRevision {
 			ev.Result = core.Conflict
 			ev.Failed = append(ev.Failed, k.Key)
 		}
@@ -194,30 +194,30 @@
 		return ev
 	}
 	s.ledger++
-	for _, a := range e.T.Apply {
+	for _, a := range e.Transaction.Puts {
 		if a.Value == nil {
 			delete(s.kv, a.Key)
 		} else {
-			s.kv[a.Key] = entry{a.Value, s.ledger, a.Permit}
+			s.kv[a.Key] = entry{a.Value, s.ledger, a.LeaseID}
 		}
-		s.log = append(s.log, core.KV{Key: a.Key, Value: a.Value, Stamp: s.ledger})
+		s.log = append(s.log, core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.ledger})
 		if a.Key == "b/view" {
 			s.w.newView(a.Value)
 		}
 	}
-	ev.Ledger = s.ledger
+	ev.Revision = s.ledger
 	s.wake()
 	return ev
 }
 
-func (s *service) read(node string, e core.EfRead) any {
+func (s *service) read(node string, e core.ReadKeys) any {
 	if s.off(node) {
-		return core.EvRead{ID: e.ID}
+		return core.KeysRead{ID: e.ID}
 	}
-	ev := core.EvRead{ID: e.ID, OK: true}
+	ev := core.KeysRead{ID: e.ID, OK: true}
 	for _, k := range e.Keys {
 		if x, ok := s.kv[k]; ok {
-			ev.Items = append(ev.Items, core.KV{Key: k, Value: x.v, Stamp: x.stamp})
+			ev.Items = append(ev.Items, core.KeyValue{Key: k, Value: x.v, ModRevision: x.stamp})
 		}
 	}
 	return ev
@@ -225,33 +225,33 @@
 
 func (s *service) grant(node string, life time.Duration) any {
 	if s.off(node) {
-		return core.EvGrant{}
+		return core.LeaseGranted{}
 	}
 	s.next++
 	s.leases[s.next] = &lease{life, s.w.Now + life}
-	return core.EvGrant{OK: true, Permit: s.next}
+	return core.LeaseGranted{OK: true, LeaseID: s.next}
 }
 
 func (s *service) renew(node string, id uint64) any {
 	if s.off(node) {
-		return core.EvRenew{}
+		return core.LeaseRenewalAnswered{}
 	}
 	l := s.leases[id]
 	if l == nil {
-		return core.EvRenew{Gone: true}
+		return core.LeaseRenewalAnswered{Gone: true}
 	}
 	l.end = s.w.Now + l.life
-	return core.EvRenew{OK: true}
+	return core.LeaseRenewalAnswered{OK: true}
 }
 
 func (s *service) snapshot(node string) any {
 	if s.off(node) {
 		return nil
 	}
-	ev := core.EvSnapshot{Ledger: s.ledger}
+	ev := core.SnapshotLoaded{Revision: s.ledger}
 	for k, e := range s.kv {
 		if strings.HasPrefix(k, core.KeyRoot) {
-			ev.Items = append(ev.Items, core.KV{Key: k, Value: e.v, Stamp: e.stamp})
+			ev.Items = append(ev.Items, core.KeyValue{Key: k, Value: e.v, ModRevision: e.stamp})
 		}
 	}
 	ev.Items = s.seenBy(node, ev.Items)
@@ -278,8 +278,8 @@
 			keep = append(keep, x)
 			continue
 		}
-		ev := core.EvWatch{Ledger: s.ledger}
-		from := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > x.since })
+		ev := core.WatchAdvanced{Revision: s.ledger}
+		from := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > x.since })
 		ev.Items = s.seenBy(x.node, s.log[from:])
 		x.reply(ev)
 	}
@@ -288,12 +288,12 @@
 
 // seenBy is what a node makes of changes: one of the version before drops what it
 // doesn't know.
-func (s *service) seenBy(node string, l []core.KV) []core.KV {
+func (s *service) seenBy(node string, l []core.KeyValue) []core.KeyValue {
 	n := s.w.node(node)
 	if n == nil || !n.old {
-		return append([]core.KV(nil), l...)
+		return append([]core.KeyValue(nil), l...)
 	}
-	var r []core.KV
+	var r []core.KeyValue
 	for _, kv := range l {
 		if kv.Value != nil {
 			v, _, ok := asBefore(kv.Key, kv.Value)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,20 +11,20 @@
 
 // provider is a cloud with one machine type, two zones and a lagging list.
 type provider struct {
-	w     *World
+	w     *Cluster
 	up    bool
 	hires map[string][]string
 	n     int
 }
 
-var size = core.Res{CPU: 16000, GPU: 4000, Mem: 64000}
+var size = core.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
 func (c *provider) flavors() any {
 	if !c.up {
 		return nil
 	}
-	return core.EvFlavors{OK: true, F: []core.Flavor{{
-		Name: "box", Size: size, Cache: 100, Fetch: 1, Price: 10, Spot: 4, BootS: 10, Zones: []string{"a", "b"},
+	return core.MachineTypesListed{OK: true, Types: []core.MachineType{{
+		Name: "box", Capacity: size, ImageCacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
 	}}}
 }
 
@@ -32,7 +32,7 @@
 	if !c.up {
 		return nil
 	}
-	ev := core.EvList{OK: true}
+	ev := core.InstancesListed{OK: true}
 	for _, k := range c.w.workers {
 		if k.gone && c.w.Now-k.goneAt > c.w.set.ListLag || c.w.Now-k.born < c.w.set.ListLag {
 			continue
@@ -41,18 +41,18 @@
 		if k.up {
 			st = "running"
 		}
-		ev.L = append(ev.L, core.Inst{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
-			Held: (c.w.Now - k.born).Seconds()})
+		ev.Instances = append(ev.Instances, core.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
+			HeldSeconds: (c.w.Now - k.born).Seconds()})
 	}
 	return ev
 }
 
-func (c *provider) rent(e core.EfRent) any {
+func (c *provider) rent(e core.RentMachines) any {
 	if !c.up {
-		return core.EvRented{Hire: e.Hire}
+		return core.RentalAnswered{RentalID: e.RentalID}
 	}
-	if names, ok := c.hires[e.Hire]; ok {
-		return core.EvRented{Hire: e.Hire, OK: true, Names: names}
+	if names, ok := c.hires[e.RentalID]; ok {
+		return core.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 	}
 	var names []string
 	for i := 0; i < e.Count; i++ {
@@ -70,10 +70,10 @@
 		names = append(names, k.name)
 	}
 	if len(names) == 0 {
-		return core.EvRented{Hire: e.Hire, None: true}
+		return core.RentalAnswered{RentalID: e.RentalID, NoCapacity: true}
 	}
-	c.hires[e.Hire] = names
-	return core.EvRented{Hire: e.Hire, OK: true, Names: names}
+	c.hires[e.RentalID] = names
+	return core.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
 func (c *provider) giveBack(names []string) any {
@@ -97,12 +97,12 @@
 
 // on: it has its image and has not ended.
 func (t *task) on() bool {
-	return t.state == core.SeenWaiting || t.state == core.SeenRunning || t.state == core.SeenSaving
+	return t.state == core.ReportedWaiting || t.state == core.ReportedRunning || t.state == core.ReportedSaving
 }
 
 // worker is one machine.
 type worker struct {
-	w          *World
+	w          *Cluster
 	name, zone string
 	spot       bool
 	born       time.Duration
@@ -131,7 +131,7 @@
 // lateBoot is how many times as long machines take that come up late.
 const lateBoot = 2
 
-func newWorker(w *World, name, zone string, spot bool) *worker {
+func newWorker(w *Cluster, name, zone string, spot bool) *worker {
 	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[core.TaskID]*task{}, recall: -1}
 	w.workers = append(w.workers, k)
 	w.byName[name] = k
@@ -165,7 +165,7 @@
 		l = append(l, id)
 	}
 	sort.Slice(l, func(a, b int) bool {
-		return l[a].Job < l[b].Job || l[a].Job == l[b].Job && l[a].I < l[b].I
+		return l[a].Job < l[b].Job || l[a].Job == l[b].Job && l[a].Index < l[b].Index
 	})
 	return l
 }
@@ -216,7 +216,7 @@
 	if k.gone {
 		return
 	}
-	if k.w.Now-k.answered > k.w.set.Lease {
+	if k.w.Now-k.answered > k.w.set.WorkerLease {
 		k.w.log("%s loses its lease, shift %d", k.name, k.shift+1)
 		k.shift++
 		k.tasks = map[core.TaskID]*task{}
@@ -230,16 +230,16 @@
 	k.w.after(wait, func() { k.do(k.report) })
 }
 
-func (k *worker) makeReport() core.Report {
+func (k *worker) makeReport() core.Heartbeat {
 	k.tally++
-	r := core.Report{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
-		Shift: k.shift, Tally: k.tally, Baton: k.baton, Recall: -1}
+	r := core.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
+		AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, PreemptionNotice: -1}
 	if k.recall >= 0 {
-		r.Recall = max(0, (k.recall - k.w.Now).Seconds())
+		r.PreemptionNotice = max(0, (k.recall - k.w.Now).Seconds())
 	}
 	for _, id := range k.ids() {
 		t := k.tasks[id]
-		r.Tasks = append(r.Tasks, core.Seen{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, core.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -256,7 +256,7 @@
 		// A copy of the report comes late, here or to another controller.
 		o := k.w.nodes[k.w.rng.IntN(len(k.w.nodes))]
 		k.w.after(time.Duration(1+k.w.rng.Int64N(int64(k.copyMost))), func() {
-			o.ask(func(q uint64) core.Event { return core.EvCheckin{Req: q, R: r} }, func(core.Effect) {})
+			o.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(core.Effect) {})
 		})
 	}
 	if k.w.Now < k.keepTill {
@@ -266,7 +266,7 @@
 		if k.w.Now < k.muteTill {
 			return
 		}
-		n.ask(func(q uint64) core.Event { return core.EvCheckin{Req: q, R: r} }, func(e core.Effect) {
+		n.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(e core.Effect) {
 			if k.w.Now >= k.deafTill {
 				reply(e)
 			}
@@ -274,14 +274,14 @@
 	}, func(x any) {
 		k.do(func() {
 			k.busy = false
-			a, _ := x.(core.EfCheckin)
+			a, _ := x.(core.HeartbeatReply)
 			switch {
 			case a.Status == 200:
-				if shift != k.shift || a.Baton < k.baton || k.w.Now-sent > 4*time.Second {
+				if shift != k.shift || a.FencingToken < k.baton || k.w.Now-sent > 4*time.Second {
 					return
 				}
-				k.baton, k.answered, k.last200 = a.Baton, sent, k.w.Now
-				k.obey(a.Orders)
+				k.baton, k.answered, k.last200 = a.FencingToken, sent, k.w.Now
+				k.obey(a.Commands)
 				return
 			case a.Status == 421:
 				for i, o := range k.w.nodes {
@@ -299,95 +299,95 @@
 }
 
 // direct carries out orders sent straight here.
-func (k *worker) direct(e core.EfDirect, reply func(any)) {
+func (k *worker) direct(e core.SendCommands, reply func(any)) {
 	if k.w.Now < k.deafTill {
 		return
 	}
 	k.do(func() {
-		if e.Baton >= k.baton && e.Shift == k.shift {
+		if e.FencingToken >= k.baton && e.AgentEpoch == k.shift {
 			if k.w.Now < k.muteTill {
 				k.w.came("orders to a mute machine")
 			}
-			k.baton = e.Baton
-			k.obey(e.Orders)
+			k.baton = e.FencingToken
+			k.obey(e.Commands)
 		}
 		reply(k.makeReport())
 	})
 }
 
-func (k *worker) obey(os []core.Order) {
+func (k *worker) obey(os []core.Command) {
 	for _, o := range os {
 		t := k.tasks[o.Task]
-		switch o.Verb {
-		case core.Clear:
-			if t != nil && t.attempt == o.Attempt && t.state == core.SeenEnded {
+		switch o.Kind {
+		case core.ForgetTask:
+			if t != nil && t.attempt == o.Attempt && t.state == core.ReportedEnded {
 				delete(k.tasks, o.Task)
 			}
-		case core.Halt:
-			if t == nil || t.attempt != o.Attempt || t.state == core.SeenEnded {
+		case core.StopTask:
+			if t == nil || t.attempt != o.Attempt || t.state == core.ReportedEnded {
 				continue
 			}
 			sp := k.w.jobs[o.Task.Job].spec
-			if t.state == core.SeenRunning && sp.Ckpt > 0 && o.Leeway >= sp.Save {
-				t.state = core.SeenSaving
-				k.w.after(time.Duration(sp.Save*float64(time.Second)), func() {
+			if t.state == core.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
+				t.state = core.ReportedSaving
+				k.w.after(time.Duration(sp.CheckpointCost*float64(time.Second)), func() {
 					k.do(func() {
-						if k.tasks[o.Task] == t && t.state == core.SeenSaving {
+						if k.tasks[o.Task] == t && t.state == core.ReportedSaving {
 							k.end(o.Task, t, core.CauseStopped, true)
 						}
 					})
 				})
-			} else if t.state != core.SeenSaving || o.Leeway == 0 {
+			} else if t.state != core.ReportedSaving || o.GraceSeconds == 0 {
 				k.end(o.Task, t, core.CauseStopped, false)
 			}
-		case core.Run:
+		case core.StartTask:
 			k.start(o)
 		}
 	}
 }
 
 func (k *worker) end(id core.TaskID, t *task, cause string, saved bool) {
-	t.state, t.cause, t.saved = core.SeenEnded, cause, saved
-	k.w.log("%s/%d try %d ends on %s: %s", id.Job, id.I, t.attempt, k.name, cause)
+	t.state, t.cause, t.saved = core.ReportedEnded, cause, saved
+	k.w.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, k.name, cause)
 	k.changed()
 }
 
-func (k *worker) start(o core.Order) {
+func (k *worker) start(o core.Command) {
 	id := o.Task
 	j := k.w.jobs[id.Job]
 	if t := k.tasks[id]; t != nil {
-		if t.attempt != o.Attempt && t.state != core.SeenEnded {
+		if t.attempt != o.Attempt && t.state != core.ReportedEnded {
 			k.w.broke("busy", "%v try %d on %s beside try %d", id, o.Attempt, k.name, t.attempt)
 		}
 		return
 	}
 	if !k.w.allDone(j) {
-		k.w.broke("too_early", "%s/%d on %s before what it awaits is done", id.Job, id.I, k.name)
+		k.w.broke("too_early", "%s/%d on %s before what it awaits is done", id.Job, id.Index, k.name)
 	}
 	// An answer given under the fence may still bring it, a little later; not after
 	// that. Runs go out in answers alone, which a worker drops after 4 s.
 	if late := k.w.Now - j.cancelAt; j.cancelAt >= 0 && late > 0 {
 		k.w.came("start after a cancellation was told")
-		if late > k.w.set.Fence+4*time.Second {
-			k.w.broke("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.I, k.name, late.Seconds())
+		if late > k.w.set.FenceAge+4*time.Second {
+			k.w.broke("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, k.name, late.Seconds())
 		}
 	}
-	t := &task{attempt: o.Attempt, state: core.SeenFetching}
+	t := &task{attempt: o.Attempt, state: core.ReportedFetching}
 	k.tasks[id] = t
-	var used core.Res
+	var used core.Resources
 	for x, y := range k.tasks {
-		if y.state != core.SeenEnded {
-			used = used.Plus(k.w.jobs[x.Job].spec.Need, 1)
+		if y.state != core.ReportedEnded {
+			used = used.Plus(k.w.jobs[x.Job].spec.Request, 1)
 		}
 	}
-	if !size.Holds(used) {
+	if !size.Fits(used) {
 		k.end(id, t, core.CauseNoRoom, false)
 		return
 	}
 	shift := k.shift
 	k.w.after(time.Duration(500+k.w.rng.IntN(1500))*time.Millisecond, func() {
 		k.do(func() {
-			if k.shift != shift || k.tasks[id] != t || t.state != core.SeenFetching {
+			if k.shift != shift || k.tasks[id] != t || t.state != core.ReportedFetching {
 				return
 			}
 			k.arrive(id, t, j)
@@ -403,22 +403,22 @@
 	}
 	for _, o := range k.w.workers {
 		if x := o.tasks[id]; o != k && x != nil && x.on() && !o.gone {
-			k.w.broke("ran_twice", "%s/%d try %d on %s while try %d is on %s", id.Job, id.I, t.attempt, k.name, x.attempt, o.name)
+			k.w.broke("ran_twice", "%s/%d try %d on %s while try %d is on %s", id.Job, id.Index, t.attempt, k.name, x.attempt, o.name)
 		}
 	}
 	k.checkZones(id, j)
 	if k.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != k.zone {
-		k.w.broke("wrong_place", "%s/%d on %s", id.Job, id.I, k.name)
+		k.w.broke("wrong_place", "%s/%d on %s", id.Job, id.Index, k.name)
 	}
-	if j.cancelAt >= 0 && k.w.Now-j.cancelAt > k.w.set.Cancel {
-		k.w.broke("ran_cancelled", "%s/%d starts on %s", id.Job, id.I, k.name)
+	if j.cancelAt >= 0 && k.w.Now-j.cancelAt > k.w.set.CancelWithin {
+		k.w.broke("ran_cancelled", "%s/%d starts on %s", id.Job, id.Index, k.name)
 	}
-	t.state = core.SeenWaiting
+	t.state = core.ReportedWaiting
 	// In a wide world the sums over all machines are made each second only.
 	if len(k.w.workers) <= tuning.WideFleet {
 		k.w.checkPlaces()
 	}
-	if j.spec.Shape != core.Gang || j.spec.N == 1 {
+	if j.spec.Shape != core.Gang || j.spec.TaskCount == 1 {
 		k.run(id, t, j)
 		return
 	}
@@ -429,14 +429,14 @@
 	}
 	var all []member
 	for _, o := range k.w.workers {
-		for i := 0; i < j.spec.N; i++ {
-			oid := core.TaskID{Job: id.Job, I: i}
-			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == core.SeenWaiting {
+		for i := 0; i < j.spec.TaskCount; i++ {
+			oid := core.TaskID{Job: id.Job, Index: i}
+			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == core.ReportedWaiting {
 				all = append(all, member{o, oid, x})
 			}
 		}
 	}
-	if len(all) == j.spec.N {
+	if len(all) == j.spec.TaskCount {
 		for _, m := range all {
 			m.k.run(m.id, m.t, j)
 		}
@@ -461,36 +461,36 @@
 			if o.zone == k.zone {
 				here++
 			} else if j.spec.OneZone {
-				k.w.broke("wrong_place", "%s/%d in zone %s, %d in %s", id.Job, id.I, k.zone, other.I, o.zone)
+				k.w.broke("wrong_place", "%s/%d in zone %s, %d in %s", id.Job, id.Index, k.zone, other.Index, o.zone)
 			}
 		}
 	}
-	if most := (j.spec.N + 1) / 2; j.spec.Spread && here > most {
-		k.w.broke("wrong_place", "%s/%d is number %d in zone %s, of %d allowed", id.Job, id.I, here, k.zone, most)
+	if most := (j.spec.TaskCount + 1) / 2; j.spec.Spread && here > most {
+		k.w.broke("wrong_place", "%s/%d is number %d in zone %s, of %d allowed", id.Job, id.Index, here, k.zone, most)
 	}
 }
 
 func (k *worker) run(id core.TaskID, t *task, j *truth) {
 	j.begun = true
-	t.state = core.SeenRunning
-	k.w.log("%s/%d try %d runs on %s (%s)", id.Job, id.I, t.attempt, k.name, k.zone)
+	t.state = core.ReportedRunning
+	k.w.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, k.name, k.zone)
 	k.changed()
 	if j.spec.Shape == core.Service {
 		return
 	}
 	left := j.run
-	if j.done[id.I] {
+	if j.done[id.Index] {
 		left = 0
 	}
 	shift := k.shift
 	k.w.after(left, func() {
 		k.do(func() {
-			if k.shift == shift && k.tasks[id] == t && t.state == core.SeenRunning {
-				j.done[id.I] = true
-				for i := 0; i < j.spec.N && j.spec.Shape == core.Gang; i++ {
+			if k.shift == shift && k.tasks[id] == t && t.state == core.ReportedRunning {
+				j.done[id.Index] = true
+				for i := 0; i < j.spec.TaskCount && j.spec.Shape == core.Gang; i++ {
 					j.done[i] = true // they complete together
 				}
-				if len(j.done) == j.spec.N && j.asked && k.w.strikes("endings") {
+				if len(j.done) == j.spec.TaskCount && j.asked && k.w.strikes("endings") {
 					k.w.came("cancelled at its end")
 					k.w.Abort(id.Job)
 				}
