--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -37,8 +37,8 @@
 	return x
 }
 
-// World is a simulated deployment.
-type World struct {
+// Cluster is a simulated deployment.
+type Cluster struct {
 	Now    time.Duration
 	Trace  []string // what happened, for people
 	Broken []string // rules that were broken
@@ -67,7 +67,7 @@
 	old               bool          // all nodes begin as the version before
 	spell             map[string]spell
 	met               map[string]int                      // what really came about, so that tests can tell that troubles met
-	kept              []core.Report                       // old reports, kept for the next leader
+	kept              []core.Heartbeat                    // old reports, kept for the next leader
 	leader            string                              // as the state service has it
 	room              map[string]map[string]time.Duration // since when a job waits beside room on a machine
 
@@ -88,19 +88,19 @@
 }
 
 // strikes tells whether a trouble is on and chance wills it.
-func (w *World) strikes(name string) bool {
+func (w *Cluster) strikes(name string) bool {
 	s, on := w.spell[name]
 	return on && w.Now < s.till && (s.share >= 1 || w.rng.Float64() < s.share)
 }
 
 // came counts something that troubles brought about.
-func (w *World) came(what string) {
+func (w *Cluster) came(what string) {
 	w.met[what]++
 }
 
 // truth is what really became of a job.
 type truth struct {
-	spec       core.Spec
+	spec       core.JobSpec
 	run        time.Duration
 	done       map[int]bool
 	accepted   bool
@@ -118,9 +118,9 @@
 }
 
 // allDone tells whether all that a job awaits is done.
-func (w *World) allDone(t *truth) bool {
-	for _, id := range t.spec.Needs {
-		if n := w.jobs[id]; n == nil || len(n.done) < n.spec.N {
+func (w *Cluster) allDone(t *truth) bool {
+	for _, id := range t.spec.Dependencies {
+		if n := w.jobs[id]; n == nil || len(n.done) < n.spec.TaskCount {
 			return false
 		}
 	}
@@ -128,9 +128,9 @@
 }
 
 // before calls f for every job that must be done before one, until f says so.
-func (w *World) before(t *truth, f func(*truth) bool) bool {
+func (w *Cluster) before(t *truth, f func(*truth) bool) bool {
 	seen := map[string]bool{}
-	work := append([]string(nil), t.spec.Needs...)
+	work := append([]string(nil), t.spec.Dependencies...)
 	for len(work) > 0 {
 		id := work[len(work)-1]
 		work = work[:len(work)-1]
@@ -141,7 +141,7 @@
 		if seen[id] = true; f(n) {
 			return true
 		}
-		work = append(work, n.spec.Needs...)
+		work = append(work, n.spec.Dependencies...)
 	}
 	return false
 }
@@ -150,21 +150,21 @@
 func Settings() core.Settings {
 	return core.Settings{
 		Nodes: []string{"c-0", "c-1", "c-2"}, Zones: []string{"a", "b"},
-		Teams: map[string]core.Limits{
-			"red":  {Guar: core.Res{GPU: 8000}, Max: core.Res{GPU: 12000}},
-			"blue": {Guar: core.Res{GPU: 8000}, Max: core.Res{GPU: 40000}},
+		Teams: map[string]core.Quota{
+			"red":  {Guarantee: core.Resources{GPU: 8000}, Limit: core.Resources{GPU: 12000}},
+			"blue": {Guarantee: core.Resources{GPU: 8000}, Limit: core.Resources{GPU: 40000}},
 		},
-		Report: 3 * time.Second, Lease: 20 * time.Second, Cancel: 40 * time.Second, Peer: 5 * time.Second,
-		Fence: tuning.Fence, ValueB: 4096, TxnOps: 8, ListLag: 4 * time.Second,
-		Wait: map[string]float64{}, Goals: map[string][]float64{}, Spare: 0, Learn: true,
+		HeartbeatInterval: 3 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 40 * time.Second, GangPeerWait: 5 * time.Second,
+		FenceAge: tuning.Fence, ValueLimit: 4096, TransactionLimit: 8, ListLag: 4 * time.Second,
+		StartWithin: map[string]float64{}, FinishWithin: map[string][]float64{}, SpareMachines: 0, Learn: true,
 	}
 }
 
 // New returns a world whose nodes start at time 0.
-func New(seed uint64, set core.Settings) *World { return newWorld(seed, set, 0, false) }
+func New(seed uint64, set core.Settings) *Cluster { return newWorld(seed, set, 0, false) }
 
-func newWorld(seed uint64, set core.Settings, opsNow int, old bool) *World {
-	w := &World{
+func newWorld(seed uint64, set core.Settings, opsNow int, old bool) *Cluster {
+	w := &Cluster{
 		opsNow: opsNow, old: old,
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, jobs: map[string]*truth{},
 		cuts: map[string]string{}, held: map[string][]func(){}, byName: map[string]*worker{}, fill: 5,
@@ -180,23 +180,23 @@
 	return w
 }
 
-func (w *World) log(format string, a ...any) {
+func (w *Cluster) log(format string, a ...any) {
 	w.Trace = append(w.Trace, fmt.Sprintf("%7.2f ", w.Now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (w *World) broke(rule, format string, a ...any) {
+func (w *Cluster) broke(rule, format string, a ...any) {
 	s := rule + ": " + fmt.Sprintf(format, a...)
 	w.Broken = append(w.Broken, s)
 	w.log("BROKEN %s", s)
 }
 
-func (w *World) after(d time.Duration, f func()) {
+func (w *Cluster) after(d time.Duration, f func()) {
 	w.seq++
 	heap.Push(&w.queue, action{w.Now + d, w.seq, f})
 }
 
 // Run plays until the given time.
-func (w *World) Run(until time.Duration) {
+func (w *Cluster) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		a := heap.Pop(&w.queue).(action)
 		w.Now = a.at
@@ -213,7 +213,7 @@
 }
 
 // send delivers after a little while, unless a cut drops it or holds it back.
-func (w *World) send(from, to string, f func()) {
+func (w *Cluster) send(from, to string, f func()) {
 	if w.zoneCut != "" && w.inZone(from) != w.inZone(to) {
 		if w.zoneMode == "hold" {
 			w.zoneHeld = append(w.zoneHeld, f)
@@ -232,7 +232,7 @@
 }
 
 // call is a request with a time limit; done gets nil when it passes.
-func (w *World) call(from, to string, limit time.Duration, exec func(reply func(any)), done func(any)) {
+func (w *Cluster) call(from, to string, limit time.Duration, exec func(reply func(any)), done func(any)) {
 	over := false
 	w.send(from, to, func() {
 		exec(func(r any) {
@@ -252,7 +252,7 @@
 	})
 }
 
-func (w *World) cut(a, b, mode string, d time.Duration) {
+func (w *Cluster) cut(a, b, mode string, d time.Duration) {
 	k := pair(a, b)
 	w.cuts[k] = mode
 	w.after(d, func() {
@@ -265,7 +265,7 @@
 }
 
 // cutZone cuts the nodes and machines of a zone from everything outside it.
-func (w *World) cutZone(zone, mode string, d time.Duration) {
+func (w *Cluster) cutZone(zone, mode string, d time.Duration) {
 	w.log("zone %s is cut off (%s)", zone, mode)
 	w.zoneCut, w.zoneMode = zone, mode
 	w.calm = max(w.calm, w.Now+d)
@@ -280,7 +280,7 @@
 }
 
 // inZone tells whether a name is a node or machine of the zone that is cut off.
-func (w *World) inZone(name string) bool {
+func (w *Cluster) inZone(name string) bool {
 	if k := w.byName[name]; k != nil {
 		return k.zone == w.zoneCut
 	}
@@ -292,16 +292,16 @@
 
 // node is one controller process round a real core.
 type node struct {
-	w     *World
-	name  string
-	core  *core.Core
-	gen   int
-	born  time.Duration
-	drift float64
-	req   uint64
-	wait  map[uint64]func(core.Effect)
-	since uint64
-	old   bool // runs the version before, as far as that concerns the switch
+	w          *Cluster
+	name       string
+	controller *core.Controller
+	gen        int
+	born       time.Duration
+	drift      float64
+	req        uint64
+	wait       map[uint64]func(core.Effect)
+	since      uint64
+	old        bool // runs the version before, as far as that concerns the switch
 	// A frozen process stands still in the middle of a step, while its clock goes
 	// on: what it decided goes out when it wakes, and then all it did not hear.
 	froze  time.Duration // until then
@@ -318,17 +318,17 @@
 	n.born = n.w.Now
 	s := n.w.set
 	s.Node, s.Seed = n.name, uint64(n.gen)
-	s.Wall = wallStart + n.w.Now.Milliseconds()
+	s.WallClockMS = wallStart + n.w.Now.Milliseconds()
 	if n.old {
-		s.AsBefore, s.ValueB, s.TxnOps = true, max(s.ValueB, s.ValueNow), max(s.TxnOps, n.w.opsNow)
+		s.PreviousFormat, s.ValueLimit, s.TransactionLimit = true, max(s.ValueLimit, s.ValueLimitNow), max(s.TransactionLimit, n.w.opsNow)
 	}
-	n.core = core.New(s, fmt.Sprintf("%s.%d", n.name, n.gen))
+	n.controller = core.New(s, fmt.Sprintf("%s.%d", n.name, n.gen))
 	n.wait = map[uint64]func(core.Effect){}
 	g := n.gen
 	var tick func()
 	tick = func() {
-		if n.gen == g && n.core != nil {
-			n.step(core.EvTick{})
+		if n.gen == g && n.controller != nil {
+			n.step(core.Tick{})
 			n.w.after(tuning.Tick, tick)
 		}
 	}
@@ -337,15 +337,15 @@
 }
 
 func (n *node) crash(back time.Duration) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
 	n.w.log("%s ends", n.name)
-	n.core, n.wait = nil, nil
+	n.controller, n.wait = nil, nil
 	n.froze, n.effs, n.events = 0, nil, nil
 	n.gen++
 	n.w.after(back, func() {
-		if n.core == nil {
+		if n.controller == nil {
 			n.w.log("%s starts", n.name)
 			n.boot()
 		}
@@ -353,7 +353,7 @@
 }
 
 func (n *node) step(ev core.Event) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
 	if n.w.Now < n.froze && len(n.effs) > 0 {
@@ -373,10 +373,10 @@
 // timedStep is a step of the core, timed where a benchmark asks for it.
 func (n *node) timedStep(ev core.Event) []core.Effect {
 	if !n.w.timed {
-		return n.core.Step(n.now(), ev)
+		return n.controller.Step(n.now(), ev)
 	}
 	start := time.Now()
-	effects := n.core.Step(n.now(), ev)
+	effects := n.controller.Step(n.now(), ev)
 	took := time.Since(start)
 	n.w.stepTime += took
 	n.w.longestStep = max(n.w.longestStep, took)
@@ -385,7 +385,7 @@
 
 // freeze stops the process at its next step that does something.
 func (n *node) freeze(d time.Duration) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
 	n.w.log("%s stands still, its clock goes on", n.name)
@@ -400,7 +400,7 @@
 		effs, evs := n.effs, n.events
 		n.effs, n.events = nil, nil
 		for _, e := range effs {
-			if x, ok := e.(core.EfCheckin); ok && x.Status == 200 {
+			if x, ok := e.(core.HeartbeatReply); ok && x.Status == 200 {
 				n.w.came("answer decided before a freeze")
 			}
 			n.carry(e)
@@ -413,7 +413,7 @@
 
 // ask puts a request to the core; the answer comes through the effect.
 func (n *node) ask(mk func(uint64) core.Event, done func(core.Effect)) {
-	if n.core == nil {
+	if n.controller == nil {
 		return
 	}
 	n.req++
@@ -443,93 +443,93 @@
 	}
 	w, back := n.w, n.back(n.gen)
 	switch x := e.(type) {
-	case core.EfCheckin:
-		n.answer(x.Req, x)
-	case core.EfUser:
-		n.answer(x.Req, x)
-	case core.EfConfirm:
+	case core.HeartbeatReply:
+		n.answer(x.RequestID, x)
+	case core.UserReply:
+		n.answer(x.RequestID, x)
+	case core.ConfirmView:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.confirm(n.name, x)) }, func(r any) {
-			ev, _ := r.(core.EvConfirm)
+			ev, _ := r.(core.ConfirmationAnswered)
 			back(ev)
 		})
-	case core.EfCommit:
+	case core.Commit:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.st.perform(n, x, r) }, func(r any) {
-			ev, ok := r.(core.EvCommit)
+			ev, ok := r.(core.CommitAnswered)
 			if !ok {
-				ev = core.EvCommit{ID: x.ID, Result: core.Unknown}
+				ev = core.CommitAnswered{ID: x.ID, Result: core.InDoubt}
 			}
 			back(ev)
 		})
-	case core.EfRead:
+	case core.ReadKeys:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.read(n.name, x)) }, func(r any) {
-			ev, ok := r.(core.EvRead)
+			ev, ok := r.(core.KeysRead)
 			if !ok {
-				ev = core.EvRead{ID: x.ID}
+				ev = core.KeysRead{ID: x.ID}
 			}
 			back(ev)
 		})
-	case core.EfGrant:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.grant(n.name, x.Life)) }, func(r any) {
-			ev, _ := r.(core.EvGrant)
+	case core.GrantLease:
+		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.grant(n.name, x.TTL)) }, func(r any) {
+			ev, _ := r.(core.LeaseGranted)
 			back(ev)
 		})
-	case core.EfRenew:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.renew(n.name, x.Permit)) }, func(r any) {
-			ev, _ := r.(core.EvRenew)
+	case core.RenewLease:
+		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.renew(n.name, x.LeaseID)) }, func(r any) {
+			ev, _ := r.(core.LeaseRenewalAnswered)
 			back(ev)
 		})
-	case core.EfFlavors:
+	case core.ListMachineTypes:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.flavors()) }, func(r any) {
-			ev, _ := r.(core.EvFlavors)
+			ev, _ := r.(core.MachineTypesListed)
 			back(ev)
 		})
-	case core.EfList:
+	case core.ListInstances:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.list()) }, func(r any) {
-			ev, _ := r.(core.EvList)
+			ev, _ := r.(core.InstancesListed)
 			back(ev)
 		})
-	case core.EfRent:
+	case core.RentMachines:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.rent(x)) }, func(r any) {
-			ev, ok := r.(core.EvRented)
+			ev, ok := r.(core.RentalAnswered)
 			if !ok {
-				ev = core.EvRented{Hire: x.Hire}
+				ev = core.RentalAnswered{RentalID: x.RentalID}
 			}
 			back(ev)
 		})
-	case core.EfReturn:
+	case core.ReturnMachines:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.giveBack(x.Names)) }, func(r any) {
 			ok, _ := r.(bool)
-			back(core.EvReturned{Names: x.Names, OK: ok})
+			back(core.ReturnAnswered{Names: x.Names, OK: ok})
 		})
-	case core.EfPeer:
+	case core.SendPeerMessage:
 		for _, o := range w.nodes {
 			if o.name == x.To {
-				w.send(n.name, o.name, func() { o.step(core.EvPeer{From: n.name, Msg: x.Msg}) })
+				w.send(n.name, o.name, func() { o.step(core.PeerMessageReceived{From: n.name, Message: x.Message}) })
 			}
 		}
-	case core.EfDirect:
+	case core.SendCommands:
 		k := w.worker(x.Machine)
 		if k == nil {
 			return
 		}
 		w.call(n.name, k.name, tuning.DirectTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
-			ev := core.EvDirect{Machine: x.Machine}
-			if rep, ok := r.(core.Report); ok {
-				ev.R = &rep
+			ev := core.CommandsAnswered{Machine: x.Machine}
+			if rep, ok := r.(core.Heartbeat); ok {
+				ev.Heartbeat = &rep
 			}
 			back(ev)
 		})
-	case core.EfLog:
-		if x.Msg == "value made smaller" {
+	case core.LogLine:
+		if x.Message == "value made smaller" {
 			w.smaller++
 		}
-		if x.Msg == "format on" && w.old {
+		if x.Message == "format on" && w.old {
 			w.log("%s reads that all know the new format", n.name)
 		}
-		if x.Msg == "machine marked" {
+		if x.Message == "machine marked" {
 			w.marked = append(w.marked, fmt.Sprint(x.Args...))
 		}
-		if x.Msg == "view" {
+		if x.Message == "view" {
 			w.log("%s sees view %v", n.name, x.Args)
 		}
 	}
@@ -543,12 +543,12 @@
 		if n.gen != g {
 			return
 		}
-		ev, ok := r.(core.EvSnapshot)
+		ev, ok := r.(core.SnapshotLoaded)
 		if !ok {
 			n.w.after(tuning.ConfirmRetry, func() { n.snapshot(g) })
 			return
 		}
-		n.since = ev.Ledger
+		n.since = ev.Revision
 		n.step(ev)
 		n.watch(g)
 	})
@@ -564,8 +564,8 @@
 			return
 		}
 		pause := tuning.ConfirmRetry
-		if ev, ok := r.(core.EvWatch); ok {
-			n.since = max(n.since, ev.Ledger)
+		if ev, ok := r.(core.WatchAdvanced); ok {
+			n.since = max(n.since, ev.Revision)
 			ev.Sent = sent
 			n.step(ev)
 			pause = tuning.WatchGap
@@ -574,18 +574,18 @@
 	})
 }
 
-func (w *World) worker(name string) *worker {
+func (w *Cluster) worker(name string) *worker {
 	return w.byName[name]
 }
 
 // Submit sends a job and repeats it until it is accepted; then polls.
-func (w *World) Submit(s core.Spec, run time.Duration) {
+func (w *Cluster) Submit(s core.JobSpec, run time.Duration) {
 	t := w.jobs[s.ID]
 	if t == nil {
 		t = &truth{spec: s, run: run, done: map[int]bool{}, cancelAt: -1, readyAt: -1}
 		w.jobs[s.ID] = t
 	}
-	for _, id := range s.Needs { // users name only what was accepted
+	for _, id := range s.Dependencies { // users name only what was accepted
 		if n := w.jobs[id]; n == nil || !n.accepted {
 			w.after(100*time.Millisecond, func() { w.Submit(s, run) })
 			return
@@ -594,8 +594,8 @@
 	t.asked = true
 	w.user(func(n *node, done func(core.Effect)) {
 		sp := s
-		n.ask(func(r uint64) core.Event { return core.EvSubmit{Req: r, ID: s.ID, Spec: &sp} }, done)
-	}, func(u core.EfUser, asked time.Duration) {
+		n.ask(func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: s.ID, Spec: &sp} }, done)
+	}, func(u core.UserReply, asked time.Duration) {
 		w.judge(s.ID, u, asked)
 		if u.Status == 200 || u.Status == 201 {
 			w.log("%s accepted", s.ID)
@@ -607,36 +607,36 @@
 }
 
 // user sends a request to a live node through the load balancer.
-func (w *World) user(ask func(*node, func(core.Effect)), done func(core.EfUser, time.Duration)) {
+func (w *Cluster) user(ask func(*node, func(core.Effect)), done func(core.UserReply, time.Duration)) {
 	asked := w.Now
 	var live []*node
 	for _, n := range w.nodes {
-		if n.core != nil {
+		if n.controller != nil {
 			live = append(live, n)
 		}
 	}
 	if len(live) == 0 {
-		done(core.EfUser{}, asked)
+		done(core.UserReply{}, asked)
 		return
 	}
 	w.userAt(live[w.rng.IntN(len(live))], ask, done)
 }
 
 // userAt is the same at one node.
-func (w *World) userAt(n *node, ask func(*node, func(core.Effect)), done func(core.EfUser, time.Duration)) {
+func (w *Cluster) userAt(n *node, ask func(*node, func(core.Effect)), done func(core.UserReply, time.Duration)) {
 	asked := w.Now
 	w.call("users", n.name, 2*time.Second, func(r func(any)) {
 		ask(n, func(e core.Effect) { r(e) })
 	}, func(r any) {
-		u, _ := r.(core.EfUser)
+		u, _ := r.(core.UserReply)
 		done(u, asked)
 	})
 }
 
-func (w *World) poll(id string) {
+func (w *Cluster) poll(id string) {
 	w.user(func(n *node, done func(core.Effect)) {
-		n.ask(func(r uint64) core.Event { return core.EvPoll{Req: r, ID: id} }, done)
-	}, func(u core.EfUser, asked time.Duration) {
+		n.ask(func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} }, done)
+	}, func(u core.UserReply, asked time.Duration) {
 		w.judge(id, u, asked)
 		pause := 5 * time.Second
 		if w.strikes("storm") {
@@ -650,12 +650,12 @@
 }
 
 // Abort cancels a job, repeating until told that it is over.
-func (w *World) Abort(id string) {
+func (w *Cluster) Abort(id string) {
 	t := w.jobs[id]
 	t.cancelAsk = true
 	w.user(func(n *node, done func(core.Effect)) {
-		n.ask(func(r uint64) core.Event { return core.EvAbort{Req: r, ID: id} }, done)
-	}, func(u core.EfUser, asked time.Duration) {
+		n.ask(func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} }, done)
+	}, func(u core.UserReply, asked time.Duration) {
 		w.judge(id, u, asked)
 		if t.told == "" {
 			w.after(time.Second, func() { w.Abort(id) })
@@ -665,7 +665,7 @@
 
 // judge checks an answer against the rules that concern users. A request that was
 // under way when its user was told otherwise may still bring the older state.
-func (w *World) judge(id string, u core.EfUser, asked time.Duration) {
+func (w *Cluster) judge(id string, u core.UserReply, asked time.Duration) {
 	t := w.jobs[id]
 	switch u.Status {
 	case 404, 400, 422:
@@ -696,8 +696,8 @@
 	}
 	switch u.State {
 	case "done":
-		if len(t.done) < t.spec.N {
-			w.broke("not_done", "%s: %d of %d", id, len(t.done), t.spec.N)
+		if len(t.done) < t.spec.TaskCount {
+			w.broke("not_done", "%s: %d of %d", id, len(t.done), t.spec.TaskCount)
 		}
 	case "cancelled":
 		if !t.cancelAsk && !w.before(t, func(n *truth) bool { return n.cancelAsk }) {
@@ -708,7 +708,7 @@
 		}
 	default:
 		w.before(t, func(n *truth) bool {
-			late := n.cancelAt >= 0 && w.Now-n.cancelAt > w.set.Cancel
+			late := n.cancelAt >= 0 && w.Now-n.cancelAt > w.set.CancelWithin
 			if late && !t.reported(w, "orphaned") {
 				w.broke("orphaned", "%s is %s though %s is cancelled", id, u.State, n.spec.ID)
 			}
@@ -724,7 +724,7 @@
 }
 
 // Unfinished lists accepted jobs that are not over.
-func (w *World) Unfinished() []string {
+func (w *Cluster) Unfinished() []string {
 	var l []string
 	for id, t := range w.jobs {
 		if t.accepted && t.told == "" && t.spec.Shape != core.Service {
@@ -736,7 +736,7 @@
 }
 
 // Starts counts task starts in the trace.
-func (w *World) Starts() int {
+func (w *Cluster) Starts() int {
 	n := 0
 	for _, l := range w.Trace {
 		if strings.Contains(l, " runs on ") {
@@ -748,8 +748,8 @@
 
 // checkPlaces checks quota and cancelled work; called whenever a task comes on
 // a machine and every second.
-func (w *World) checkPlaces() {
-	used := map[string]core.Res{}
+func (w *Cluster) checkPlaces() {
+	used := map[string]core.Resources{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
@@ -760,14 +760,14 @@
 				continue
 			}
 			t := w.jobs[id.Job]
-			used[t.spec.Team] = used[t.spec.Team].Plus(t.spec.Need, 1)
-			if t.cancelAt >= 0 && w.Now-t.cancelAt > w.set.Cancel && !t.reported(w, "ran_cancelled") {
+			used[t.spec.Team] = used[t.spec.Team].Plus(t.spec.Request, 1)
+			if t.cancelAt >= 0 && w.Now-t.cancelAt > w.set.CancelWithin && !t.reported(w, "ran_cancelled") {
 				w.broke("ran_cancelled", "%v on %s", id, k.name)
 			}
 		}
 	}
 	for _, team := range []string{"red", "blue"} {
-		lim := w.set.Teams[team].Max
+		lim := w.set.Teams[team].Limit
 		if lim.GPU > 0 && used[team].GPU == lim.GPU {
 			w.came("a team at its limit")
 		}
@@ -779,7 +779,7 @@
 
 // checkKnown: once all troubles are over, a job about which no question is
 // answered for 75 s is forgotten, and each must begin within four minutes.
-func (w *World) checkKnown() {
+func (w *Cluster) checkKnown() {
 	for _, id := range w.Unfinished() {
 		t := w.jobs[id]
 		since := w.Now - max(t.answered, w.calm)
@@ -795,7 +795,7 @@
 	}
 }
 
-func (t *truth) reported(w *World, rule string) bool {
+func (t *truth) reported(w *Cluster, rule string) bool {
 	return slices.ContainsFunc(w.Broken, func(s string) bool {
 		return strings.HasPrefix(s, rule) && strings.Contains(s, t.spec.ID)
 	})
--- a/internal/standin/world_test.go
+++ b/internal/standin/world_test.go
@@ -124,9 +124,9 @@
 }
 
 // playAll plays a day for each seed, several at a time: worlds share nothing.
-func playAll(t *testing.T, seeds []uint64, script func(uint64) string) []*World {
+func playAll(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
 	t.Helper()
-	ws, errs := make([]*World, len(seeds)), make([]error, len(seeds))
+	ws, errs := make([]*Cluster, len(seeds)), make([]error, len(seeds))
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var g sync.WaitGroup
 	for i, seed := range seeds {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -83,34 +83,34 @@
 }
 
 // Confirm compares the view's stamp without changing anything.
-func (c *Client) Confirm(e core.EfConfirm) core.EvConfirm {
+func (c *Client) Confirm(e core.ConfirmView) core.ConfirmationAnswered {
 	c.b.Wait(core.LaneView, 0)
-	body, _ := json.Marshal(commit{When: []cond{{e.Key, e.Stamp}}})
+	body, _ := json.Marshal(commit{When: []cond{{e.Key, e.ModRevision}}})
 	st, out, err := c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	var r committed
 	if err != nil || st != 200 && st != 409 || json.Unmarshal(out, &r) != nil {
-		return core.EvConfirm{}
+		return core.ConfirmationAnswered{}
 	}
-	return core.EvConfirm{OK: true, Same: st == 200, Ledger: r.Ledger}
+	return core.ConfirmationAnswered{OK: true, Same: st == 200, Revision: r.Ledger}
 }
 
 // Commit carries out a transaction.
-func (c *Client) Commit(e core.EfCommit) core.EvCommit {
-	c.b.Wait(e.Lane, len(e.T.Apply))
+func (c *Client) Commit(e core.Commit) core.CommitAnswered {
+	c.b.Wait(e.Lane, len(e.Transaction.Puts))
 	var t commit
-	for _, k := range e.T.When {
-		t.When = append(t.When, cond{k.Key, k.Stamp})
+	for _, k := range e.Transaction.Conditions {
+		t.When = append(t.When, cond{k.Key, k.ModRevision})
 	}
-	for _, a := range e.T.Apply {
+	for _, a := range e.Transaction.Puts {
 		if a.Value == nil {
 			t.Apply = append(t.Apply, change{Delete: a.Key})
 		} else {
-			t.Apply = append(t.Apply, change{Set: a.Key, V: a.Value, Permit: a.Permit})
+			t.Apply = append(t.Apply, change{Set: a.Key, V: a.Value, Permit: a.LeaseID})
 		}
 	}
 	body, err := json.Marshal(t)
 	if err != nil {
-		return core.EvCommit{ID: e.ID, Result: core.Refused}
+		return core.CommitAnswered{ID: e.ID, Result: core.Refused}
 	}
 	st, out, err := c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	for n := 0; n < tuning.ThrottledTries && e.Lane == core.LaneUser && err == nil && st == 429; n++ {
@@ -118,7 +118,7 @@
 		c.b.Wait(e.Lane, 0)
 		st, out, err = c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	}
-	ev := core.EvCommit{ID: e.ID, Result: core.Unknown}
+	ev := core.CommitAnswered{ID: e.ID, Result: core.InDoubt}
 	var r committed
 	switch {
 	case errors.Is(err, wire.ErrNotSent):
@@ -128,26 +128,26 @@
 		if json.Unmarshal(out, &r) != nil {
 			break
 		}
-		ev.Ledger, ev.Failed = r.Ledger, r.Failed
+		ev.Revision, ev.Failed = r.Ledger, r.Failed
 		ev.Result = core.Committed
 		if st == 409 {
 			ev.Result = core.Conflict
 		}
 	case st == 400:
 		slog.Error("state service refuses a transaction", "answer", string(out))
-		ev.Result, ev.Bad = core.Refused, true
+		ev.Result, ev.Malformed = core.Refused, true
 	case st == 429 || st == 503:
 		ev.Result = core.Refused
 	}
 	if ev.Result == core.Refused {
-		c.b.Refund(len(e.T.Apply))
+		c.b.Refund(len(e.Transaction.Puts))
 	}
 	return ev
 }
 
 // Read reads a few keys.
-func (c *Client) Read(e core.EfRead) core.EvRead {
-	ev := core.EvRead{ID: e.ID, OK: true}
+func (c *Client) Read(e core.ReadKeys) core.KeysRead {
+	ev := core.KeysRead{ID: e.ID, OK: true}
 	for _, key := range e.Keys {
 		c.b.Wait(core.LaneUser, 0)
 		st, out, err := c.w.Do("GET", "/kv/"+key, nil, tuning.StateTimeout)
@@ -155,31 +155,31 @@
 		switch {
 		case err == nil && st == 404:
 		case err == nil && st == 200 && json.Unmarshal(out, &i) == nil:
-			ev.Items = append(ev.Items, core.KV{Key: key, Value: bytes.Clone(i.V), Stamp: i.Stamp})
+			ev.Items = append(ev.Items, core.KeyValue{Key: key, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 		default:
-			return core.EvRead{ID: e.ID}
+			return core.KeysRead{ID: e.ID}
 		}
 	}
 	return ev
 }
 
 // Grant asks for a grant.
-func (c *Client) Grant(e core.EfGrant) core.EvGrant {
+func (c *Client) Grant(e core.GrantLease) core.LeaseGranted {
 	c.b.Wait(core.LaneView, 0)
-	body, _ := json.Marshal(grant{LifeMs: e.Life.Milliseconds()})
+	body, _ := json.Marshal(grant{LifeMs: e.TTL.Milliseconds()})
 	st, out, err := c.w.Do("POST", "/grants", body, tuning.StateTimeout)
 	var r grant
 	if err != nil || st != 200 || json.Unmarshal(out, &r) != nil {
-		return core.EvGrant{}
+		return core.LeaseGranted{}
 	}
-	return core.EvGrant{OK: true, Permit: r.Permit}
+	return core.LeaseGranted{OK: true, LeaseID: r.Permit}
 }
 
 // Renew renews it.
-func (c *Client) Renew(e core.EfRenew) core.EvRenew {
+func (c *Client) Renew(e core.RenewLease) core.LeaseRenewalAnswered {
 	c.b.Wait(core.LaneView, 0)
-	st, _, err := c.w.Do("POST", fmt.Sprintf("/grants/%d/renew", e.Permit), []byte("{}"), tuning.StateTimeout)
-	return core.EvRenew{OK: err == nil && st == 200, Gone: err == nil && st == 404}
+	st, _, err := c.w.Do("POST", fmt.Sprintf("/grants/%d/renew", e.LeaseID), []byte("{}"), tuning.StateTimeout)
+	return core.LeaseRenewalAnswered{OK: err == nil && st == 200, Gone: err == nil && st == 404}
 }
 
 // Watch keeps the core's cache: a snapshot, then changes in order, for ever.
@@ -201,7 +201,7 @@
 }
 
 func (c *Client) snapshot(emit func(core.Event)) (uint64, error) {
-	ev := core.EvSnapshot{}
+	ev := core.SnapshotLoaded{}
 	after := ""
 	for first := true; ; first = false {
 		c.b.Wait(core.LaneView, 0)
@@ -218,10 +218,10 @@
 			return 0, err
 		}
 		if first {
-			ev.Ledger = p.Ledger
+			ev.Revision = p.Ledger
 		}
 		for _, i := range p.Items {
-			ev.Items = append(ev.Items, core.KV{Key: i.Path, Value: bytes.Clone(i.V), Stamp: i.Stamp})
+			ev.Items = append(ev.Items, core.KeyValue{Key: i.Path, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 			after = i.Path
 		}
 		if !p.Truncated || len(p.Items) == 0 {
@@ -229,7 +229,7 @@
 		}
 	}
 	emit(ev)
-	return ev.Ledger, nil
+	return ev.Revision, nil
 }
 
 // changes waits for the next changes; again: a new snapshot is needed.
@@ -250,16 +250,16 @@
 		slog.Error("watch answer", "err", err)
 		return 0, true
 	}
-	ev := core.EvWatch{Sent: sent, Ledger: w.Ledger}
+	ev := core.WatchAdvanced{Sent: sent, Revision: w.Ledger}
 	for _, x := range w.Events {
-		kv := core.KV{Key: x.Set, Value: bytes.Clone(x.V), Stamp: x.Stamp}
+		kv := core.KeyValue{Key: x.Set, Value: bytes.Clone(x.V), ModRevision: x.Stamp}
 		if x.Set == "" {
 			kv.Key, kv.Value = x.Delete, nil
 		}
 		ev.Items = append(ev.Items, kv)
 	}
 	// In order of revisions; within one, headers before their chunks.
-	sort.SliceStable(ev.Items, func(a, b int) bool { return ev.Items[a].Stamp < ev.Items[b].Stamp })
+	sort.SliceStable(ev.Items, func(a, b int) bool { return ev.Items[a].ModRevision < ev.Items[b].ModRevision })
 	emit(ev)
 	time.Sleep(c.gap)
 	return max(since, w.Ledger), false
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -38,17 +38,17 @@
 		{400, `{"error":"no such lease"}`, core.Refused},
 		{429, ``, core.Refused},
 		{503, ``, core.Refused},
-		{200, `{"Led`, core.Unknown},
-		{500, ``, core.Unknown},
+		{200, `{"Led`, core.InDoubt},
+		{500, ``, core.InDoubt},
 	} {
 		var path, body string
 		c := serve(t, func(_, p, b string) (int, string) {
 			path, body = p, b
 			return x.code, x.body
 		})
-		ev := c.Commit(core.EfCommit{ID: 9, T: core.Txn{
-			When:  []core.Cond{{Key: "b/a", Stamp: 3}},
-			Apply: []core.Put{{Key: "b/a", Value: []byte(`{"z":1}`), Permit: 7}, {Key: "b/b"}},
+		ev := c.Commit(core.Commit{ID: 9, Transaction: core.Transaction{
+			Conditions: []core.Condition{{Key: "b/a", ModRevision: 3}},
+			Puts:       []core.Put{{Key: "b/a", Value: []byte(`{"z":1}`), LeaseID: 7}, {Key: "b/b"}},
 		}})
 		if ev.ID != 9 || ev.Result != x.want {
 			t.Errorf("%d %s: %+v", x.code, x.body, ev)
@@ -64,7 +64,7 @@
 	s := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
-	if ev := New(addr, 1000, 1000).Commit(core.EfCommit{ID: 1}); ev.Result != core.Refused {
+	if ev := New(addr, 1000, 1000).Commit(core.Commit{ID: 1}); ev.Result != core.Refused {
 		t.Errorf("%+v", ev)
 	}
 }
@@ -86,12 +86,12 @@
 	})
 	var got []core.Event
 	since, err := c.snapshot(func(e core.Event) { got = append(got, e) })
-	if err != nil || since != 5 || len(got) != 1 || len(got[0].(core.EvSnapshot).Items) != 2 {
+	if err != nil || since != 5 || len(got) != 1 || len(got[0].(core.SnapshotLoaded).Items) != 2 {
 		t.Fatalf("since %d, %v, %+v", since, err, got)
 	}
 	clock := func() time.Duration { return 3 * time.Second }
 	next, again := c.changes(since, clock, func(e core.Event) { got = append(got, e) })
-	w := got[1].(core.EvWatch)
+	w := got[1].(core.WatchAdvanced)
 	if next != 8 || again || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
 		t.Errorf("next %d, %v, %+v", next, again, w)
 	}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -377,7 +377,7 @@
 	NoCapacityPause = 4 * time.Second
 	// NoCapacityMost bounds it.
 	NoCapacityMost = 20 * time.Second
-	// BootPatience times BootS is when a machine that still boots is given up.
+	// BootPatience times BootSeconds is when a machine that still boots is given up.
 	BootPatience = 3.0
 	// UnheardPatience is how long a running machine may go unheard by all
 	// nodes, with all nodes heard from, before it is returned.
