--- a/Makefile
+++ b/Makefile
@@ -8,9 +8,9 @@
 	go tool revive -config revive.toml -exclude internal/peer/fb/... ./cmd/... ./internal/...
 	@red=$$(.ci/known-red) || exit 1; set -x; \
 	go test -race -timeout 60m $${red:+-skip "^($$red)\$$"} ./... && \
-	go test -run Fleet $${red:+-skip "^($$red)\$$"} ./internal/standin
+	go test -run Fleet $${red:+-skip "^($$red)\$$"} ./internal/simulation
 # Digests of all that leaves the cores on fixed days. A change that is to leave behaviour
 # alone prints the same as the commit before it; SHARE=8 plays one day in eight.
 SHARE = 1
 digest:
-	@go test ./internal/standin -run '^$$' -bench '^BenchmarkDigest$$' -benchtime 1x -digest.share $(SHARE) | grep ^digest
+	@go test ./internal/simulation -run '^$$' -bench '^BenchmarkDigest$$' -benchtime 1x -digest.share $(SHARE) | grep ^digest
--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // BenchmarkCheckin is what one report with eight tasks costs the HTTP side.
 func BenchmarkCheckin(b *testing.B) {
-	f := &fake{answer: core.HeartbeatReply{Status: 200, FencingToken: 7}}
+	f := &fake{answer: scheduler.HeartbeatReply{Status: 200, FencingToken: 7}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,7 +12,7 @@
 	json "github.com/goccy/go-json"
 	"github.com/labstack/echo/v4"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
@@ -20,7 +20,7 @@
 // number into the loop and waits for its answer; false: the stage behind is
 // full, or no answer came in time.
 type Backend interface {
-	Ask(worker bool, make func(req uint64) core.Event) (core.Effect, bool)
+	Ask(worker bool, make func(req uint64) scheduler.Event) (scheduler.Effect, bool)
 	Ready() bool
 }
 
@@ -105,7 +105,7 @@
 	return c.JSON(http.StatusOK, struct{}{})
 }
 
-func (h *handler) user(c echo.Context, make func(uint64) core.Event) error {
+func (h *handler) user(c echo.Context, make func(uint64) scheduler.Event) error {
 	// Workers hold on to their connections, hundreds of them, and come all to one
 	// node when the others end: users make room for them.
 	if h.crowded(tuning.ConnsShare) {
@@ -115,7 +115,7 @@
 		return later(c, "too many connections")
 	}
 	a, ok := h.b.Ask(false, make)
-	u, is := a.(core.UserReply)
+	u, is := a.(scheduler.UserReply)
 	if !ok || !is {
 		return later(c, "busy")
 	}
@@ -134,7 +134,7 @@
 		return c.JSON(http.StatusBadRequest, failure{"body unreadable or over 64 KiB"})
 	}
 	id, spec := ParseSubmission(b)
-	return h.user(c, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: spec} })
+	return h.user(c, func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: spec} })
 }
 
 func (h *handler) poll(c echo.Context) error {
@@ -142,7 +142,7 @@
 	if !idForm.MatchString(id) {
 		return c.JSON(http.StatusNotFound, failure{"no such job"})
 	}
-	return h.user(c, func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} })
+	return h.user(c, func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} })
 }
 
 func (h *handler) abort(c echo.Context) error {
@@ -150,12 +150,12 @@
 	if !idForm.MatchString(id) {
 		return c.JSON(http.StatusNotFound, failure{"no such job"})
 	}
-	return h.user(c, func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} })
+	return h.user(c, func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} })
 }
 
 func (h *handler) checkin(c echo.Context) error {
 	b, ok := body(c)
-	var r core.Heartbeat
+	var r scheduler.Heartbeat
 	if ok {
 		r, ok = ParseReport(b)
 	}
@@ -163,8 +163,8 @@
 		slog.Info("malformed report", "from", c.Request().RemoteAddr, "bytes", len(b), "count", h.bad.Add(1))
 		return c.JSON(http.StatusBadRequest, failure{"malformed report"})
 	}
-	a, ok := h.b.Ask(true, func(req uint64) core.Event { return core.HeartbeatReceived{RequestID: req, Heartbeat: r} })
-	w, is := a.(core.HeartbeatReply)
+	a, ok := h.b.Ask(true, func(req uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: req, Heartbeat: r} })
+	w, is := a.(scheduler.HeartbeatReply)
 	if !ok || !is {
 		return later(c, "busy")
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -8,18 +8,18 @@
 
 	"github.com/labstack/echo/v4"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // fake answers what its table says; a missing answer is a full stage.
 type fake struct {
-	answer core.Effect
-	asked  core.Event
+	answer scheduler.Effect
+	asked  scheduler.Event
 }
 
 func (f *fake) Ready() bool { return f.answer != nil }
 
-func (f *fake) Ask(_ bool, mk func(uint64) core.Event) (core.Effect, bool) {
+func (f *fake) Ask(_ bool, mk func(uint64) scheduler.Event) (scheduler.Effect, bool) {
 	f.asked = mk(1)
 	return f.answer, f.answer != nil
 }
@@ -27,24 +27,24 @@
 func TestAnswers(t *testing.T) {
 	for name, x := range map[string]struct {
 		method, path, body string
-		answer             core.Effect
+		answer             scheduler.Effect
 		code               int
 		want, retry        string
 	}{
-		"accepted":     {"POST", "/v1/jobs", good, core.UserReply{Status: 201, ID: "job-000412", State: "pending"}, 201, `{"NameId":"job-000412","Status":"pending","done":0,"running":0}`, ""},
+		"accepted":     {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 201, ID: "job-000412", State: "pending"}, 201, `{"NameId":"job-000412","Status":"pending","done":0,"running":0}`, ""},
 		"full stage":   {"POST", "/v1/jobs", good, nil, 503, `{"error":"busy"}`, "1"},
-		"not ready":    {"POST", "/v1/jobs", good, core.UserReply{Status: 503, Reason: "not ready"}, 503, `{"error":"not ready"}`, "1"},
-		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + good, core.UserReply{Status: 201}, 400, "", ""},
-		"odd id":       {"GET", "/v1/jobs/x", "", core.UserReply{Status: 200}, 404, "", ""},
-		"poll":         {"GET", "/v1/jobs/job-000412", "", core.UserReply{Status: 200, ID: "job-000412", State: "running", Done: 3, Running: 13}, 200, `{"NameId":"job-000412","Status":"running","done":3,"running":13}`, ""},
-		"abort":        {"POST", "/v1/jobs/job-000412/abort", "", core.UserReply{Status: 200, ID: "job-000412", State: "cancelled"}, 200, `{"NameId":"job-000412","Status":"cancelled","done":0,"running":0}`, ""},
-		"up":           {"GET", "/up", "", core.UserReply{}, 200, `{}`, ""},
+		"not ready":    {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 503, Reason: "not ready"}, 503, `{"error":"not ready"}`, "1"},
+		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + good, scheduler.UserReply{Status: 201}, 400, "", ""},
+		"odd id":       {"GET", "/v1/jobs/x", "", scheduler.UserReply{Status: 200}, 404, "", ""},
+		"poll":         {"GET", "/v1/jobs/job-000412", "", scheduler.UserReply{Status: 200, ID: "job-000412", State: "running", Done: 3, Running: 13}, 200, `{"NameId":"job-000412","Status":"running","done":3,"running":13}`, ""},
+		"abort":        {"POST", "/v1/jobs/job-000412/abort", "", scheduler.UserReply{Status: 200, ID: "job-000412", State: "cancelled"}, 200, `{"NameId":"job-000412","Status":"cancelled","done":0,"running":0}`, ""},
+		"up":           {"GET", "/up", "", scheduler.UserReply{}, 200, `{}`, ""},
 		"not up":       {"GET", "/up", "", nil, 503, "", "1"},
-		"other owner":  {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, core.HeartbeatReply{Status: 421, Owner: "c-2"}, 421, `{"Foreman":"c-2"}`, ""},
-		"not entitled": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, core.HeartbeatReply{Status: 503}, 503, "", "1"},
-		"orders": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, core.HeartbeatReply{Status: 200, FencingToken: 41, Commands: []core.Command{
-			{Kind: core.StartTask, Task: core.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
-			{Kind: core.StopTask, Task: core.TaskID{Job: "job-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}}},
+		"other owner":  {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 421, Owner: "c-2"}, 421, `{"Foreman":"c-2"}`, ""},
+		"not entitled": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 503}, 503, "", "1"},
+		"orders": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 200, FencingToken: 41, Commands: []scheduler.Command{
+			{Kind: scheduler.StartTask, Task: scheduler.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
+			{Kind: scheduler.StopTask, Task: scheduler.TaskID{Job: "job-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}}},
 			200, `{"Baton":41,"Orders":[{"Verb":"run","Piece":"job-000412/4","Try":2},{"Verb":"halt","Piece":"job-000377/1","Try":1,"LeewayS":10}]}`, ""},
 	} {
 		w := httptest.NewRecorder()
@@ -58,10 +58,10 @@
 // TestMalformedReachesTheCoreWithItsId: an accepted job's repeat must get 200
 // even if it is malformed, which only the core can know.
 func TestMalformedReachesTheCoreWithItsId(t *testing.T) {
-	f := &fake{answer: core.UserReply{Status: 200, ID: "job-000412", State: "done"}}
+	f := &fake{answer: scheduler.UserReply{Status: 200, ID: "job-000412", State: "done"}}
 	w := httptest.NewRecorder()
 	New(f, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", strings.NewReader(`{"NameId":"job-000412"}`)))
-	if e, ok := f.asked.(core.JobSubmitted); !ok || e.ID != "job-000412" || e.Spec != nil || w.Code != 200 {
+	if e, ok := f.asked.(scheduler.JobSubmitted); !ok || e.ID != "job-000412" || e.Spec != nil || w.Code != 200 {
 		t.Errorf("asked %+v, answered %d", f.asked, w.Code)
 	}
 }
@@ -69,7 +69,7 @@
 // TestUsersMakeRoomForWorkers: sockets are few, and workers keep theirs. When all
 // other controllers end, their workers come here.
 func TestUsersMakeRoomForWorkers(t *testing.T) {
-	f := &fake{answer: core.UserReply{Status: 200, ID: "job-000412", State: "running"}}
+	f := &fake{answer: scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}}
 	s := New(f, 100, nil)
 	do := func(method, path, body string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
@@ -89,14 +89,14 @@
 			t.Fatalf("%d connections: closes %v", open, closes)
 		}
 	}
-	f.answer = core.HeartbeatReply{Status: 200, FencingToken: 7}
+	f.answer = scheduler.HeartbeatReply{Status: 200, FencingToken: 7}
 	if w := do(http.MethodPost, "/checkin", `{"Bracket":"n-1","Shift":1}`); w.Code != 200 {
 		t.Errorf("a worker got %d", w.Code)
 	}
 	for i := 0; i < 40; i++ {
 		s.ConnState(nil, http.StateClosed)
 	}
-	f.answer = core.UserReply{Status: 200, ID: "job-000412", State: "running"}
+	f.answer = scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}
 	if w := do(http.MethodGet, "/v1/jobs/job-000412", ""); w.Code != 200 {
 		t.Errorf("after others closed: %d", w.Code)
 	}
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -8,7 +8,7 @@
 
 	json "github.com/goccy/go-json"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 type pieceReport struct {
@@ -56,27 +56,27 @@
 }
 
 // NewCommands makes the body of a direct order.
-func NewCommands(e core.SendCommands) Commands {
+func NewCommands(e scheduler.SendCommands) Commands {
 	return Commands{e.FencingToken, e.AgentEpoch, orders(e.Commands)}
 }
 
 var states = map[string]string{
-	"fetching": core.ReportedFetching, "gathering": core.ReportedWaiting, "running": core.ReportedRunning,
-	"saving": core.ReportedSaving, "ended": core.ReportedEnded,
+	"fetching": scheduler.ReportedFetching, "gathering": scheduler.ReportedWaiting, "running": scheduler.ReportedRunning,
+	"saving": scheduler.ReportedSaving, "ended": scheduler.ReportedEnded,
 }
 
 func cause(s string) string {
 	if s == "no_such" {
-		return core.CauseUnknown
+		return scheduler.CauseUnknown
 	}
 	return s // the others are called the same inside
 }
 
-func orders(os []core.Command) []order {
+func orders(os []scheduler.Command) []order {
 	l := make([]order, len(os))
 	for i, o := range os {
 		l[i] = order{Verb: string(o.Kind), Piece: o.Task.Job + "/" + strconv.Itoa(o.Task.Index), Try: o.Attempt}
-		if o.Kind == core.StopTask {
+		if o.Kind == scheduler.StopTask {
 			v := o.GraceSeconds
 			l[i].LeewayS = &v
 		}
@@ -85,12 +85,12 @@
 }
 
 // ParseReport reads a worker's report; false: malformed.
-func ParseReport(b []byte) (core.Heartbeat, bool) {
+func ParseReport(b []byte) (scheduler.Heartbeat, bool) {
 	var c checkin
 	if json.Unmarshal(b, &c) != nil || c.Bracket == "" || c.Shift == 0 {
-		return core.Heartbeat{}, false
+		return scheduler.Heartbeat{}, false
 	}
-	r := core.Heartbeat{
+	r := scheduler.Heartbeat{
 		Machine: c.Bracket, Addr: c.Address, Type: c.Build, Zone: c.Yard, Spot: c.Loaners,
 		AgentEpoch: c.Shift, Sequence: c.Tally, FencingToken: c.Baton, PreemptionNotice: -1,
 	}
@@ -107,8 +107,8 @@
 		if err != nil || !ok {
 			return r, false
 		}
-		r.Tasks = append(r.Tasks, core.TaskReport{
-			Task: core.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
+		r.Tasks = append(r.Tasks, scheduler.TaskReport{
+			Task: scheduler.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
 		})
 	}
 	return r, true
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -6,9 +6,9 @@
 
 	json "github.com/goccy/go-json"
 
-	"brassglade/internal/core"
+	"brassglade/internal/httpclient"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
-	"brassglade/internal/wire"
 )
 
 type build struct {
@@ -36,32 +36,32 @@
 
 // Client of the cloud.
 type Client struct {
-	w *wire.Client
-	b *wire.Budget
+	w *httpclient.Client
+	b *httpclient.Budget
 }
 
 // New returns a client that spends the given rate.
 func New(addr string, rps float64) *Client {
-	return &Client{wire.New(addr), wire.NewBudget(rps, 1)}
+	return &Client{httpclient.New(addr), httpclient.NewBudget(rps, 1)}
 }
 
 // Milli turns an amount into thousandths.
 func Milli(x float64) int64 { return int64(x*1000 + 0.5) }
 
 // Flavors fetches the machine types.
-func (c *Client) Flavors() core.MachineTypesListed {
+func (c *Client) Flavors() scheduler.MachineTypesListed {
 	c.b.Wait(0, 0)
 	st, out, err := c.w.Do("GET", "/flavors", nil, tuning.CloudTimeout)
 	var r struct {
 		Builds []build `json:"Builds"`
 	}
 	if err != nil || st != 200 || json.Unmarshal(out, &r) != nil || len(r.Builds) == 0 {
-		return core.MachineTypesListed{}
+		return scheduler.MachineTypesListed{}
 	}
-	ev := core.MachineTypesListed{OK: true}
+	ev := scheduler.MachineTypesListed{OK: true}
 	for _, b := range r.Builds {
-		ev.Types = append(ev.Types, core.MachineType{
-			Name: b.Name, Capacity: core.Resources{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Memory: Milli(b.MemGb)},
+		ev.Types = append(ev.Types, scheduler.MachineType{
+			Name: b.Name, Capacity: scheduler.Resources{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Memory: Milli(b.MemGb)},
 			ImageCacheGB: b.CacheGb, FetchGBPerS: b.PullGbPerS, Price: b.Hourly, SpotPrice: b.SpotPrice, BootSeconds: b.BootS, Zones: b.Yards,
 		})
 	}
@@ -69,8 +69,8 @@
 }
 
 // List fetches the machine list, all pages.
-func (c *Client) List() core.InstancesListed {
-	ev := core.InstancesListed{OK: true}
+func (c *Client) List() scheduler.InstancesListed {
+	ev := scheduler.InstancesListed{OK: true}
 	after := ""
 	for {
 		c.b.Wait(1, 0)
@@ -80,10 +80,10 @@
 			Truncated bool      `json:"Truncated"`
 		}
 		if err != nil || st != 200 || json.Unmarshal(out, &r) != nil {
-			return core.InstancesListed{}
+			return scheduler.InstancesListed{}
 		}
 		for _, b := range r.Brackets {
-			ev.Instances = append(ev.Instances, core.Instance{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
+			ev.Instances = append(ev.Instances, scheduler.Instance{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
 				Spot: b.Loaners, Status: b.Status, HeldSeconds: b.HeldS})
 			after = b.NameID
 		}
@@ -94,7 +94,7 @@
 }
 
 // Rent asks for machines.
-func (c *Client) Rent(e core.RentMachines) core.RentalAnswered {
+func (c *Client) Rent(e scheduler.RentMachines) scheduler.RentalAnswered {
 	c.b.Wait(0, 0)
 	body, _ := json.Marshal(struct {
 		Hire    string `json:"Hire"`
@@ -104,7 +104,7 @@
 		Count   int    `json:"Count"`
 	}{e.RentalID, e.Type, e.Zone, e.Spot, e.Count})
 	st, out, err := c.w.Do("POST", "/rentals", body, tuning.CloudTimeout)
-	ev := core.RentalAnswered{RentalID: e.RentalID}
+	ev := scheduler.RentalAnswered{RentalID: e.RentalID}
 	if err != nil {
 		return ev
 	}
@@ -125,11 +125,11 @@
 }
 
 // Return gives machines back.
-func (c *Client) Return(e core.ReturnMachines) core.ReturnAnswered {
+func (c *Client) Return(e scheduler.ReturnMachines) scheduler.ReturnAnswered {
 	c.b.Wait(0, 0)
 	body, _ := json.Marshal(struct {
 		Brackets []string `json:"Brackets"`
 	}{e.Names})
 	st, _, err := c.w.Do("POST", "/rentals/return", body, tuning.CloudTimeout)
-	return core.ReturnAnswered{Names: e.Names, OK: err == nil && st == 200}
+	return scheduler.ReturnAnswered{Names: e.Names, OK: err == nil && st == 200}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 	json "github.com/goccy/go-json"
 	"github.com/goccy/go-yaml"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
@@ -194,11 +194,11 @@
 func milli(x float64) int64 { return int64(x*1000 + 0.5) }
 
 // Core gives the core's settings.
-func (s *Settings) Core(o *Operator, seed uint64) core.Settings {
+func (s *Settings) Core(o *Operator, seed uint64) scheduler.Settings {
 	p := s.Params
 	rps, writeRps, valueKb, txnOps := s.Least()
-	c := core.Settings{
-		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]core.Quota{}, Zones: p.Zones,
+	c := scheduler.Settings{
+		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]scheduler.Quota{}, Zones: p.Zones,
 		HeartbeatInterval: secs(p.Workers.ReportS), WorkerLease: secs(p.Workers.LeaseS), CancelWithin: secs(p.Workers.CancelS),
 		GangPeerWait: secs(p.Workers.GangPeerS), ValueLimit: int(valueKb * 1024), ValueLimitNow: int(p.State.ValueKb * 1024), TransactionLimit: txnOps,
 		ListLag: secs(p.Cloud.ListLagS), Seed: seed, FenceAge: s.fence(), StartWithin: map[string]float64{}, FinishWithin: map[string][]float64{}, SpareMachines: tuning.Spare, Learn: true,
@@ -211,9 +211,9 @@
 	}
 	slices.Sort(c.Nodes)
 	for _, t := range p.Teams {
-		c.Teams[t.Name] = core.Quota{
-			Guarantee: core.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
-			Limit:     core.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
+		c.Teams[t.Name] = scheduler.Quota{
+			Guarantee: scheduler.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
+			Limit:     scheduler.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
 		}
 	}
 	for _, x := range p.Objectives {
--- a/internal/wire/budget.go
+++ b/internal/httpclient/budget.go
@@ -1,4 +1,4 @@
-package wire
+package httpclient
 
 import (
 	"sync"
--- a/internal/wire/client.go
+++ b/internal/httpclient/client.go
@@ -1,6 +1,6 @@
-// Package wire is a small HTTP/1.1 client on net: a pool of kept connections,
+// Package httpclient is a small HTTP/1.1 client on net: a pool of kept connections,
 // one goroutine a request, a deadline for each.
-package wire
+package httpclient
 
 import (
 	"bufio"
--- a/internal/state/state.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package state is the client of the state service: boundary structs, the
+// Package kvstore is the client of the state service: boundary structs, the
 // watch loop, and the node's share of the request rates.
-package state
+package kvstore
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 
 	json "github.com/goccy/go-json"
 
-	"brassglade/internal/core"
+	"brassglade/internal/httpclient"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
-	"brassglade/internal/wire"
 )
 
 type item struct {
@@ -71,31 +71,31 @@
 
 // Client of the state service.
 type Client struct {
-	w, watch *wire.Client
-	b        *wire.Budget
+	w, watch *httpclient.Client
+	b        *httpclient.Budget
 	gap      time.Duration // between watches
 }
 
 // New returns a client that spends the given rates.
 func New(addr string, rps, wps float64) *Client {
 	gap := max(tuning.WatchGap, time.Duration(float64(time.Second)/(tuning.WatchShare*rps)))
-	return &Client{wire.New(addr), wire.New(addr), wire.NewBudget(rps, wps), gap}
+	return &Client{httpclient.New(addr), httpclient.New(addr), httpclient.NewBudget(rps, wps), gap}
 }
 
 // Confirm compares the view's stamp without changing anything.
-func (c *Client) Confirm(e core.ConfirmView) core.ConfirmationAnswered {
-	c.b.Wait(core.LaneView, 0)
+func (c *Client) Confirm(e scheduler.ConfirmView) scheduler.ConfirmationAnswered {
+	c.b.Wait(scheduler.LaneView, 0)
 	body, _ := json.Marshal(commit{When: []cond{{e.Key, e.ModRevision}}})
 	st, out, err := c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	var r committed
 	if err != nil || st != 200 && st != 409 || json.Unmarshal(out, &r) != nil {
-		return core.ConfirmationAnswered{}
+		return scheduler.ConfirmationAnswered{}
 	}
-	return core.ConfirmationAnswered{OK: true, Same: st == 200, Revision: r.Ledger}
+	return scheduler.ConfirmationAnswered{OK: true, Same: st == 200, Revision: r.Ledger}
 }
 
 // Commit carries out a transaction.
-func (c *Client) Commit(e core.Commit) core.CommitAnswered {
+func (c *Client) Commit(e scheduler.Commit) scheduler.CommitAnswered {
 	c.b.Wait(e.Lane, len(e.Transaction.Puts))
 	var t commit
 	for _, k := range e.Transaction.Conditions {
@@ -110,80 +110,80 @@
 	}
 	body, err := json.Marshal(t)
 	if err != nil {
-		return core.CommitAnswered{ID: e.ID, Result: core.Refused}
+		return scheduler.CommitAnswered{ID: e.ID, Result: scheduler.Refused}
 	}
 	st, out, err := c.w.Do("POST", "/commit", body, tuning.StateTimeout)
-	for n := 0; n < tuning.ThrottledTries && e.Lane == core.LaneUser && err == nil && st == 429; n++ {
+	for n := 0; n < tuning.ThrottledTries && e.Lane == scheduler.LaneUser && err == nil && st == 429; n++ {
 		time.Sleep(tuning.ThrottledPause)
 		c.b.Wait(e.Lane, 0)
 		st, out, err = c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	}
-	ev := core.CommitAnswered{ID: e.ID, Result: core.InDoubt}
+	ev := scheduler.CommitAnswered{ID: e.ID, Result: scheduler.InDoubt}
 	var r committed
 	switch {
-	case errors.Is(err, wire.ErrNotSent):
-		ev.Result = core.Refused
+	case errors.Is(err, httpclient.ErrNotSent):
+		ev.Result = scheduler.Refused
 	case err != nil:
 	case st == 200 || st == 409:
 		if json.Unmarshal(out, &r) != nil {
 			break
 		}
 		ev.Revision, ev.Failed = r.Ledger, r.Failed
-		ev.Result = core.Committed
+		ev.Result = scheduler.Committed
 		if st == 409 {
-			ev.Result = core.Conflict
+			ev.Result = scheduler.Conflict
 		}
 	case st == 400:
 		slog.Error("state service refuses a transaction", "answer", string(out))
-		ev.Result, ev.Malformed = core.Refused, true
+		ev.Result, ev.Malformed = scheduler.Refused, true
 	case st == 429 || st == 503:
-		ev.Result = core.Refused
+		ev.Result = scheduler.Refused
 	}
-	if ev.Result == core.Refused {
+	if ev.Result == scheduler.Refused {
 		c.b.Refund(len(e.Transaction.Puts))
 	}
 	return ev
 }
 
 // Read reads a few keys.
-func (c *Client) Read(e core.ReadKeys) core.KeysRead {
-	ev := core.KeysRead{ID: e.ID, OK: true}
+func (c *Client) Read(e scheduler.ReadKeys) scheduler.KeysRead {
+	ev := scheduler.KeysRead{ID: e.ID, OK: true}
 	for _, key := range e.Keys {
-		c.b.Wait(core.LaneUser, 0)
+		c.b.Wait(scheduler.LaneUser, 0)
 		st, out, err := c.w.Do("GET", "/kv/"+key, nil, tuning.StateTimeout)
 		var i item
 		switch {
 		case err == nil && st == 404:
 		case err == nil && st == 200 && json.Unmarshal(out, &i) == nil:
-			ev.Items = append(ev.Items, core.KeyValue{Key: key, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
+			ev.Items = append(ev.Items, scheduler.KeyValue{Key: key, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 		default:
-			return core.KeysRead{ID: e.ID}
+			return scheduler.KeysRead{ID: e.ID}
 		}
 	}
 	return ev
 }
 
 // Grant asks for a grant.
-func (c *Client) Grant(e core.GrantLease) core.LeaseGranted {
-	c.b.Wait(core.LaneView, 0)
+func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseGranted {
+	c.b.Wait(scheduler.LaneView, 0)
 	body, _ := json.Marshal(grant{LifeMs: e.TTL.Milliseconds()})
 	st, out, err := c.w.Do("POST", "/grants", body, tuning.StateTimeout)
 	var r grant
 	if err != nil || st != 200 || json.Unmarshal(out, &r) != nil {
-		return core.LeaseGranted{}
+		return scheduler.LeaseGranted{}
 	}
-	return core.LeaseGranted{OK: true, LeaseID: r.Permit}
+	return scheduler.LeaseGranted{OK: true, LeaseID: r.Permit}
 }
 
 // Renew renews it.
-func (c *Client) Renew(e core.RenewLease) core.LeaseRenewalAnswered {
-	c.b.Wait(core.LaneView, 0)
+func (c *Client) Renew(e scheduler.RenewLease) scheduler.LeaseRenewalAnswered {
+	c.b.Wait(scheduler.LaneView, 0)
 	st, _, err := c.w.Do("POST", fmt.Sprintf("/grants/%d/renew", e.LeaseID), []byte("{}"), tuning.StateTimeout)
-	return core.LeaseRenewalAnswered{OK: err == nil && st == 200, Gone: err == nil && st == 404}
+	return scheduler.LeaseRenewalAnswered{OK: err == nil && st == 200, Gone: err == nil && st == 404}
 }
 
 // Watch keeps the core's cache: a snapshot, then changes in order, for ever.
-func (c *Client) Watch(clock func() time.Duration, emit func(core.Event)) {
+func (c *Client) Watch(clock func() time.Duration, emit func(scheduler.Event)) {
 	for {
 		since, err := c.snapshot(emit)
 		if err != nil {
@@ -200,12 +200,12 @@
 	}
 }
 
-func (c *Client) snapshot(emit func(core.Event)) (uint64, error) {
-	ev := core.SnapshotLoaded{}
+func (c *Client) snapshot(emit func(scheduler.Event)) (uint64, error) {
+	ev := scheduler.SnapshotLoaded{}
 	after := ""
 	for first := true; ; first = false {
-		c.b.Wait(core.LaneView, 0)
-		q := "/kv?Starts=" + core.KeyRoot + "&Page=1000"
+		c.b.Wait(scheduler.LaneView, 0)
+		q := "/kv?Starts=" + scheduler.KeyRoot + "&Page=1000"
 		if after != "" {
 			q += "&Since=" + url.QueryEscape(after)
 		}
@@ -221,7 +221,7 @@
 			ev.Revision = p.Ledger
 		}
 		for _, i := range p.Items {
-			ev.Items = append(ev.Items, core.KeyValue{Key: i.Path, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
+			ev.Items = append(ev.Items, scheduler.KeyValue{Key: i.Path, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 			after = i.Path
 		}
 		if !p.Truncated || len(p.Items) == 0 {
@@ -233,10 +233,10 @@
 }
 
 // changes waits for the next changes; again: a new snapshot is needed.
-func (c *Client) changes(since uint64, clock func() time.Duration, emit func(core.Event)) (next uint64, again bool) {
-	c.b.Wait(core.LaneView, 0)
+func (c *Client) changes(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, again bool) {
+	c.b.Wait(scheduler.LaneView, 0)
 	sent := clock()
-	q := fmt.Sprintf("/watch?Starts=%s&Since=%d&WaitMs=%d", core.KeyRoot, since, tuning.WatchWait.Milliseconds())
+	q := fmt.Sprintf("/watch?Starts=%s&Since=%d&WaitMs=%d", scheduler.KeyRoot, since, tuning.WatchWait.Milliseconds())
 	st, out, err := c.watch.Do("GET", q, nil, tuning.WatchWait+tuning.StateTimeout)
 	if err != nil || st != 200 {
 		if st == 410 {
@@ -250,9 +250,9 @@
 		slog.Error("watch answer", "err", err)
 		return 0, true
 	}
-	ev := core.WatchAdvanced{Sent: sent, Revision: w.Ledger}
+	ev := scheduler.WatchAdvanced{Sent: sent, Revision: w.Ledger}
 	for _, x := range w.Events {
-		kv := core.KeyValue{Key: x.Set, Value: bytes.Clone(x.V), ModRevision: x.Stamp}
+		kv := scheduler.KeyValue{Key: x.Set, Value: bytes.Clone(x.V), ModRevision: x.Stamp}
 		if x.Set == "" {
 			kv.Key, kv.Value = x.Delete, nil
 		}
--- a/internal/state/state_test.go
+++ b/internal/kvstore/client_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"io"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // serve answers every request with what f says.
@@ -31,24 +31,24 @@
 	for _, x := range []struct {
 		code int
 		body string
-		want core.CommitResult
+		want scheduler.CommitResult
 	}{
-		{200, `{"Ledger":432}`, core.Committed},
-		{409, `{"failed":["b/x"],"Ledger":431}`, core.Conflict},
-		{400, `{"error":"no such lease"}`, core.Refused},
-		{429, ``, core.Refused},
-		{503, ``, core.Refused},
-		{200, `{"Led`, core.InDoubt},
-		{500, ``, core.InDoubt},
+		{200, `{"Ledger":432}`, scheduler.Committed},
+		{409, `{"failed":["b/x"],"Ledger":431}`, scheduler.Conflict},
+		{400, `{"error":"no such lease"}`, scheduler.Refused},
+		{429, ``, scheduler.Refused},
+		{503, ``, scheduler.Refused},
+		{200, `{"Led`, scheduler.InDoubt},
+		{500, ``, scheduler.InDoubt},
 	} {
 		var path, body string
 		c := serve(t, func(_, p, b string) (int, string) {
 			path, body = p, b
 			return x.code, x.body
 		})
-		ev := c.Commit(core.Commit{ID: 9, Transaction: core.Transaction{
-			Conditions: []core.Condition{{Key: "b/a", ModRevision: 3}},
-			Puts:       []core.Put{{Key: "b/a", Value: []byte(`{"z":1}`), LeaseID: 7}, {Key: "b/b"}},
+		ev := c.Commit(scheduler.Commit{ID: 9, Transaction: scheduler.Transaction{
+			Conditions: []scheduler.Condition{{Key: "b/a", ModRevision: 3}},
+			Puts:       []scheduler.Put{{Key: "b/a", Value: []byte(`{"z":1}`), LeaseID: 7}, {Key: "b/b"}},
 		}})
 		if ev.ID != 9 || ev.Result != x.want {
 			t.Errorf("%d %s: %+v", x.code, x.body, ev)
@@ -64,7 +64,7 @@
 	s := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
-	if ev := New(addr, 1000, 1000).Commit(core.Commit{ID: 1}); ev.Result != core.Refused {
+	if ev := New(addr, 1000, 1000).Commit(scheduler.Commit{ID: 1}); ev.Result != scheduler.Refused {
 		t.Errorf("%+v", ev)
 	}
 }
@@ -84,18 +84,18 @@
 		}
 		return 200, `{"Items":[{"Path":"b/a","V":1,"Stamp":4}],"Truncated":true,"Ledger":5}`
 	})
-	var got []core.Event
-	since, err := c.snapshot(func(e core.Event) { got = append(got, e) })
-	if err != nil || since != 5 || len(got) != 1 || len(got[0].(core.SnapshotLoaded).Items) != 2 {
+	var got []scheduler.Event
+	since, err := c.snapshot(func(e scheduler.Event) { got = append(got, e) })
+	if err != nil || since != 5 || len(got) != 1 || len(got[0].(scheduler.SnapshotLoaded).Items) != 2 {
 		t.Fatalf("since %d, %v, %+v", since, err, got)
 	}
 	clock := func() time.Duration { return 3 * time.Second }
-	next, again := c.changes(since, clock, func(e core.Event) { got = append(got, e) })
-	w := got[1].(core.WatchAdvanced)
+	next, again := c.changes(since, clock, func(e scheduler.Event) { got = append(got, e) })
+	w := got[1].(scheduler.WatchAdvanced)
 	if next != 8 || again || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
 		t.Errorf("next %d, %v, %+v", next, again, w)
 	}
-	if _, again := c.changes(next, clock, func(core.Event) {}); !again {
+	if _, again := c.changes(next, clock, func(scheduler.Event) {}); !again {
 		t.Error("410 asks for no snapshot")
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // namespace is what all names begin with.
@@ -54,8 +54,8 @@
 }
 
 // Event counts an event that the core is about to take.
-func (m *Controller) Event(event core.Event) {
-	commit, is := event.(core.CommitAnswered)
+func (m *Controller) Event(event scheduler.Event) {
+	commit, is := event.(scheduler.CommitAnswered)
 	if !is {
 		return
 	}
@@ -68,24 +68,24 @@
 }
 
 // Effect counts an effect of the core.
-func (m *Controller) Effect(effect core.Effect) {
+func (m *Controller) Effect(effect scheduler.Effect) {
 	switch e := effect.(type) {
-	case core.Commit:
+	case scheduler.Commit:
 		m.lanes[e.ID] = e.Lane
-	case core.HeartbeatReply:
+	case scheduler.HeartbeatReply:
 		m.checkins.WithLabelValues(strconv.Itoa(e.Status)).Inc()
 		m.countOrders(e.Commands)
-	case core.SendCommands:
+	case scheduler.SendCommands:
 		m.countOrders(e.Commands)
-	case core.UserReply:
+	case scheduler.UserReply:
 		m.answers.WithLabelValues(strconv.Itoa(e.Status), e.State).Inc()
 	}
 }
 
 // Status takes the core's status after a step.
-func (m *Controller) Status(status core.Status) { m.status.latest.Store(&status) }
+func (m *Controller) Status(status scheduler.Status) { m.status.latest.Store(&status) }
 
-func (m *Controller) countOrders(orders []core.Command) {
+func (m *Controller) countOrders(orders []scheduler.Command) {
 	for _, o := range orders {
 		m.orders.WithLabelValues(string(o.Kind), string(o.Reason)).Inc()
 	}
@@ -93,23 +93,23 @@
 
 func laneName(lane int) string {
 	switch lane {
-	case core.LaneView:
+	case scheduler.LaneView:
 		return "view"
-	case core.LaneUser:
+	case scheduler.LaneUser:
 		return "user"
-	case core.LaneTask:
+	case scheduler.LaneTask:
 		return "task"
 	}
 	return "idle"
 }
 
-func resultName(result core.CommitResult) string {
+func resultName(result scheduler.CommitResult) string {
 	switch result {
-	case core.Committed:
+	case scheduler.Committed:
 		return "committed"
-	case core.Conflict:
+	case scheduler.Conflict:
 		return "conflict"
-	case core.Refused:
+	case scheduler.Refused:
 		return "refused"
 	}
 	return "unknown"
@@ -117,7 +117,7 @@
 
 // statusCollector exposes the core's latest status. Scrapes come from other goroutines.
 type statusCollector struct {
-	latest   atomic.Pointer[core.Status]
+	latest   atomic.Pointer[scheduler.Status]
 	gauges   []gauge
 	bookings *prometheus.Desc
 	steps    *prometheus.Desc
@@ -126,7 +126,7 @@
 // gauge is one number of the status.
 type gauge struct {
 	desc  *prometheus.Desc
-	value func(*core.Status) float64
+	value func(*scheduler.Status) float64
 }
 
 func (s *statusCollector) describe(labels prometheus.Labels) {
@@ -143,24 +143,24 @@
 	s.steps = desc("steps_total", "Events that the core has taken.")
 	s.gauges = []gauge{
 		{desc("epoch", "Epoch of the view, and the fencing token of all commands; 0 before the first view."),
-			func(t *core.Status) float64 { return float64(t.Epoch) }},
+			func(t *scheduler.Status) float64 { return float64(t.Epoch) }},
 		{desc("leads", "1 while this controller is the view's leader."),
-			func(t *core.Status) float64 { return flag(t.Leads) }},
+			func(t *scheduler.Status) float64 { return flag(t.Leads) }},
 		{desc("acts", "1 while view, lease and cache are confirmed, so that workers may be answered."),
-			func(t *core.Status) float64 { return flag(t.Acts) }},
+			func(t *scheduler.Status) float64 { return flag(t.Acts) }},
 		{desc("state_revision", "Revision of the state service up to which the cache has every change."),
-			func(t *core.Status) float64 { return float64(t.Revision) }},
+			func(t *scheduler.Status) float64 { return float64(t.Revision) }},
 		{desc("confirmed_age_seconds", "Age of the newest confirmation of view and cache; -1 before the first."),
-			func(t *core.Status) float64 {
+			func(t *scheduler.Status) float64 {
 				if t.Confirmed < 0 {
 					return -1
 				}
 				return t.Confirmed.Seconds()
 			}},
 		{desc("machines", "Machines known to this controller."),
-			func(t *core.Status) float64 { return float64(t.Machines) }},
+			func(t *scheduler.Status) float64 { return float64(t.Machines) }},
 		{desc("open_jobs", "Jobs that were accepted, may start and are not over."),
-			func(t *core.Status) float64 { return float64(t.OpenJobs) }},
+			func(t *scheduler.Status) float64 { return float64(t.OpenJobs) }},
 	}
 }
 
@@ -182,7 +182,7 @@
 	for _, g := range s.gauges {
 		out <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, g.value(t))
 	}
-	for _, pass := range core.PlanningPasses() {
+	for _, pass := range scheduler.PlanningPasses() {
 		out <- prometheus.MustNewConstMetric(s.bookings, prometheus.CounterValue, float64(t.Work.Bookings[pass]), pass.String())
 	}
 	out <- prometheus.MustNewConstMetric(s.steps, prometheus.CounterValue, float64(t.Work.Events))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // scrape returns what Prometheus would read.
@@ -22,19 +22,19 @@
 	if s := scrape(m); strings.Contains(s, "brassglade_epoch") {
 		t.Errorf("a status before the first step: %s", s)
 	}
-	run := core.Command{Kind: core.StartTask, Reason: core.ReasonBooked}
-	halt := core.Command{Kind: core.StopTask, Reason: core.ReasonPreemptionNotice}
-	m.Effect(core.HeartbeatReply{Status: 200, Commands: []core.Command{run, run, halt}})
-	m.Effect(core.HeartbeatReply{Status: 421})
-	m.Effect(core.SendCommands{Commands: []core.Command{halt}})
-	m.Effect(core.UserReply{Status: 201, State: "pending"})
-	m.Effect(core.Commit{ID: 7, Lane: core.LaneTask})
-	m.Effect(core.Commit{ID: 8, Lane: core.LaneUser})
-	m.Event(core.CommitAnswered{ID: 7, Result: core.Conflict})
-	m.Event(core.CommitAnswered{ID: 7, Result: core.Conflict}) // a repeat is no second commit
-	m.Event(core.CommitAnswered{ID: 8, Result: core.InDoubt})
-	status := core.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
-	status.Work.Bookings[core.PassCached], status.Work.Events = 5, 99
+	run := scheduler.Command{Kind: scheduler.StartTask, Reason: scheduler.ReasonBooked}
+	halt := scheduler.Command{Kind: scheduler.StopTask, Reason: scheduler.ReasonPreemptionNotice}
+	m.Effect(scheduler.HeartbeatReply{Status: 200, Commands: []scheduler.Command{run, run, halt}})
+	m.Effect(scheduler.HeartbeatReply{Status: 421})
+	m.Effect(scheduler.SendCommands{Commands: []scheduler.Command{halt}})
+	m.Effect(scheduler.UserReply{Status: 201, State: "pending"})
+	m.Effect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
+	m.Effect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
+	m.Event(scheduler.CommitAnswered{ID: 7, Result: scheduler.Conflict})
+	m.Event(scheduler.CommitAnswered{ID: 7, Result: scheduler.Conflict}) // a repeat is no second commit
+	m.Event(scheduler.CommitAnswered{ID: 8, Result: scheduler.InDoubt})
+	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
+	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
 	m.Status(status)
 	got := scrape(m)
 	for _, want := range []string{
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,38 +19,38 @@
 	"brassglade/internal/api"
 	"brassglade/internal/cloud"
 	"brassglade/internal/config"
-	"brassglade/internal/core"
+	"brassglade/internal/httpclient"
+	"brassglade/internal/kvstore"
 	"brassglade/internal/metrics"
 	"brassglade/internal/peer"
-	"brassglade/internal/state"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
-	"brassglade/internal/wire"
 )
 
 // ask is a request on its way through the loop.
 type ask struct {
-	make func(uint64) core.Event
-	ch   chan core.Effect
+	make func(uint64) scheduler.Event
+	ch   chan scheduler.Effect
 }
 
 // Node is one running controller.
 type Node struct {
 	start      time.Time
-	controller *core.Controller
+	controller *scheduler.Controller
 	self       string
-	events     chan core.Event // answers to the core's own requests
+	events     chan scheduler.Event // answers to the core's own requests
 	users      chan ask
 	workers    chan ask
-	waiting    map[uint64]chan core.Effect
+	waiting    map[uint64]chan scheduler.Effect
 	nextReq    uint64
 	ready      atomic.Bool
 
-	state   *state.Client
+	state   *kvstore.Client
 	cloud   *cloud.Client
 	links   map[string]*peer.Link
 	direct  chan struct{}
 	workMu  sync.Mutex
-	workCon map[string]*wire.Client
+	workCon map[string]*httpclient.Client
 	metrics *metrics.Controller // nil unless the operators switched them on
 }
 
@@ -70,13 +70,13 @@
 	start, set := time.Now(), s.Core(op, tuning.Seed)
 	set.WallClockMS = start.UnixMilli()
 	n := &Node{
-		start: start, controller: core.New(set, inc), self: s.Member,
-		events: make(chan core.Event, tuning.WorkerQueue), users: make(chan ask, tuning.UserQueue),
-		workers: make(chan ask, tuning.WorkerQueue), waiting: map[uint64]chan core.Effect{},
-		state:  state.New(s.External.State, rps*share, writeRps*min(1, s.WriteShare()*tuning.LeaderWeight)),
+		start: start, controller: scheduler.New(set, inc), self: s.Member,
+		events: make(chan scheduler.Event, tuning.WorkerQueue), users: make(chan ask, tuning.UserQueue),
+		workers: make(chan ask, tuning.WorkerQueue), waiting: map[uint64]chan scheduler.Effect{},
+		state:  kvstore.New(s.External.State, rps*share, writeRps*min(1, s.WriteShare()*tuning.LeaderWeight)),
 		cloud:  cloud.New(s.External.Cloud, s.Params.Cloud.Rps*tuning.BudgetShare),
 		links:  map[string]*peer.Link{},
-		direct: make(chan struct{}, tuning.DirectAtOnce), workCon: map[string]*wire.Client{},
+		direct: make(chan struct{}, tuning.DirectAtOnce), workCon: map[string]*httpclient.Client{},
 	}
 	var metricsHandler http.Handler
 	if op != nil && op.Metrics {
@@ -97,8 +97,8 @@
 	}
 	failed := make(chan error, 3)
 	go func() {
-		failed <- peer.Serve(back, func(from string, m core.PeerMessage) {
-			n.events <- core.PeerMessageReceived{From: from, Message: m}
+		failed <- peer.Serve(back, func(from string, m scheduler.PeerMessage) {
+			n.events <- scheduler.PeerMessageReceived{From: from, Message: m}
 		})
 	}()
 	go func() {
@@ -106,7 +106,7 @@
 			failed <- err
 		}
 	}()
-	go n.state.Watch(func() time.Duration { return time.Since(n.start) }, func(e core.Event) { n.events <- e })
+	go n.state.Watch(func() time.Duration { return time.Since(n.start) }, func(e scheduler.Event) { n.events <- e })
 	go n.loop()
 	select {
 	case err := <-failed:
@@ -120,8 +120,8 @@
 func (n *Node) Ready() bool { return n.ready.Load() }
 
 // Ask puts a request into the loop's stage; a full stage says no at once.
-func (n *Node) Ask(worker bool, make_ func(uint64) core.Event) (core.Effect, bool) {
-	a := ask{make_, make(chan core.Effect, 1)}
+func (n *Node) Ask(worker bool, make_ func(uint64) scheduler.Event) (scheduler.Effect, bool) {
+	a := ask{make_, make(chan scheduler.Effect, 1)}
 	q := n.users
 	if worker {
 		q = n.workers
@@ -159,7 +159,7 @@
 		case a := <-n.users:
 			n.request(a)
 		case <-tick.C:
-			n.step(core.Tick{})
+			n.step(scheduler.Tick{})
 		}
 	}
 }
@@ -170,14 +170,14 @@
 	n.step(a.make(n.nextReq))
 }
 
-func (n *Node) answer(req uint64, e core.Effect) {
+func (n *Node) answer(req uint64, e scheduler.Effect) {
 	if ch, ok := n.waiting[req]; ok {
 		delete(n.waiting, req)
 		ch <- e
 	}
 }
 
-func (n *Node) step(ev core.Event) {
+func (n *Node) step(ev scheduler.Event) {
 	if n.metrics != nil {
 		n.metrics.Event(ev)
 		defer func() { n.metrics.Status(n.controller.Status()) }()
@@ -188,7 +188,7 @@
 		if n.metrics != nil {
 			n.metrics.Effect(e)
 		}
-		if x, ok := e.(core.SendPeerMessage); ok && x.Message.Steal == nil {
+		if x, ok := e.(scheduler.SendPeerMessage); ok && x.Message.Steal == nil {
 			if frame == nil {
 				frame = peer.Encode(n.self, x.Message)
 			}
@@ -202,65 +202,65 @@
 	n.ready.Store(n.controller.Ready())
 }
 
-func (n *Node) send(f func() core.Event) {
+func (n *Node) send(f func() scheduler.Event) {
 	go func() { n.events <- f() }()
 }
 
 // carry carries out one effect.
-func (n *Node) carry(e core.Effect) {
+func (n *Node) carry(e scheduler.Effect) {
 	switch x := e.(type) {
-	case core.HeartbeatReply:
+	case scheduler.HeartbeatReply:
 		n.answer(x.RequestID, x)
-	case core.UserReply:
+	case scheduler.UserReply:
 		n.answer(x.RequestID, x)
-	case core.ConfirmView:
-		n.send(func() core.Event { return n.state.Confirm(x) })
-	case core.Commit:
-		n.send(func() core.Event { return n.state.Commit(x) })
-	case core.ReadKeys:
-		n.send(func() core.Event { return n.state.Read(x) })
-	case core.GrantLease:
-		n.send(func() core.Event { return n.state.Grant(x) })
-	case core.RenewLease:
-		n.send(func() core.Event { return n.state.Renew(x) })
-	case core.ListMachineTypes:
-		n.send(func() core.Event { return n.cloud.Flavors() })
-	case core.ListInstances:
-		n.send(func() core.Event { return n.cloud.List() })
-	case core.RentMachines:
-		n.send(func() core.Event { return n.cloud.Rent(x) })
-	case core.ReturnMachines:
-		n.send(func() core.Event { return n.cloud.Return(x) })
-	case core.SendPeerMessage:
+	case scheduler.ConfirmView:
+		n.send(func() scheduler.Event { return n.state.Confirm(x) })
+	case scheduler.Commit:
+		n.send(func() scheduler.Event { return n.state.Commit(x) })
+	case scheduler.ReadKeys:
+		n.send(func() scheduler.Event { return n.state.Read(x) })
+	case scheduler.GrantLease:
+		n.send(func() scheduler.Event { return n.state.Grant(x) })
+	case scheduler.RenewLease:
+		n.send(func() scheduler.Event { return n.state.Renew(x) })
+	case scheduler.ListMachineTypes:
+		n.send(func() scheduler.Event { return n.cloud.Flavors() })
+	case scheduler.ListInstances:
+		n.send(func() scheduler.Event { return n.cloud.List() })
+	case scheduler.RentMachines:
+		n.send(func() scheduler.Event { return n.cloud.Rent(x) })
+	case scheduler.ReturnMachines:
+		n.send(func() scheduler.Event { return n.cloud.Return(x) })
+	case scheduler.SendPeerMessage:
 		if l := n.links[x.To]; l != nil {
 			l.Send(peer.Encode(n.self, x.Message))
 		}
-	case core.SendCommands:
+	case scheduler.SendCommands:
 		select {
 		case n.direct <- struct{}{}:
-			n.send(func() core.Event {
+			n.send(func() scheduler.Event {
 				defer func() { <-n.direct }()
 				return n.order(x)
 			})
 		default: // the next check-in carries it
 		}
-	case core.LogLine:
+	case scheduler.LogLine:
 		slog.Log(context.Background(), x.Level, x.Message, x.Args...)
 	}
 }
 
-func (n *Node) order(x core.SendCommands) core.Event {
+func (n *Node) order(x scheduler.SendCommands) scheduler.Event {
 	n.workMu.Lock()
 	w := n.workCon[x.Addr]
 	if w == nil {
 		if len(n.workCon) > 500 {
 			clear(n.workCon)
 		}
-		w = wire.New(x.Addr)
+		w = httpclient.New(x.Addr)
 		n.workCon[x.Addr] = w
 	}
 	n.workMu.Unlock()
-	ev := core.CommandsAnswered{Machine: x.Machine}
+	ev := scheduler.CommandsAnswered{Machine: x.Machine}
 	body, err := json.Marshal(api.NewCommands(x))
 	if err != nil {
 		return ev
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,13 +14,13 @@
 
 	flatbuffers "github.com/google/flatbuffers/go"
 
-	"brassglade/internal/core"
 	"brassglade/internal/peer/fb"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
 // Encode writes a message as a FlatBuffer.
-func Encode(from string, m core.PeerMessage) []byte {
+func Encode(from string, m scheduler.PeerMessage) []byte {
 	b := flatbuffers.NewBuilder(1024)
 	str := func(l []string) []flatbuffers.UOffsetT {
 		o := make([]flatbuffers.UOffsetT, len(l))
@@ -84,7 +84,7 @@
 }
 
 // Decode reads a message; malformed bytes give an error, never a panic.
-func Decode(p []byte) (from string, m core.PeerMessage, err error) {
+func Decode(p []byte) (from string, m scheduler.PeerMessage, err error) {
 	defer func() {
 		if recover() != nil {
 			err = errors.New("malformed peer message")
@@ -104,12 +104,12 @@
 		}
 		return s
 	}
-	m.Machines = make([]core.PeerMachine, 0, min(r.MachinesLength(), len(p)/4))
+	m.Machines = make([]scheduler.PeerMachine, 0, min(r.MachinesLength(), len(p)/4))
 	from, m.Epoch, m.Load, m.Usable = string(r.From()), r.Epoch(), r.Load(), r.Usable()
 	for i := 0; i < r.MachinesLength(); i++ {
 		var x fb.Machine
 		r.Machines(&x, i)
-		pm := core.PeerMachine{
+		pm := scheduler.PeerMachine{
 			Name: string(x.Name()), Addr: string(x.Addr()), Type: str(x.Type()), Zone: str(x.Zone()),
 			Spot: x.Spot(), Leaving: x.Recall(), AgentEpoch: x.Shift(), Load: x.Load(),
 		}
@@ -128,9 +128,9 @@
 		m.Evicting = append(m.Evicting, string(r.Evict(i)))
 	}
 	if s := r.Steal(nil); s != nil {
-		m.Steal = &core.StealRequest{
+		m.Steal = &scheduler.StealRequest{
 			Type: string(s.Type()), Zone: string(s.Zone()), Spot: s.Spot(), MaxTasks: int(s.Most()),
-			Room: core.Resources{CPU: s.Cpu(), GPU: s.Gpu(), Memory: s.Mem()},
+			Room: scheduler.Resources{CPU: s.Cpu(), GPU: s.Gpu(), Memory: s.Mem()},
 		}
 	}
 	return from, m, nil
@@ -206,7 +206,7 @@
 }
 
 // Serve accepts links and hands each message to take.
-func Serve(ln net.Listener, take func(from string, m core.PeerMessage)) error {
+func Serve(ln net.Listener, take func(from string, m scheduler.PeerMessage)) error {
 	var bad atomic.Int64
 	for {
 		c, err := ln.Accept()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -5,15 +5,15 @@
 	"reflect"
 	"testing"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 func TestMessageRoundTrip(t *testing.T) {
-	m := core.PeerMessage{
+	m := scheduler.PeerMessage{
 		Epoch: 7, Load: 12.5, Usable: true, Reserved: []string{"n-1"}, Evicting: []string{"n-2", "n-3"},
-		Machines: []core.PeerMachine{{Name: "n-1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Leaving: true, AgentEpoch: 3,
+		Machines: []scheduler.PeerMachine{{Name: "n-1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Leaving: true, AgentEpoch: 3,
 			Load: 1.5, Images: []string{"x", "y"}}, {Name: "n-2"}},
-		Steal: &core.StealRequest{Type: "g8", Zone: "b", Spot: true, Room: core.Resources{CPU: 1, GPU: 2, Memory: 3}, MaxTasks: 4},
+		Steal: &scheduler.StealRequest{Type: "g8", Zone: "b", Spot: true, Room: scheduler.Resources{CPU: 1, GPU: 2, Memory: 3}, MaxTasks: 4},
 	}
 	p := Encode("c-1", m)
 	from, got, err := Decode(p)
@@ -42,12 +42,12 @@
 func TestFramesOfTheVersionBefore(t *testing.T) {
 	for from, x := range map[string]struct {
 		frame string
-		want  core.PeerMessage
+		want  scheduler.PeerMessage
 	}{
-		"c-1": {beforeLoads, core.PeerMessage{Epoch: 4, Load: 2.5, Usable: true, Reserved: []string{"n-000002"}, Evicting: []string{"n-000003"},
-			Machines: []core.PeerMachine{{Name: "n-000001", Addr: "10.1.0.1:9000", Type: "box", Zone: "a", Spot: true, AgentEpoch: 2, Load: 1.5,
+		"c-1": {beforeLoads, scheduler.PeerMessage{Epoch: 4, Load: 2.5, Usable: true, Reserved: []string{"n-000002"}, Evicting: []string{"n-000003"},
+			Machines: []scheduler.PeerMachine{{Name: "n-000001", Addr: "10.1.0.1:9000", Type: "box", Zone: "a", Spot: true, AgentEpoch: 2, Load: 1.5,
 				Images: []string{"img-1", "img-2"}}}}},
-		"c-2": {beforeSteal, core.PeerMessage{Epoch: 4, Machines: []core.PeerMachine{}, Steal: &core.StealRequest{Type: "box", Zone: "b", Spot: true, Room: core.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
+		"c-2": {beforeSteal, scheduler.PeerMessage{Epoch: 4, Machines: []scheduler.PeerMachine{}, Steal: &scheduler.StealRequest{Type: "box", Zone: "b", Spot: true, Room: scheduler.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
 	} {
 		b, err := hex.DecodeString(x.frame)
 		if err != nil {
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"testing"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // word is what a node that owns n machines tells the others.
-func word(n int) core.PeerMessage {
-	m := core.PeerMessage{Epoch: 7, Load: 30, Usable: true}
+func word(n int) scheduler.PeerMessage {
+	m := scheduler.PeerMessage{Epoch: 7, Load: 30, Usable: true}
 	for i := 0; i < n; i++ {
-		x := core.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
+		x := scheduler.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
 		for k := 0; k < 6; k++ {
 			x.Images = append(x.Images, fmt.Sprintf("drawscan-img-%02d", k))
 		}
--- a/internal/core/needs.go
+++ b/internal/scheduler/dependencies.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"container/heap"
--- a/internal/core/guards.go
+++ b/internal/scheduler/guards.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 // Guards that tests may take away, to see that the rule checker notices.
 const (
--- a/internal/core/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 // This file is the one place that answers where a job's tasks are, seen from a draft (nil:
 // as committed). Every rule about a job's tasks together asks it:
--- a/internal/core/types.go
+++ b/internal/scheduler/types.go
@@ -1,7 +1,7 @@
-// Package core is the service without input or output. Step takes one event
+// Package scheduler is the service without input or output. Step takes one event
 // and the steady time and returns the effects to carry out; it owns all state
 // and is called by one goroutine.
-package core
+package scheduler
 
 import (
 	"log/slog"
--- a/internal/standin/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // grown is a deployment of the size that the grown ones have.
-func grown(nodes, fill int, change ...func(*core.Settings)) *Cluster {
+func grown(nodes, fill int, change ...func(*scheduler.Settings)) *Cluster {
 	w := New(1, grownSettings(nodes, fill, change...))
 	w.fill = fill
 	return w
 }
 
-func grownSettings(nodes, fill int, change ...func(*core.Settings)) core.Settings {
+func grownSettings(nodes, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
 	set := Settings()
 	set.Nodes, set.ZoneOf = nil, map[string]string{}
 	for i := 0; i < nodes; i++ {
@@ -26,9 +26,9 @@
 	}
 	set.HeartbeatInterval = 5 * time.Second
 	set.WriteRate, set.ReadRate = 25*0.92/float64(nodes), 100*0.92/float64(nodes)
-	set.Teams = map[string]core.Quota{
-		"red":  {Guarantee: core.Resources{GPU: 800000}, Limit: core.Resources{GPU: int64(fill) * 12000}},
-		"blue": {Guarantee: core.Resources{GPU: 800000}, Limit: core.Resources{GPU: int64(fill) * 12000}},
+	set.Teams = map[string]scheduler.Quota{
+		"red":  {Guarantee: scheduler.Resources{GPU: 800000}, Limit: scheduler.Resources{GPU: int64(fill) * 12000}},
+		"blue": {Guarantee: scheduler.Resources{GPU: 800000}, Limit: scheduler.Resources{GPU: int64(fill) * 12000}},
 	}
 	for _, f := range change {
 		f(&set)
@@ -42,19 +42,19 @@
 		w.fed++
 		id := fmt.Sprintf("job-%06d", 100000+w.fed)
 		team := []string{"red", "blue"}[i%2]
-		sp := core.JobSpec{ID: id, Class: "c", Team: team, Shape: core.Array, Priority: 1, TaskCount: 20 + i%7*10,
-			Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+		sp := scheduler.JobSpec{ID: id, Class: "c", Team: team, Shape: scheduler.Array, Priority: 1, TaskCount: 20 + i%7*10,
+			Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 40, CheckpointInterval: 10, CheckpointCost: 2}
 		if i%4 == 3 {
-			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority, sp.Class = core.Gang, 1+i%3, false, 2, "g"
-			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority, sp.Class = scheduler.Gang, 1+i%3, false, 2, "g"
+			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(25+i%50)*time.Second) })
 	}
 }
 
 // work sums up what all controllers did.
-func (w *Cluster) work() (all core.Work) {
+func (w *Cluster) work() (all scheduler.Work) {
 	for _, n := range w.nodes {
 		x := n.controller.Work
 		all.Events, all.PendingHeartbeats = all.Events+x.Events, all.PendingHeartbeats+x.PendingHeartbeats
--- a/internal/standin/meet.go
+++ b/internal/simulation/checker.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 
 	json "github.com/goccy/go-json"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
 // newView notices a change of leader: kept reports reach every controller then.
 func (w *Cluster) newView(value []byte) {
-	var v core.View
+	var v scheduler.View
 	if json.Unmarshal(value, &v) != nil || v.Leader == w.leader {
 		return
 	}
@@ -29,7 +29,7 @@
 				if k := w.worker(r.Machine); !k.gone && (r.AgentEpoch < k.shift || r.Sequence < k.tally) {
 					w.came("old report under a new leader")
 				}
-				n.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(core.Effect) {})
+				n.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
 			})
 		}
 	}
@@ -45,15 +45,15 @@
 	for _, n := range w.nodes {
 		for k := 0; k < 4; k++ {
 			w.after(time.Duration(w.rng.IntN(40*(k+1)))*time.Millisecond, func() {
-				w.userAt(n, func(n *node, done func(core.Effect)) {
+				w.userAt(n, func(n *node, done func(scheduler.Effect)) {
 					if k == 3 {
 						sp := t.spec
 						sp.TaskCount++ // whatever the other fields say now
-						n.ask(func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: &sp} }, done)
+						n.ask(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: &sp} }, done)
 						return
 					}
-					n.ask(func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} }, done)
-				}, func(u core.UserReply, asked time.Duration) {
+					n.ask(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
+				}, func(u scheduler.UserReply, asked time.Duration) {
 					if u.Status == 200 {
 						w.came("answer to a close look")
 					}
@@ -74,15 +74,15 @@
 		return
 	}
 	w.after(time.Second, w.odd)
-	ask := func(id string, ev func(r uint64) core.Event, done func(core.UserReply)) {
-		w.user(func(n *node, f func(core.Effect)) { n.ask(ev, f) }, func(u core.UserReply, asked time.Duration) {
+	ask := func(id string, ev func(r uint64) scheduler.Event, done func(scheduler.UserReply)) {
+		w.user(func(n *node, f func(scheduler.Effect)) { n.ask(ev, f) }, func(u scheduler.UserReply, asked time.Duration) {
 			w.judge(id, u, asked)
 			done(u)
 		})
 	}
 	w.fed++
 	id := fmt.Sprintf("job-7%06d", w.fed)
-	sp := core.JobSpec{ID: id, Class: "odd", Team: "red", Shape: core.Array, TaskCount: 1, Request: core.Resources{CPU: 1000}, EstimatedRuntime: 5}
+	sp := scheduler.JobSpec{ID: id, Class: "odd", Team: "red", Shape: scheduler.Array, TaskCount: 1, Request: scheduler.Resources{CPU: 1000}, EstimatedRuntime: 5}
 	spec, want := &sp, 422
 	switch w.fed % 4 {
 	case 0:
@@ -95,7 +95,7 @@
 		spec, want = nil, 400
 	}
 	w.jobs[id] = &truth{spec: sp, done: map[int]bool{}, cancelAt: -1, readyAt: -1, wrong: true}
-	ask(id, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: spec} }, func(u core.UserReply) {
+	ask(id, func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: spec} }, func(u scheduler.UserReply) {
 		if u.Status == want {
 			w.came("odd submission refused")
 		} else if u.Status >= 400 && u.Status < 500 {
@@ -108,12 +108,12 @@
 			continue
 		}
 		if t.told == "done" {
-			ask(id, func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} }, func(core.UserReply) { w.came("done job cancelled") })
+			ask(id, func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, func(scheduler.UserReply) { w.came("done job cancelled") })
 			continue
 		}
 		again := t.spec
 		again.Request.GPU = size.GPU + 1 // a repeat is known by its id alone
-		ask(id, func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: id, Spec: &again} }, func(u core.UserReply) {
+		ask(id, func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: &again} }, func(u scheduler.UserReply) {
 			if u.Status == 200 {
 				w.came("repeat answered")
 			}
@@ -165,14 +165,14 @@
 }
 
 // roomOn is how many tasks of a job a machine still has room for.
-func (k *worker) roomOn(sp *core.JobSpec) int64 {
+func (k *worker) roomOn(sp *scheduler.JobSpec) int64 {
 	if k.gone || !k.up || k.hung || k.sick || k.recall >= 0 || k.w.Now < k.deafTill || k.w.Now < k.muteTill ||
 		k.spot && !sp.Spot || sp.Zone != "" && sp.Zone != k.zone {
 		return 0
 	}
 	free := size
 	for id, x := range k.tasks {
-		if x.state != core.ReportedEnded {
+		if x.state != scheduler.ReportedEnded {
 			free = free.Plus(k.w.jobs[id.Job].spec.Request, -1)
 		}
 	}
@@ -186,13 +186,13 @@
 	if len(w.workers) > tuning.WideFleet {
 		return
 	}
-	used, there := map[string]core.Resources{}, map[string]zoneCount{}
+	used, there := map[string]scheduler.Resources{}, map[string]zoneCount{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
 		}
 		for _, id := range k.ids() {
-			if x := k.tasks[id]; x.state != core.ReportedEnded {
+			if x := k.tasks[id]; x.state != scheduler.ReportedEnded {
 				sp := w.jobs[id.Job].spec
 				used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 				if there[id.Job] == nil {
@@ -206,13 +206,13 @@
 		t := w.jobs[id]
 		sp := &t.spec
 		at := 1
-		if sp.Shape == core.Gang {
+		if sp.Shape == scheduler.Gang {
 			at = sp.TaskCount
 		}
 		lim := w.set.Teams[sp.Team].Limit
 		after := used[sp.Team].Plus(sp.Request, int64(at))
 		waits := t.accepted && t.told == "" && !t.cancelAsk && !t.mistake && w.allDone(t) && there[id].sum()+int64(len(t.done)) < int64(sp.TaskCount) &&
-			(sp.Shape != core.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
+			(sp.Shape != scheduler.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
 		if !waits {
 			delete(w.room, id)
 			continue
@@ -250,7 +250,7 @@
 }
 
 // usable is how much of the room a job's zone rule lets it use, given where its tasks are.
-func (z zoneCount) usable(sp *core.JobSpec, there zoneCount) (n int64) {
+func (z zoneCount) usable(sp *scheduler.JobSpec, there zoneCount) (n int64) {
 	if !sp.OneZone && !sp.Spread {
 		return z.sum()
 	}
@@ -289,7 +289,7 @@
 				by[k] = &share{}
 			}
 			by[k].all++
-			if t.told == "done" || t.spec.Shape == core.Service && t.begun {
+			if t.told == "done" || t.spec.Shape == scheduler.Service && t.begun {
 				by[k].served++
 			}
 		}
--- a/internal/standin/world.go
+++ b/internal/simulation/cluster.go
@@ -1,7 +1,7 @@
-// Package standin is a deterministic world for tests: state service, cloud,
+// Package simulation is a deterministic world for tests: state service, cloud,
 // workers, users and a network that delays, cuts and holds back, all in
 // virtual time round real cores. It checks the protocol's rules as it goes.
-package standin
+package simulation
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
@@ -44,7 +44,7 @@
 	Broken []string // rules that were broken
 
 	rng               *rand.Rand
-	set               core.Settings
+	set               scheduler.Settings
 	queue             agenda
 	seq               int
 	nodes             []*node
@@ -67,12 +67,12 @@
 	old               bool          // all nodes begin as the version before
 	spell             map[string]spell
 	met               map[string]int                      // what really came about, so that tests can tell that troubles met
-	kept              []core.Heartbeat                    // old reports, kept for the next leader
+	kept              []scheduler.Heartbeat               // old reports, kept for the next leader
 	leader            string                              // as the state service has it
 	room              map[string]map[string]time.Duration // since when a job waits beside room on a machine
 
 	// onEffect, if set, sees all that leaves the cores, as it leaves them.
-	onEffect func(*node, core.Effect)
+	onEffect func(*node, scheduler.Effect)
 
 	// Benchmarks only: the processor time of the controllers' steps.
 	timed       bool
@@ -100,7 +100,7 @@
 
 // truth is what really became of a job.
 type truth struct {
-	spec       core.JobSpec
+	spec       scheduler.JobSpec
 	run        time.Duration
 	done       map[int]bool
 	accepted   bool
@@ -147,12 +147,12 @@
 }
 
 // Settings of a small deployment with three controllers and two teams.
-func Settings() core.Settings {
-	return core.Settings{
+func Settings() scheduler.Settings {
+	return scheduler.Settings{
 		Nodes: []string{"c-0", "c-1", "c-2"}, Zones: []string{"a", "b"},
-		Teams: map[string]core.Quota{
-			"red":  {Guarantee: core.Resources{GPU: 8000}, Limit: core.Resources{GPU: 12000}},
-			"blue": {Guarantee: core.Resources{GPU: 8000}, Limit: core.Resources{GPU: 40000}},
+		Teams: map[string]scheduler.Quota{
+			"red":  {Guarantee: scheduler.Resources{GPU: 8000}, Limit: scheduler.Resources{GPU: 12000}},
+			"blue": {Guarantee: scheduler.Resources{GPU: 8000}, Limit: scheduler.Resources{GPU: 40000}},
 		},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 40 * time.Second, GangPeerWait: 5 * time.Second,
 		FenceAge: tuning.Fence, ValueLimit: 4096, TransactionLimit: 8, ListLag: 4 * time.Second,
@@ -161,9 +161,9 @@
 }
 
 // New returns a world whose nodes start at time 0.
-func New(seed uint64, set core.Settings) *Cluster { return newWorld(seed, set, 0, false) }
+func New(seed uint64, set scheduler.Settings) *Cluster { return newWorld(seed, set, 0, false) }
 
-func newWorld(seed uint64, set core.Settings, opsNow int, old bool) *Cluster {
+func newWorld(seed uint64, set scheduler.Settings, opsNow int, old bool) *Cluster {
 	w := &Cluster{
 		opsNow: opsNow, old: old,
 		rng: rand.New(rand.NewPCG(seed, 7)), set: set, jobs: map[string]*truth{},
@@ -294,19 +294,19 @@
 type node struct {
 	w          *Cluster
 	name       string
-	controller *core.Controller
+	controller *scheduler.Controller
 	gen        int
 	born       time.Duration
 	drift      float64
 	req        uint64
-	wait       map[uint64]func(core.Effect)
+	wait       map[uint64]func(scheduler.Effect)
 	since      uint64
 	old        bool // runs the version before, as far as that concerns the switch
 	// A frozen process stands still in the middle of a step, while its clock goes
 	// on: what it decided goes out when it wakes, and then all it did not hear.
 	froze  time.Duration // until then
-	effs   []core.Effect
-	events []core.Event
+	effs   []scheduler.Effect
+	events []scheduler.Event
 }
 
 func (n *node) now() time.Duration {
@@ -322,13 +322,13 @@
 	if n.old {
 		s.PreviousFormat, s.ValueLimit, s.TransactionLimit = true, max(s.ValueLimit, s.ValueLimitNow), max(s.TransactionLimit, n.w.opsNow)
 	}
-	n.controller = core.New(s, fmt.Sprintf("%s.%d", n.name, n.gen))
-	n.wait = map[uint64]func(core.Effect){}
+	n.controller = scheduler.New(s, fmt.Sprintf("%s.%d", n.name, n.gen))
+	n.wait = map[uint64]func(scheduler.Effect){}
 	g := n.gen
 	var tick func()
 	tick = func() {
 		if n.gen == g && n.controller != nil {
-			n.step(core.Tick{})
+			n.step(scheduler.Tick{})
 			n.w.after(tuning.Tick, tick)
 		}
 	}
@@ -352,7 +352,7 @@
 	})
 }
 
-func (n *node) step(ev core.Event) {
+func (n *node) step(ev scheduler.Event) {
 	if n.controller == nil {
 		return
 	}
@@ -371,7 +371,7 @@
 }
 
 // timedStep is a step of the core, timed where a benchmark asks for it.
-func (n *node) timedStep(ev core.Event) []core.Effect {
+func (n *node) timedStep(ev scheduler.Event) []scheduler.Effect {
 	if !n.w.timed {
 		return n.controller.Step(n.now(), ev)
 	}
@@ -400,7 +400,7 @@
 		effs, evs := n.effs, n.events
 		n.effs, n.events = nil, nil
 		for _, e := range effs {
-			if x, ok := e.(core.HeartbeatReply); ok && x.Status == 200 {
+			if x, ok := e.(scheduler.HeartbeatReply); ok && x.Status == 200 {
 				n.w.came("answer decided before a freeze")
 			}
 			n.carry(e)
@@ -412,7 +412,7 @@
 }
 
 // ask puts a request to the core; the answer comes through the effect.
-func (n *node) ask(mk func(uint64) core.Event, done func(core.Effect)) {
+func (n *node) ask(mk func(uint64) scheduler.Event, done func(scheduler.Effect)) {
 	if n.controller == nil {
 		return
 	}
@@ -421,7 +421,7 @@
 	n.step(mk(n.req))
 }
 
-func (n *node) answer(req uint64, e core.Effect) {
+func (n *node) answer(req uint64, e scheduler.Effect) {
 	if f := n.wait[req]; f != nil {
 		delete(n.wait, req)
 		f(e)
@@ -429,97 +429,97 @@
 }
 
 // back delivers an answer if the process is still the same.
-func (n *node) back(g int) func(core.Event) {
-	return func(e core.Event) {
+func (n *node) back(g int) func(scheduler.Event) {
+	return func(e scheduler.Event) {
 		if n.gen == g {
 			n.step(e)
 		}
 	}
 }
 
-func (n *node) carry(e core.Effect) {
+func (n *node) carry(e scheduler.Effect) {
 	if n.w.onEffect != nil {
 		n.w.onEffect(n, e)
 	}
 	w, back := n.w, n.back(n.gen)
 	switch x := e.(type) {
-	case core.HeartbeatReply:
+	case scheduler.HeartbeatReply:
 		n.answer(x.RequestID, x)
-	case core.UserReply:
+	case scheduler.UserReply:
 		n.answer(x.RequestID, x)
-	case core.ConfirmView:
+	case scheduler.ConfirmView:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.confirm(n.name, x)) }, func(r any) {
-			ev, _ := r.(core.ConfirmationAnswered)
+			ev, _ := r.(scheduler.ConfirmationAnswered)
 			back(ev)
 		})
-	case core.Commit:
+	case scheduler.Commit:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.st.perform(n, x, r) }, func(r any) {
-			ev, ok := r.(core.CommitAnswered)
+			ev, ok := r.(scheduler.CommitAnswered)
 			if !ok {
-				ev = core.CommitAnswered{ID: x.ID, Result: core.InDoubt}
+				ev = scheduler.CommitAnswered{ID: x.ID, Result: scheduler.InDoubt}
 			}
 			back(ev)
 		})
-	case core.ReadKeys:
+	case scheduler.ReadKeys:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.read(n.name, x)) }, func(r any) {
-			ev, ok := r.(core.KeysRead)
+			ev, ok := r.(scheduler.KeysRead)
 			if !ok {
-				ev = core.KeysRead{ID: x.ID}
+				ev = scheduler.KeysRead{ID: x.ID}
 			}
 			back(ev)
 		})
-	case core.GrantLease:
+	case scheduler.GrantLease:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.grant(n.name, x.TTL)) }, func(r any) {
-			ev, _ := r.(core.LeaseGranted)
+			ev, _ := r.(scheduler.LeaseGranted)
 			back(ev)
 		})
-	case core.RenewLease:
+	case scheduler.RenewLease:
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.renew(n.name, x.LeaseID)) }, func(r any) {
-			ev, _ := r.(core.LeaseRenewalAnswered)
+			ev, _ := r.(scheduler.LeaseRenewalAnswered)
 			back(ev)
 		})
-	case core.ListMachineTypes:
+	case scheduler.ListMachineTypes:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.flavors()) }, func(r any) {
-			ev, _ := r.(core.MachineTypesListed)
+			ev, _ := r.(scheduler.MachineTypesListed)
 			back(ev)
 		})
-	case core.ListInstances:
+	case scheduler.ListInstances:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.list()) }, func(r any) {
-			ev, _ := r.(core.InstancesListed)
+			ev, _ := r.(scheduler.InstancesListed)
 			back(ev)
 		})
-	case core.RentMachines:
+	case scheduler.RentMachines:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.rent(x)) }, func(r any) {
-			ev, ok := r.(core.RentalAnswered)
+			ev, ok := r.(scheduler.RentalAnswered)
 			if !ok {
-				ev = core.RentalAnswered{RentalID: x.RentalID}
+				ev = scheduler.RentalAnswered{RentalID: x.RentalID}
 			}
 			back(ev)
 		})
-	case core.ReturnMachines:
+	case scheduler.ReturnMachines:
 		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.giveBack(x.Names)) }, func(r any) {
 			ok, _ := r.(bool)
-			back(core.ReturnAnswered{Names: x.Names, OK: ok})
+			back(scheduler.ReturnAnswered{Names: x.Names, OK: ok})
 		})
-	case core.SendPeerMessage:
+	case scheduler.SendPeerMessage:
 		for _, o := range w.nodes {
 			if o.name == x.To {
-				w.send(n.name, o.name, func() { o.step(core.PeerMessageReceived{From: n.name, Message: x.Message}) })
+				w.send(n.name, o.name, func() { o.step(scheduler.PeerMessageReceived{From: n.name, Message: x.Message}) })
 			}
 		}
-	case core.SendCommands:
+	case scheduler.SendCommands:
 		k := w.worker(x.Machine)
 		if k == nil {
 			return
 		}
 		w.call(n.name, k.name, tuning.DirectTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
-			ev := core.CommandsAnswered{Machine: x.Machine}
-			if rep, ok := r.(core.Heartbeat); ok {
+			ev := scheduler.CommandsAnswered{Machine: x.Machine}
+			if rep, ok := r.(scheduler.Heartbeat); ok {
 				ev.Heartbeat = &rep
 			}
 			back(ev)
 		})
-	case core.LogLine:
+	case scheduler.LogLine:
 		if x.Message == "value made smaller" {
 			w.smaller++
 		}
@@ -543,7 +543,7 @@
 		if n.gen != g {
 			return
 		}
-		ev, ok := r.(core.SnapshotLoaded)
+		ev, ok := r.(scheduler.SnapshotLoaded)
 		if !ok {
 			n.w.after(tuning.ConfirmRetry, func() { n.snapshot(g) })
 			return
@@ -564,7 +564,7 @@
 			return
 		}
 		pause := tuning.ConfirmRetry
-		if ev, ok := r.(core.WatchAdvanced); ok {
+		if ev, ok := r.(scheduler.WatchAdvanced); ok {
 			n.since = max(n.since, ev.Revision)
 			ev.Sent = sent
 			n.step(ev)
@@ -579,7 +579,7 @@
 }
 
 // Submit sends a job and repeats it until it is accepted; then polls.
-func (w *Cluster) Submit(s core.JobSpec, run time.Duration) {
+func (w *Cluster) Submit(s scheduler.JobSpec, run time.Duration) {
 	t := w.jobs[s.ID]
 	if t == nil {
 		t = &truth{spec: s, run: run, done: map[int]bool{}, cancelAt: -1, readyAt: -1}
@@ -592,10 +592,10 @@
 		}
 	}
 	t.asked = true
-	w.user(func(n *node, done func(core.Effect)) {
+	w.user(func(n *node, done func(scheduler.Effect)) {
 		sp := s
-		n.ask(func(r uint64) core.Event { return core.JobSubmitted{RequestID: r, ID: s.ID, Spec: &sp} }, done)
-	}, func(u core.UserReply, asked time.Duration) {
+		n.ask(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: s.ID, Spec: &sp} }, done)
+	}, func(u scheduler.UserReply, asked time.Duration) {
 		w.judge(s.ID, u, asked)
 		if u.Status == 200 || u.Status == 201 {
 			w.log("%s accepted", s.ID)
@@ -607,7 +607,7 @@
 }
 
 // user sends a request to a live node through the load balancer.
-func (w *Cluster) user(ask func(*node, func(core.Effect)), done func(core.UserReply, time.Duration)) {
+func (w *Cluster) user(ask func(*node, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
 	asked := w.Now
 	var live []*node
 	for _, n := range w.nodes {
@@ -616,27 +616,27 @@
 		}
 	}
 	if len(live) == 0 {
-		done(core.UserReply{}, asked)
+		done(scheduler.UserReply{}, asked)
 		return
 	}
 	w.userAt(live[w.rng.IntN(len(live))], ask, done)
 }
 
 // userAt is the same at one node.
-func (w *Cluster) userAt(n *node, ask func(*node, func(core.Effect)), done func(core.UserReply, time.Duration)) {
+func (w *Cluster) userAt(n *node, ask func(*node, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
 	asked := w.Now
 	w.call("users", n.name, 2*time.Second, func(r func(any)) {
-		ask(n, func(e core.Effect) { r(e) })
+		ask(n, func(e scheduler.Effect) { r(e) })
 	}, func(r any) {
-		u, _ := r.(core.UserReply)
+		u, _ := r.(scheduler.UserReply)
 		done(u, asked)
 	})
 }
 
 func (w *Cluster) poll(id string) {
-	w.user(func(n *node, done func(core.Effect)) {
-		n.ask(func(r uint64) core.Event { return core.JobQueried{RequestID: r, ID: id} }, done)
-	}, func(u core.UserReply, asked time.Duration) {
+	w.user(func(n *node, done func(scheduler.Effect)) {
+		n.ask(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
+	}, func(u scheduler.UserReply, asked time.Duration) {
 		w.judge(id, u, asked)
 		pause := 5 * time.Second
 		if w.strikes("storm") {
@@ -653,9 +653,9 @@
 func (w *Cluster) Abort(id string) {
 	t := w.jobs[id]
 	t.cancelAsk = true
-	w.user(func(n *node, done func(core.Effect)) {
-		n.ask(func(r uint64) core.Event { return core.JobCancelled{RequestID: r, ID: id} }, done)
-	}, func(u core.UserReply, asked time.Duration) {
+	w.user(func(n *node, done func(scheduler.Effect)) {
+		n.ask(func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, done)
+	}, func(u scheduler.UserReply, asked time.Duration) {
 		w.judge(id, u, asked)
 		if t.told == "" {
 			w.after(time.Second, func() { w.Abort(id) })
@@ -665,7 +665,7 @@
 
 // judge checks an answer against the rules that concern users. A request that was
 // under way when its user was told otherwise may still bring the older state.
-func (w *Cluster) judge(id string, u core.UserReply, asked time.Duration) {
+func (w *Cluster) judge(id string, u scheduler.UserReply, asked time.Duration) {
 	t := w.jobs[id]
 	switch u.Status {
 	case 404, 400, 422:
@@ -727,7 +727,7 @@
 func (w *Cluster) Unfinished() []string {
 	var l []string
 	for id, t := range w.jobs {
-		if t.accepted && t.told == "" && t.spec.Shape != core.Service {
+		if t.accepted && t.told == "" && t.spec.Shape != scheduler.Service {
 			l = append(l, id)
 		}
 	}
@@ -749,7 +749,7 @@
 // checkPlaces checks quota and cancelled work; called whenever a task comes on
 // a machine and every second.
 func (w *Cluster) checkPlaces() {
-	used := map[string]core.Resources{}
+	used := map[string]scheduler.Resources{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
--- a/internal/standin/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"crypto/sha256"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // This file compares two commits: `make digest` prints, for each kind of day, a digest of
@@ -31,40 +31,40 @@
 
 func newDigest() *digest { return &digest{sum: sha256.New()} }
 
-func (d *digest) add(n *node, effect core.Effect) {
-	if _, isLog := effect.(core.LogLine); isLog {
+func (d *digest) add(n *node, effect scheduler.Effect) {
+	if _, isLog := effect.(scheduler.LogLine); isLog {
 		return
 	}
 	d.effects++
 	fmt.Fprintf(d.sum, "%d %s ", n.w.Now, n.name)
 	switch e := effect.(type) {
-	case core.ConfirmView:
+	case scheduler.ConfirmView:
 		d.line("confirm", e.Key, e.ModRevision)
-	case core.Commit:
+	case scheduler.Commit:
 		d.transaction(e)
-	case core.ReadKeys:
+	case scheduler.ReadKeys:
 		d.line("read", e.ID, e.Keys)
-	case core.GrantLease:
+	case scheduler.GrantLease:
 		d.line("grant", int64(e.TTL))
-	case core.RenewLease:
+	case scheduler.RenewLease:
 		d.line("renew", e.LeaseID)
-	case core.HeartbeatReply:
+	case scheduler.HeartbeatReply:
 		d.line("answer", e.RequestID, e.Status, e.Owner, e.FencingToken, len(e.Commands))
 		d.commands(e.Commands)
-	case core.SendCommands:
+	case scheduler.SendCommands:
 		d.line("direct", e.Machine, e.Addr, e.FencingToken, e.AgentEpoch, len(e.Commands))
 		d.commands(e.Commands)
-	case core.UserReply:
+	case scheduler.UserReply:
 		d.line("user", e.RequestID, e.Status, e.ID, e.State, e.Done, e.Running, e.Reason)
-	case core.ListMachineTypes:
+	case scheduler.ListMachineTypes:
 		d.line("types")
-	case core.ListInstances:
+	case scheduler.ListInstances:
 		d.line("list")
-	case core.RentMachines:
+	case scheduler.RentMachines:
 		d.line("rent", e.RentalID, e.Type, e.Zone, e.Spot, e.Count)
-	case core.ReturnMachines:
+	case scheduler.ReturnMachines:
 		d.line("return", e.Names)
-	case core.SendPeerMessage:
+	case scheduler.SendPeerMessage:
 		d.message(e)
 	default:
 		panic(fmt.Sprintf("effect %T is in no digest", effect))
@@ -75,7 +75,7 @@
 	fmt.Fprintf(d.sum, "%s %q\n", what, fmt.Sprintln(fields...))
 }
 
-func (d *digest) transaction(e core.Commit) {
+func (d *digest) transaction(e scheduler.Commit) {
 	d.line("commit", e.ID, e.Lane, len(e.Transaction.Conditions), len(e.Transaction.Puts))
 	for _, c := range e.Transaction.Conditions {
 		d.line("if", c.Key, c.ModRevision)
@@ -86,13 +86,13 @@
 	}
 }
 
-func (d *digest) commands(commands []core.Command) {
+func (d *digest) commands(commands []scheduler.Command) {
 	for _, c := range commands {
 		d.line("command", string(c.Kind), c.Task.Job, c.Task.Index, c.Attempt, c.GraceSeconds, string(c.Reason))
 	}
 }
 
-func (d *digest) message(e core.SendPeerMessage) {
+func (d *digest) message(e scheduler.SendPeerMessage) {
 	m := e.Message
 	d.line("message", e.To, m.Epoch, m.Load, m.Usable, m.Reserved, m.Evicting, len(m.Machines))
 	for _, p := range m.Machines {
@@ -148,8 +148,8 @@
 	w := withGuest(seed, 4)
 	w.onEffect = d.add
 	w.after(time.Second, func() {
-		w.Submit(core.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: core.Array, Priority: 0, TaskCount: 150,
-			Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
+		w.Submit(scheduler.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: scheduler.Array, Priority: 0, TaskCount: 150,
+			Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
 	})
 	w.feed(25, 4*time.Second)
 	w.Run(300 * time.Second)
@@ -176,7 +176,7 @@
 }
 
 func busyFleet(d *digest) *Cluster {
-	w := grown(5, 175, func(s *core.Settings) {
+	w := grown(5, 175, func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/5, 120*0.92/5
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
--- a/internal/standin/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 // The tests in this file play fleets of up to 4,000 machines. The race detector
@@ -33,12 +33,12 @@
 
 // fleet is a deployment of the size and rates that the fleet ones have; fill is
 // the number of machines a zone and kind.
-func fleet(fill int, change ...func(*core.Settings)) *Cluster {
-	rates := func(s *core.Settings) {
+func fleet(fill int, change ...func(*scheduler.Settings)) *Cluster {
+	rates := func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	}
-	return grown(7, fill, append([]func(*core.Settings){rates}, change...)...)
+	return grown(7, fill, append([]func(*scheduler.Settings){rates}, change...)...)
 }
 
 // TestFleetRestarts: with 2,000 machines all controllers end at once, just after
@@ -153,7 +153,7 @@
 // breaks, hardly a change is refused for its size, the machines go on starting tasks,
 // pipelines run, and in the end no value of a job is too large.
 func TestFleetUpgrade(t *testing.T) {
-	set := grownSettings(7, 500, func(s *core.Settings) {
+	set := grownSettings(7, 500, func(s *scheduler.Settings) {
 		s.ValueLimitNow, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
 		s.WriteRate, s.FairWriteRate, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
@@ -185,7 +185,7 @@
 	w.st.lower(set.ValueLimit, set.TransactionLimit)
 	for i := 0; i < 20; i++ {
 		a, b := fmt.Sprintf("job-%06d", 900000+2*i), fmt.Sprintf("job-%06d", 900001+2*i)
-		sp := core.JobSpec{ID: a, Class: "p", Team: "red", Shape: core.Array, TaskCount: 3, Request: core.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
+		sp := scheduler.JobSpec{ID: a, Class: "p", Team: "red", Shape: scheduler.Array, TaskCount: 3, Request: scheduler.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
 		next := sp
 		next.ID, next.Dependencies = b, []string{a}
 		w.after(time.Duration(i)*time.Second, func() { w.Submit(sp, 5*time.Second); w.Submit(next, 5*time.Second) })
@@ -221,11 +221,11 @@
 // deployment. What each controller holds stays far below its memory, and what the
 // array's tasks cost leaves the state service changes for others.
 func TestFleetLargestArray(t *testing.T) {
-	w := grown(5, 120, func(s *core.Settings) { s.Teams["guest"] = core.Quota{} })
+	w := grown(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = scheduler.Quota{} })
 	w.feed(200, 400*time.Millisecond)
 	w.Run(50 * time.Second)
-	w.Submit(core.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: core.Array, Priority: 1, TaskCount: 100000,
-		Request: core.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
+	w.Submit(scheduler.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: scheduler.Array, Priority: 1, TaskCount: 100000,
+		Request: scheduler.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
 	changes := w.st.changes
 	w.Run(110 * time.Second)
 	perSecond := float64(w.st.changes-changes) / 60
@@ -247,16 +247,16 @@
 func (w *Cluster) feedZoneBound(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		w.fed++
-		sp := core.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: core.Array, Priority: 1,
-			TaskCount: 30 + i%5*40, Request: core.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+		sp := scheduler.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: scheduler.Array, Priority: 1,
+			TaskCount: 30 + i%5*40, Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 30, CheckpointInterval: 10, CheckpointCost: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
 		switch i % 4 {
 		case 1: // whole machines: seldom are as many empty in one zone
 			sp.TaskCount = 10 + i%7*5
-			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		case 3:
-			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = core.Gang, 2+i%3, false, 2
-			sp.Request = core.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = scheduler.Gang, 2+i%3, false, 2
+			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(15+i%40)*time.Second) })
 	}
@@ -266,7 +266,7 @@
 // arrays, each booked in several commits, meet leaders that end between these, late
 // transactions, lost answers and an outage.
 func zoneBoundFleet(fill int, drop string) *Cluster {
-	w := fleet(fill, func(s *core.Settings) { s.DisabledGuard = drop })
+	w := fleet(fill, func(s *scheduler.Settings) { s.DisabledGuard = drop })
 	size := fill / 250
 	w.feed(150*size, time.Millisecond)
 	w.feed(300*size, 300*time.Millisecond/time.Duration(size))
@@ -290,13 +290,13 @@
 	for _, x := range []struct {
 		fill int
 		drop string
-	}{{250, ""}, {250, core.GuardDraft}, {1000, ""}} {
+	}{{250, ""}, {250, scheduler.GuardDraft}, {1000, ""}} {
 		t.Run(fmt.Sprint(4*x.fill, x.drop), func(t *testing.T) {
 			t.Parallel()
 			w := zoneBoundFleet(x.fill, x.drop)
 			ran := 0
 			for id, j := range w.jobs {
-				if j.spec.Class == "z" && j.spec.Shape == core.Array {
+				if j.spec.Class == "z" && j.spec.Shape == scheduler.Array {
 					ran += len(w.firstRuns(id))
 				}
 			}
--- a/internal/standin/state.go
+++ b/internal/simulation/state.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 )
 
 type entry struct {
@@ -31,7 +31,7 @@
 	w          *Cluster
 	kv         map[string]entry
 	ledger     uint64
-	log        []core.KeyValue
+	log        []scheduler.KeyValue
 	leases     map[uint64]*lease
 	next       uint64
 	down       bool
@@ -102,7 +102,7 @@
 		for _, k := range ks {
 			s.ledger++
 			delete(s.kv, k)
-			s.log = append(s.log, core.KeyValue{Key: k, ModRevision: s.ledger})
+			s.log = append(s.log, scheduler.KeyValue{Key: k, ModRevision: s.ledger})
 		}
 	}
 	if len(ended) > 0 {
@@ -110,23 +110,23 @@
 	}
 }
 
-func (s *service) confirm(node string, e core.ConfirmView) any {
+func (s *service) confirm(node string, e scheduler.ConfirmView) any {
 	if s.off(node) {
-		return core.ConfirmationAnswered{}
+		return scheduler.ConfirmationAnswered{}
 	}
-	return core.ConfirmationAnswered{OK: true, Same: s.kv[e.Key].stamp == e.ModRevision, Revision: s.ledger}
+	return scheduler.ConfirmationAnswered{OK: true, Same: s.kv[e.Key].stamp == e.ModRevision, Revision: s.ledger}
 }
 
 // perform carries a transaction out, unless a trouble strikes: late, after newer
 // ones of the same node, or at once with only the answer lost.
-func (s *service) perform(n *node, x core.Commit, reply func(any)) {
+func (s *service) perform(n *node, x scheduler.Commit, reply func(any)) {
 	w := s.w
 	switch {
 	case w.strikes("late") || w.strikes("late "+n.name):
 		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))), func() {
-			ev, _ := s.commit(n.name, x).(core.CommitAnswered)
+			ev, _ := s.commit(n.name, x).(scheduler.CommitAnswered)
 			w.came("late transaction")
-			if ev.Result == core.Committed {
+			if ev.Result == scheduler.Committed {
 				w.came("late transaction that changed something")
 			}
 		})
@@ -148,11 +148,11 @@
 	reply(v)
 }
 
-func (s *service) commit(node string, e core.Commit) any {
+func (s *service) commit(node string, e scheduler.Commit) any {
 	if s.off(node) {
-		return core.CommitAnswered{ID: e.ID, Result: core.Refused}
+		return scheduler.CommitAnswered{ID: e.ID, Result: scheduler.Refused}
 	}
-	ev := core.CommitAnswered{ID: e.ID, Revision: s.ledger}
+	ev := scheduler.CommitAnswered{ID: e.ID, Revision: s.ledger}
 	s.changes += len(e.Transaction.Puts)
 	over := ""
 	if len(e.Transaction.Puts) > s.txnOps || len(e.Transaction.Conditions) > 4*s.txnOps {
@@ -170,7 +170,7 @@
 			s.w.broke("limit", "%s", over)
 		}
 		s.tooLarge++
-		ev.Result, ev.Malformed = core.Refused, true
+		ev.Result, ev.Malformed = scheduler.Refused, true
 		return ev
 	}
 	for _, a := range e.Transaction.Puts {
@@ -180,17 +180,17 @@
 			}
 		}
 		if a.LeaseID != 0 && s.leases[a.LeaseID] == nil {
-			ev.Result, ev.Malformed = core.Refused, true
+			ev.Result, ev.Malformed = scheduler.Refused, true
 			return ev
 		}
 	}
 	for _, k := range e.Transaction.Conditions {
 		if s.kv[k.Key].stamp != k.ModRevision {
-			ev.Result = core.Conflict
+			ev.Result = scheduler.Conflict
 			ev.Failed = append(ev.Failed, k.Key)
 		}
 	}
-	if ev.Result == core.Conflict {
+	if ev.Result == scheduler.Conflict {
 		return ev
 	}
 	s.ledger++
@@ -200,7 +200,7 @@
 		} else {
 			s.kv[a.Key] = entry{a.Value, s.ledger, a.LeaseID}
 		}
-		s.log = append(s.log, core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.ledger})
+		s.log = append(s.log, scheduler.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.ledger})
 		if a.Key == "b/view" {
 			s.w.newView(a.Value)
 		}
@@ -210,14 +210,14 @@
 	return ev
 }
 
-func (s *service) read(node string, e core.ReadKeys) any {
+func (s *service) read(node string, e scheduler.ReadKeys) any {
 	if s.off(node) {
-		return core.KeysRead{ID: e.ID}
+		return scheduler.KeysRead{ID: e.ID}
 	}
-	ev := core.KeysRead{ID: e.ID, OK: true}
+	ev := scheduler.KeysRead{ID: e.ID, OK: true}
 	for _, k := range e.Keys {
 		if x, ok := s.kv[k]; ok {
-			ev.Items = append(ev.Items, core.KeyValue{Key: k, Value: x.v, ModRevision: x.stamp})
+			ev.Items = append(ev.Items, scheduler.KeyValue{Key: k, Value: x.v, ModRevision: x.stamp})
 		}
 	}
 	return ev
@@ -225,33 +225,33 @@
 
 func (s *service) grant(node string, life time.Duration) any {
 	if s.off(node) {
-		return core.LeaseGranted{}
+		return scheduler.LeaseGranted{}
 	}
 	s.next++
 	s.leases[s.next] = &lease{life, s.w.Now + life}
-	return core.LeaseGranted{OK: true, LeaseID: s.next}
+	return scheduler.LeaseGranted{OK: true, LeaseID: s.next}
 }
 
 func (s *service) renew(node string, id uint64) any {
 	if s.off(node) {
-		return core.LeaseRenewalAnswered{}
+		return scheduler.LeaseRenewalAnswered{}
 	}
 	l := s.leases[id]
 	if l == nil {
-		return core.LeaseRenewalAnswered{Gone: true}
+		return scheduler.LeaseRenewalAnswered{Gone: true}
 	}
 	l.end = s.w.Now + l.life
-	return core.LeaseRenewalAnswered{OK: true}
+	return scheduler.LeaseRenewalAnswered{OK: true}
 }
 
 func (s *service) snapshot(node string) any {
 	if s.off(node) {
 		return nil
 	}
-	ev := core.SnapshotLoaded{Revision: s.ledger}
+	ev := scheduler.SnapshotLoaded{Revision: s.ledger}
 	for k, e := range s.kv {
-		if strings.HasPrefix(k, core.KeyRoot) {
-			ev.Items = append(ev.Items, core.KeyValue{Key: k, Value: e.v, ModRevision: e.stamp})
+		if strings.HasPrefix(k, scheduler.KeyRoot) {
+			ev.Items = append(ev.Items, scheduler.KeyValue{Key: k, Value: e.v, ModRevision: e.stamp})
 		}
 	}
 	ev.Items = s.seenBy(node, ev.Items)
@@ -278,7 +278,7 @@
 			keep = append(keep, x)
 			continue
 		}
-		ev := core.WatchAdvanced{Revision: s.ledger}
+		ev := scheduler.WatchAdvanced{Revision: s.ledger}
 		from := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > x.since })
 		ev.Items = s.seenBy(x.node, s.log[from:])
 		x.reply(ev)
@@ -288,12 +288,12 @@
 
 // seenBy is what a node makes of changes: one of the version before drops what it
 // doesn't know.
-func (s *service) seenBy(node string, l []core.KeyValue) []core.KeyValue {
+func (s *service) seenBy(node string, l []scheduler.KeyValue) []scheduler.KeyValue {
 	n := s.w.node(node)
 	if n == nil || !n.old {
-		return append([]core.KeyValue(nil), l...)
+		return append([]scheduler.KeyValue(nil), l...)
 	}
-	var r []core.KeyValue
+	var r []scheduler.KeyValue
 	for _, kv := range l {
 		if kv.Value != nil {
 			v, _, ok := asBefore(kv.Key, kv.Value)
--- a/internal/standin/worker.go
+++ b/internal/simulation/worker.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"sort"
 	"time"
 
-	"brassglade/internal/core"
+	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
 )
 
@@ -17,13 +17,13 @@
 	n     int
 }
 
-var size = core.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
+var size = scheduler.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
 func (c *provider) flavors() any {
 	if !c.up {
 		return nil
 	}
-	return core.MachineTypesListed{OK: true, Types: []core.MachineType{{
+	return scheduler.MachineTypesListed{OK: true, Types: []scheduler.MachineType{{
 		Name: "box", Capacity: size, ImageCacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
 	}}}
 }
@@ -32,7 +32,7 @@
 	if !c.up {
 		return nil
 	}
-	ev := core.InstancesListed{OK: true}
+	ev := scheduler.InstancesListed{OK: true}
 	for _, k := range c.w.workers {
 		if k.gone && c.w.Now-k.goneAt > c.w.set.ListLag || c.w.Now-k.born < c.w.set.ListLag {
 			continue
@@ -41,18 +41,18 @@
 		if k.up {
 			st = "running"
 		}
-		ev.Instances = append(ev.Instances, core.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
+		ev.Instances = append(ev.Instances, scheduler.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
 			HeldSeconds: (c.w.Now - k.born).Seconds()})
 	}
 	return ev
 }
 
-func (c *provider) rent(e core.RentMachines) any {
+func (c *provider) rent(e scheduler.RentMachines) any {
 	if !c.up {
-		return core.RentalAnswered{RentalID: e.RentalID}
+		return scheduler.RentalAnswered{RentalID: e.RentalID}
 	}
 	if names, ok := c.hires[e.RentalID]; ok {
-		return core.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
+		return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 	}
 	var names []string
 	for i := 0; i < e.Count; i++ {
@@ -70,10 +70,10 @@
 		names = append(names, k.name)
 	}
 	if len(names) == 0 {
-		return core.RentalAnswered{RentalID: e.RentalID, NoCapacity: true}
+		return scheduler.RentalAnswered{RentalID: e.RentalID, NoCapacity: true}
 	}
 	c.hires[e.RentalID] = names
-	return core.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
+	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
 func (c *provider) giveBack(names []string) any {
@@ -97,7 +97,7 @@
 
 // on: it has its image and has not ended.
 func (t *task) on() bool {
-	return t.state == core.ReportedWaiting || t.state == core.ReportedRunning || t.state == core.ReportedSaving
+	return t.state == scheduler.ReportedWaiting || t.state == scheduler.ReportedRunning || t.state == scheduler.ReportedSaving
 }
 
 // worker is one machine.
@@ -115,7 +115,7 @@
 	tally      uint64
 	baton      uint64
 	node       int
-	tasks      map[core.TaskID]*task
+	tasks      map[scheduler.TaskID]*task
 	answered   time.Duration // sending time of the last answered report
 	busy       bool          // a report is in flight
 	last       time.Duration
@@ -132,7 +132,7 @@
 const lateBoot = 2
 
 func newWorker(w *Cluster, name, zone string, spot bool) *worker {
-	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[core.TaskID]*task{}, recall: -1}
+	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[scheduler.TaskID]*task{}, recall: -1}
 	w.workers = append(w.workers, k)
 	w.byName[name] = k
 	boot := time.Duration(8000+w.rng.IntN(6000)) * time.Millisecond
@@ -159,8 +159,8 @@
 	return k
 }
 
-func (k *worker) ids() []core.TaskID {
-	l := make([]core.TaskID, 0, len(k.tasks))
+func (k *worker) ids() []scheduler.TaskID {
+	l := make([]scheduler.TaskID, 0, len(k.tasks))
 	for id := range k.tasks {
 		l = append(l, id)
 	}
@@ -173,7 +173,7 @@
 func (k *worker) vanish(how string) {
 	k.w.log("%s %s", k.name, how)
 	k.gone, k.goneAt = true, k.w.Now
-	k.tasks = map[core.TaskID]*task{}
+	k.tasks = map[scheduler.TaskID]*task{}
 }
 
 // do runs f now, or when the machine no longer hangs.
@@ -219,7 +219,7 @@
 	if k.w.Now-k.answered > k.w.set.WorkerLease {
 		k.w.log("%s loses its lease, shift %d", k.name, k.shift+1)
 		k.shift++
-		k.tasks = map[core.TaskID]*task{}
+		k.tasks = map[scheduler.TaskID]*task{}
 		k.answered = k.w.Now
 	}
 	k.w.after(100*time.Millisecond, k.leases)
@@ -230,16 +230,16 @@
 	k.w.after(wait, func() { k.do(k.report) })
 }
 
-func (k *worker) makeReport() core.Heartbeat {
+func (k *worker) makeReport() scheduler.Heartbeat {
 	k.tally++
-	r := core.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
+	r := scheduler.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
 		AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, PreemptionNotice: -1}
 	if k.recall >= 0 {
 		r.PreemptionNotice = max(0, (k.recall - k.w.Now).Seconds())
 	}
 	for _, id := range k.ids() {
 		t := k.tasks[id]
-		r.Tasks = append(r.Tasks, core.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, scheduler.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -256,7 +256,7 @@
 		// A copy of the report comes late, here or to another controller.
 		o := k.w.nodes[k.w.rng.IntN(len(k.w.nodes))]
 		k.w.after(time.Duration(1+k.w.rng.Int64N(int64(k.copyMost))), func() {
-			o.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(core.Effect) {})
+			o.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
 		})
 	}
 	if k.w.Now < k.keepTill {
@@ -266,7 +266,7 @@
 		if k.w.Now < k.muteTill {
 			return
 		}
-		n.ask(func(q uint64) core.Event { return core.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(e core.Effect) {
+		n.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(e scheduler.Effect) {
 			if k.w.Now >= k.deafTill {
 				reply(e)
 			}
@@ -274,7 +274,7 @@
 	}, func(x any) {
 		k.do(func() {
 			k.busy = false
-			a, _ := x.(core.HeartbeatReply)
+			a, _ := x.(scheduler.HeartbeatReply)
 			switch {
 			case a.Status == 200:
 				if shift != k.shift || a.FencingToken < k.baton || k.w.Now-sent > 4*time.Second {
@@ -299,7 +299,7 @@
 }
 
 // direct carries out orders sent straight here.
-func (k *worker) direct(e core.SendCommands, reply func(any)) {
+func (k *worker) direct(e scheduler.SendCommands, reply func(any)) {
 	if k.w.Now < k.deafTill {
 		return
 	}
@@ -315,48 +315,48 @@
 	})
 }
 
-func (k *worker) obey(os []core.Command) {
+func (k *worker) obey(os []scheduler.Command) {
 	for _, o := range os {
 		t := k.tasks[o.Task]
 		switch o.Kind {
-		case core.ForgetTask:
-			if t != nil && t.attempt == o.Attempt && t.state == core.ReportedEnded {
+		case scheduler.ForgetTask:
+			if t != nil && t.attempt == o.Attempt && t.state == scheduler.ReportedEnded {
 				delete(k.tasks, o.Task)
 			}
-		case core.StopTask:
-			if t == nil || t.attempt != o.Attempt || t.state == core.ReportedEnded {
+		case scheduler.StopTask:
+			if t == nil || t.attempt != o.Attempt || t.state == scheduler.ReportedEnded {
 				continue
 			}
 			sp := k.w.jobs[o.Task.Job].spec
-			if t.state == core.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
-				t.state = core.ReportedSaving
+			if t.state == scheduler.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
+				t.state = scheduler.ReportedSaving
 				k.w.after(time.Duration(sp.CheckpointCost*float64(time.Second)), func() {
 					k.do(func() {
-						if k.tasks[o.Task] == t && t.state == core.ReportedSaving {
-							k.end(o.Task, t, core.CauseStopped, true)
+						if k.tasks[o.Task] == t && t.state == scheduler.ReportedSaving {
+							k.end(o.Task, t, scheduler.CauseStopped, true)
 						}
 					})
 				})
-			} else if t.state != core.ReportedSaving || o.GraceSeconds == 0 {
-				k.end(o.Task, t, core.CauseStopped, false)
+			} else if t.state != scheduler.ReportedSaving || o.GraceSeconds == 0 {
+				k.end(o.Task, t, scheduler.CauseStopped, false)
 			}
-		case core.StartTask:
+		case scheduler.StartTask:
 			k.start(o)
 		}
 	}
 }
 
-func (k *worker) end(id core.TaskID, t *task, cause string, saved bool) {
-	t.state, t.cause, t.saved = core.ReportedEnded, cause, saved
+func (k *worker) end(id scheduler.TaskID, t *task, cause string, saved bool) {
+	t.state, t.cause, t.saved = scheduler.ReportedEnded, cause, saved
 	k.w.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, k.name, cause)
 	k.changed()
 }
 
-func (k *worker) start(o core.Command) {
+func (k *worker) start(o scheduler.Command) {
 	id := o.Task
 	j := k.w.jobs[id.Job]
 	if t := k.tasks[id]; t != nil {
-		if t.attempt != o.Attempt && t.state != core.ReportedEnded {
+		if t.attempt != o.Attempt && t.state != scheduler.ReportedEnded {
 			k.w.broke("busy", "%v try %d on %s beside try %d", id, o.Attempt, k.name, t.attempt)
 		}
 		return
@@ -372,22 +372,22 @@
 			k.w.broke("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, k.name, late.Seconds())
 		}
 	}
-	t := &task{attempt: o.Attempt, state: core.ReportedFetching}
+	t := &task{attempt: o.Attempt, state: scheduler.ReportedFetching}
 	k.tasks[id] = t
-	var used core.Resources
+	var used scheduler.Resources
 	for x, y := range k.tasks {
-		if y.state != core.ReportedEnded {
+		if y.state != scheduler.ReportedEnded {
 			used = used.Plus(k.w.jobs[x.Job].spec.Request, 1)
 		}
 	}
 	if !size.Fits(used) {
-		k.end(id, t, core.CauseNoRoom, false)
+		k.end(id, t, scheduler.CauseNoRoom, false)
 		return
 	}
 	shift := k.shift
 	k.w.after(time.Duration(500+k.w.rng.IntN(1500))*time.Millisecond, func() {
 		k.do(func() {
-			if k.shift != shift || k.tasks[id] != t || t.state != core.ReportedFetching {
+			if k.shift != shift || k.tasks[id] != t || t.state != scheduler.ReportedFetching {
 				return
 			}
 			k.arrive(id, t, j)
@@ -396,9 +396,9 @@
 }
 
 // arrive: the task has its image and is on the machine from now on.
-func (k *worker) arrive(id core.TaskID, t *task, j *truth) {
+func (k *worker) arrive(id scheduler.TaskID, t *task, j *truth) {
 	if k.sick || j.mistake {
-		k.end(id, t, core.CauseError, false)
+		k.end(id, t, scheduler.CauseError, false)
 		return
 	}
 	for _, o := range k.w.workers {
@@ -413,25 +413,25 @@
 	if j.cancelAt >= 0 && k.w.Now-j.cancelAt > k.w.set.CancelWithin {
 		k.w.broke("ran_cancelled", "%s/%d starts on %s", id.Job, id.Index, k.name)
 	}
-	t.state = core.ReportedWaiting
+	t.state = scheduler.ReportedWaiting
 	// In a wide world the sums over all machines are made each second only.
 	if len(k.w.workers) <= tuning.WideFleet {
 		k.w.checkPlaces()
 	}
-	if j.spec.Shape != core.Gang || j.spec.TaskCount == 1 {
+	if j.spec.Shape != scheduler.Gang || j.spec.TaskCount == 1 {
 		k.run(id, t, j)
 		return
 	}
 	type member struct {
 		k  *worker
-		id core.TaskID
+		id scheduler.TaskID
 		t  *task
 	}
 	var all []member
 	for _, o := range k.w.workers {
 		for i := 0; i < j.spec.TaskCount; i++ {
-			oid := core.TaskID{Job: id.Job, Index: i}
-			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == core.ReportedWaiting {
+			oid := scheduler.TaskID{Job: id.Job, Index: i}
+			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == scheduler.ReportedWaiting {
 				all = append(all, member{o, oid, x})
 			}
 		}
@@ -445,7 +445,7 @@
 
 // checkZones checks the rules on a job's zones as one of its tasks comes on, given the
 // others that are on machines: all in one zone, or at most half in each.
-func (k *worker) checkZones(id core.TaskID, j *truth) {
+func (k *worker) checkZones(id scheduler.TaskID, j *truth) {
 	if !j.spec.OneZone && !j.spec.Spread {
 		return
 	}
@@ -470,12 +470,12 @@
 	}
 }
 
-func (k *worker) run(id core.TaskID, t *task, j *truth) {
+func (k *worker) run(id scheduler.TaskID, t *task, j *truth) {
 	j.begun = true
-	t.state = core.ReportedRunning
+	t.state = scheduler.ReportedRunning
 	k.w.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, k.name, k.zone)
 	k.changed()
-	if j.spec.Shape == core.Service {
+	if j.spec.Shape == scheduler.Service {
 		return
 	}
 	left := j.run
@@ -485,16 +485,16 @@
 	shift := k.shift
 	k.w.after(left, func() {
 		k.do(func() {
-			if k.shift == shift && k.tasks[id] == t && t.state == core.ReportedRunning {
+			if k.shift == shift && k.tasks[id] == t && t.state == scheduler.ReportedRunning {
 				j.done[id.Index] = true
-				for i := 0; i < j.spec.TaskCount && j.spec.Shape == core.Gang; i++ {
+				for i := 0; i < j.spec.TaskCount && j.spec.Shape == scheduler.Gang; i++ {
 					j.done[i] = true // they complete together
 				}
 				if len(j.done) == j.spec.TaskCount && j.asked && k.w.strikes("endings") {
 					k.w.came("cancelled at its end")
 					k.w.Abort(id.Job)
 				}
-				k.end(id, t, core.CauseDone, false)
+				k.end(id, t, scheduler.CauseDone, false)
 			}
 		})
 	})
