--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"brassglade/internal/scheduler"
+	"brassglade/internal/domain"
 )
 
 const good = `{"NameId":"job-000412","Docket":"train","Crew":"vision","Shape":"group","Urgency":"urgent","Pieces":16,
@@ -16,7 +16,7 @@
 	if id != "job-000412" || s == nil {
 		t.Fatalf("id %q, spec %v", id, s)
 	}
-	if s.Shape != scheduler.Gang || s.Priority != 2 || s.TaskCount != 16 || s.Request != (scheduler.Resources{CPU: 8000, GPU: 1000, Memory: 64000}) ||
+	if s.Shape != domain.Gang || s.Priority != 2 || s.TaskCount != 16 || s.Request != (domain.Resources{CPU: 8000, GPU: 1000, Memory: 64000}) ||
 		!s.OneZone || s.Spread || !s.Spot || s.Zone != "" || s.Deadline != 900 || len(s.MachineTypes) != 1 {
 		t.Errorf("spec %+v", s)
 	}
@@ -50,7 +50,7 @@
      "Shift":1,"Tally":88,"Baton":41,"RecallS":null,"Pieces":[{"Piece":"job-000412/3","Try":2,"Status":"running"},
               {"Piece":"job-000398/0","Try":1,"Status":"ended","Cause":"no_such"}]}`))
 	if !ok || r.Machine != "n-000231" || r.PreemptionNotice >= 0 || r.FencingToken != 41 || len(r.Tasks) != 2 ||
-		r.Tasks[0].Task != (scheduler.TaskID{Job: "job-000412", Index: 3}) || r.Tasks[1].Cause != scheduler.CauseUnknown {
+		r.Tasks[0].Task != (domain.TaskID{Job: "job-000412", Index: 3}) || r.Tasks[1].Cause != domain.CauseUnknown {
 		t.Errorf("report %+v", r)
 	}
 	for _, b := range []string{"", "{}", `{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job","Try":1,"Status":"running"}]}`,
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -14,6 +14,8 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // Backend is the node's event loop. Ask puts an event made for a request
@@ -155,7 +157,7 @@
 
 func (h *handler) checkin(c echo.Context) error {
 	b, ok := body(c)
-	var r scheduler.Heartbeat
+	var r domain.Heartbeat
 	if ok {
 		r, ok = ParseReport(b)
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -9,6 +9,8 @@
 	"github.com/labstack/echo/v4"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // fake answers what its table says; a missing answer is a full stage.
@@ -42,9 +44,9 @@
 		"not up":       {"GET", "/up", "", nil, 503, "", "1"},
 		"other owner":  {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 421, Owner: "c-2"}, 421, `{"Foreman":"c-2"}`, ""},
 		"not entitled": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 503}, 503, "", "1"},
-		"orders": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 200, FencingToken: 41, Commands: []scheduler.Command{
-			{Kind: scheduler.StartTask, Task: scheduler.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
-			{Kind: scheduler.StopTask, Task: scheduler.TaskID{Job: "job-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}}},
+		"orders": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 200, FencingToken: 41, Commands: []domain.Command{
+			{Kind: domain.StartTask, Task: domain.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
+			{Kind: domain.StopTask, Task: domain.TaskID{Job: "job-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}}},
 			200, `{"Baton":41,"Orders":[{"Verb":"run","Piece":"job-000412/4","Try":2},{"Verb":"halt","Piece":"job-000377/1","Try":1,"LeewayS":10}]}`, ""},
 	} {
 		w := httptest.NewRecorder()
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-playground/validator/v10"
 
-	"brassglade/internal/scheduler"
+	"brassglade/internal/domain"
 )
 
 // submission is the body of POST /v1/jobs. Pointers tell a missing field from
@@ -55,7 +55,7 @@
 var (
 	idForm = regexp.MustCompile(`^job-[0-9]{6,20}$`)
 	check  = newCheck()
-	shapes = map[string]scheduler.Shape{"batch": scheduler.Array, "group": scheduler.Gang, "daemon": scheduler.Service}
+	shapes = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
 	prios  = map[string]int{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
 )
 
@@ -75,7 +75,7 @@
 
 // ParseSubmission reads a submission. A malformed one gives its id, if that
 // much is legible, and no spec.
-func ParseSubmission(b []byte) (id string, spec *scheduler.JobSpec) {
+func ParseSubmission(b []byte) (id string, spec *domain.JobSpec) {
 	var loose map[string]json.RawMessage
 	if json.Unmarshal(b, &loose) != nil || loose == nil {
 		return "", nil
@@ -87,9 +87,9 @@
 	if json.Unmarshal(b, &s) != nil || check.Struct(&s) != nil {
 		return id, nil
 	}
-	sp := &scheduler.JobSpec{
+	sp := &domain.JobSpec{
 		ID: id, Class: *s.Docket, Team: *s.Crew, Shape: shapes[*s.Shape], Priority: prios[*s.Urgency], TaskCount: int(*s.Pieces),
-		Request: scheduler.Resources{CPU: milli(*s.Cores), GPU: milli(*s.Cards), Memory: milli(*s.MemGb)},
+		Request: domain.Resources{CPU: milli(*s.Cores), GPU: milli(*s.Cards), Memory: milli(*s.MemGb)},
 		OneZone: *s.SamePlace, Spread: *s.Apart, Spot: *s.Loaners, Image: *s.Kit, ImageGB: *s.PullGb,
 		EstimatedRuntime: *s.ExpectS, CheckpointInterval: *s.SnapshotS, CheckpointCost: *s.StowS,
 	}
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -9,6 +9,8 @@
 	json "github.com/goccy/go-json"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 type pieceReport struct {
@@ -61,22 +63,22 @@
 }
 
 var states = map[string]string{
-	"fetching": scheduler.ReportedFetching, "gathering": scheduler.ReportedWaiting, "running": scheduler.ReportedRunning,
-	"saving": scheduler.ReportedSaving, "ended": scheduler.ReportedEnded,
+	"fetching": domain.ReportedFetching, "gathering": domain.ReportedWaiting, "running": domain.ReportedRunning,
+	"saving": domain.ReportedSaving, "ended": domain.ReportedEnded,
 }
 
 func cause(s string) string {
 	if s == "no_such" {
-		return scheduler.CauseUnknown
+		return domain.CauseUnknown
 	}
 	return s // the others are called the same inside
 }
 
-func orders(os []scheduler.Command) []order {
+func orders(os []domain.Command) []order {
 	l := make([]order, len(os))
 	for i, o := range os {
 		l[i] = order{Verb: string(o.Kind), Piece: o.Task.Job + "/" + strconv.Itoa(o.Task.Index), Try: o.Attempt}
-		if o.Kind == scheduler.StopTask {
+		if o.Kind == domain.StopTask {
 			v := o.GraceSeconds
 			l[i].LeewayS = &v
 		}
@@ -85,12 +87,12 @@
 }
 
 // ParseReport reads a worker's report; false: malformed.
-func ParseReport(b []byte) (scheduler.Heartbeat, bool) {
+func ParseReport(b []byte) (domain.Heartbeat, bool) {
 	var c checkin
 	if json.Unmarshal(b, &c) != nil || c.Bracket == "" || c.Shift == 0 {
-		return scheduler.Heartbeat{}, false
+		return domain.Heartbeat{}, false
 	}
-	r := scheduler.Heartbeat{
+	r := domain.Heartbeat{
 		Machine: c.Bracket, Addr: c.Address, Type: c.Build, Zone: c.Yard, Spot: c.Loaners,
 		AgentEpoch: c.Shift, Sequence: c.Tally, FencingToken: c.Baton, PreemptionNotice: -1,
 	}
@@ -107,8 +109,8 @@
 		if err != nil || !ok {
 			return r, false
 		}
-		r.Tasks = append(r.Tasks, scheduler.TaskReport{
-			Task: scheduler.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
+		r.Tasks = append(r.Tasks, domain.TaskReport{
+			Task: domain.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
 		})
 	}
 	return r, true
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -9,6 +9,8 @@
 	"brassglade/internal/httpclient"
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 type build struct {
@@ -60,8 +62,8 @@
 	}
 	ev := scheduler.MachineTypesListed{OK: true}
 	for _, b := range r.Builds {
-		ev.Types = append(ev.Types, scheduler.MachineType{
-			Name: b.Name, Capacity: scheduler.Resources{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Memory: Milli(b.MemGb)},
+		ev.Types = append(ev.Types, domain.MachineType{
+			Name: b.Name, Capacity: domain.Resources{CPU: Milli(b.Cores), GPU: Milli(b.Cards), Memory: Milli(b.MemGb)},
 			ImageCacheGB: b.CacheGb, FetchGBPerS: b.PullGbPerS, Price: b.Hourly, SpotPrice: b.SpotPrice, BootSeconds: b.BootS, Zones: b.Yards,
 		})
 	}
@@ -83,7 +85,7 @@
 			return scheduler.InstancesListed{}
 		}
 		for _, b := range r.Brackets {
-			ev.Instances = append(ev.Instances, scheduler.Instance{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
+			ev.Instances = append(ev.Instances, domain.Instance{Name: b.NameID, Addr: b.Address, Type: b.Build, Zone: b.Yard,
 				Spot: b.Loaners, Status: b.Status, HeldSeconds: b.HeldS})
 			after = b.NameID
 		}
--- a/internal/scheduler/chunk.go
+++ b/internal/codec/chunk.go
@@ -1,4 +1,4 @@
-package scheduler
+package codec
 
 import (
 	"cmp"
@@ -6,8 +6,13 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"brassglade/internal/domain"
 )
 
+// shortForm is the version of the shorter form.
+const shortForm = 2
+
 // ChunkValue is the value of task/ID/K and pack/NODE/K, and part of the header
 // of small whole jobs: the tasks of one job or of several as short texts, since
 // every change rewrites the whole value and the state service bounds both its
@@ -36,35 +41,26 @@
 	Texts         map[string]string `json:"j"`
 }
 
-// chunkOf makes the value of some jobs' tasks, in the form that all controllers
-// read.
-func (c *Controller) chunkOf(jobs map[string][]Task) *ChunkValue {
+// NewChunkValue makes the value of some jobs' tasks, by job, in the shorter form or the first.
+func NewChunkValue(tasksByJob map[string][]domain.Task, short bool) *ChunkValue {
 	v := &ChunkValue{Texts: map[string]string{}}
-	if c.formatOn() {
-		v.Version, v.MachinePrefix = 2, prefixOf(jobs)
+	if short {
+		v.Version, v.MachinePrefix = shortForm, prefixOf(tasksByJob)
 	}
-	for _, id := range slices.Sorted(maps.Keys(jobs)) {
-		v.put(id, jobs[id])
+	for _, id := range slices.Sorted(maps.Keys(tasksByJob)) {
+		v.Put(id, tasksByJob[id])
 	}
 	return v
 }
 
-// textBytes is what a job's tasks take in a value.
-func (c *Controller) textBytes(j *Job) int {
-	if j.Tasks == nil {
-		return 0
-	}
-	return len(c.chunkOf(map[string][]Task{j.ID: j.Tasks}).Texts[j.ID])
-}
-
 // prefixOf is what all machine names in the texts begin with, without digits from
 // 1 to 9: it shrinks seldom as machines come and go.
-func prefixOf(jobs map[string][]Task) string {
+func prefixOf(jobs map[string][]domain.Task) string {
 	p, any := "", false
 	for _, ts := range jobs {
 		for i := range ts {
 			m := ts[i].Machine
-			if ts[i].State != Booked {
+			if ts[i].State != domain.Booked {
 				continue
 			}
 			if !any {
@@ -109,7 +105,7 @@
 }
 
 // put2 adds a job's tasks in the shorter form.
-func (v *ChunkValue) put2(id string, ts []Task) {
+func (v *ChunkValue) putShort(id string, ts []domain.Task) {
 	var b strings.Builder
 	type kind struct {
 		zone, part     string
@@ -120,18 +116,18 @@
 	tasks := map[kind]map[string][]int{}
 	for i := 0; i < len(ts); {
 		t, n := ts[i], 1
-		for i+n < len(ts) && (ts[i+n] == t || ts[i+n].State == Booked && t.State == Booked) {
+		for i+n < len(ts) && (ts[i+n] == t || ts[i+n].State == domain.Booked && t.State == domain.Booked) {
 			n++
 		}
 		b.WriteByte("?*!"[t.State])
 		if n > 1 {
 			b.WriteString(strconv.Itoa(n))
 		}
-		if t.State == Queued && (t.Attempt > 0 || t.Shard != "") {
+		if t.State == domain.Queued && (t.Attempt > 0 || t.Shard != "") {
 			b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Shard))
 		}
 		for ; n > 0; n-- {
-			if x := ts[i]; x.State == Booked {
+			if x := ts[i]; x.State == domain.Booked {
 				k := kind{x.Zone, x.Shard, x.AgentEpoch, x.Attempt}
 				if tasks[k] == nil {
 					kinds, tasks[k] = append(kinds, k), map[string][]int{}
@@ -162,14 +158,14 @@
 }
 
 // put adds a job's tasks.
-func (v *ChunkValue) put(id string, ts []Task) {
-	if v.Version == 2 {
-		v.put2(id, ts)
+func (v *ChunkValue) Put(id string, ts []domain.Task) {
+	if v.Version == shortForm {
+		v.putShort(id, ts)
 		return
 	}
 	var b strings.Builder
 	var booked []int
-	alike := func(x, y Task) bool { return x == y || x.State == Booked && y.State == Booked }
+	alike := func(x, y domain.Task) bool { return x == y || x.State == domain.Booked && y.State == domain.Booked }
 	for i := 0; i < len(ts); {
 		t, n := ts[i], 1
 		for i+n < len(ts) && alike(ts[i+n], t) {
@@ -179,14 +175,14 @@
 			b.WriteByte(';')
 		}
 		switch t.State {
-		case Queued:
+		case domain.Queued:
 			b.WriteString("?" + strconv.Itoa(n))
 			if t.Attempt > 0 || t.Shard != "" {
 				b.WriteString("," + strconv.FormatUint(t.Attempt, 10) + "," + v.name(t.Shard))
 			}
-		case Done:
+		case domain.Done:
 			b.WriteString("!" + strconv.Itoa(n))
-		case Booked:
+		case domain.Booked:
 			b.WriteString("*" + strconv.Itoa(n))
 			for k := i; k < i+n; k++ {
 				booked = append(booked, k)
--- a/internal/scheduler/chunk_decode.go
+++ b/internal/codec/chunk_decode.go
@@ -1,22 +1,24 @@
-package scheduler
+package codec
 
 import (
 	"errors"
 	"strconv"
 	"strings"
+
+	"brassglade/internal/domain"
 )
 
 // errChunk is returned for text that no version writes.
-var errChunk = errors.New("malformed text of tasks")
+var ErrMalformedChunk = errors.New("malformed text of tasks")
 
 // chunkMost bounds the tasks that one text may claim, against nonsense in the store.
-const chunkMost = 200000
+const maxTasksPerText = 200000
 
 // tasks reads a job's tasks back and hands each to take. What was read before an error
 // has been handed over.
-func (v *ChunkValue) tasks(text string, take func(int, Task)) error {
+func (v *ChunkValue) Tasks(text string, take func(int, domain.Task)) error {
 	d := &chunkDecoder{value: v, take: take}
-	if v.Version == 2 {
+	if v.Version == shortForm {
 		return d.short(text)
 	}
 	return d.long(text)
@@ -25,7 +27,7 @@
 // chunkDecoder reads one text. A number or name that can't be read makes it bad.
 type chunkDecoder struct {
 	value *ChunkValue
-	take  func(int, Task)
+	take  func(int, domain.Task)
 	next  int // number of the next task of the runs of states
 	bad   bool
 }
@@ -48,7 +50,7 @@
 }
 
 // list hands over the tasks of a list of numbers: 8-10.12.
-func (d *chunkDecoder) list(list string, t Task) error {
+func (d *chunkDecoder) list(list string, t domain.Task) error {
 	for _, r := range strings.Split(list, ".") {
 		first, last, isRange := strings.Cut(r, "-")
 		from := d.number(first)
@@ -56,8 +58,8 @@
 		if isRange {
 			to = d.number(last)
 		}
-		if d.bad || to < from || to > chunkMost {
-			return errChunk
+		if d.bad || to < from || to > maxTasksPerText {
+			return ErrMalformedChunk
 		}
 		for i := from; i <= to; i++ {
 			d.take(int(i), t)
@@ -69,24 +71,24 @@
 // run hands over n tasks of one state, which fields describe: a count, and for queued
 // ones maybe the attempts so far and the part. Booked ones are only counted here.
 func (d *chunkDecoder) run(state byte, n uint64, fields []string) error {
-	var t Task
+	var t domain.Task
 	switch state {
 	case '?':
 		if len(fields) == 3 {
 			t.Attempt, t.Shard = d.number(fields[1]), d.name(fields[2])
 		}
 	case '!':
-		t.State = Done
+		t.State = domain.Done
 	case '*':
-		t.State = Booked
+		t.State = domain.Booked
 	default:
-		return errChunk
+		return ErrMalformedChunk
 	}
-	if d.bad || n > chunkMost {
-		return errChunk
+	if d.bad || n > maxTasksPerText {
+		return ErrMalformedChunk
 	}
 	for ; n > 0; n-- {
-		if t.State != Booked {
+		if t.State != domain.Booked {
 			d.take(d.next, t)
 		}
 		d.next++
@@ -96,10 +98,10 @@
 
 // booking is what a group of bookings shares: zone and part, and session and attempt
 // where these aren't both 1.
-func (d *chunkDecoder) booking(fields []string) (Task, error) {
-	t := Task{State: Booked, AgentEpoch: 1, Attempt: 1}
+func (d *chunkDecoder) booking(fields []string) (domain.Task, error) {
+	t := domain.Task{State: domain.Booked, AgentEpoch: 1, Attempt: 1}
 	if len(fields) != 2 && len(fields) != 4 {
-		return t, errChunk
+		return t, ErrMalformedChunk
 	}
 	t.Zone, t.Shard = d.name(fields[0]), d.name(fields[1])
 	if len(fields) == 4 {
@@ -122,7 +124,7 @@
 		runs = runs[end:]
 	}
 	if d.next == 0 {
-		return errChunk
+		return ErrMalformedChunk
 	}
 	if !booked {
 		return nil
@@ -138,7 +140,7 @@
 // shortRun reads a run of states; a count of one is left out.
 func (d *chunkDecoder) shortRun(state byte, fields []string) error {
 	if len(fields) != 1 && (len(fields) != 3 || state != '?') {
-		return errChunk
+		return ErrMalformedChunk
 	}
 	n := uint64(1)
 	if fields[0] != "" {
@@ -156,7 +158,7 @@
 	for _, part := range parts[1:] {
 		name, list, _ := strings.Cut(part, ":")
 		if d.bad {
-			return errChunk
+			return ErrMalformedChunk
 		}
 		t.Machine = d.value.MachinePrefix + name
 		if err := d.list(list, t); err != nil {
@@ -172,7 +174,7 @@
 	for _, item := range strings.Split(runs, ";") {
 		fields := strings.Split(item, ",")
 		if len(fields[0]) < 2 || len(fields) != 1 && len(fields) != 3 {
-			return errChunk
+			return ErrMalformedChunk
 		}
 		if err := d.run(fields[0][0], d.number(fields[0][1:]), fields); err != nil {
 			return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,6 +16,8 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // Member is another controller.
@@ -198,7 +200,7 @@
 	p := s.Params
 	rps, writeRps, valueKb, txnOps := s.Least()
 	c := scheduler.Settings{
-		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]scheduler.Quota{}, Zones: p.Zones,
+		Node: s.Member, Zone: s.Domain, Nodes: []string{s.Member}, Teams: map[string]domain.Quota{}, Zones: p.Zones,
 		HeartbeatInterval: secs(p.Workers.ReportS), WorkerLease: secs(p.Workers.LeaseS), CancelWithin: secs(p.Workers.CancelS),
 		GangPeerWait: secs(p.Workers.GangPeerS), ValueLimit: int(valueKb * 1024), ValueLimitNow: int(p.State.ValueKb * 1024), TransactionLimit: txnOps,
 		ListLag: secs(p.Cloud.ListLagS), Seed: seed, FenceAge: s.fence(), StartWithin: map[string]float64{}, FinishWithin: map[string][]float64{}, SpareMachines: tuning.Spare, Learn: true,
@@ -211,9 +213,9 @@
 	}
 	slices.Sort(c.Nodes)
 	for _, t := range p.Teams {
-		c.Teams[t.Name] = scheduler.Quota{
-			Guarantee: scheduler.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
-			Limit:     scheduler.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
+		c.Teams[t.Name] = domain.Quota{
+			Guarantee: domain.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
+			Limit:     domain.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
 		}
 	}
 	for _, x := range p.Objectives {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -16,6 +16,9 @@
 	"brassglade/internal/httpclient"
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 type item struct {
@@ -110,7 +113,7 @@
 	}
 	body, err := json.Marshal(t)
 	if err != nil {
-		return scheduler.CommitAnswered{ID: e.ID, Result: scheduler.Refused}
+		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
 	st, out, err := c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	for n := 0; n < tuning.ThrottledTries && e.Lane == scheduler.LaneUser && err == nil && st == 429; n++ {
@@ -118,28 +121,28 @@
 		c.b.Wait(e.Lane, 0)
 		st, out, err = c.w.Do("POST", "/commit", body, tuning.StateTimeout)
 	}
-	ev := scheduler.CommitAnswered{ID: e.ID, Result: scheduler.InDoubt}
+	ev := scheduler.CommitAnswered{ID: e.ID, Result: domain.InDoubt}
 	var r committed
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
-		ev.Result = scheduler.Refused
+		ev.Result = domain.Refused
 	case err != nil:
 	case st == 200 || st == 409:
 		if json.Unmarshal(out, &r) != nil {
 			break
 		}
 		ev.Revision, ev.Failed = r.Ledger, r.Failed
-		ev.Result = scheduler.Committed
+		ev.Result = domain.Committed
 		if st == 409 {
-			ev.Result = scheduler.Conflict
+			ev.Result = domain.Conflict
 		}
 	case st == 400:
 		slog.Error("state service refuses a transaction", "answer", string(out))
-		ev.Result, ev.Malformed = scheduler.Refused, true
+		ev.Result, ev.Malformed = domain.Refused, true
 	case st == 429 || st == 503:
-		ev.Result = scheduler.Refused
+		ev.Result = domain.Refused
 	}
-	if ev.Result == scheduler.Refused {
+	if ev.Result == domain.Refused {
 		c.b.Refund(len(e.Transaction.Puts))
 	}
 	return ev
@@ -155,7 +158,7 @@
 		switch {
 		case err == nil && st == 404:
 		case err == nil && st == 200 && json.Unmarshal(out, &i) == nil:
-			ev.Items = append(ev.Items, scheduler.KeyValue{Key: key, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
+			ev.Items = append(ev.Items, domain.KeyValue{Key: key, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 		default:
 			return scheduler.KeysRead{ID: e.ID}
 		}
@@ -205,7 +208,7 @@
 	after := ""
 	for first := true; ; first = false {
 		c.b.Wait(scheduler.LaneView, 0)
-		q := "/kv?Starts=" + scheduler.KeyRoot + "&Page=1000"
+		q := "/kv?Starts=" + codec.Root + "&Page=1000"
 		if after != "" {
 			q += "&Since=" + url.QueryEscape(after)
 		}
@@ -221,7 +224,7 @@
 			ev.Revision = p.Ledger
 		}
 		for _, i := range p.Items {
-			ev.Items = append(ev.Items, scheduler.KeyValue{Key: i.Path, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
+			ev.Items = append(ev.Items, domain.KeyValue{Key: i.Path, Value: bytes.Clone(i.V), ModRevision: i.Stamp})
 			after = i.Path
 		}
 		if !p.Truncated || len(p.Items) == 0 {
@@ -236,7 +239,7 @@
 func (c *Client) changes(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, again bool) {
 	c.b.Wait(scheduler.LaneView, 0)
 	sent := clock()
-	q := fmt.Sprintf("/watch?Starts=%s&Since=%d&WaitMs=%d", scheduler.KeyRoot, since, tuning.WatchWait.Milliseconds())
+	q := fmt.Sprintf("/watch?Starts=%s&Since=%d&WaitMs=%d", codec.Root, since, tuning.WatchWait.Milliseconds())
 	st, out, err := c.watch.Do("GET", q, nil, tuning.WatchWait+tuning.StateTimeout)
 	if err != nil || st != 200 {
 		if st == 410 {
@@ -252,7 +255,7 @@
 	}
 	ev := scheduler.WatchAdvanced{Sent: sent, Revision: w.Ledger}
 	for _, x := range w.Events {
-		kv := scheduler.KeyValue{Key: x.Set, Value: bytes.Clone(x.V), ModRevision: x.Stamp}
+		kv := domain.KeyValue{Key: x.Set, Value: bytes.Clone(x.V), ModRevision: x.Stamp}
 		if x.Set == "" {
 			kv.Key, kv.Value = x.Delete, nil
 		}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // serve answers every request with what f says.
@@ -31,24 +33,24 @@
 	for _, x := range []struct {
 		code int
 		body string
-		want scheduler.CommitResult
+		want domain.CommitResult
 	}{
-		{200, `{"Ledger":432}`, scheduler.Committed},
-		{409, `{"failed":["b/x"],"Ledger":431}`, scheduler.Conflict},
-		{400, `{"error":"no such lease"}`, scheduler.Refused},
-		{429, ``, scheduler.Refused},
-		{503, ``, scheduler.Refused},
-		{200, `{"Led`, scheduler.InDoubt},
-		{500, ``, scheduler.InDoubt},
+		{200, `{"Ledger":432}`, domain.Committed},
+		{409, `{"failed":["b/x"],"Ledger":431}`, domain.Conflict},
+		{400, `{"error":"no such lease"}`, domain.Refused},
+		{429, ``, domain.Refused},
+		{503, ``, domain.Refused},
+		{200, `{"Led`, domain.InDoubt},
+		{500, ``, domain.InDoubt},
 	} {
 		var path, body string
 		c := serve(t, func(_, p, b string) (int, string) {
 			path, body = p, b
 			return x.code, x.body
 		})
-		ev := c.Commit(scheduler.Commit{ID: 9, Transaction: scheduler.Transaction{
-			Conditions: []scheduler.Condition{{Key: "b/a", ModRevision: 3}},
-			Puts:       []scheduler.Put{{Key: "b/a", Value: []byte(`{"z":1}`), LeaseID: 7}, {Key: "b/b"}},
+		ev := c.Commit(scheduler.Commit{ID: 9, Transaction: domain.Transaction{
+			Conditions: []domain.Condition{{Key: "b/a", ModRevision: 3}},
+			Puts:       []domain.Put{{Key: "b/a", Value: []byte(`{"z":1}`), LeaseID: 7}, {Key: "b/b"}},
 		}})
 		if ev.ID != 9 || ev.Result != x.want {
 			t.Errorf("%d %s: %+v", x.code, x.body, ev)
@@ -64,7 +66,7 @@
 	s := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
-	if ev := New(addr, 1000, 1000).Commit(scheduler.Commit{ID: 1}); ev.Result != scheduler.Refused {
+	if ev := New(addr, 1000, 1000).Commit(scheduler.Commit{ID: 1}); ev.Result != domain.Refused {
 		t.Errorf("%+v", ev)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,6 +12,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // namespace is what all names begin with.
@@ -85,7 +87,7 @@
 // Status takes the core's status after a step.
 func (m *Controller) Status(status scheduler.Status) { m.status.latest.Store(&status) }
 
-func (m *Controller) countOrders(orders []scheduler.Command) {
+func (m *Controller) countOrders(orders []domain.Command) {
 	for _, o := range orders {
 		m.orders.WithLabelValues(string(o.Kind), string(o.Reason)).Inc()
 	}
@@ -103,13 +105,13 @@
 	return "idle"
 }
 
-func resultName(result scheduler.CommitResult) string {
+func resultName(result domain.CommitResult) string {
 	switch result {
-	case scheduler.Committed:
+	case domain.Committed:
 		return "committed"
-	case scheduler.Conflict:
+	case domain.Conflict:
 		return "conflict"
-	case scheduler.Refused:
+	case domain.Refused:
 		return "refused"
 	}
 	return "unknown"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // scrape returns what Prometheus would read.
@@ -22,17 +24,17 @@
 	if s := scrape(m); strings.Contains(s, "brassglade_epoch") {
 		t.Errorf("a status before the first step: %s", s)
 	}
-	run := scheduler.Command{Kind: scheduler.StartTask, Reason: scheduler.ReasonBooked}
-	halt := scheduler.Command{Kind: scheduler.StopTask, Reason: scheduler.ReasonPreemptionNotice}
-	m.Effect(scheduler.HeartbeatReply{Status: 200, Commands: []scheduler.Command{run, run, halt}})
+	run := domain.Command{Kind: domain.StartTask, Reason: domain.ReasonBooked}
+	halt := domain.Command{Kind: domain.StopTask, Reason: domain.ReasonPreemptionNotice}
+	m.Effect(scheduler.HeartbeatReply{Status: 200, Commands: []domain.Command{run, run, halt}})
 	m.Effect(scheduler.HeartbeatReply{Status: 421})
-	m.Effect(scheduler.SendCommands{Commands: []scheduler.Command{halt}})
+	m.Effect(scheduler.SendCommands{Commands: []domain.Command{halt}})
 	m.Effect(scheduler.UserReply{Status: 201, State: "pending"})
 	m.Effect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
 	m.Effect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: scheduler.Conflict})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: scheduler.Conflict}) // a repeat is no second commit
-	m.Event(scheduler.CommitAnswered{ID: 8, Result: scheduler.InDoubt})
+	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
+	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeat is no second commit
+	m.Event(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
 	m.Status(status)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,6 +17,8 @@
 	"brassglade/internal/peer/fb"
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // Encode writes a message as a FlatBuffer.
@@ -130,7 +132,7 @@
 	if s := r.Steal(nil); s != nil {
 		m.Steal = &scheduler.StealRequest{
 			Type: string(s.Type()), Zone: string(s.Zone()), Spot: s.Spot(), MaxTasks: int(s.Most()),
-			Room: scheduler.Resources{CPU: s.Cpu(), GPU: s.Gpu(), Memory: s.Mem()},
+			Room: domain.Resources{CPU: s.Cpu(), GPU: s.Gpu(), Memory: s.Mem()},
 		}
 	}
 	return from, m, nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 func TestMessageRoundTrip(t *testing.T) {
@@ -13,7 +15,7 @@
 		Epoch: 7, Load: 12.5, Usable: true, Reserved: []string{"n-1"}, Evicting: []string{"n-2", "n-3"},
 		Machines: []scheduler.PeerMachine{{Name: "n-1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Leaving: true, AgentEpoch: 3,
 			Load: 1.5, Images: []string{"x", "y"}}, {Name: "n-2"}},
-		Steal: &scheduler.StealRequest{Type: "g8", Zone: "b", Spot: true, Room: scheduler.Resources{CPU: 1, GPU: 2, Memory: 3}, MaxTasks: 4},
+		Steal: &scheduler.StealRequest{Type: "g8", Zone: "b", Spot: true, Room: domain.Resources{CPU: 1, GPU: 2, Memory: 3}, MaxTasks: 4},
 	}
 	p := Encode("c-1", m)
 	from, got, err := Decode(p)
@@ -47,7 +49,7 @@
 		"c-1": {beforeLoads, scheduler.PeerMessage{Epoch: 4, Load: 2.5, Usable: true, Reserved: []string{"n-000002"}, Evicting: []string{"n-000003"},
 			Machines: []scheduler.PeerMachine{{Name: "n-000001", Addr: "10.1.0.1:9000", Type: "box", Zone: "a", Spot: true, AgentEpoch: 2, Load: 1.5,
 				Images: []string{"img-1", "img-2"}}}}},
-		"c-2": {beforeSteal, scheduler.PeerMessage{Epoch: 4, Machines: []scheduler.PeerMachine{}, Steal: &scheduler.StealRequest{Type: "box", Zone: "b", Spot: true, Room: scheduler.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
+		"c-2": {beforeSteal, scheduler.PeerMessage{Epoch: 4, Machines: []scheduler.PeerMachine{}, Steal: &scheduler.StealRequest{Type: "box", Zone: "b", Spot: true, Room: domain.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
 	} {
 		b, err := hex.DecodeString(x.frame)
 		if err != nil {
--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -7,49 +7,28 @@
 	"time"
 
 	json "github.com/goccy/go-json"
-)
 
-// Keys of the state service.
-const (
-	KeyRoot            = "b/"
-	keyView            = "b/view"
-	keyMachineTypes    = "b/flavors"
-	prefixMachineTypes = "b/flavors/"
-	prefixMember       = "b/member/"
-	prefixJob          = "b/job/"
-	prefixPack         = "b/pack/"
-	prefixTask         = "b/task/"
-	prefixTeam         = "b/team/"
-	prefixCordons      = "b/mach/"
-	prefixWindow       = "b/window/"
-	prefixDependencies = "b/need/"
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
-func keyJob(id string) string { return prefixJob + id }
-
 // keyOf is where task i of a job is kept: in a value of its own chunk, or cell of
 // a chunk, in the pack that the job shares with others of its part, or in the
 // job's header.
 func keyOf(j *Job, i int) string {
 	if j.Header.Inline {
-		return keyJob(j.ID)
+		return codec.KeyJob(j.ID)
 	}
 	if j.Header.Pack != "" {
-		return prefixPack + j.Header.Pack
+		return codec.PrefixPack + j.Header.Pack
 	}
 	k := i / j.Header.ChunkSize
 	if j.Header.IsSplit(k) {
-		return keyCell(j.ID, k, (i-k*j.Header.ChunkSize)/j.Header.CellSize)
+		return codec.KeyCell(j.ID, k, (i-k*j.Header.ChunkSize)/j.Header.CellSize)
 	}
-	return prefixTask + j.ID + "/" + strconv.Itoa(k)
+	return codec.PrefixTask + j.ID + "/" + strconv.Itoa(k)
 }
 
-func keyCell(id string, k, s int) string {
-	return prefixTask + id + "/" + strconv.Itoa(k) + "/" + strconv.Itoa(s)
-}
-
-func packName(part string, k int) string { return part + "/" + strconv.Itoa(k) }
-
 // cell is the stretch of tasks that share a value with task i.
 func (j *Job) cell(i int) (from, to int) {
 	h := j.Header
@@ -80,9 +59,9 @@
 // Job is a job in the cache.
 type Job struct {
 	ID          string
-	Header      *JobHeader
-	Tasks       []Task    // nil until a chunk was written: all queued
-	counts      placement // of the committed tasks
+	Header      *codec.JobHeader
+	Tasks       []domain.Task // nil until a chunk was written: all queued
+	counts      placement     // of the committed tasks
 	failures    int
 	pausedUntil int64 // no start before this time (steady, ns): pause after errors
 	beyondAims  bool  // beyond all aims, as the last order had it
@@ -106,36 +85,36 @@
 type cache struct {
 	modRevisions     map[string]uint64
 	revision         uint64 // every change up to here has been applied
-	view             *View
+	view             *domain.View
 	members          map[string]string
 	jobs             map[string]*Job
 	openJobs         []*Job // not final, by order
 	awaitingRelease  map[string]*Job
-	shares           map[string]TeamShares
-	usage            map[string]map[string]Resources // team -> node that booked -> in use
-	cordons          map[string]Cordon
-	cordonPages      map[string]CordonPage      // home -> its page of marks
-	jobsByPack       map[string]map[string]*Job // pack -> jobs whose tasks it holds
-	valueSizes       map[string]int             // bytes of packs and chunks
-	oversized        map[string]bool            // values over the smaller bound
-	format           int                        // that all controllers read
-	announcedFormats map[string]int             // that each announced
-	dependents       map[string][]*Job          // job -> those that await it and are not over
-	dependencyPieces map[string]string          // pieces of lists that no header has used yet
-	loadingSnapshot  bool                       // a snapshot: what is in it may be old
+	shares           map[string]codec.TeamShares
+	usage            map[string]map[string]domain.Resources // team -> node that booked -> in use
+	cordons          map[string]domain.Cordon
+	cordonPages      map[string]codec.CordonPage // home -> its page of marks
+	jobsByPack       map[string]map[string]*Job  // pack -> jobs whose tasks it holds
+	valueSizes       map[string]int              // bytes of packs and chunks
+	oversized        map[string]bool             // values over the smaller bound
+	format           int                         // that all controllers read
+	announcedFormats map[string]int              // that each announced
+	dependents       map[string][]*Job           // job -> those that await it and are not over
+	dependencyPieces map[string]string           // pieces of lists that no header has used yet
+	loadingSnapshot  bool                        // a snapshot: what is in it may be old
 	occupancy        map[string]occupancy
-	machineTypes     []MachineType
+	machineTypes     []domain.MachineType
 	// by key
-	machineTypePages map[string]MachineTypePage
-	windows          map[string]*WindowRecord
-	bookedOn         map[string]map[TaskID]bool // by machine
-	bookings         map[TaskID]bookingInfo
+	machineTypePages map[string]codec.MachineTypePage
+	windows          map[string]*codec.WindowRecord
+	bookedOn         map[string]map[domain.TaskID]bool // by machine
+	bookings         map[domain.TaskID]bookingInfo
 }
 
 // occupancy sums up what is booked on a machine, so that nothing has to walk tasks
 // to know a machine's room or load.
 type occupancy struct {
-	used        Resources
+	used        domain.Resources
 	tasks       int
 	runTimeMS   int64 // expected run times, ms
 	gangTasks   int   // tasks of jobs that the leader keeps machines for
@@ -145,7 +124,7 @@
 
 // taskSum is a part of what is booked on a machine.
 type taskSum struct {
-	used      Resources
+	used      domain.Resources
 	tasks     int
 	runTimeMS int64 // ms
 }
@@ -159,43 +138,43 @@
 func newCache() cache {
 	return cache{
 		modRevisions: map[string]uint64{}, members: map[string]string{}, jobs: map[string]*Job{},
-		awaitingRelease: map[string]*Job{}, shares: map[string]TeamShares{}, usage: map[string]map[string]Resources{},
-		cordonPages: map[string]CordonPage{}, jobsByPack: map[string]map[string]*Job{}, valueSizes: map[string]int{}, occupancy: map[string]occupancy{},
-		cordons: map[string]Cordon{}, windows: map[string]*WindowRecord{},
-		bookedOn: map[string]map[TaskID]bool{}, bookings: map[TaskID]bookingInfo{}, oversized: map[string]bool{}, announcedFormats: map[string]int{},
-		dependents: map[string][]*Job{}, dependencyPieces: map[string]string{}, machineTypePages: map[string]MachineTypePage{},
+		awaitingRelease: map[string]*Job{}, shares: map[string]codec.TeamShares{}, usage: map[string]map[string]domain.Resources{},
+		cordonPages: map[string]codec.CordonPage{}, jobsByPack: map[string]map[string]*Job{}, valueSizes: map[string]int{}, occupancy: map[string]occupancy{},
+		cordons: map[string]domain.Cordon{}, windows: map[string]*codec.WindowRecord{},
+		bookedOn: map[string]map[domain.TaskID]bool{}, bookings: map[domain.TaskID]bookingInfo{}, oversized: map[string]bool{}, announcedFormats: map[string]int{},
+		dependents: map[string][]*Job{}, dependencyPieces: map[string]string{}, machineTypePages: map[string]codec.MachineTypePage{},
 	}
 }
 
 // task returns the committed record of task i.
-func (j *Job) task(i int) Task {
+func (j *Job) task(i int) domain.Task {
 	if j.Tasks == nil {
-		return Task{}
+		return domain.Task{}
 	}
 	return j.Tasks[i]
 }
 
 // final: nothing will change any more about how the job ended.
-func (j *Job) final() bool { return j.Header.State != StateOpen || j.dependencyFailed }
+func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
 
 // cancelled by its user, or for a job that it awaits.
-func (j *Job) cancelled() bool { return j.Header.State == StateCancelled || j.dependencyFailed }
+func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
 
 // setTask is the one function that changes a cached task; it keeps the
 // counts and indexes.
-func (c *Controller) setTask(j *Job, i int, t Task) {
+func (c *Controller) setTask(j *Job, i int, t domain.Task) {
 	old := j.task(i)
 	if old == t {
 		return
 	}
 	if j.Tasks == nil {
-		j.Tasks = make([]Task, j.Header.TaskCount)
+		j.Tasks = make([]domain.Task, j.Header.TaskCount)
 		j.counts.queued = j.Header.TaskCount
 	}
-	id := TaskID{j.ID, i}
+	id := domain.TaskID{Job: j.ID, Index: i}
 	j.counts.count(old.State, -1)
 	j.counts.count(t.State, 1)
-	if old.State == Booked {
+	if old.State == domain.Booked {
 		c.heartbeats.touched[old.Machine] = true
 		c.countBooking(j, id, old, -1)
 		delete(c.cache.bookedOn[old.Machine], id)
@@ -205,11 +184,11 @@
 			delete(c.cache.occupancy, old.Machine)
 		}
 	}
-	if t.State == Booked {
+	if t.State == domain.Booked {
 		c.heartbeats.touched[t.Machine] = true
 		m := c.cache.bookedOn[t.Machine]
 		if m == nil {
-			m = map[TaskID]bool{}
+			m = map[domain.TaskID]bool{}
 			c.cache.bookedOn[t.Machine] = m
 		}
 		m[id] = true
@@ -222,13 +201,13 @@
 		c.countBooking(j, id, t, 1)
 	}
 	j.Tasks[i] = t
-	if t.State != Queued || c.taskShard(j, t) != c.cfg.Node {
+	if t.State != domain.Queued || c.taskShard(j, t) != c.cfg.Node {
 		c.dequeue(id)
 	}
 }
 
 // countBooking counts a booking in or out of its machine and its booker's share.
-func (c *Controller) countBooking(j *Job, id TaskID, t Task, k int64) {
+func (c *Controller) countBooking(j *Job, id domain.TaskID, t domain.Task, k int64) {
 	sp := j.Header.Spec
 	if sp == nil {
 		return
@@ -249,7 +228,7 @@
 	c.cache.occupancy[t.Machine] = o
 	by := c.cache.usage[sp.Team]
 	if by == nil {
-		by = map[string]Resources{}
+		by = map[string]domain.Resources{}
 		c.cache.usage[sp.Team] = by
 	}
 	by[t.Shard] = by[t.Shard].Plus(sp.Request, k)
@@ -274,7 +253,7 @@
 
 // apply takes one key's newer value into the cache. Older or equal stamps are
 // dropped: watch, own commits and snapshots may repeat each other.
-func (c *Controller) apply(kv KeyValue) {
+func (c *Controller) apply(kv domain.KeyValue) {
 	if kv.ModRevision <= c.cache.modRevisions[kv.Key] {
 		return
 	}
@@ -287,32 +266,32 @@
 		return err != nil
 	}
 	switch {
-	case kv.Key == keyView:
+	case kv.Key == codec.KeyView:
 		if del {
 			return
 		}
-		v := &View{}
+		v := &domain.View{}
 		if bad(json.Unmarshal(kv.Value, v)) {
 			return
 		}
 		c.adoptView(v)
-	case kv.Key == keyMachineTypes, strings.HasPrefix(kv.Key, prefixMachineTypes):
-		var f MachineTypePage
+	case kv.Key == codec.KeyMachineTypes, strings.HasPrefix(kv.Key, codec.PrefixMachineTypes):
+		var f codec.MachineTypePage
 		if !del && bad(json.Unmarshal(kv.Value, &f)) {
 			return
 		}
 		c.applyMachineTypes(kv.Key, f)
 		c.recordSize(kv.Key, len(kv.Value))
-	case kv.Key == keyFormat, strings.HasPrefix(kv.Key, prefixFormat):
-		var f Format
+	case kv.Key == codec.KeyFormat, strings.HasPrefix(kv.Key, codec.PrefixFormat):
+		var f codec.Format
 		if del || bad(json.Unmarshal(kv.Value, &f)) {
 			return
 		}
 		c.applyFormat(kv.Key, f)
-	case strings.HasPrefix(kv.Key, prefixDependencies):
+	case strings.HasPrefix(kv.Key, codec.PrefixDependencies):
 		c.applyDependencyPiece(kv.Key, kv.Value)
-	case strings.HasPrefix(kv.Key, prefixMember):
-		name := kv.Key[len(prefixMember):]
+	case strings.HasPrefix(kv.Key, codec.PrefixMember):
+		name := kv.Key[len(codec.PrefixMember):]
 		if del {
 			delete(c.cache.members, name)
 			return
@@ -322,31 +301,31 @@
 			return
 		}
 		c.cache.members[name] = inc
-	case strings.HasPrefix(kv.Key, prefixJob):
-		id := kv.Key[len(prefixJob):]
-		h := &JobHeader{}
+	case strings.HasPrefix(kv.Key, codec.PrefixJob):
+		id := kv.Key[len(codec.PrefixJob):]
+		h := &codec.JobHeader{}
 		if del || bad(json.Unmarshal(kv.Value, h)) {
 			return
 		}
 		c.applyHeader(id, h)
-	case strings.HasPrefix(kv.Key, prefixPack):
+	case strings.HasPrefix(kv.Key, codec.PrefixPack):
 		if del {
 			return
 		}
-		var ch ChunkValue
+		var ch codec.ChunkValue
 		if bad(json.Unmarshal(kv.Value, &ch)) {
 			return
 		}
 		c.recordSize(kv.Key, len(kv.Value))
 		for id, text := range ch.Texts {
-			if j := c.cache.jobs[id]; j != nil && j.Header.Spec != nil && prefixPack+j.Header.Pack == kv.Key {
-				if bad(ch.tasks(text, func(i int, t Task) { c.setTaskAt(j, i, t) })) {
+			if j := c.cache.jobs[id]; j != nil && j.Header.Spec != nil && codec.PrefixPack+j.Header.Pack == kv.Key {
+				if bad(ch.Tasks(text, func(i int, t domain.Task) { c.setTaskAt(j, i, t) })) {
 					return
 				}
 			}
 		}
-	case strings.HasPrefix(kv.Key, prefixTask):
-		f := strings.Split(kv.Key[len(prefixTask):], "/")
+	case strings.HasPrefix(kv.Key, codec.PrefixTask):
+		f := strings.Split(kv.Key[len(codec.PrefixTask):], "/")
 		j := c.cache.jobs[f[0]]
 		if del {
 			delete(c.cache.valueSizes, kv.Key)
@@ -360,32 +339,32 @@
 		if !ok || keyOf(j, i) != kv.Key {
 			return // cut into cells since, or cells that the header doesn't name yet
 		}
-		var ch ChunkValue
+		var ch codec.ChunkValue
 		if bad(json.Unmarshal(kv.Value, &ch)) {
 			return
 		}
 		c.recordSize(kv.Key, len(kv.Value))
-		if bad(ch.tasks(ch.Texts[j.ID], func(x int, t Task) { c.setTaskAt(j, i+x, t) })) {
+		if bad(ch.Tasks(ch.Texts[j.ID], func(x int, t domain.Task) { c.setTaskAt(j, i+x, t) })) {
 			return
 		}
-	case strings.HasPrefix(kv.Key, prefixTeam):
-		var t TeamShares
+	case strings.HasPrefix(kv.Key, codec.PrefixTeam):
+		var t codec.TeamShares
 		if !del && bad(json.Unmarshal(kv.Value, &t)) {
 			return
 		}
-		c.cache.shares[kv.Key[len(prefixTeam):]] = t
-	case strings.HasPrefix(kv.Key, prefixCordons):
-		var p CordonPage
+		c.cache.shares[kv.Key[len(codec.PrefixTeam):]] = t
+	case strings.HasPrefix(kv.Key, codec.PrefixCordons):
+		var p codec.CordonPage
 		if !del && bad(json.Unmarshal(kv.Value, &p)) {
 			return
 		}
-		c.applyCordons(kv.Key[len(prefixCordons):], p)
-	case strings.HasPrefix(kv.Key, prefixWindow):
-		w := &WindowRecord{}
+		c.applyCordons(kv.Key[len(codec.PrefixCordons):], p)
+	case strings.HasPrefix(kv.Key, codec.PrefixWindow):
+		w := &codec.WindowRecord{}
 		if del || bad(json.Unmarshal(kv.Value, w)) {
 			return
 		}
-		c.cache.windows[kv.Key[len(prefixWindow):]] = w
+		c.cache.windows[kv.Key[len(codec.PrefixWindow):]] = w
 	}
 	c.planner.dirty = true
 }
@@ -405,7 +384,7 @@
 	return i, err == nil && i >= 0 && i < j.Header.TaskCount
 }
 
-func (c *Controller) setTaskAt(j *Job, i int, t Task) {
+func (c *Controller) setTaskAt(j *Job, i int, t domain.Task) {
 	if i >= 0 && i < j.Header.TaskCount {
 		c.setTask(j, i, t)
 	}
@@ -413,14 +392,14 @@
 
 // applyCordons takes a page of marks. Marks that left it belong to machines gone
 // for long.
-func (c *Controller) applyCordons(home string, p CordonPage) {
+func (c *Controller) applyCordons(home string, p codec.CordonPage) {
 	old := c.cache.cordonPages[home]
-	next := make(map[string]Cordon, len(p.Draining)+len(p.Gone))
+	next := make(map[string]domain.Cordon, len(p.Draining)+len(p.Gone))
 	for n, why := range p.Draining {
-		next[n] = Cordon{CordonDrain, why}
+		next[n] = domain.Cordon{State: domain.CordonDrain, Reason: why}
 	}
 	for _, n := range p.Gone {
-		next[n] = Cordon{State: CordonGone}
+		next[n] = domain.Cordon{State: domain.CordonGone}
 	}
 	for n := range old.Draining {
 		if _, ok := next[n]; !ok {
@@ -444,7 +423,7 @@
 // cordonPageOf is the page that a machine's mark is on, whoever owns the machine.
 func (c *Controller) cordonPageOf(name string) string { return rendezvous(name, c.cfg.Nodes) }
 
-func (c *Controller) applyHeader(id string, h *JobHeader) {
+func (c *Controller) applyHeader(id string, h *codec.JobHeader) {
 	j := c.cache.jobs[id]
 	fresh := j == nil
 	if fresh {
@@ -465,19 +444,19 @@
 		// The final header drops the spec only when nothing is booked; a
 		// chunk older than it may still be in the cache.
 		for i := range j.Tasks {
-			if j.Tasks[i].State == Booked {
-				c.setTask(j, i, Task{State: Queued})
+			if j.Tasks[i].State == domain.Booked {
+				c.setTask(j, i, domain.Task{State: domain.Queued})
 			}
 		}
 	}
-	if h.State == StateOpen && h.Pack != j.Header.Pack {
+	if h.State == domain.StateOpen && h.Pack != j.Header.Pack {
 		c.indexPack(j, false) // passed whole, or moved with its tasks
 		j.Header = h
 		c.indexPack(j, true)
 	}
 	if h.Shard != j.Header.Shard {
 		for i := 0; i < h.TaskCount && j.queuedHere > 0; i++ {
-			c.dequeue(TaskID{id, i})
+			c.dequeue(domain.TaskID{Job: id, Index: i})
 		}
 	}
 	j.Header = h
@@ -485,8 +464,8 @@
 		c.linkDependencies(j)
 	}
 	if h.InlineTasks != nil {
-		if err := h.InlineTasks.tasks(h.InlineTasks.Texts[id], func(i int, t Task) { c.setTaskAt(j, i, t) }); err != nil {
-			c.error("unreadable value", "key", keyJob(id), "err", err.Error())
+		if err := h.InlineTasks.Tasks(h.InlineTasks.Texts[id], func(i int, t domain.Task) { c.setTaskAt(j, i, t) }); err != nil {
+			c.error("unreadable value", "key", codec.KeyJob(id), "err", err.Error())
 		}
 	}
 	c.settlePhase(j)
@@ -522,8 +501,8 @@
 	// Only member keys are ever deleted while they matter; chunks go with
 	// the final header.
 	for name := range c.cache.members {
-		if !have[prefixMember+name] {
-			c.apply(KeyValue{Key: prefixMember + name, ModRevision: max(ev.Revision, c.cache.modRevisions[prefixMember+name])})
+		if !have[codec.PrefixMember+name] {
+			c.apply(domain.KeyValue{Key: codec.PrefixMember + name, ModRevision: max(ev.Revision, c.cache.modRevisions[codec.PrefixMember+name])})
 		}
 	}
 	// A chunk needs its header first, so the view comes last: whoever sees
@@ -544,11 +523,11 @@
 
 func loadOrder(key string) int {
 	switch {
-	case key == keyView:
+	case key == codec.KeyView:
 		return 3
-	case strings.HasPrefix(key, prefixTask), strings.HasPrefix(key, prefixPack):
+	case strings.HasPrefix(key, codec.PrefixTask), strings.HasPrefix(key, codec.PrefixPack):
 		return 2
-	case strings.HasPrefix(key, prefixMember):
+	case strings.HasPrefix(key, codec.PrefixMember):
 		return 1
 	}
 	return 0
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 type pendingHeartbeat struct {
@@ -35,13 +37,13 @@
 		return false
 	}
 	f := c.machineType(m.Type)
-	return len(m.reported) == 0 || c.freeOn(m.Name, f.Capacity, nil).Fits(Resources{f.Capacity.CPU / 8, f.Capacity.GPU / 8, f.Capacity.Memory / 8})
+	return len(m.reported) == 0 || c.freeOn(m.Name, f.Capacity, nil).Fits(domain.Resources{CPU: f.Capacity.CPU / 8, GPU: f.Capacity.GPU / 8, Memory: f.Capacity.Memory / 8})
 }
 
 // hasUncommittedEnds: m reports ended tasks whose outcome is not committed yet.
 func (c *Controller) hasUncommittedEnds(m *Machine) bool {
 	for _, s := range m.reported {
-		if s.State == ReportedEnded && c.isBooking(m, s) {
+		if s.State == domain.ReportedEnded && c.isBooking(m, s) {
 			return true
 		}
 	}
@@ -55,7 +57,7 @@
 	}
 	m := c.heartbeats.machines[h.machine]
 	if m == nil || !c.mayAct() || !c.owns(h.machine) || c.guard(GuardDead) && h.agentEpoch <= m.abandonedEpoch || h.agentEpoch != m.agentEpoch ||
-		c.cache.cordons[h.machine].State == CordonGone {
+		c.cache.cordons[h.machine].State == domain.CordonGone {
 		c.emit(HeartbeatReply{RequestID: h.requestID, Status: 503})
 		return
 	}
@@ -67,9 +69,9 @@
 
 // logCommands says for each start and stop why it was allowed: under which view, as of
 // which revision, and how long ago both were confirmed.
-func (c *Controller) logCommands(m *Machine, orders []Command) {
+func (c *Controller) logCommands(m *Machine, orders []domain.Command) {
 	for _, o := range orders {
-		if o.Kind == ForgetTask {
+		if o.Kind == domain.ForgetTask {
 			continue
 		}
 		c.debug("order", "verb", o.Kind, "task", o.Task, "machine", m.Name, "attempt", o.Attempt, "reason", o.Reason,
@@ -79,13 +81,13 @@
 
 // commandsFor for m: halts first, then clears, then runs. A run goes out only for
 // a committed booking of this session whose release was never attempted.
-func (c *Controller) commandsFor(m *Machine, tally uint64) []Command {
-	var halts, clears, runs []Command
+func (c *Controller) commandsFor(m *Machine, tally uint64) []domain.Command {
+	var halts, clears, runs []domain.Command
 	for _, id := range sortedTasks(m.reported) {
 		s := m.reported[id]
-		if s.State == ReportedEnded {
+		if s.State == domain.ReportedEnded {
 			if !c.isBooking(m, s) || !c.guard(GuardClear) {
-				clears = append(clears, Command{Kind: ForgetTask, Task: id, Attempt: s.Attempt, Reason: ReasonSettled})
+				clears = append(clears, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: s.Attempt, Reason: domain.ReasonSettled})
 			}
 			continue
 		}
@@ -103,18 +105,18 @@
 		if j.Header.StopThrough >= t.Attempt && j.Header.StopThrough > 0 {
 			continue
 		}
-		if t.AgentEpoch != m.agentEpoch || j.Header.State != StateOpen || c.planner.pendingReleases[k] && c.guard(GuardDoom) || m.preemptionAt >= 0 || c.planner.preempted[k] || c.isEvicting(m.Name) && !reservesMachines(j.Header.Spec) || !c.gangIntact(j, t) {
+		if t.AgentEpoch != m.agentEpoch || j.Header.State != domain.StateOpen || c.planner.pendingReleases[k] && c.guard(GuardDoom) || m.preemptionAt >= 0 || c.planner.preempted[k] || c.isEvicting(m.Name) && !reservesMachines(j.Header.Spec) || !c.gangIntact(j, t) {
 			continue
 		}
 		m.startsSent[k] = tally
-		runs = append(runs, Command{Kind: StartTask, Task: id, Attempt: t.Attempt, Reason: ReasonBooked})
+		runs = append(runs, domain.Command{Kind: domain.StartTask, Task: id, Attempt: t.Attempt, Reason: domain.ReasonBooked})
 	}
 	return slices.Concat(halts, clears, runs)
 }
 
 // stopCommand tells whether a live task on m has to be stopped, and how.
-func (c *Controller) stopCommand(m *Machine, s TaskReport) (Command, bool) {
-	o := Command{Kind: StopTask, Task: s.Task, Attempt: s.Attempt, Reason: ReasonNotBooked}
+func (c *Controller) stopCommand(m *Machine, s domain.TaskReport) (domain.Command, bool) {
+	o := domain.Command{Kind: domain.StopTask, Task: s.Task, Attempt: s.Attempt, Reason: domain.ReasonNotBooked}
 	j := c.cache.jobs[s.Task.Job]
 	if j == nil || j.final() || !c.isBooking(m, s) {
 		return o, true // nobody has any use for it
@@ -122,24 +124,24 @@
 	t := j.task(s.Task.Index)
 	sp := j.Header.Spec
 	if !c.gangIntact(j, t) {
-		o.Reason = ReasonGangBroken
-		return o, s.State != ReportedSaving
+		o.Reason = domain.ReasonGangBroken
+		return o, s.State != domain.ReportedSaving
 	}
 	mark := c.cache.cordons[m.Name]
-	if sp.Shape == Gang && sp.TaskCount > 1 {
+	if sp.Shape == domain.Gang && sp.TaskCount > 1 {
 		// Its progress is saved only if all are told together: the header
 		// tells every owner (planGangStops).
-		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, ReasonGangStop
-		return o, j.Header.StopThrough >= t.Attempt && s.State != ReportedSaving
+		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, domain.ReasonGangStop
+		return o, j.Header.StopThrough >= t.Attempt && s.State != domain.ReportedSaving
 	}
 	switch {
 	case c.isEvicting(m.Name) && !reservesMachines(sp), c.planner.preempted[attemptID{s.Task, s.Attempt}]:
-		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, ReasonPreempted
-		return o, s.State != ReportedSaving
+		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, domain.ReasonPreempted
+		return o, s.State != domain.ReportedSaving
 	case m.preemptionAt >= 0:
-		o.Reason = ReasonPreemptionNotice
+		o.Reason = domain.ReasonPreemptionNotice
 		left := (m.preemptionAt - c.now - tuning.RecallMargin).Seconds()
-		if s.State == ReportedSaving {
+		if s.State == domain.ReportedSaving {
 			return o, false
 		}
 		// Let a task without checkpoints run on: it may still finish.
@@ -150,8 +152,8 @@
 		// length may be half of what was said.
 		o.GraceSeconds = max(left, sp.CheckpointCost)
 		return o, left/2 <= sp.CheckpointCost+4
-	case mark.State == CordonDrain && mark.Reason != DrainIdle && s.State != ReportedSaving:
-		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, ReasonDraining
+	case mark.State == domain.CordonDrain && mark.Reason != domain.DrainIdle && s.State != domain.ReportedSaving:
+		o.GraceSeconds, o.Reason = sp.CheckpointCost+2, domain.ReasonDraining
 		return o, true
 	}
 	return o, false
@@ -159,12 +161,12 @@
 
 // gangIntact: a gang's task is on only while all tasks of its attempt are
 // booked; otherwise the rest is stopped, and a new attempt starts all.
-func (c *Controller) gangIntact(j *Job, t Task) bool {
-	if j.Header.Spec.Shape != Gang || j.Header.Spec.TaskCount == 1 {
+func (c *Controller) gangIntact(j *Job, t domain.Task) bool {
+	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
 	}
 	for i := range j.Tasks {
-		if o := j.Tasks[i]; o.State == Queued || o.State == Booked && o.Attempt != t.Attempt {
+		if o := j.Tasks[i]; o.State == domain.Queued || o.State == domain.Booked && o.Attempt != t.Attempt {
 			return false
 		}
 	}
@@ -208,13 +210,13 @@
 	if c.now < m.nextDirectStopAt || m.Addr == "" {
 		return
 	}
-	var halts []Command
+	var halts []domain.Command
 	for _, id := range sortedTasks(m.reported) {
 		s := m.reported[id]
-		if s.State == ReportedEnded {
+		if s.State == domain.ReportedEnded {
 			continue
 		}
-		if o, ok := c.stopCommand(m, s); ok && !(s.State == ReportedSaving && o.GraceSeconds > 0) {
+		if o, ok := c.stopCommand(m, s); ok && !(s.State == domain.ReportedSaving && o.GraceSeconds > 0) {
 			halts = append(halts, o)
 		}
 	}
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -1,6 +1,11 @@
 package scheduler
 
-import "time"
+import (
+	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
 
 // commits is the writing side towards the state service: what is under way, and how
 // many changes a second this controller may still make.
@@ -32,11 +37,11 @@
 // pendingCommit is a transaction without an answer yet.
 type pendingCommit struct {
 	id          uint64
-	transaction Transaction
-	onAnswer    func(CommitResult, CommitAnswered)
+	transaction domain.Transaction
+	onAnswer    func(domain.CommitResult, CommitAnswered)
 }
 
-func (c *Controller) commit(lane int, t Transaction, done func(CommitResult, CommitAnswered)) *pendingCommit {
+func (c *Controller) commit(lane int, t domain.Transaction, done func(domain.CommitResult, CommitAnswered)) *pendingCommit {
 	c.commits.nextID++
 	c.commits.tokens -= float64(len(t.Puts))
 	p := &pendingCommit{id: c.commits.nextID, transaction: t, onAnswer: done}
@@ -51,19 +56,19 @@
 		return
 	}
 	delete(c.commits.pending, e.ID)
-	if e.Result == Committed {
+	if e.Result == domain.Committed {
 		for _, a := range p.transaction.Puts {
 			// The view is taken from the watch alone, so that whoever sees
 			// epoch e has seen all commits of earlier epochs.
-			if a.Key != keyView || !c.guard(GuardView) {
-				c.apply(KeyValue{Key: a.Key, Value: a.Value, ModRevision: e.Revision})
+			if a.Key != codec.KeyView || !c.guard(GuardView) {
+				c.apply(domain.KeyValue{Key: a.Key, Value: a.Value, ModRevision: e.Revision})
 			}
 		}
 	}
 	// Nothing was written, and the state service charges nothing for it. A leader
 	// whose large commits were refused among others' small ones had spent its
 	// second's worth each time all the same.
-	if e.Result == Refused {
+	if e.Result == domain.Refused {
 		if e.Malformed {
 			c.recordRefusal(p.transaction)
 		}
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -7,22 +7,25 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // cordons are the cordons that this controller wants written.
 type cordons struct {
-	wanted      map[string]Cordon // by machine
+	wanted      map[string]domain.Cordon // by machine
 	writing     bool
 	nextWriteAt time.Duration
 	lastWriteAt time.Duration
 }
 
-func newCordons() cordons { return cordons{wanted: map[string]Cordon{}} }
+func newCordons() cordons { return cordons{wanted: map[string]domain.Cordon{}} }
 
 // cordon wants a machine's mark written; writeCordons does it, many at a time.
-func (c *Controller) cordon(name string, m Cordon) {
+func (c *Controller) cordon(name string, m domain.Cordon) {
 	now := c.cache.cordons[name]
-	if _, ok := c.cordons.wanted[name]; ok && m.State != CordonGone || now.State == CordonGone || now.State == m.State {
+	if _, ok := c.cordons.wanted[name]; ok && m.State != domain.CordonGone || now.State == domain.CordonGone || now.State == m.State {
 		return
 	}
 	c.cordons.wanted[name] = m
@@ -43,19 +46,19 @@
 		// bookings under way on the machines that share it.
 		urgent := false
 		for _, m := range c.cordons.wanted {
-			urgent = urgent || m.State == CordonDrain && m.Reason != DrainIdle
+			urgent = urgent || m.State == domain.CordonDrain && m.Reason != domain.DrainIdle
 		}
 		if !urgent && c.now-c.cordons.lastWriteAt < tuning.MarkIdleEvery {
 			return
 		}
 		c.cordons.lastWriteAt = c.now
 	}
-	pages := map[string]CordonPage{}
-	t := Transaction{Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}}}
+	pages := map[string]codec.CordonPage{}
+	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
 	var names []string
 	for _, n := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
 		m, now := c.cordons.wanted[n], c.cache.cordons[n]
-		if now.State == CordonGone || now.State == m.State {
+		if now.State == domain.CordonGone || now.State == m.State {
 			delete(c.cordons.wanted, n)
 			continue
 		}
@@ -65,14 +68,14 @@
 			if len(pages) >= c.cfg.TransactionLimit {
 				continue
 			}
-			p = CordonPage{maps.Clone(c.cache.cordonPages[home].Draining), slices.Clone(c.cache.cordonPages[home].Gone)}
+			p = codec.CordonPage{Draining: maps.Clone(c.cache.cordonPages[home].Draining), Gone: slices.Clone(c.cache.cordonPages[home].Gone)}
 			if p.Draining == nil {
 				p.Draining = map[string]string{}
 			}
 			c.dropDraining(&p)
 		}
 		was, drained := p.Draining[n]
-		if m.State == CordonGone {
+		if m.State == domain.CordonGone {
 			delete(p.Draining, n)
 			p.Gone = append(p.Gone, n)
 		} else {
@@ -88,17 +91,17 @@
 		names = append(names, n)
 	}
 	for _, home := range slices.Sorted(maps.Keys(pages)) {
-		key := prefixCordons + home
-		t.Conditions = append(t.Conditions, Condition{key, c.cache.modRevisions[key]})
-		t.Puts = append(t.Puts, Put{Key: key, Value: mustEncode(pages[home])})
+		key := codec.PrefixCordons + home
+		t.Conditions = append(t.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
+		t.Puts = append(t.Puts, domain.Put{Key: key, Value: codec.Encode(pages[home])})
 	}
 	if len(names) == 0 {
 		return
 	}
 	c.cordons.writing = true
-	c.commit(LaneTask, t, func(r CommitResult, e CommitAnswered) {
+	c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) {
 		c.cordons.writing = false
-		if r != Committed {
+		if r != domain.Committed {
 			c.cordons.nextWriteAt = c.now + tuning.ConfirmRetry // and again, by then the cache knows more
 			return
 		}
@@ -112,12 +115,12 @@
 
 // dropDraining drops drain marks from a page written under larger limits until it fits
 // again: such a machine takes bookings once more, until it is marked anew.
-func (c *Controller) dropDraining(p *CordonPage) {
+func (c *Controller) dropDraining(p *codec.CordonPage) {
 	if c.trimCordonPage(p) {
 		return
 	}
 	names := slices.SortedFunc(maps.Keys(p.Draining), func(a, b string) int {
-		if ia, ib := p.Draining[a] == DrainIdle, p.Draining[b] == DrainIdle; ia != ib {
+		if ia, ib := p.Draining[a] == domain.DrainIdle, p.Draining[b] == domain.DrainIdle; ia != ib {
 			return map[bool]int{true: -1, false: 1}[ia]
 		}
 		return strings.Compare(b, a)
@@ -131,7 +134,7 @@
 
 // trimCordonPage forgets the machines gone longest until the page fits its value;
 // false: it doesn't fit even so.
-func (c *Controller) trimCordonPage(p *CordonPage) bool {
+func (c *Controller) trimCordonPage(p *codec.CordonPage) bool {
 	size := func() int {
 		n := tuning.PackSlack
 		for name, why := range p.Draining {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,6 +10,9 @@
 	json "github.com/goccy/go-json"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // Jobs that await others. A final state never changes, so a committed header that
@@ -36,9 +39,9 @@
 
 func (c *Controller) phaseOf(j *Job) phase {
 	switch {
-	case j.Header.State == StateDone:
+	case j.Header.State == domain.StateDone:
 		return phaseDone
-	case j.Header.State == StateCancelled || j.dependencyFailed:
+	case j.Header.State == domain.StateCancelled || j.dependencyFailed:
 		return phaseCancelled
 	case c.mayStart(j):
 		return phaseOpen
@@ -83,7 +86,7 @@
 			}
 		}
 		for i := 0; i < j.Header.TaskCount && j.queuedHere > 0; i++ {
-			c.dequeue(TaskID{j.ID, i})
+			c.dequeue(domain.TaskID{Job: j.ID, Index: i})
 		}
 	}
 	if p == phaseOpen && p != old {
@@ -128,7 +131,7 @@
 	if j.missingPieces = sp.DependencyListPieces; j.missingPieces > 0 {
 		c.countMissingPieces(j)
 	}
-	sp.Dependencies = parseNames(sp.DependencyText)
+	sp.Dependencies = codec.ParseNames(sp.DependencyText)
 	c.dependOn(j, sp.Dependencies)
 	if j.missingPieces == 0 {
 		for k := 0; k < sp.DependencyListPieces; k++ {
@@ -217,34 +220,6 @@
 // lists lie in pieces beside the header, written before it under a name of their
 // own, so that a header never refers to a list that is not there.
 
-const namePrefix = "job-"
-
-func parseNames(text string) []string {
-	l := strings.Fields(text)
-	for i := range l {
-		l[i] = namePrefix + l[i]
-	}
-	return l
-}
-
-// joinNames joins names to texts of at most the given bytes each.
-func joinNames(ids []string, most int) []string {
-	var l []string
-	for _, id := range ids {
-		s := strings.TrimPrefix(id, namePrefix)
-		if n := len(l); n > 0 && len(l[n-1])+1+len(s) <= most {
-			l[n-1] += " " + s
-		} else {
-			l = append(l, s)
-		}
-	}
-	return l
-}
-
-func keyDependencyPiece(id, tag string, k int) string {
-	return fmt.Sprintf("%s%s/%s/%d", prefixDependencies, id, tag, k)
-}
-
 // applyDependencyPiece takes a piece of a list. Its header mostly comes later.
 func (c *Controller) applyDependencyPiece(key string, v []byte) {
 	var text string
@@ -253,7 +228,7 @@
 		return
 	}
 	c.cache.dependencyPieces[key] = text
-	id, _, _ := strings.Cut(key[len(prefixDependencies):], "/")
+	id, _, _ := strings.Cut(key[len(codec.PrefixDependencies):], "/")
 	if j := c.cache.jobs[id]; j != nil && j.missingPieces > 0 && j.Header.Spec != nil {
 		if c.countMissingPieces(j); j.missingPieces == 0 {
 			for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
@@ -269,15 +244,15 @@
 func (c *Controller) countMissingPieces(j *Job) {
 	j.missingPieces = 0
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-		if _, ok := c.cache.dependencyPieces[keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
+		if _, ok := c.cache.dependencyPieces[codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
 			j.missingPieces++
 		}
 	}
 }
 
 func (c *Controller) takeDependencyPiece(j *Job, k int) {
-	key := keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
-	ids := parseNames(c.cache.dependencyPieces[key])
+	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
+	ids := codec.ParseNames(c.cache.dependencyPieces[key])
 	delete(c.cache.dependencyPieces, key)
 	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
 	c.dependOn(j, ids)
@@ -290,8 +265,8 @@
 func (c *Controller) lookUpDependencies(e JobSubmitted) {
 	var keys []string
 	for _, id := range e.Spec.Dependencies {
-		if c.cache.jobs[id] == nil && !slices.Contains(keys, keyJob(id)) {
-			if keys = append(keys, keyJob(id)); len(keys) > tuning.LookUps {
+		if c.cache.jobs[id] == nil && !slices.Contains(keys, codec.KeyJob(id)) {
+			if keys = append(keys, codec.KeyJob(id)); len(keys) > tuning.LookUps {
 				c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
 				return
 			}
@@ -312,11 +287,11 @@
 		return
 	}
 	delete(c.requests.lookups, ev.ID)
-	found := map[string]*JobHeader{}
+	found := map[string]*codec.JobHeader{}
 	for _, kv := range ev.Items {
-		h := &JobHeader{}
+		h := &codec.JobHeader{}
 		if json.Unmarshal(kv.Value, h) == nil {
-			found[strings.TrimPrefix(kv.Key, prefixJob)] = h
+			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = h
 		}
 	}
 	for _, id := range e.Spec.Dependencies {
@@ -330,14 +305,14 @@
 
 // accept takes a submission that names jobs; found are those that the cache may
 // lack, as the state service had them a moment ago.
-func (c *Controller) accept(e JobSubmitted, found map[string]*JobHeader) {
+func (c *Controller) accept(e JobSubmitted, found map[string]*codec.JobHeader) {
 	refuse := func(why string) { c.emit(UserReply{RequestID: e.RequestID, Status: 422, ID: e.ID, Reason: why}) }
 	sp := *e.Spec
 	ids := slices.Clone(sp.Dependencies)
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	var open []string
-	state := StateOpen
+	state := domain.StateOpen
 	for _, id := range ids {
 		n := c.cache.jobs[id]
 		if h := found[id]; n == nil && h != nil {
@@ -347,12 +322,12 @@
 		case n == nil:
 			refuse("awaits a job that was never accepted")
 			return
-		case n.Header.Spec != nil && n.Header.Spec.Shape == Service:
+		case n.Header.Spec != nil && n.Header.Spec.Shape == domain.Service:
 			refuse("awaits a service, which never ends")
 			return
 		case n.cancelled():
-			state = StateCancelled
-		case n.Header.State != StateDone:
+			state = domain.StateCancelled
+		case n.Header.State != domain.StateDone:
 			open = append(open, id)
 		}
 	}
@@ -366,13 +341,13 @@
 	}
 	c.requests.accepting[e.ID] = true
 	sp.Dependencies = nil
-	if state == StateCancelled {
+	if state == domain.StateCancelled {
 		// Accepted all the same, and over.
-		c.putJob(e, &JobHeader{State: state, TaskCount: sp.TaskCount, Released: true})
+		c.putJob(e, &codec.JobHeader{State: state, TaskCount: sp.TaskCount, Released: true})
 		return
 	}
 	h := c.newHeader(&sp)
-	if t := joinNames(open, tuning.NeedsInHeader); len(t) <= 1 {
+	if t := codec.JoinNames(open, tuning.NeedsInHeader); len(t) <= 1 {
 		if len(t) == 1 {
 			sp.DependencyText = t[0]
 		}
@@ -381,27 +356,27 @@
 	}
 	c.requests.dependencyLists++
 	sp.DependencyListName = fmt.Sprintf("%s-%d", c.membership.incarnation, c.requests.dependencyLists)
-	var puts []Put
-	for k, t := range joinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
-		puts = append(puts, Put{Key: keyDependencyPiece(e.ID, sp.DependencyListName, k), Value: mustEncode(t)})
+	var puts []domain.Put
+	for k, t := range codec.JoinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
+		puts = append(puts, domain.Put{Key: codec.KeyDependencyPiece(e.ID, sp.DependencyListName, k), Value: codec.Encode(t)})
 	}
 	sp.DependencyListPieces = len(puts)
 	c.putPieces(e, h, puts)
 }
 
 // putPieces writes the pieces of a list, some in each commit, then the header.
-func (c *Controller) putPieces(e JobSubmitted, h *JobHeader, puts []Put) {
+func (c *Controller) putPieces(e JobSubmitted, h *codec.JobHeader, puts []domain.Put) {
 	if len(puts) == 0 {
 		c.putJob(e, h)
 		return
 	}
 	n := min(len(puts), c.cfg.TransactionLimit)
-	t := Transaction{Puts: puts[:n]}
+	t := domain.Transaction{Puts: puts[:n]}
 	for _, p := range t.Puts {
-		t.Conditions = append(t.Conditions, Condition{p.Key, 0})
+		t.Conditions = append(t.Conditions, domain.Condition{Key: p.Key, ModRevision: 0})
 	}
-	c.commit(LaneUser, t, func(r CommitResult, _ CommitAnswered) {
-		if r != Committed { // a later try uses another name
+	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
+		if r != domain.Committed { // a later try uses another name
 			delete(c.requests.accepting, e.ID)
 			c.retryLater(e.RequestID, "state service")
 			return
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -7,21 +7,24 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // open is the value of a new job's header.
-func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) KeyValue {
+func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) domain.KeyValue {
 	t.Helper()
-	h := JobHeader{State: StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
-		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: prio, TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
-	if l := joinNames(needs, 1<<20); len(l) > 0 {
+	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: prio, TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
+	if l := codec.JoinNames(needs, 1<<20); len(l) > 0 {
 		h.Spec.DependencyText = l[0]
 	}
-	return KeyValue{Key: keyJob(id), Value: mustEncode(h), ModRevision: order}
+	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(h), ModRevision: order}
 }
 
-func overHeader(id string, s JobState, stamp uint64) KeyValue {
-	return KeyValue{Key: keyJob(id), Value: mustEncode(JobHeader{State: s, TaskCount: 2, Released: s == StateCancelled}), ModRevision: stamp}
+func overHeader(id string, s domain.JobState, stamp uint64) domain.KeyValue {
+	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: s, TaskCount: 2, Released: s == domain.StateCancelled}), ModRevision: stamp}
 }
 
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
@@ -39,10 +42,10 @@
 func TestNeedsInAnyOrder(t *testing.T) {
 	// 0 is done; 1 and 2 await it; 3 awaits 1 and 2; 4 awaits 3 and 6; 5 awaits 4;
 	// 6 is cancelled; 7 awaits nothing.
-	kvs := []KeyValue{
-		overHeader(jobName(0), StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
+	kvs := []domain.KeyValue{
+		overHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
-		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
+		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), domain.StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
 	}
 	r := rand.New(rand.NewPCG(3, 4))
 	for round := 0; round < 50; round++ {
@@ -59,11 +62,11 @@
 				t.Fatalf("job %d: cancelled %v", i, j.cancelled())
 			}
 		}
-		c.apply(overHeader(jobName(1), StateDone, 30))
+		c.apply(overHeader(jobName(1), domain.StateDone, 30))
 		if j := c.cache.jobs[jobName(3)]; j.phase != phaseWaiting {
 			t.Fatal("starts before all that it awaits is done")
 		}
-		c.apply(overHeader(jobName(2), StateDone, 31))
+		c.apply(overHeader(jobName(2), domain.StateDone, 31))
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(3), jobName(7)}) {
 			t.Fatalf("may start: %v", got)
 		}
@@ -83,7 +86,7 @@
 	if len(c.cache.openJobs) != 1 {
 		t.Fatalf("%d may start", len(c.cache.openJobs))
 	}
-	c.apply(overHeader(jobName(0), StateCancelled, n+10))
+	c.apply(overHeader(jobName(0), domain.StateCancelled, n+10))
 	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
 		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.cache.dependents))
 	}
@@ -101,7 +104,7 @@
 		if got := c.cache.jobs[jobName(9999)].phase; got != phaseWaiting {
 			t.Fatalf("phase %d with %d done", got, i)
 		}
-		c.apply(overHeader(id, StateDone, uint64(4000+i)))
+		c.apply(overHeader(id, domain.StateDone, uint64(4000+i)))
 	}
 	if c.cache.jobs[jobName(9999)].phase != phaseOpen {
 		t.Error("the fan never opens")
@@ -113,7 +116,7 @@
 func TestUrgencyPassesBack(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
 		c := New(Settings{Node: "c-0"}, "x")
-		kvs := []KeyValue{
+		kvs := []domain.KeyValue{
 			openHeader(t, jobName(1), 1, 0, 0), openHeader(t, jobName(2), 2, 0, 0, jobName(1)), openHeader(t, jobName(3), 3, 1, 0, jobName(1)),
 			openHeader(t, jobName(4), 4, 0, 0, jobName(3)), openHeader(t, jobName(5), 5, 2, 100, jobName(2), jobName(4)),
 		}
@@ -136,12 +139,12 @@
 // do, by the times that the headers tell.
 func TestAgesSurviveRestarts(t *testing.T) {
 	wall := int64(1_700_000_000_000)
-	h := JobHeader{State: StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &JobSpec{Class: "c", Shape: Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
+	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
 	c := New(Settings{Node: "c-0", WallClockMS: wall}, "x")
 	c.now = 2 * time.Second
-	c.loadSnapshot(SnapshotLoaded{Revision: 9, Items: []KeyValue{
-		{Key: keyJob(jobName(1)), Value: mustEncode(JobHeader{State: StateDone, TaskCount: 1, DoneAtMS: wall - 30_000}), ModRevision: 5},
-		{Key: keyJob(jobName(2)), Value: mustEncode(h), ModRevision: 3},
+	c.loadSnapshot(SnapshotLoaded{Revision: 9, Items: []domain.KeyValue{
+		{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(codec.JobHeader{State: domain.StateDone, TaskCount: 1, DoneAtMS: wall - 30_000}), ModRevision: 5},
+		{Key: codec.KeyJob(jobName(2)), Value: codec.Encode(h), ModRevision: 3},
 	}})
 	j := c.cache.jobs[jobName(2)]
 	if age := (c.now - time.Duration(j.readyAt)).Seconds(); age != 32 {
@@ -155,12 +158,12 @@
 // acting is a node that may act, with one machine type.
 func acting() *Controller {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
-		Teams: map[string]Quota{"red": {}}}, "x")
+		Teams: map[string]domain.Quota{"red": {}}}, "x")
 	c.now, c.membership.synced, c.membership.stateReachable = time.Minute, true, true
 	c.cache.members = map[string]string{"c-0": "x"}
-	c.cache.view = &View{Epoch: 1, Leader: "c-0", Members: c.cache.members, Serving: []string{"c-0"}}
-	c.cache.machineTypes = []MachineType{{Name: "box", Capacity: Resources{CPU: 16000}, Zones: []string{"a"}}}
-	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.membership.readIndexAt, c.cache.format, c.cache.revision = c.now, c.now, c.now-1, formatNow, 100
+	c.cache.view = &domain.View{Epoch: 1, Leader: "c-0", Members: c.cache.members, Serving: []string{"c-0"}}
+	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000}, Zones: []string{"a"}}}
+	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.membership.readIndexAt, c.cache.format, c.cache.revision = c.now, c.now, c.now-1, codec.CurrentFormat, 100
 	return c
 }
 
@@ -175,7 +178,7 @@
 }
 
 func submission(id string, needs ...string) JobSubmitted {
-	return JobSubmitted{RequestID: 1, ID: id, Spec: &JobSpec{ID: id, Class: "c", Team: "red", Shape: Array, TaskCount: 1, Request: Resources{CPU: 1000}, Dependencies: needs}}
+	return JobSubmitted{RequestID: 1, ID: id, Spec: &domain.JobSpec{ID: id, Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, Dependencies: needs}}
 }
 
 // commitAll carries out what the core wants committed, until nothing is left.
@@ -197,7 +200,7 @@
 				keys = append(keys, a.Key)
 			}
 			c.cache.revision++
-			c.onCommit(CommitAnswered{ID: id, Result: Committed, Revision: c.cache.revision})
+			c.onCommit(CommitAnswered{ID: id, Result: domain.Committed, Revision: c.cache.revision})
 		}
 	}
 	return keys
@@ -227,12 +230,12 @@
 	}
 	// Another node, the header first.
 	o := New(Settings{Node: "c-1"}, "y")
-	o.apply(KeyValue{Key: keyJob(j.ID), Value: mustEncode(j.Header), ModRevision: 9000})
+	o.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
 	if o.cache.jobs[j.ID].phase != phaseWaiting {
 		t.Fatal("starts without its list")
 	}
-	for k, text := range joinNames(needs, c.cfg.ValueLimit-400) {
-		o.apply(KeyValue{Key: keyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: mustEncode(text), ModRevision: uint64(8000 + k)})
+	for k, text := range codec.JoinNames(needs, c.cfg.ValueLimit-400) {
+		o.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
 	}
 	if o.cache.jobs[j.ID].unfinishedDependencies != 4000 {
 		t.Fatalf("the other node knows of %d", o.cache.jobs[j.ID].unfinishedDependencies)
@@ -241,7 +244,7 @@
 		if o.cache.jobs[j.ID].phase != phaseWaiting {
 			t.Fatalf("starts with %d of 4000 done", i)
 		}
-		o.apply(overHeader(id, StateDone, uint64(10000+i)))
+		o.apply(overHeader(id, domain.StateDone, uint64(10000+i)))
 	}
 	if o.cache.jobs[j.ID].phase != phaseOpen {
 		t.Error("never opens")
@@ -268,14 +271,14 @@
 		"nothing but known names": {nil, 201, true},
 	} {
 		c := acting()
-		for _, kv := range []KeyValue{overHeader(jobName(1), StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), StateCancelled, 9)} {
+		for _, kv := range []domain.KeyValue{overHeader(jobName(1), domain.StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), domain.StateCancelled, 9)} {
 			c.apply(kv)
 		}
 		c.effects = nil
 		c.onJobSubmitted(submission(jobName(9), x.needs...))
 		for id := range c.requests.lookups { // the state service has what the cache lacks
 			elsewhere := openHeader(t, jobName(5), 90, 0, 0)
-			c.onRead(KeysRead{ID: id, OK: true, Items: []KeyValue{elsewhere}})
+			c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
 		}
 		if len(c.requests.waiting) > 0 && said(c).Status != 0 {
 			t.Errorf("%s: answered %d before its read index", name, said(c).Status)
@@ -306,7 +309,7 @@
 	// Before all controllers know what awaiting is.
 	c := acting()
 	c.cache.format = 0
-	c.apply(overHeader(jobName(1), StateDone, 5))
+	c.apply(overHeader(jobName(1), domain.StateDone, 5))
 	c.effects = nil
 	c.onJobSubmitted(submission(jobName(9), jobName(1)))
 	if u := said(c); u.Status != 503 {
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -7,6 +7,9 @@
 	"strings"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // cellRef names a cell of a job by its first task.
@@ -18,13 +21,13 @@
 // draft gathers the changes of one task commit on copies of the records.
 type draft struct {
 	c           *Controller
-	headers     map[string]*JobHeader
-	cells       map[cellRef][]Task    // copies
-	copiedCells map[string][]int      // first tasks of the cells of each job that chunks has
-	keys        map[string]bool       // that hold them
-	growth      map[string]int        // bytes by which packs may grow
-	shares      map[string]TeamShares // reservations to write
-	usage       map[string]Resources  // what the draft adds to this node's bookings
+	headers     map[string]*codec.JobHeader
+	cells       map[cellRef][]domain.Task   // copies
+	copiedCells map[string][]int            // first tasks of the cells of each job that chunks has
+	keys        map[string]bool             // that hold them
+	growth      map[string]int              // bytes by which packs may grow
+	shares      map[string]codec.TeamShares // reservations to write
+	usage       map[string]domain.Resources // what the draft adds to this node's bookings
 	conditions  map[string]bool
 	finished    map[string]bool // jobs that are over: their tasks go
 	machines    map[string]bool
@@ -34,18 +37,18 @@
 	bytes       int
 	maxBytes    int // bytes that the present stage may fill the draft up to
 	onCommit    []func()
-	usedOn      map[string]Resources // bookings of this draft, by machine
-	changed     map[TaskID]bool
+	usedOn      map[string]domain.Resources // bookings of this draft, by machine
+	changed     map[domain.TaskID]bool
 	leaving     map[string]string // jobs that leave a pack that is too large with their next change, and where to
 	moved       map[string]string // those that did
-	rawPuts     []Put             // cells of a value being cut
+	rawPuts     []domain.Put      // cells of a value being cut
 }
 
 func (c *Controller) newDraft() *draft {
 	d := &draft{
-		c: c, maxChanges: c.cfg.TransactionLimit, maxBytes: tuning.TxnBytes, headers: map[string]*JobHeader{}, cells: map[cellRef][]Task{}, copiedCells: map[string][]int{}, keys: map[string]bool{}, growth: map[string]int{},
-		shares: map[string]TeamShares{}, usage: map[string]Resources{}, conditions: map[string]bool{}, finished: map[string]bool{},
-		machines: map[string]bool{}, usedOn: map[string]Resources{}, changed: map[TaskID]bool{}, moved: map[string]string{}, leaving: map[string]string{},
+		c: c, maxChanges: c.cfg.TransactionLimit, maxBytes: tuning.TxnBytes, headers: map[string]*codec.JobHeader{}, cells: map[cellRef][]domain.Task{}, copiedCells: map[string][]int{}, keys: map[string]bool{}, growth: map[string]int{},
+		shares: map[string]codec.TeamShares{}, usage: map[string]domain.Resources{}, conditions: map[string]bool{}, finished: map[string]bool{},
+		machines: map[string]bool{}, usedOn: map[string]domain.Resources{}, changed: map[domain.TaskID]bool{}, moved: map[string]string{}, leaving: map[string]string{},
 	}
 	d.excludeInDoubt()
 	return d
@@ -63,17 +66,17 @@
 // its values again, under the condition that it hasn't changed; so of all these
 // commits one at most is ever carried out, and no two of them can together book
 // more than this node's share of a team's limit, or more than a machine holds.
-func (c *Controller) markInDoubt(t Transaction) {
+func (c *Controller) markInDoubt(t domain.Transaction) {
 	if c.commits.inDoubt.key != "" {
 		return // this one, too, excludes the first
 	}
 	rank := func(key string) int {
 		switch {
-		case strings.HasPrefix(key, prefixPack):
+		case strings.HasPrefix(key, codec.PrefixPack):
 			return 1
-		case strings.HasPrefix(key, prefixTask), strings.HasPrefix(key, prefixJob):
+		case strings.HasPrefix(key, codec.PrefixTask), strings.HasPrefix(key, codec.PrefixJob):
 			return 2
-		case strings.HasPrefix(key, prefixTeam):
+		case strings.HasPrefix(key, codec.PrefixTeam):
 			return 3
 		}
 		return 4
@@ -103,18 +106,18 @@
 		return
 	}
 	switch {
-	case strings.HasPrefix(key, prefixPack):
+	case strings.HasPrefix(key, codec.PrefixPack):
 		d.keys[key] = true
 		d.bytes += c.valueBytes(key)
 		d.addCondition(key)
-	case strings.HasPrefix(key, prefixTeam):
-		d.keepShare(key[len(prefixTeam):])
-	case strings.HasPrefix(key, prefixJob):
-		if j := c.cache.jobs[key[len(prefixJob):]]; j != nil {
+	case strings.HasPrefix(key, codec.PrefixTeam):
+		d.keepShare(key[len(codec.PrefixTeam):])
+	case strings.HasPrefix(key, codec.PrefixJob):
+		if j := c.cache.jobs[key[len(codec.PrefixJob):]]; j != nil {
 			d.header(j)
 		}
 	default:
-		f := strings.Split(key[len(prefixTask):], "/")
+		f := strings.Split(key[len(codec.PrefixTask):], "/")
 		j := c.cache.jobs[f[0]]
 		if j == nil || j.Header.Spec == nil {
 			return
@@ -133,7 +136,7 @@
 // keyOf is where the draft keeps task i of a job.
 func (d *draft) keyOf(j *Job, i int) string {
 	if q, ok := d.moved[j.ID]; ok {
-		return prefixPack + q
+		return codec.PrefixPack + q
 	}
 	return keyOf(j, i)
 }
@@ -145,9 +148,9 @@
 }
 
 // copyOfCell copies the records of the cell with task i.
-func (j *Job) copyOfCell(i int) []Task {
+func (j *Job) copyOfCell(i int) []domain.Task {
 	from, to := j.cell(i)
-	ch := make([]Task, to-from)
+	ch := make([]domain.Task, to-from)
 	if j.Tasks != nil {
 		copy(ch, j.Tasks[from:to])
 	}
@@ -155,7 +158,7 @@
 }
 
 // copyCell takes a copy of the records of the cell with task i into the draft.
-func (d *draft) copyCell(j *Job, i int) []Task {
+func (d *draft) copyCell(j *Job, i int) []domain.Task {
 	r := j.ref(i)
 	if d.cells[r] == nil {
 		d.copiedCells[j.ID] = append(d.copiedCells[j.ID], r.from)
@@ -187,7 +190,7 @@
 			d.c.planner.dirty = true
 			return false
 		}
-		key, header = prefixPack+leave, true
+		key, header = codec.PrefixPack+leave, true
 	}
 	header = header || j.Header.Inline
 	if !d.keys[key] && !j.Header.Inline {
@@ -213,7 +216,7 @@
 	// Conditions are few where transactions are small: counted as they are, the
 	// view's among them, with one for the page of the machine's mark.
 	more := 1
-	for _, k := range [4]string{key, keyOf(j, i), keyJob(j.ID), prefixTeam + j.Header.Spec.Team} {
+	for _, k := range [4]string{key, keyOf(j, i), codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
 		if !d.conditions[k] {
 			more++
 		}
@@ -238,7 +241,7 @@
 
 // tooLarge tells whether a transaction has a value that outgrew its bound in this
 // draft: estimates are for what is usual.
-func (c *Controller) tooLarge(t Transaction) bool {
+func (c *Controller) tooLarge(t domain.Transaction) bool {
 	for _, a := range t.Puts {
 		if len(a.Value) > c.cfg.ValueLimit && !c.cache.oversized[a.Key] {
 			return true
@@ -282,7 +285,7 @@
 func (d *draft) addCondition(key string) { d.conditions[key] = true }
 
 // task returns the copy of task i to change.
-func (d *draft) task(j *Job, i int) *Task {
+func (d *draft) task(j *Job, i int) *domain.Task {
 	r := j.ref(i)
 	ch := d.cells[r]
 	if ch == nil {
@@ -296,7 +299,7 @@
 		// While a value is too large, jobs may leave it without a change of its
 		// stamp (move, cut): only their headers show it.
 		if d.c.cache.oversized[key] {
-			d.addCondition(keyJob(j.ID))
+			d.addCondition(codec.KeyJob(j.ID))
 		}
 		key = d.keyOf(j, i)
 		if j.Header.Inline {
@@ -310,7 +313,7 @@
 			d.growth[key] += tuning.TaskBytes + len(j.ID)
 		}
 	}
-	d.changed[TaskID{j.ID, i}] = true
+	d.changed[domain.TaskID{Job: j.ID, Index: i}] = true
 	return &ch[i-r.from]
 }
 
@@ -318,7 +321,7 @@
 // run of it may go out any more, since this transaction may land late.
 func (d *draft) release(j *Job, i int, done bool) {
 	t := d.task(j, i)
-	d.releases = append(d.releases, attemptID{TaskID{j.ID, i}, t.Attempt})
+	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, t.Attempt})
 	d.machines[t.Machine] = true
 	d.usedOn[t.Machine] = d.usedOn[t.Machine].Plus(j.Header.Spec.Request, -1) // the same commit may book there again
 	if t.Shard == d.c.cfg.Node {
@@ -326,16 +329,16 @@
 		d.settleShare(j.Header.Spec.Team, j.Header.Spec.Request)
 	}
 	t.Machine, t.AgentEpoch, t.Zone = "", 0, ""
-	t.State, t.Shard = Queued, ""
+	t.State, t.Shard = domain.Queued, ""
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	if !done {
 		return
 	}
 	d.finish(j, i)
-	if j.Header.Spec.Shape == Gang {
+	if j.Header.Spec.Shape == domain.Gang {
 		// They complete together: a mate whose own report was lost is done too.
 		for k := 0; k < j.Header.TaskCount; k++ {
-			if o := d.peek(j, k); o.State == Queued {
+			if o := d.peek(j, k); o.State == domain.Queued {
 				d.finish(j, k)
 			}
 		}
@@ -343,7 +346,7 @@
 }
 
 // peek reads task i as the draft has it, without touching its chunk.
-func (d *draft) peek(j *Job, i int) Task {
+func (d *draft) peek(j *Job, i int) domain.Task {
 	if r := j.ref(i); d.cells[r] != nil {
 		return d.cells[r][i-r.from]
 	}
@@ -354,10 +357,10 @@
 // last chunk ends the job.
 func (d *draft) finish(j *Job, i int) {
 	t := d.task(j, i)
-	*t = Task{State: Done}
+	*t = domain.Task{State: domain.Done}
 	cell := d.cells[j.ref(i)]
 	for _, o := range cell {
-		if o.State != Done {
+		if o.State != domain.Done {
 			return
 		}
 	}
@@ -371,7 +374,7 @@
 		over = h.DoneChunks*h.ChunkSize >= h.TaskCount
 	}
 	if over {
-		h.State, h.Spec, h.SplitChunks, h.CellSize = StateDone, nil, nil, 0
+		h.State, h.Spec, h.SplitChunks, h.CellSize = domain.StateDone, nil, nil, 0
 		if d.c.formatOn() {
 			h.DoneAtMS = d.c.wallMS()
 		}
@@ -381,28 +384,28 @@
 
 // gangDone tells whether one of a gang's tasks is done, and hence all are.
 func (c *Controller) gangDone(j *Job, d *draft) bool {
-	return j.Header.Spec.Shape == Gang && c.placementOf(j, d).done > 0
+	return j.Header.Spec.Shape == domain.Gang && c.placementOf(j, d).done > 0
 }
 
-func (d *draft) header(j *Job) *JobHeader {
+func (d *draft) header(j *Job) *codec.JobHeader {
 	h := d.headers[j.ID]
 	if h == nil {
 		cp := *j.Header
 		h = &cp
 		d.c.fitHeader(h)
 		d.headers[j.ID] = h
-		d.addCondition(keyJob(j.ID))
+		d.addCondition(codec.KeyJob(j.ID))
 		d.bytes += tuning.HeaderBytes
 	}
 	return h
 }
 
 // transaction writes the draft as one transaction, conditional on all that it read.
-func (d *draft) transaction() Transaction {
+func (d *draft) transaction() domain.Transaction {
 	c := d.c
-	t := Transaction{Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}}}
+	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
 	for _, k := range slices.Sorted(maps.Keys(d.conditions)) {
-		t.Conditions = append(t.Conditions, Condition{k, c.cache.modRevisions[k]})
+		t.Conditions = append(t.Conditions, domain.Condition{Key: k, ModRevision: c.cache.modRevisions[k]})
 	}
 	// Headers first: a cache takes a chunk only below a header.
 	for _, id := range slices.Sorted(maps.Keys(d.headers)) {
@@ -415,19 +418,19 @@
 					ts = j.Tasks
 				}
 				if ts != nil {
-					h.InlineTasks = c.chunkOf(map[string][]Task{id: ts})
+					h.InlineTasks = c.chunkOf(map[string][]domain.Task{id: ts})
 				}
 			}
 		}
-		t.Puts = append(t.Puts, Put{Key: keyJob(id), Value: mustEncode(h)})
+		t.Puts = append(t.Puts, domain.Put{Key: codec.KeyJob(id), Value: codec.Encode(h)})
 	}
-	vals := map[string]map[string][]Task{}
+	vals := map[string]map[string][]domain.Task{}
 	for key := range d.keys {
-		vals[key] = map[string][]Task{}
-		if !strings.HasPrefix(key, prefixPack) {
+		vals[key] = map[string][]domain.Task{}
+		if !strings.HasPrefix(key, codec.PrefixPack) {
 			continue
 		}
-		jobs := c.cache.jobsByPack[key[len(prefixPack):]]
+		jobs := c.cache.jobsByPack[key[len(codec.PrefixPack):]]
 		for _, id := range slices.Sorted(maps.Keys(jobs)) {
 			if j := jobs[id]; j.Tasks != nil && !d.finished[id] && d.cells[cellRef{id, 0}] == nil && d.moved[id] == "" {
 				vals[key][id] = j.Tasks
@@ -445,14 +448,14 @@
 	t.Puts = append(t.Puts, d.rawPuts...)
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
 		switch {
-		case len(vals[key]) > 0 || strings.HasPrefix(key, prefixPack):
-			t.Puts = append(t.Puts, Put{Key: key, Value: mustEncode(c.chunkOf(vals[key]))})
+		case len(vals[key]) > 0 || strings.HasPrefix(key, codec.PrefixPack):
+			t.Puts = append(t.Puts, domain.Put{Key: key, Value: codec.Encode(c.chunkOf(vals[key]))})
 		case c.cache.modRevisions[key] != 0:
-			t.Puts = append(t.Puts, Put{Key: key})
+			t.Puts = append(t.Puts, domain.Put{Key: key})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(d.shares)) {
-		t.Puts = append(t.Puts, Put{Key: prefixTeam + n, Value: mustEncode(d.shares[n])})
+		t.Puts = append(t.Puts, domain.Put{Key: codec.PrefixTeam + n, Value: codec.Encode(d.shares[n])})
 	}
 	return t
 }
@@ -463,10 +466,10 @@
 		panic("booking " + j.ID + " before what it awaits") // no list of open jobs has it
 	}
 	t := d.task(j, i)
-	d.addCondition(keyJob(j.ID)) // it may have been cancelled or passed on
-	*t = Task{State: Booked, Attempt: attempt, Machine: m, AgentEpoch: shift, Zone: zone, Shard: d.c.cfg.Node}
+	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or passed on
+	*t = domain.Task{State: domain.Booked, Attempt: attempt, Machine: m, AgentEpoch: shift, Zone: zone, Shard: d.c.cfg.Node}
 	if d.c.guard(GuardGone) {
-		d.addCondition(prefixCordons + d.c.cordonPageOf(m))
+		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(m))
 	}
 	d.machines[m] = true
 	d.growth[d.keyOf(j, i)] += d.c.bookBytes()
@@ -476,7 +479,7 @@
 }
 
 // recordBooking counts and logs a booking once it is committed.
-func (d *draft) recordBooking(id TaskID, machine, zone string, attempt uint64, pass PlanningPass) {
+func (d *draft) recordBooking(id domain.TaskID, machine, zone string, attempt uint64, pass PlanningPass) {
 	d.onCommit = append(d.onCommit, func() {
 		d.c.Work.Bookings[pass]++
 		d.c.debug("task booked", "task", id, "machine", machine, "zone", zone, "attempt", attempt, "pass", pass)
@@ -484,7 +487,7 @@
 }
 
 // transactionBytes is what a transaction's values take.
-func transactionBytes(t Transaction) int {
+func transactionBytes(t domain.Transaction) int {
 	n := 0
 	for _, a := range t.Puts {
 		n += len(a.Value)
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -4,18 +4,20 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // checkRepliesHeeded notices a machine whose reports arrive while answers don't reach it: a
 // report newer than an answer must show the answer's token and tasks.
-func (c *Controller) checkRepliesHeeded(m *Machine, r *Heartbeat) {
+func (c *Controller) checkRepliesHeeded(m *Machine, r *domain.Heartbeat) {
 	// Reports that a cut held back come all at once; none of them can show an
 	// answer given a moment ago.
 	if !m.heardOnce || r.AgentEpoch != m.agentEpoch || m.answeredAt < 0 || c.now-m.answeredAt < tuning.HeedAfter {
 		return
 	}
 	missed := r.FencingToken < m.sentToken
-	there := map[TaskID]bool{}
+	there := map[domain.TaskID]bool{}
 	for _, s := range r.Tasks {
 		there[s.Task] = true
 	}
@@ -53,7 +55,7 @@
 	n, jobs := 0, 0
 	for id, e := range m.failures {
 		j := c.cache.jobs[id]
-		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != StateDone && (c.now-e.firstAt < tuning.SickSettle || j.failsElsewhere(e.count)) {
+		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != domain.StateDone && (c.now-e.firstAt < tuning.SickSettle || j.failsElsewhere(e.count)) {
 			continue
 		}
 		n += e.count
@@ -75,10 +77,10 @@
 	for i := range j.Tasks {
 		t := j.Tasks[i]
 		tries += int(t.Attempt)
-		if t.State == Booked {
+		if t.State == domain.Booked {
 			tries--
 		}
-		if j.Header.Spec != nil && j.Header.Spec.Shape == Gang {
+		if j.Header.Spec != nil && j.Header.Spec.Shape == domain.Gang {
 			break // an attempt is one for all
 		}
 		if tries >= max(2, here) {
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -9,19 +9,9 @@
 	"time"
 
 	"brassglade/internal/tuning"
-)
 
-// Versions work side by side while controllers are replaced one by one, and a
-// process that ends before its turn comes back as the version before. Nothing
-// that the version before would misread is written until every controller of the
-// settings has announced the format below, each in a key of its own that hangs on
-// no grant. A controller that has announced never comes back as an older one, so
-// the leader then writes that the format is on, and it stays on.
-const (
-	keyFormat    = "b/format"
-	prefixFormat = "b/format/"
-	// formatNow: jobs that await others; values that move when they are too large.
-	formatNow = 2
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // formats is how far this controller is with announcing its format, and whether the
@@ -32,14 +22,8 @@
 	limitsFell         bool // a refusal showed that values must be smaller now
 }
 
-// Format is the value of format and of format/NODE.
-type Format struct {
-	Version     int    `json:"v"`
-	Incarnation string `json:"i,omitempty"`
-}
-
 // formatOn tells whether all controllers read and keep what this version writes.
-func (c *Controller) formatOn() bool { return c.cache.format >= formatNow }
+func (c *Controller) formatOn() bool { return c.cache.format >= codec.CurrentFormat }
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
@@ -49,35 +33,35 @@
 	// Announced only behind a view that has this incarnation: whatever an earlier
 	// process of this controller sent was conditional on an older view, so nothing
 	// of it can be carried out any more once the format is on.
-	key, v := prefixFormat+c.cfg.Node, Format{formatNow, c.membership.incarnation}
-	if c.cache.announcedFormats[c.cfg.Node] >= formatNow {
+	key, v := codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.incarnation}
+	if c.cache.announcedFormats[c.cfg.Node] >= codec.CurrentFormat {
 		if !c.isLeader() {
 			return
 		}
 		for _, n := range c.cfg.Nodes {
-			if c.cache.announcedFormats[n] < formatNow {
+			if c.cache.announcedFormats[n] < codec.CurrentFormat {
 				return
 			}
 		}
-		key, v = keyFormat, Format{Version: formatNow}
+		key, v = codec.KeyFormat, codec.Format{Version: codec.CurrentFormat}
 	}
 	c.formats.announcing = true
-	c.commit(LaneView, Transaction{
-		Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}, {key, c.cache.modRevisions[key]}},
-		Puts:       []Put{{Key: key, Value: mustEncode(v)}},
-	}, func(CommitResult, CommitAnswered) {
+	c.commit(LaneView, domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}, {Key: key, ModRevision: c.cache.modRevisions[key]}},
+		Puts:       []domain.Put{{Key: key, Value: codec.Encode(v)}},
+	}, func(domain.CommitResult, CommitAnswered) {
 		c.formats.announcing = false
 		c.formats.nextAnnouncementAt = c.now + tuning.FormatRetry
 	})
 }
 
 // applyFormat takes the value of format or of one controller's announcement.
-func (c *Controller) applyFormat(key string, f Format) {
-	if key != keyFormat {
-		c.cache.announcedFormats[strings.TrimPrefix(key, prefixFormat)] = f.Version
+func (c *Controller) applyFormat(key string, f codec.Format) {
+	if key != codec.KeyFormat {
+		c.cache.announcedFormats[strings.TrimPrefix(key, codec.PrefixFormat)] = f.Version
 		return
 	}
-	if !c.formatOn() && f.Version >= formatNow {
+	if !c.formatOn() && f.Version >= codec.CurrentFormat {
 		c.info("format on", "version", f.Version)
 	}
 	c.cache.format = max(c.cache.format, f.Version)
@@ -110,7 +94,7 @@
 }
 
 // recordRefusal learns from a refused transaction that the limits fell.
-func (c *Controller) recordRefusal(t Transaction) {
+func (c *Controller) recordRefusal(t domain.Transaction) {
 	for _, a := range t.Puts {
 		if len(a.Value) > c.cfg.ValueLimit {
 			c.Work.TooLarge++
@@ -133,22 +117,35 @@
 	}
 }
 
+// chunkOf makes the value of some jobs' tasks, in the form that all controllers read.
+func (c *Controller) chunkOf(tasksByJob map[string][]domain.Task) *codec.ChunkValue {
+	return codec.NewChunkValue(tasksByJob, c.formatOn())
+}
+
+// textBytes is what a job's tasks take in a value.
+func (c *Controller) textBytes(j *Job) int {
+	if j.Tasks == nil {
+		return 0
+	}
+	return len(c.chunkOf(map[string][]domain.Task{j.ID: j.Tasks}).Texts[j.ID])
+}
+
 // isOversized tells whether a value can't be written again as it is: it is too large,
 // and would be without the texts of jobs that moved or ended, too.
 func (c *Controller) isOversized(key string) bool {
 	if !c.cache.oversized[key] || !c.formatOn() && !c.formats.limitsFell {
 		return false
 	}
-	if !strings.HasPrefix(key, prefixPack) {
+	if !strings.HasPrefix(key, codec.PrefixPack) {
 		return true
 	}
-	live := map[string][]Task{}
-	for id, j := range c.cache.jobsByPack[key[len(prefixPack):]] {
+	live := map[string][]domain.Task{}
+	for id, j := range c.cache.jobsByPack[key[len(codec.PrefixPack):]] {
 		if j.Tasks != nil {
 			live[id] = j.Tasks
 		}
 	}
-	return len(mustEncode(c.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
+	return len(codec.Encode(c.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
 }
 
 // packShard is the part that cares for a pack.
@@ -179,8 +176,8 @@
 		if till, ok := c.commits.avoidUntil[key]; ok && c.now < till {
 			continue
 		}
-		if strings.HasPrefix(key, prefixTask) {
-			id, _, _ := strings.Cut(key[len(prefixTask):], "/")
+		if strings.HasPrefix(key, codec.PrefixTask) {
+			id, _, _ := strings.Cut(key[len(codec.PrefixTask):], "/")
 			j := c.cache.jobs[id]
 			cut := true // or over
 			if j != nil && j.Header.Spec != nil {
@@ -196,10 +193,10 @@
 			}
 			continue
 		}
-		if !strings.HasPrefix(key, prefixPack) || c.packShard(key[len(prefixPack):]) != c.cfg.Node {
+		if !strings.HasPrefix(key, codec.PrefixPack) || c.packShard(key[len(codec.PrefixPack):]) != c.cfg.Node {
 			continue
 		}
-		jobs := c.cache.jobsByPack[key[len(prefixPack):]]
+		jobs := c.cache.jobsByPack[key[len(codec.PrefixPack):]]
 		if !full && !c.isOversized(key) {
 			d.keys[key] = true // written again without what left it
 			d.addCondition(key)
@@ -268,8 +265,8 @@
 	}
 	part, _, _ := strings.Cut(j.Header.Pack, "/")
 	for k := 0; ; k++ {
-		q := packName(part, k)
-		key := prefixPack + q
+		q := codec.PackName(part, k)
+		key := codec.PrefixPack + q
 		if till, ok := c.commits.avoidUntil[key]; q == j.Header.Pack || c.cache.oversized[key] || ok && c.now < till {
 			continue
 		}
@@ -285,7 +282,7 @@
 	if d.headers[j.ID] == nil {
 		n++
 	}
-	if j.Tasks != nil && !d.keys[prefixPack+q] {
+	if j.Tasks != nil && !d.keys[codec.PrefixPack+q] {
 		n++
 	}
 	return n
@@ -301,13 +298,13 @@
 	if _, ok := d.moved[j.ID]; ok {
 		return
 	}
-	d.addCondition(prefixPack + j.Header.Pack)
+	d.addCondition(codec.PrefixPack + j.Header.Pack)
 	d.header(j).Pack = q
 	d.moved[j.ID] = q
 	if j.Tasks == nil {
 		return
 	}
-	key := prefixPack + q
+	key := codec.PrefixPack + q
 	if !d.keys[key] {
 		d.keys[key] = true
 		d.bytes += d.c.valueBytes(key)
@@ -358,10 +355,10 @@
 	for s := 0; s < n; s++ {
 		a, b := from+s*sub, min(from+(s+1)*sub, to)
 		next.DoneTasks += doneTasks(j.Tasks[a:b])
-		cells = append(cells, cell{keyCell(j.ID, k, s), mustEncode(c.chunkOf(map[string][]Task{j.ID: j.Tasks[a:b]}))})
+		cells = append(cells, cell{codec.KeyCell(j.ID, k, s), codec.Encode(c.chunkOf(map[string][]domain.Task{j.ID: j.Tasks[a:b]}))})
 	}
 	d.addCondition(source)
-	d.addCondition(keyJob(j.ID))
+	d.addCondition(codec.KeyJob(j.ID))
 	// A value that is not too large may be changed under the same stamp by who
 	// doesn't look at the header: it goes, or is written without the job.
 	room, last := c.cfg.TransactionLimit-1, func() {}
@@ -370,7 +367,7 @@
 		if h.Pack != "" {
 			last = func() { d.keys[source], d.finished[j.ID] = true, true }
 		} else {
-			last = func() { d.rawPuts = append(d.rawPuts, Put{Key: source}) }
+			last = func() { d.rawPuts = append(d.rawPuts, domain.Put{Key: source}) }
 		}
 	}
 	left := 0
@@ -378,11 +375,11 @@
 		// Written already if it is there since source and header last changed. The
 		// commit that names the cells is conditional on those two: then no late one
 		// of these can have changed a cell meanwhile, and conditions are few.
-		if n > room && c.cache.modRevisions[x.key] > max(c.cache.modRevisions[source], c.cache.modRevisions[keyJob(j.ID)]) {
+		if n > room && c.cache.modRevisions[x.key] > max(c.cache.modRevisions[source], c.cache.modRevisions[codec.KeyJob(j.ID)]) {
 			continue
 		}
 		if len(d.rawPuts) < room {
-			d.rawPuts = append(d.rawPuts, Put{Key: x.key, Value: x.v})
+			d.rawPuts = append(d.rawPuts, domain.Put{Key: x.key, Value: x.v})
 			d.addCondition(x.key)
 		} else {
 			left++
@@ -398,9 +395,9 @@
 }
 
 // doneTasks is the number of tasks in a cell of which all are done, else 0.
-func doneTasks(ts []Task) int {
+func doneTasks(ts []domain.Task) int {
 	for _, t := range ts {
-		if t.State != Done {
+		if t.State != domain.Done {
 			return 0
 		}
 	}
@@ -409,8 +406,8 @@
 
 // encodeWindow leaves out loads evenly until a window's record fits its value: the
 // critic's features hardly change with a sample.
-func (c *Controller) encodeWindow(rec WindowRecord) []byte {
-	b := mustEncode(rec)
+func (c *Controller) encodeWindow(rec codec.WindowRecord) []byte {
+	b := codec.Encode(rec)
 	for len(b) > c.cfg.ValueLimit && len(rec.Loads) > 0 {
 		step := math.Ceil(float64(len(b)) / float64(c.cfg.ValueLimit))
 		var l []float64
@@ -418,7 +415,7 @@
 			l = append(l, rec.Loads[i])
 		}
 		rec.Loads = l
-		b = mustEncode(rec)
+		b = codec.Encode(rec)
 	}
 	return b
 }
@@ -426,7 +423,7 @@
 // fitHeader shortens what users chose freely in a header of the version before, which
 // had no bound for it: the class and the image serve as names here, and of the
 // types only those that exist count.
-func (c *Controller) fitHeader(h *JobHeader) {
+func (c *Controller) fitHeader(h *codec.JobHeader) {
 	s := h.Spec
 	if s == nil || !c.formatOn() && !c.formats.limitsFell || len(s.MachineTypes) < 4 && len(s.Class) <= tuning.NameBytes && len(s.Image) <= tuning.NameBytes {
 		return
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -8,6 +8,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // before reads the kept values of the version before.
@@ -26,7 +29,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ev.Items = append(ev.Items, KeyValue{Key: f[0], Value: []byte(f[2]), ModRevision: n})
+		ev.Items = append(ev.Items, domain.KeyValue{Key: f[0], Value: []byte(f[2]), ModRevision: n})
 		ev.Revision = max(ev.Revision, n)
 	}
 	return ev
@@ -39,7 +42,7 @@
 	if v := c.cache.view; v == nil || v.Epoch != 2 || v.Leader != "c-0" || len(v.Serving) != 3 || len(c.cache.members) != 3 {
 		t.Errorf("view %+v", v)
 	}
-	if len(c.cache.machineTypes) != 1 || c.cache.machineTypes[0].Capacity.GPU != 4000 || c.cache.cordons["n-000001"].State != CordonGone ||
+	if len(c.cache.machineTypes) != 1 || c.cache.machineTypes[0].Capacity.GPU != 4000 || c.cache.cordons["n-000001"].State != domain.CordonGone ||
 		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
 		t.Error("flavors, marks, shares or windows are not as written")
 	}
@@ -58,11 +61,11 @@
 			t.Errorf("%s: phase %d, %d queued, %d booked, %d done", id, j.phase, j.counts.queued, j.counts.booked, j.counts.done)
 		}
 	}
-	want := Task{State: Booked, Attempt: 1, Machine: "n-000010", AgentEpoch: 1, Shard: "c-0", Zone: "b"}
+	want := domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000010", AgentEpoch: 1, Shard: "c-0", Zone: "b"}
 	if got := c.cache.jobs["job-000001"].task(6); got != want {
 		t.Errorf("task 6: %+v", got)
 	}
-	if got := c.cache.jobs["job-000001"].task(2); got != (Task{Shard: "c-2"}) {
+	if got := c.cache.jobs["job-000001"].task(2); got != (domain.Task{Shard: "c-2"}) {
 		t.Errorf("task 2: %+v", got)
 	}
 }
@@ -88,11 +91,11 @@
 	if k := turn(); !slices.Equal(k, []string{"b/format/c-0"}) {
 		t.Fatalf("wrote %v", k)
 	}
-	c.apply(KeyValue{Key: "b/format/c-1", Value: mustEncode(Format{Version: 2}), ModRevision: 900})
+	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
 	if k := turn(); len(k) > 0 || c.formatOn() {
 		t.Fatalf("%v is written while c-2 may come back as it was", k)
 	}
-	c.apply(KeyValue{Key: "b/format/c-2", Value: mustEncode(Format{Version: 2}), ModRevision: 901})
+	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
 	c.cache.view.Leader = "c-1"
 	if k := turn(); len(k) > 0 {
 		t.Fatalf("%v is written by one that doesn't lead", k)
@@ -103,7 +106,7 @@
 	}
 	// One that restarts learns of it from what is stored.
 	o := New(Settings{Node: "c-2"}, "z")
-	o.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []KeyValue{{Key: "b/format", Value: mustEncode(Format{Version: 2}), ModRevision: 950}}})
+	o.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
 	if !o.formatOn() {
 		t.Error("off again after a restart")
 	}
@@ -117,7 +120,7 @@
 		c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
 		return c
 	}
-	check := func(what string, puts []Put) {
+	check := func(what string, puts []domain.Put) {
 		t.Helper()
 		if len(puts) > 4 {
 			t.Errorf("%s: %d changes", what, len(puts))
@@ -137,33 +140,33 @@
 		n := fmt.Sprintf("n-%06d", i)
 		over[n] = []string{"c-0", "c-1"}[hash64(n)%2]
 	}
-	c.cache.members, c.cache.view = m, &View{Epoch: 3, Leader: "c-0", Members: m, Serving: []string{"c-0", "c-1"}, OwnerOverrides: over}
+	c.cache.members, c.cache.view = m, &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: []string{"c-0", "c-1"}, OwnerOverrides: over}
 	if v := c.desiredView(); v == nil {
 		t.Error("a view that is too large stays")
 	} else {
-		check("view", []Put{{Key: keyView, Value: mustEncode(v)}})
+		check("view", []domain.Put{{Key: codec.KeyView, Value: codec.Encode(v)}})
 	}
 	// A page of marks of machines that wait for their return, one of which is gone.
 	c = large()
-	p := CordonPage{Draining: map[string]string{}}
+	p := codec.CordonPage{Draining: map[string]string{}}
 	for i := 0; i < 400; i++ {
-		p.Draining[fmt.Sprintf("n-%06d", i)] = DrainLost
+		p.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
 	}
-	c.apply(KeyValue{Key: prefixCordons + "c-0", Value: mustEncode(p), ModRevision: 5})
-	c.cordon("n-000007", Cordon{State: CordonGone})
+	c.apply(domain.KeyValue{Key: codec.PrefixCordons + "c-0", Value: codec.Encode(p), ModRevision: 5})
+	c.cordon("n-000007", domain.Cordon{State: domain.CordonGone})
 	c.writeCordons()
 	for _, x := range c.commits.pending {
 		check("marks", x.transaction.Puts)
 	}
 	commitAll(t, c)
-	if c.cache.cordons["n-000007"].State != CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
+	if c.cache.cordons["n-000007"].State != domain.CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
 		t.Errorf("n-000007 is %q, %d machines wait for their return", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
 	}
 	// Forty machine types.
 	c = large()
-	var fs []MachineType
+	var fs []domain.MachineType
 	for i := 0; i < 40; i++ {
-		fs = append(fs, MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
+		fs = append(fs, domain.MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
 			SpotPrice: 12.1, BootSeconds: 25, Zones: []string{"north", "south"}})
 	}
 	c.onMachineTypesListed(MachineTypesListed{OK: true, Types: fs})
@@ -175,23 +178,23 @@
 		t.Errorf("%d types are known", len(c.cache.machineTypes))
 	}
 	// A window of 2,000 loads.
-	w := WindowRecord{CriticWeights: make([]float64, 4)}
+	w := codec.WindowRecord{CriticWeights: make([]float64, 4)}
 	for i := 0; i < 2000; i++ {
 		w.Loads = append(w.Loads, float64(i)+0.5)
 	}
 	b := c.encodeWindow(w)
-	check("window", []Put{{Key: prefixWindow + "c-0", Value: b}})
+	check("window", []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: b}})
 	if len(b) < 700 {
 		t.Error("hardly any load is left")
 	}
 	// A header with names and a list that its user chose freely.
 	c = large()
-	h := JobHeader{State: StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: Array, TaskCount: 1}}
+	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
 	for i := 0; i < 300; i++ {
 		h.Spec.MachineTypes = append(h.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
 	h.Spec.MachineTypes = append(h.Spec.MachineTypes, "box")
-	c.apply(KeyValue{Key: keyJob("job-000001"), Value: mustEncode(h), ModRevision: 3})
+	c.apply(domain.KeyValue{Key: codec.KeyJob("job-000001"), Value: codec.Encode(h), ModRevision: 3})
 	d := c.newDraft()
 	d.header(c.cache.jobs["job-000001"])
 	txn := d.transaction()
@@ -201,32 +204,32 @@
 	}
 	// A pack of thirty jobs, and a chunk that is cut: planSplits until all fit.
 	c = large()
-	ts := func(n, from int) []Task {
-		l := make([]Task, n)
+	ts := func(n, from int) []domain.Task {
+		l := make([]domain.Task, n)
 		for i := range l {
-			l[i] = Task{State: Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", from+i), AgentEpoch: uint64(11 + i%2), Zone: "a", Shard: "c-0"}
+			l[i] = domain.Task{State: domain.Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", from+i), AgentEpoch: uint64(11 + i%2), Zone: "a", Shard: "c-0"}
 		}
 		return l
 	}
-	pack := ChunkValue{Texts: map[string]string{}}
+	pack := codec.ChunkValue{Texts: map[string]string{}}
 	for i := 0; i < 30; i++ {
 		id := jobName(i)
-		c.apply(KeyValue{Key: keyJob(id), Value: mustEncode(JobHeader{State: StateOpen, TaskCount: 12, ChunkSize: 12, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-			Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: 12}}), ModRevision: uint64(i + 1)})
-		pack.put(id, ts(12, 20*i))
-	}
-	c.apply(KeyValue{Key: keyJob(jobName(50)), Value: mustEncode(JobHeader{State: StateOpen, TaskCount: 300, ChunkSize: 139, Shard: "c-0", AcceptOrder: 40,
-		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: 300}}), ModRevision: 40})
-	chunk := ChunkValue{Texts: map[string]string{}}
-	chunk.put(jobName(50), ts(139, 1000))
-	c.apply(KeyValue{Key: prefixPack + "c-0/0", Value: mustEncode(pack), ModRevision: 50})
-	c.apply(KeyValue{Key: prefixTask + jobName(50) + "/0", Value: mustEncode(chunk), ModRevision: 51})
+		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 12, ChunkSize: 12, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
+			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 12}}), ModRevision: uint64(i + 1)})
+		pack.Put(id, ts(12, 20*i))
+	}
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(50)), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 139, Shard: "c-0", AcceptOrder: 40,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300}}), ModRevision: 40})
+	chunk := codec.ChunkValue{Texts: map[string]string{}}
+	chunk.Put(jobName(50), ts(139, 1000))
+	c.apply(domain.KeyValue{Key: codec.PrefixPack + "c-0/0", Value: codec.Encode(pack), ModRevision: 50})
+	c.apply(domain.KeyValue{Key: codec.PrefixTask + jobName(50) + "/0", Value: codec.Encode(chunk), ModRevision: 51})
 	if len(c.cache.oversized) != 2 || c.cache.jobs[jobName(50)].counts.booked != 139 {
 		t.Fatalf("too large: %v", c.cache.oversized)
 	}
 	stored := map[string][]byte{}
 	for id, j := range c.cache.jobs {
-		stored[keyJob(id)] = mustEncode(j.Header)
+		stored[codec.KeyJob(id)] = codec.Encode(j.Header)
 	}
 	for turn := 0; len(c.cache.oversized) > 0 && turn < 40; turn++ {
 		d := c.newDraft()
@@ -252,7 +255,7 @@
 	o := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
 	ev := SnapshotLoaded{Revision: 99}
 	for k, v := range stored {
-		ev.Items = append(ev.Items, KeyValue{Key: k, Value: v, ModRevision: 99})
+		ev.Items = append(ev.Items, domain.KeyValue{Key: k, Value: v, ModRevision: 99})
 	}
 	o.loadSnapshot(ev)
 	for i := 0; i <= 50; i++ {
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // planGangs books the jobs that the leader places whole: gangs at once or not
@@ -33,7 +35,7 @@
 	// tried once one found no place: at size most of those waiting are alike.
 	type kind struct {
 		team, zone, types string
-		need              Resources
+		need              domain.Resources
 		n                 int
 		spot, one, spread bool
 	}
@@ -58,7 +60,7 @@
 			if !c.bookByLeader(d, j, ms, claims, pass) {
 				return
 			}
-			if len(d.changed) == before && sp.Shape == Gang && c.placementOf(j, d).queued == sp.TaskCount {
+			if len(d.changed) == before && sp.Shape == domain.Gang && c.placementOf(j, d).queued == sp.TaskCount {
 				failed[k] = true
 				// A large gang needs several machines at once, and smaller ones that
 				// came later would take each as it falls free: for a while they wait.
@@ -77,7 +79,7 @@
 // machinesWithRoom is the part of the inventory that has room for a task of any of
 // the jobs.
 func (c *Controller) machinesWithRoom(js []*Job, d *draft) []inventoryMachine {
-	var needs []Resources
+	var needs []domain.Resources
 	for _, j := range js {
 		if !slices.Contains(needs, j.Header.Spec.Request) {
 			needs = append(needs, j.Header.Spec.Request)
@@ -100,7 +102,7 @@
 	return l
 }
 
-func (c *Controller) cachedSomewhere(d *draft, sp *JobSpec, ms []inventoryMachine) bool {
+func (c *Controller) cachedSomewhere(d *draft, sp *domain.JobSpec, ms []inventoryMachine) bool {
 	for _, m := range ms {
 		if f := c.machineType(m.machineType); f != nil && m.hasImage(sp.Image) && c.allowsMachine(sp, m.machineType, m.zone, m.spot) &&
 			c.freeOn(m.name, f.Capacity, d).Fits(sp.Request) {
@@ -146,7 +148,7 @@
 func (p *picker) chooseIn(zone string) []pick {
 	c, d, j, sp := p.c, p.draft, p.job, p.job.Header.Spec
 	var picks []pick
-	used, byZone, spread := map[string]Resources{}, maps.Clone(p.zones), spreadOverZones(sp)
+	used, byZone, spread := map[string]domain.Resources{}, maps.Clone(p.zones), spreadOverZones(sp)
 	fits := func(m inventoryMachine) bool {
 		if zone != "" && m.zone != zone || spread && byZone[m.zone] >= mostPerZone(sp) {
 			return false
@@ -164,7 +166,7 @@
 	slices.SortStableFunc(room, func(a, b inventoryMachine) int { return c.comparePlaces(sp, &a, &b) })
 	team, most := d.teamUsed(sp.Team), p.most()
 	for i := 0; i < sp.TaskCount && len(picks) < most; i++ {
-		if j.task(i).State != Queued || d.changed[TaskID{j.ID, i}] {
+		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
 		if team = team.Plus(sp.Request, 1); !c.quotaAllowsPlaced(sp, team, p.claims) {
@@ -187,7 +189,7 @@
 // most is how many further tasks of the job this plan may book.
 func (p *picker) most() int {
 	switch {
-	case p.job.Header.Spec.Shape == Gang:
+	case p.job.Header.Spec.Shape == domain.Gang:
 		return p.job.Header.Spec.TaskCount
 	case p.job.isDoubtful():
 		return max(0, 1-p.placed.booked)
@@ -206,12 +208,12 @@
 		return c.finishGang(d, j)
 	}
 	at := c.placementOf(j, d)
-	if sp.Shape == Gang && at.queued < sp.TaskCount {
+	if sp.Shape == domain.Gang && at.queued < sp.TaskCount {
 		return true // booked in this draft, or some of the old attempt are not proven off yet
 	}
 	p := &picker{c, d, j, at, c.bindingZones(j, d), machines, claims}
 	picks := p.choose()
-	if sp.Shape == Gang {
+	if sp.Shape == domain.Gang {
 		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
 	}
 	for _, x := range picks {
@@ -248,7 +250,7 @@
 // could leave them; false: the draft is full.
 func (c *Controller) finishGang(d *draft, j *Job) bool {
 	for i := 0; i < j.Header.TaskCount; i++ {
-		if d.peek(j, i).State != Queued {
+		if d.peek(j, i).State != domain.Queued {
 			continue
 		}
 		if !d.hasRoomFor(j, i, true, false) {
@@ -263,5 +265,5 @@
 // bookPick books a task where it was picked to go.
 func (d *draft) bookPick(j *Job, x pick, attempt uint64, pass PlanningPass) {
 	d.book(j, x.task, x.machine.name, x.machine.zone, x.machine.agentEpoch, attempt)
-	d.recordBooking(TaskID{j.ID, x.task}, x.machine.name, x.machine.zone, attempt, pass)
+	d.recordBooking(domain.TaskID{Job: j.ID, Index: x.task}, x.machine.name, x.machine.zone, attempt, pass)
 }
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -8,6 +8,9 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // booked is an acting node with one machine that it heard, and a task of job 1
@@ -19,21 +22,21 @@
 	c.apply(openJob(t, 1, 1, 1, 1000))
 	m := c.addMachine("n-000001")
 	m.ownedEpoch, m.ownedSince = 1, c.now
-	c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 1, PreemptionNotice: -1}, true)
-	c.enqueue(TaskID{jobName(1), 0}, m)
+	c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 1, PreemptionNotice: -1}, true)
+	c.enqueue(domain.TaskID{Job: jobName(1), Index: 0}, m)
 	x := planned(t, c)
-	c.onCommit(CommitAnswered{ID: x.ID, Result: Committed, Revision: 150})
-	if c.cache.jobs[jobName(1)].task(0).State != Booked {
+	c.onCommit(CommitAnswered{ID: x.ID, Result: domain.Committed, Revision: 150})
+	if c.cache.jobs[jobName(1)].task(0).State != domain.Booked {
 		t.Fatal("not booked")
 	}
 	return c, m
 }
 
 // ordered is the answer to a check-in of the machine, given at once.
-func ordered(c *Controller, m *Machine, tally uint64, recall float64, seen ...TaskReport) (status int, verbs []CommandKind) {
+func ordered(c *Controller, m *Machine, tally uint64, recall float64, seen ...domain.TaskReport) (status int, verbs []domain.CommandKind) {
 	c.effects = nil
 	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
-	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 1, PreemptionNotice: recall, Tasks: seen}})
+	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 1, PreemptionNotice: recall, Tasks: seen}})
 	for _, h := range c.heartbeats.pending {
 		c.answerHeartbeat(h)
 	}
@@ -51,7 +54,7 @@
 // TestGuardsBite: what each guard keeps holds with it and doesn't without it.
 // They guard against meetings that random days seldom bring about.
 func TestGuardsBite(t *testing.T) {
-	id := TaskID{jobName(1), 0}
+	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for guard, holds := range map[string]func(drop string) bool{
 		// A release without an answer may still be carried out: were the run sent
 		// again, as the notice was withdrawn, the task would then start elsewhere.
@@ -65,10 +68,10 @@
 			if x == nil {
 				x = c.commits.pending[planned(t, c).ID]
 			}
-			c.onCommit(CommitAnswered{ID: x.id, Result: InDoubt})
+			c.onCommit(CommitAnswered{ID: x.id, Result: domain.InDoubt})
 			c.commits.blockedUntil = c.now + time.Minute
 			_, verbs := ordered(c, m, 4, -1)
-			return !slices.Contains(verbs, StartTask)
+			return !slices.Contains(verbs, domain.StartTask)
 		},
 		// Whoever sees a view has seen every commit of the views before: a node that
 		// took its own proposal for seen could lack another's last booking.
@@ -76,34 +79,34 @@
 			c, _ := booked(t, drop)
 			v := *c.cache.view
 			v.Epoch = 2
-			p := c.commit(LaneView, Transaction{Puts: []Put{{Key: keyView, Value: mustEncode(v)}}}, func(CommitResult, CommitAnswered) {})
-			c.onCommit(CommitAnswered{ID: p.id, Result: Committed, Revision: 160})
+			p := c.commit(LaneView, domain.Transaction{Puts: []domain.Put{{Key: codec.KeyView, Value: codec.Encode(v)}}}, func(domain.CommitResult, CommitAnswered) {})
+			c.onCommit(CommitAnswered{ID: p.id, Result: domain.Committed, Revision: 160})
 			return c.cache.view.Epoch == 1
 		},
 		// A cleared attempt is unknown to its worker, and its run would start it anew.
 		GuardClear: func(drop string) bool {
 			c, m := booked(t, drop)
 			c.commits.blockedUntil = c.now + time.Minute
-			_, verbs := ordered(c, m, 2, -1, TaskReport{Task: id, Attempt: 1, State: ReportedEnded, Cause: CauseError})
-			return !slices.Contains(verbs, ForgetTask)
+			_, verbs := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
+			return !slices.Contains(verbs, domain.ForgetTask)
 		},
 		// A machine may be marked and returned between plan and commit.
 		GuardGone: func(drop string) bool {
 			c, m := booked(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
-			c.enqueue(TaskID{jobName(2), 0}, m)
+			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
 			x := planned(t, c)
-			return slices.ContainsFunc(x.Transaction.Conditions, func(k Condition) bool { return k.Key == prefixCordons+c.cordonPageOf(m.Name) })
+			return slices.ContainsFunc(x.Transaction.Conditions, func(k domain.Condition) bool { return k.Key == codec.PrefixCordons+c.cordonPageOf(m.Name) })
 		},
 		// Of a snapshot's pages the first is the oldest: a chunk on a later one may
 		// belong to a header that is not there yet, and its stamp would hide it.
 		GuardPage: func(drop string) bool {
 			c := acting()
 			c.cfg.DisabledGuard = drop
-			h := JobHeader{State: StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: 1, Request: Resources{CPU: 1000}}}
-			chunk := KeyValue{Key: prefixTask + jobName(5) + "/0", ModRevision: 120, Value: mustEncode(c.chunkOf(map[string][]Task{jobName(5): {{State: Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Zone: "a", Shard: "c-0"}}}))}
-			c.loadSnapshot(SnapshotLoaded{Revision: 110, Items: []KeyValue{chunk}})
-			c.apply(KeyValue{Key: keyJob(jobName(5)), ModRevision: 115, Value: mustEncode(h)})
+			h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}}
+			chunk := domain.KeyValue{Key: codec.PrefixTask + jobName(5) + "/0", ModRevision: 120, Value: codec.Encode(c.chunkOf(map[string][]domain.Task{jobName(5): {{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Zone: "a", Shard: "c-0"}}}))}
+			c.loadSnapshot(SnapshotLoaded{Revision: 110, Items: []domain.KeyValue{chunk}})
+			c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(5)), ModRevision: 115, Value: codec.Encode(h)})
 			c.apply(chunk)
 			return c.cache.jobs[jobName(5)].counts.booked == 1
 		},
@@ -129,7 +132,7 @@
 		},
 		GuardNever: func(drop string) bool {
 			c, _ := booked(t, drop)
-			return c.whyNeverRuns(&JobSpec{Team: "red", Shape: Array, TaskCount: 1, Request: Resources{GPU: 1}}) != ""
+			return c.whyNeverRuns(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A node that was cut off takes a job for unknown that another one accepted.
 		GuardIndex + " ": func(drop string) bool {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // heartbeats is what the machines last said, and their heartbeats that wait for an answer.
@@ -34,7 +36,7 @@
 	agentEpoch     uint64 // of the newest report
 	sequence       uint64
 	fencingToken   uint64
-	reported       map[TaskID]TaskReport
+	reported       map[domain.TaskID]domain.TaskReport
 	heardAt        time.Duration // when last heard (or the end of a grace period)
 	heartbeatAt    time.Duration // when a report last came here as the owner; < 0: not yet
 	preemptionAt   time.Duration // when the cloud takes it; < 0: no notice
@@ -53,7 +55,7 @@
 	unheededAt      time.Duration // when the first of them came
 	sentToken       uint64        // of the last answer
 
-	queue            []TaskID
+	queue            []domain.TaskID
 	failures         map[string]failureCount // errors since a task was last done here, by job
 	noBookingsUntil  time.Duration
 	nextDirectStopAt time.Duration
@@ -65,7 +67,7 @@
 
 func newMachine(name string) *Machine {
 	return &Machine{
-		Name: name, reported: map[TaskID]TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
+		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
 		startsSent: map[attemptID]uint64{}, failures: map[string]failureCount{}, images: map[string]time.Duration{},
 		runningSince: map[attemptID]time.Duration{},
 	}
@@ -92,7 +94,7 @@
 	}
 	owner := c.ownerIn(r.Machine, r.Zone)
 	if owner != c.cfg.Node {
-		if c.cache.cordons[r.Machine].State != CordonGone {
+		if c.cache.cordons[r.Machine].State != domain.CordonGone {
 			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
 		}
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 421, Owner: owner})
@@ -105,7 +107,7 @@
 	}
 	// A session given up, or a machine that the cloud took back, must not be
 	// kept alive by an answer: its tasks may already run elsewhere.
-	if c.guard(GuardDead) && r.AgentEpoch <= m.abandonedEpoch || c.cache.cordons[r.Machine].State == CordonGone {
+	if c.guard(GuardDead) && r.AgentEpoch <= m.abandonedEpoch || c.cache.cordons[r.Machine].State == domain.CordonGone {
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
@@ -132,17 +134,17 @@
 }
 
 // isBooking tells whether s is the committed booking of its task.
-func (c *Controller) isBooking(m *Machine, s TaskReport) bool {
+func (c *Controller) isBooking(m *Machine, s domain.TaskReport) bool {
 	j := c.cache.jobs[s.Task.Job]
 	if j == nil || s.Task.Index < 0 || s.Task.Index >= j.Header.TaskCount {
 		return false
 	}
 	t := j.task(s.Task.Index)
-	return t.State == Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.AgentEpoch == m.agentEpoch
+	return t.State == domain.Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.AgentEpoch == m.agentEpoch
 }
 
 // recordHeartbeat takes a report that is newer than what m said before.
-func (c *Controller) recordHeartbeat(m *Machine, r *Heartbeat, checkin bool) {
+func (c *Controller) recordHeartbeat(m *Machine, r *domain.Heartbeat, checkin bool) {
 	if m.Addr == "" || m.Type == "" {
 		c.debug("machine", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot)
 	}
@@ -172,7 +174,7 @@
 			continue
 		}
 		k := attemptID{s.Task, s.Attempt}
-		if s.State == ReportedRunning {
+		if s.State == domain.ReportedRunning {
 			m.images[j.Header.Spec.Image] = c.now
 			if _, ok := m.runningSince[k]; !ok {
 				m.runningSince[k] = c.now
@@ -204,9 +206,11 @@
 	c.planner.dirty = true
 }
 
-func sortedTasks[V any](m map[TaskID]V) []TaskID { return inOrder(slices.Collect(maps.Keys(m))) }
+func sortedTasks[V any](m map[domain.TaskID]V) []domain.TaskID {
+	return inOrder(slices.Collect(maps.Keys(m)))
+}
 
-func inOrder(ids []TaskID) []TaskID {
+func inOrder(ids []domain.TaskID) []domain.TaskID {
 	sort.Slice(ids, func(a, b int) bool {
 		if ids[a].Job != ids[b].Job {
 			return ids[a].Job < ids[b].Job
@@ -218,11 +222,11 @@
 
 // provenOff tells whether the booking of task id is proven off its machine,
 // as this node can know it: see docs/design.md, invariant 5.
-func (c *Controller) provenOff(m *Machine, id TaskID, t Task) bool {
+func (c *Controller) provenOff(m *Machine, id domain.TaskID, t domain.Task) bool {
 	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true
 	}
-	if c.cache.cordons[m.Name].State == CordonGone {
+	if c.cache.cordons[m.Name].State == domain.CordonGone {
 		return true
 	}
 	if m.heardOnce && m.agentEpoch > t.AgentEpoch || m.abandonedEpoch >= t.AgentEpoch {
@@ -231,7 +235,7 @@
 	if m.heardOnce && m.agentEpoch == t.AgentEpoch {
 		if s, ok := m.reported[id]; ok {
 			if s.Attempt == t.Attempt {
-				return s.State == ReportedEnded
+				return s.State == domain.ReportedEnded
 			}
 		} else if m.byHeartbeat && m.fencingToken >= m.ownedEpoch && m.sequence > m.startsSent[attemptID{id, t.Attempt}] {
 			return true // never arrived, and no answer with it is under way
@@ -279,7 +283,7 @@
 			continue
 		}
 		mark := c.cache.cordons[n]
-		if mark.State == CordonGone {
+		if mark.State == domain.CordonGone {
 			if len(c.cache.bookedOn[n]) == 0 && c.now-m.heardAt > time.Minute {
 				c.dropMachine(n)
 			}
@@ -328,7 +332,7 @@
 			continue
 		}
 		for _, m := range l {
-			c.cordon(m.Name, Cordon{CordonDrain, DrainLost})
+			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
 		}
 	}
 	// If answers to many have no effect, it is this node that is slow or cut off.
@@ -341,10 +345,10 @@
 	for _, n := range c.machineNames() {
 		m := c.heartbeats.machines[n]
 		if c.ignoresReplies(m) && deaf <= 2+heard/10 && c.owns(n) && c.cache.cordons[n].State == "" {
-			c.cordon(n, Cordon{CordonDrain, DrainUnheeding})
+			c.cordon(n, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
 		}
 		if c.owns(m.Name) && len(m.failures) > 0 && c.cache.cordons[m.Name].State == "" && c.isFaulty(m) {
-			c.cordon(m.Name, Cordon{CordonDrain, DrainFaulty})
+			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
 		}
 	}
 }
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -3,6 +3,9 @@
 import (
 	"testing"
 	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // TestNewSessionIsNotGivenUpForTheOld: after an outage longer than the lease a
@@ -12,13 +15,13 @@
 	c := New(Settings{Node: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
 	c.now = 10 * time.Second
-	c.recordHeartbeat(m, &Heartbeat{Machine: "n-1", AgentEpoch: 1, Sequence: 5}, true)
+	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 1, Sequence: 5}, true)
 	m.answeredAt = c.now
 	c.now = 100 * time.Second
 	if !c.leaseExpired(m) {
 		t.Error("the old session's lease is not over")
 	}
-	c.recordHeartbeat(m, &Heartbeat{Machine: "n-1", AgentEpoch: 2, Sequence: 1}, true)
+	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 2, Sequence: 1}, true)
 	if c.leaseExpired(m) {
 		t.Error("the new session is taken for dead before it was answered")
 	}
@@ -37,9 +40,9 @@
 	writes := 0
 	for ms := 2; ms < 300; ms++ {
 		for id, p := range c.commits.pending {
-			if p.transaction.Puts[0].Key == prefixMember+"c-0" {
+			if p.transaction.Puts[0].Key == codec.PrefixMember+"c-0" {
 				writes++
-				c.Step(time.Duration(ms)*time.Millisecond, CommitAnswered{ID: id, Result: Refused})
+				c.Step(time.Duration(ms)*time.Millisecond, CommitAnswered{ID: id, Result: domain.Refused})
 				break
 			}
 		}
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -5,18 +5,20 @@
 	"slices"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // largeArray tells whether the leader places the job's tasks only because there are
 // so many of them: each may go anywhere its job allows.
-func largeArray(sp *JobSpec) bool {
-	return sp.Shape != Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJob
+func largeArray(sp *domain.JobSpec) bool {
+	return sp.Shape != domain.Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJob
 }
 
 // reservesMachines tells whether the leader keeps machines for jobs like this one. It
 // doesn't for large arrays, which take the room that other jobs leave: for thousands of
 // waiting tasks it would keep all machines that fit, and parts place nothing on those.
-func reservesMachines(sp *JobSpec) bool { return placedByLeader(sp) && !largeArray(sp) }
+func reservesMachines(sp *domain.JobSpec) bool { return placedByLeader(sp) && !largeArray(sp) }
 
 // planLargeArrays books tasks of large arrays, by priority and then first come,
 // first served. Only the leader does.
@@ -39,7 +41,7 @@
 
 // waitingJobs are the open jobs that match, have tasks to book and don't pause after
 // an error.
-func (c *Controller) waitingJobs(matches func(*JobSpec) bool) []*Job {
+func (c *Controller) waitingJobs(matches func(*domain.JobSpec) bool) []*Job {
 	var jobs []*Job
 	for _, j := range c.cache.openJobs {
 		if matches(j.Header.Spec) && j.counts.queued > 0 && int64(c.now) >= j.pausedUntil {
@@ -88,7 +90,7 @@
 // anyQueued tells whether a task of the cell that begins with task from is queued.
 func (j *Job) anyQueued(from int) bool {
 	for i, end := from, j.cellEnd(from); i < end; i++ {
-		if j.task(i).State == Queued {
+		if j.task(i).State == domain.Queued {
 			return true
 		}
 	}
@@ -97,7 +99,7 @@
 
 // ownersFitting are the controllers with machines that may take a task of the job,
 // sorted by name.
-func (c *Controller) ownersFitting(sp *JobSpec) []string {
+func (c *Controller) ownersFitting(sp *domain.JobSpec) []string {
 	var owners []string
 	for _, m := range c.inventory() {
 		f := c.machineType(m.machineType)
@@ -111,7 +113,7 @@
 }
 
 // roomOf lists an owner's machines with room for a task of the job, best first.
-func (c *Controller) roomOf(d *draft, sp *JobSpec, machines []inventoryMachine, owner string) []inventoryMachine {
+func (c *Controller) roomOf(d *draft, sp *domain.JobSpec, machines []inventoryMachine, owner string) []inventoryMachine {
 	var room []inventoryMachine
 	for _, m := range machines {
 		f := c.machineType(m.machineType)
@@ -129,8 +131,8 @@
 	sp, booked := j.Header.Spec, 0
 	end := j.cellEnd(from)
 	for i := from; i < end && booked < most && len(room) > 0; i++ {
-		id := TaskID{j.ID, i}
-		if j.task(i).State != Queued || d.changed[id] {
+		id := domain.TaskID{Job: j.ID, Index: i}
+		if j.task(i).State != domain.Queued || d.changed[id] {
 			continue
 		}
 		if !c.quotaAllowsPlaced(sp, d.teamUsed(sp.Team).Plus(sp.Request, 1), claims) {
@@ -153,14 +155,14 @@
 
 // quotaAllowsPlaced tells whether a team's use, with a task of a job placed whole in it,
 // stays within its limit and leaves a starving job its part.
-func (c *Controller) quotaAllowsPlaced(sp *JobSpec, used Resources, claims map[string]quotaClaim) bool {
+func (c *Controller) quotaAllowsPlaced(sp *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
 	lim := c.cfg.Teams[sp.Team].Limit
 	return withinLimit(used, lim) && (!claims[sp.Team].aheadOfGangs || claims[sp.Team].leavesFirst(sp.ID, used, lim))
 }
 
 // comparePlaces orders machines for a task of a job placed whole: first those that
 // have its image, then those kept for such jobs, spot machines, and the fullest.
-func (c *Controller) comparePlaces(sp *JobSpec, a, b *inventoryMachine) int {
+func (c *Controller) comparePlaces(sp *domain.JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
 		trueFirst(a.hasImage(sp.Image), b.hasImage(sp.Image)),
 		trueFirst(c.scaling.reserved[a.name], c.scaling.reserved[b.name]),
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -7,16 +7,10 @@
 	"time"
 
 	"brassglade/internal/tuning"
-)
 
-// WindowRecord is the value of window/NODE: what one node tells all at the end of
-// each window.
-type WindowRecord struct {
-	Sequence      uint64    `json:"q"`
-	Loads         []float64 `json:"x"`
-	Passes        int       `json:"p"`
-	CriticWeights []float64 `json:"t"`
-}
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
 
 // policy is a linear softmax policy over targets that come and go: a weight
 // for each pair of names and a bias for each name, with the starting values
@@ -255,10 +249,10 @@
 		}
 	}
 	l.lastFeatures = f
-	rec := WindowRecord{Sequence: l.seq, Loads: loads, Passes: l.passes, CriticWeights: l.criticWeights}
+	rec := codec.WindowRecord{Sequence: l.seq, Loads: loads, Passes: l.passes, CriticWeights: l.criticWeights}
 	l.passes, l.finishes = 0, 0
 	b := c.encodeWindow(rec)
-	c.commit(LaneIdle, Transaction{Puts: []Put{{Key: prefixWindow + c.cfg.Node, Value: b}}}, func(CommitResult, CommitAnswered) {})
+	c.commit(LaneIdle, domain.Transaction{Puts: []domain.Put{{Key: codec.PrefixWindow + c.cfg.Node, Value: b}}}, func(domain.CommitResult, CommitAnswered) {})
 }
 
 // consensus averages the critics over the serving nodes.
--- a/internal/scheduler/learner_test.go
+++ b/internal/scheduler/learner_test.go
@@ -6,6 +6,8 @@
 	"testing"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // TestPolicyGradient compares the gathered gradient of log pi with finite
@@ -123,7 +125,7 @@
 
 // TestRendezvous: only the machines of a node that leaves change owner.
 func TestRendezvous(t *testing.T) {
-	three, two := &View{Serving: []string{"a", "b", "c"}}, &View{Serving: []string{"a", "c"}}
+	three, two := &domain.View{Serving: []string{"a", "b", "c"}}, &domain.View{Serving: []string{"a", "c"}}
 	n, c := map[string]int{}, &Controller{}
 	for i := 0; i < 300; i++ {
 		m := "n-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -5,11 +5,13 @@
 	"slices"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // runTime is the expected run time of a task, corrected by what the class
 // showed so far.
-func (c *Controller) runTime(sp *JobSpec) float64 {
+func (c *Controller) runTime(sp *domain.JobSpec) float64 {
 	e := sp.EstimatedRuntime
 	if e <= 0 {
 		e = tuning.SeedRun
@@ -44,7 +46,7 @@
 		return 0
 	}
 	k := int64(l)
-	mean := Resources{need.CPU / k, need.GPU / k, need.Memory / k}
+	mean := domain.Resources{CPU: need.CPU / k, GPU: need.GPU / k, Memory: need.Memory / k}
 	slots := max(f.Capacity.CountFitting(mean, 64), 1)
 	t := float64(run) / 1000 / float64(l)
 	if m.runTime.samples >= 3 {
@@ -102,7 +104,7 @@
 // imagesPending lists the images that a machine's tasks still wait for.
 func (c *Controller) imagesPending(m *Machine) []string {
 	var l []string
-	add := func(id TaskID) {
+	add := func(id domain.TaskID) {
 		if j := c.cache.jobs[id.Job]; j != nil && j.Header.Spec != nil {
 			im := j.Header.Spec.Image
 			if _, ok := m.images[im]; !ok && im != "" && !slices.Contains(l, im) {
@@ -124,7 +126,7 @@
 // packCost makes draws prefer fuller and cheaper machines among those where a task starts
 // at once: it runs as fast on any of them, but a machine that stays empty can
 // be returned, and a full one fetches each image once for many.
-func (c *Controller) packCost(t *target, sp *JobSpec, kind taskKind, cheap float64) float64 {
+func (c *Controller) packCost(t *target, sp *domain.JobSpec, kind taskKind, cheap float64) float64 {
 	all := t.machineType.Capacity.CountFitting(sp.Request, 64)
 	room := t.roomFor(kind).CountFitting(sp.Request, 64) - t.queued
 	if room <= 0 || all == 0 {
@@ -142,7 +144,7 @@
 }
 
 // leastPrice is the least price of a slot for a task of the job.
-func (c *Controller) leastPrice(sp *JobSpec) float64 {
+func (c *Controller) leastPrice(sp *domain.JobSpec) float64 {
 	cheap := math.Inf(1)
 	for i := range c.cache.machineTypes {
 		if fl := &c.cache.machineTypes[i]; c.machineTypeFits(sp, fl) {
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -4,6 +4,9 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // leaseState is where the node's own grant stands.
@@ -118,12 +121,12 @@
 func (c *Controller) writeMemberKey() {
 	c.setLease(memberKeyWriting)
 	permit := c.membership.leaseID
-	t := Transaction{Puts: []Put{{Key: prefixMember + c.cfg.Node, Value: mustEncode(c.membership.incarnation), LeaseID: permit}}}
-	c.commit(LaneView, t, func(r CommitResult, _ CommitAnswered) {
+	t := domain.Transaction{Puts: []domain.Put{{Key: codec.PrefixMember + c.cfg.Node, Value: codec.Encode(c.membership.incarnation), LeaseID: permit}}}
+	c.commit(LaneView, t, func(r domain.CommitResult, _ CommitAnswered) {
 		if c.membership.lease != memberKeyWriting {
 			return
 		}
-		if r == Committed {
+		if r == domain.Committed {
 			c.setLease(memberKeyWritten)
 		} else {
 			// Not at once: a grant that ran out refuses the key each time, until
@@ -159,7 +162,7 @@
 		return
 	}
 	c.membership.confirming, c.membership.confirmationSentAt = true, c.now
-	c.emit(ConfirmView{Key: keyView, ModRevision: c.cache.modRevisions[keyView]})
+	c.emit(ConfirmView{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]})
 }
 
 func (c *Controller) onConfirmation(e ConfirmationAnswered) {
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // peers is what the other controllers last told, and what is summed up over all shards.
@@ -59,7 +61,7 @@
 
 // roomiest is the part with the most room for a job: slots free, else the
 // least load.
-func (c *Controller) roomiest(sp *JobSpec) string {
+func (c *Controller) roomiest(sp *domain.JobSpec) string {
 	room, slots := map[string]int64{}, map[string]int64{}
 	for _, m := range c.inventory() {
 		if f := c.machineType(m.machineType); f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) && !c.isReserved(m.name) {
@@ -101,7 +103,7 @@
 // not those of jobs late beyond all aims, and not those that yield to it. Counted
 // with these, the parts that a guest's idle work was sent to got no other work for
 // minutes, and a fifth of the machines ran nothing else.
-func (c *Controller) waitingIn(part string, sp *JobSpec) int64 {
+func (c *Controller) waitingIn(part string, sp *domain.JobSpec) int64 {
 	c.countWaiting()
 	n := c.peers.waitingByShard[part]
 	if preemptible(sp) {
@@ -211,7 +213,7 @@
 	acting := c.mayAct()
 	for _, name := range c.machineNames() {
 		m := c.heartbeats.machines[name]
-		if !acting || !c.owns(name) || !m.heardOnce || c.now-m.heardAt > tuning.Silent || c.cache.cordons[name].State == CordonGone ||
+		if !acting || !c.owns(name) || !m.heardOnce || c.now-m.heardAt > tuning.Silent || c.cache.cordons[name].State == domain.CordonGone ||
 			m.agentEpoch <= m.abandonedEpoch {
 			continue
 		}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,5 +1,9 @@
 package scheduler
 
+import (
+	"brassglade/internal/domain"
+)
+
 // This file is the one place that answers where a job's tasks are, seen from a draft (nil:
 // as committed). Every rule about a job's tasks together asks it:
 //
@@ -20,7 +24,7 @@
 // placementOf counts a job's tasks as the draft would leave them.
 func (c *Controller) placementOf(j *Job, d *draft) placement {
 	p := j.counts
-	d.eachCopied(j, func(committed, drafted *Task) {
+	d.eachCopied(j, func(committed, drafted *domain.Task) {
 		p.count(committed.State, -1)
 		p.count(drafted.State, 1)
 	})
@@ -28,13 +32,13 @@
 }
 
 // count adds k tasks of a state.
-func (p *placement) count(s TaskState, k int) {
+func (p *placement) count(s domain.TaskState, k int) {
 	switch s {
-	case Queued:
+	case domain.Queued:
 		p.queued += k
-	case Booked:
+	case domain.Booked:
 		p.booked += k
-	case Done:
+	case domain.Done:
 		p.done += k
 	}
 }
@@ -43,8 +47,8 @@
 // without any is not listed.
 func (c *Controller) bookedZones(j *Job, d *draft) map[string]int {
 	zones := map[string]int{}
-	count := func(t *Task, k int) {
-		if t.State != Booked {
+	count := func(t *domain.Task, k int) {
+		if t.State != domain.Booked {
 			return
 		}
 		if zones[t.Zone] += k; zones[t.Zone] == 0 {
@@ -54,7 +58,7 @@
 	for i := range j.Tasks {
 		count(&j.Tasks[i], 1)
 	}
-	d.eachCopied(j, func(committed, drafted *Task) {
+	d.eachCopied(j, func(committed, drafted *domain.Task) {
 		count(committed, -1)
 		count(drafted, 1)
 	})
@@ -62,7 +66,7 @@
 }
 
 // eachCopied calls f for each task of which the draft has a copy.
-func (d *draft) eachCopied(j *Job, f func(committed, drafted *Task)) {
+func (d *draft) eachCopied(j *Job, f func(committed, drafted *domain.Task)) {
 	if d == nil || !d.c.guard(GuardDraft) {
 		return
 	}
@@ -94,4 +98,4 @@
 
 // mostPerZone is how many tasks of a job may be in one zone whose tasks must be spread:
 // at most half, rounded up.
-func mostPerZone(sp *JobSpec) int { return (sp.TaskCount + 1) / 2 }
+func mostPerZone(sp *domain.JobSpec) int { return (sp.TaskCount + 1) / 2 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -3,23 +3,26 @@
 import (
 	"fmt"
 	"testing"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // twoZones is an acting leader with a machine for four tasks in each zone, both with the
 // image, and one open job of n tasks.
-func twoZones(t *testing.T, change func(*JobHeader)) (*Controller, *Job) {
+func twoZones(t *testing.T, change func(*codec.JobHeader)) (*Controller, *Job) {
 	t.Helper()
 	c := acting()
 	c.cfg.Zones = []string{"a", "b"}
 	for i, zone := range c.cfg.Zones {
 		m := c.addMachine(fmt.Sprintf("n-%06d", i))
-		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		m.images["img"] = c.now
 	}
-	h := JobHeader{State: StateOpen, TaskCount: 6, ChunkSize: 6, Inline: true, Shard: "c-0", AcceptOrder: 2,
-		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: 1, TaskCount: 6, Request: Resources{CPU: 4000}, Spot: true, Image: "img"}}
+	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 6, ChunkSize: 6, Inline: true, Shard: "c-0", AcceptOrder: 2,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 6, Request: domain.Resources{CPU: 4000}, Spot: true, Image: "img"}}
 	change(&h)
-	c.apply(KeyValue{Key: keyJob(jobName(1)), ModRevision: 5, Value: mustEncode(h)})
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), ModRevision: 5, Value: codec.Encode(h)})
 	return c, c.cache.jobs[jobName(1)]
 }
 
@@ -29,13 +32,13 @@
 func TestTwoPassesOneZone(t *testing.T) {
 	for name, x := range map[string]struct {
 		guard  string
-		change func(*JobHeader)
+		change func(*codec.JobHeader)
 		want   string
 	}{
-		"one zone":                    {"", func(h *JobHeader) { h.Spec.OneZone = true }, "map[a:4]"},
-		"one zone, without the draft": {GuardDraft, func(h *JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
-		"at most half":                {"", func(h *JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 }, "map[a:2 b:2]"},
-		"anywhere in its own zone":    {"", func(h *JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
+		"one zone":                    {"", func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4]"},
+		"one zone, without the draft": {GuardDraft, func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
+		"at most half":                {"", func(h *codec.JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 }, "map[a:2 b:2]"},
+		"anywhere in its own zone":    {"", func(h *codec.JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
 	} {
 		c, j := twoZones(t, x.change)
 		c.cfg.DisabledGuard = x.guard
@@ -51,7 +54,7 @@
 func bookedIn(d *draft, j *Job) map[string]int {
 	zones := map[string]int{}
 	for i := 0; i < j.Header.TaskCount; i++ {
-		if task := d.peek(j, i); task.State == Booked {
+		if task := d.peek(j, i); task.State == domain.Booked {
 			zones[task.Zone]++
 		}
 	}
@@ -62,7 +65,7 @@
 // be there; the second walk must not book the other half.
 func TestSpreadCountsTheDraft(t *testing.T) {
 	for guard, want := range map[string]int{"": 2, GuardDraft: 4} {
-		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 })
+		c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 })
 		c.cfg.DisabledGuard = guard
 		c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
 		d := c.newDraft()
@@ -76,16 +79,16 @@
 // TestLeftInTwoZones: a job whose tasks an earlier version put in two zones gets no more
 // until one zone is left, and then all further ones there.
 func TestLeftInTwoZones(t *testing.T) {
-	c, j := twoZones(t, func(h *JobHeader) { h.Spec.OneZone = true })
+	c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	for i, zone := range c.cfg.Zones {
-		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i), AgentEpoch: 1, Shard: "c-0", Zone: zone})
+		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i), AgentEpoch: 1, Shard: "c-0", Zone: zone})
 	}
 	d := c.newDraft()
 	c.planGangs(d)
 	if n := len(d.changed); n != 0 {
 		t.Errorf("%d tasks are booked while others are in two zones", n)
 	}
-	c.setTask(j, 0, Task{State: Done})
+	c.setTask(j, 0, domain.Task{State: domain.Done})
 	d = c.newDraft()
 	c.planGangs(d)
 	if got := fmt.Sprint(bookedIn(d, j)); got != "map[b:4]" {
@@ -95,8 +98,8 @@
 
 // TestPlacementOf: counts follow the draft, for releases as for bookings.
 func TestPlacementOf(t *testing.T) {
-	c, j := twoZones(t, func(h *JobHeader) { h.Spec.OneZone = true })
-	c.setTask(j, 0, Task{State: Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
+	c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
+	c.setTask(j, 0, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	d := c.newDraft()
 	d.release(j, 0, false)
 	d.book(j, 1, "n-000001", "b", 1, 1)
@@ -116,12 +119,14 @@
 // must be tried in the second walk, too.
 func TestBookedGangIsNoFailure(t *testing.T) {
 	for guard, want := range map[string]int{"": 2, GuardDraft: 0} {
-		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
+		c, j := twoZones(t, func(h *codec.JobHeader) {
+			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
+		})
 		c.cfg.DisabledGuard = guard
 		other := *j.Header
 		spec := *j.Header.Spec
 		spec.Image, other.Spec, other.AcceptOrder = "not there", &spec, 3
-		c.apply(KeyValue{Key: keyJob(jobName(2)), ModRevision: 6, Value: mustEncode(other)})
+		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(other)})
 		d := c.newDraft()
 		c.planGangs(d)
 		for id, booked := range map[string]int{jobName(1): 2, jobName(2): want} {
@@ -136,8 +141,10 @@
 // and both come into one draft. All are done; before, the second was queued again, and no
 // plan ever looked at the job again.
 func TestGangEndsTogether(t *testing.T) {
-	for guard, want := range map[string]JobState{"": StateDone, GuardDraft: StateOpen} {
-		c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
+	for guard, want := range map[string]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
+		c, j := twoZones(t, func(h *codec.JobHeader) {
+			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
+		})
 		c.cfg.DisabledGuard = guard
 		d := gangLosesItsLastTask(c, j)
 		if got := d.header(j).State; got != want {
@@ -150,10 +157,10 @@
 // second's machine began a new session.
 func gangLosesItsLastTask(c *Controller, j *Job) *draft {
 	for i, name := range []string{"n-000000", "n-000001"} {
-		c.setTask(j, i, Task{State: Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
+		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	}
 	done := c.heartbeats.machines["n-000000"]
-	done.reported[TaskID{j.ID, 0}] = TaskReport{Task: TaskID{j.ID, 0}, Attempt: 1, State: ReportedEnded, Cause: CauseDone}
+	done.reported[domain.TaskID{Job: j.ID, Index: 0}] = domain.TaskReport{Task: domain.TaskID{Job: j.ID, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}
 	c.heartbeats.machines["n-000001"].agentEpoch = 2
 	d := c.newDraft()
 	c.planReleases(d)
@@ -163,12 +170,14 @@
 // TestGangLeftHalfDone: a gang that an earlier version left with one task done and one
 // queued comes to its end.
 func TestGangLeftHalfDone(t *testing.T) {
-	c, j := twoZones(t, func(h *JobHeader) { h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = Gang, 2, 2, 2 })
-	c.setTask(j, 0, Task{State: Done})
-	c.setTask(j, 1, Task{State: Queued, Attempt: 1})
+	c, j := twoZones(t, func(h *codec.JobHeader) {
+		h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
+	})
+	c.setTask(j, 0, domain.Task{State: domain.Done})
+	c.setTask(j, 1, domain.Task{State: domain.Queued, Attempt: 1})
 	d := c.newDraft()
 	c.planGangs(d)
-	if got := d.header(j).State; got != StateDone {
+	if got := d.header(j).State; got != domain.StateDone {
 		t.Errorf("the job is %s", got)
 	}
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -10,36 +10,39 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // planner is what lasts from one plan to the next.
 type planner struct {
 	dirty               bool // something changed since the last plan
 	nextPlanAt          time.Duration
-	largeArraysTurn     bool              // large arrays went first in the last plan
-	largestReleasesTurn bool              // the next releases go by how much their values have to change
-	reserveLongestTexts bool              // the next draft keeps room for the longest texts
-	splitTurn           bool              // the next commit brings a value to its new size
-	foreignTurn         bool              // the next commit is for a value of another shard
-	foreignValues       map[string]bool   // values of other shards that wait for a change from here
-	lastForeignValue    string            // the last one that was changed
-	releasesFrom        string            // machine at which releases begin
-	taskHandovers       map[TaskID]string // to other shards, to be committed
-	jobHandovers        map[string]string // untouched jobs to be passed whole, and where to
+	largeArraysTurn     bool                     // large arrays went first in the last plan
+	largestReleasesTurn bool                     // the next releases go by how much their values have to change
+	reserveLongestTexts bool                     // the next draft keeps room for the longest texts
+	splitTurn           bool                     // the next commit brings a value to its new size
+	foreignTurn         bool                     // the next commit is for a value of another shard
+	foreignValues       map[string]bool          // values of other shards that wait for a change from here
+	lastForeignValue    string                   // the last one that was changed
+	releasesFrom        string                   // machine at which releases begin
+	taskHandovers       map[domain.TaskID]string // to other shards, to be committed
+	jobHandovers        map[string]string        // untouched jobs to be passed whole, and where to
 	pendingReleases     map[attemptID]bool
 	preempted           map[attemptID]bool // bookings to be stopped for tasks that wait on the same machine
 }
 
 func newPlanner() planner {
 	return planner{
-		foreignValues: map[string]bool{}, taskHandovers: map[TaskID]string{}, jobHandovers: map[string]string{},
+		foreignValues: map[string]bool{}, taskHandovers: map[domain.TaskID]string{}, jobHandovers: map[string]string{},
 		pendingReleases: map[attemptID]bool{}, preempted: map[attemptID]bool{},
 	}
 }
 
 // attemptID names one attempt of a task.
 type attemptID struct {
-	Task    TaskID
+	Task    domain.TaskID
 	Attempt uint64
 }
 
@@ -115,7 +118,7 @@
 	}
 	c.commits.lastChanges = d.changes()
 	if d.changes() == 0 {
-		c.planner.taskHandovers = map[TaskID]string{}
+		c.planner.taskHandovers = map[domain.TaskID]string{}
 		return
 	}
 	if c.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
@@ -163,25 +166,25 @@
 	c.commits.machines = d.machines
 	c.debug("task commit", "epoch", c.cache.view.Epoch, "read_at", c.cache.revision, "headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares), "tasks", len(d.changed),
 		"released", len(d.releases), "conditions", len(t.Conditions), "bytes", transactionBytes(t))
-	c.commits.taskCommit = c.commit(LaneTask, t, func(r CommitResult, e CommitAnswered) {
+	c.commits.taskCommit = c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) {
 		c.commits.taskCommit = nil
 		c.planner.dirty = true
 		for n := range d.machines {
 			c.heartbeats.touched[n] = true
 		}
 		switch r {
-		case Committed:
+		case domain.Committed:
 			c.debug("task committed", "revision", e.Revision)
 			for _, f := range d.onCommit {
 				f()
 			}
-		case Conflict:
+		case domain.Conflict:
 			c.debug("task commit conflict", "failed", e.Failed)
 			c.commits.minRevision = max(c.commits.minRevision, e.Revision)
 			// One contested value must not keep failing all else that this node
 			// has to write: it waits a little, of random length.
 			for _, k := range e.Failed {
-				if strings.HasPrefix(k, prefixTeam) || strings.HasPrefix(k, prefixPack) || strings.HasPrefix(k, prefixTask) {
+				if strings.HasPrefix(k, codec.PrefixTeam) || strings.HasPrefix(k, codec.PrefixPack) || strings.HasPrefix(k, codec.PrefixTask) {
 					c.commits.avoidUntil[k] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
 				}
 			}
@@ -189,11 +192,11 @@
 			c.debug("task commit not confirmed", "result", int(r))
 			// All nodes together want more than the state service takes, and it
 			// refuses users' submissions as well: each goes back towards its part.
-			if r == Refused && c.membership.stateReachable {
+			if r == domain.Refused && c.membership.stateReachable {
 				c.commits.rate = max(min(c.cfg.FairWriteRate*c.weight(), c.commits.rate), c.commits.rate*tuning.RateCut)
 			}
 			c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
-			if r == InDoubt {
+			if r == domain.InDoubt {
 				c.markInDoubt(t)
 			} else if e.Malformed {
 				c.commits.inDoubt = inDoubtCommit{} // it may be the tied value that is too large by now
@@ -210,8 +213,8 @@
 	names = append(slices.Clone(names[k:]), names[:k]...)
 	type off struct {
 		m           *Machine
-		id          TaskID
-		s           TaskReport
+		id          domain.TaskID
+		s           domain.TaskReport
 		there, done bool
 	}
 	var offs []off
@@ -222,7 +225,7 @@
 			continue
 		}
 		mark := c.cache.cordons[name]
-		var ids []TaskID
+		var ids []domain.TaskID
 		for id := range c.cache.bookedOn[name] {
 			if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.provenOff(m, id, j.task(id.Index)) {
 				ids = append(ids, id)
@@ -233,11 +236,11 @@
 			t := j.task(id.Index)
 			s, there := m.reported[id]
 			there = there && s.Attempt == t.Attempt && m.agentEpoch == t.AgentEpoch
-			done := there && s.State == ReportedEnded && s.Cause == CauseDone || c.gangDone(j, nil)
+			done := there && s.State == domain.ReportedEnded && s.Cause == domain.CauseDone || c.gangDone(j, nil)
 			// An undelivered run is simply sent again, unless the booking
 			// has lost its sense.
-			if !there && !c.planner.pendingReleases[attemptID{id, t.Attempt}] && m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch && mark.State != CordonGone &&
-				j.Header.State == StateOpen && m.preemptionAt < 0 && mark.State == "" && c.gangIntact(j, t) &&
+			if !there && !c.planner.pendingReleases[attemptID{id, t.Attempt}] && m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch && mark.State != domain.CordonGone &&
+				j.Header.State == domain.StateOpen && m.preemptionAt < 0 && mark.State == "" && c.gangIntact(j, t) &&
 				!c.planner.preempted[attemptID{id, t.Attempt}] && !(c.isEvicting(name) && !reservesMachines(j.Header.Spec)) && (j.Header.StopThrough == 0 || j.Header.StopThrough < t.Attempt) {
 				continue
 			}
@@ -270,8 +273,8 @@
 			}
 			continue // others may change values that are in already
 		}
-		d.release(j, id.Index, done && j.Header.State == StateOpen)
-		if o.there && s.State == ReportedEnded {
+		d.release(j, id.Index, done && j.Header.State == domain.StateOpen)
+		if o.there && s.State == domain.ReportedEnded {
 			c.recordTaskEnd(d, m, j, id, s)
 		} else {
 			d.onCommit = append(d.onCommit, func() {
@@ -311,7 +314,7 @@
 		if c.cache.oversized[keyOf(j, 0)] {
 			d.addCondition(keyOf(j, 0))
 		}
-		h.State = StateCancelled
+		h.State = domain.StateCancelled
 		h.Released, h.Spec, h.SplitChunks, h.CellSize = true, nil, nil, 0
 	}
 }
@@ -326,7 +329,7 @@
 			continue
 		}
 		mark := c.cache.cordons[name]
-		if m.preemptionAt < 0 && !(mark.State == CordonDrain && mark.Reason == DrainFaulty) {
+		if m.preemptionAt < 0 && !(mark.State == domain.CordonDrain && mark.Reason == domain.DrainFaulty) {
 			continue
 		}
 		if !c.owns(name) {
@@ -336,7 +339,7 @@
 			j := c.cache.jobs[id.Job]
 			sp := j.Header.Spec
 			t := j.task(id.Index)
-			if sp == nil || sp.Shape != Gang || sp.TaskCount == 1 || j.Header.State != StateOpen || j.Header.StopThrough >= t.Attempt ||
+			if sp == nil || sp.Shape != domain.Gang || sp.TaskCount == 1 || j.Header.State != domain.StateOpen || j.Header.StopThrough >= t.Attempt ||
 				d.changes() >= c.cfg.TransactionLimit {
 				continue
 			}
@@ -346,20 +349,20 @@
 }
 
 // recordTaskEnd learns from a task's end once it is committed.
-func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id TaskID, s TaskReport) {
+func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id domain.TaskID, s domain.TaskReport) {
 	sp := j.Header.Spec
 	k := attemptID{id, s.Attempt}
 	from, ran := m.runningSince[k]
 	d.onCommit = append(d.onCommit, func() {
 		c.debug("task ended", "task", id, "machine", m.Name, "attempt", s.Attempt, "cause", s.Cause, "saved", s.Saved)
 		switch s.Cause {
-		case CauseDone:
+		case domain.CauseDone:
 			clear(m.failures)
 			j.failures, j.pausedUntil = 0, 0
 			if ran {
 				c.recordRunTime(m, sp, (c.now - from).Seconds())
 			}
-		case CauseError:
+		case domain.CauseError:
 			e, was := m.failures[j.ID]
 			if !was {
 				e.firstAt = c.now
@@ -377,9 +380,9 @@
 			}
 			p := min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.ErrorPauseMost)
 			j.pausedUntil = int64(c.now + p)
-		case CauseNoRoom, CauseBusy:
+		case domain.CauseNoRoom, domain.CauseBusy:
 			m.noBookingsUntil = c.now + tuning.RefusedPause
-		case CauseUnknown:
+		case domain.CauseUnknown:
 			j.failures++
 			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.ErrorPauseMost))
 		}
@@ -388,7 +391,7 @@
 }
 
 // freeOn is the room on a machine as committed, less what the draft books.
-func (c *Controller) freeOn(name string, size Resources, d *draft) Resources {
+func (c *Controller) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
 	r := size.Plus(c.cache.occupancy[name].used, -1)
 	if d != nil {
 		r = r.Plus(d.usedOn[name], -1)
@@ -396,7 +399,7 @@
 	return r
 }
 
-func (c *Controller) machineType(name string) *MachineType {
+func (c *Controller) machineType(name string) *domain.MachineType {
 	for i := range c.cache.machineTypes {
 		if c.cache.machineTypes[i].Name == name {
 			return &c.cache.machineTypes[i]
@@ -412,7 +415,7 @@
 }
 
 // allowsMachine: the machine may take a task of the job, room aside.
-func (c *Controller) allowsMachine(sp *JobSpec, typ, zone string, spot bool) bool {
+func (c *Controller) allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
 	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
 }
 
@@ -420,7 +423,7 @@
 func (c *Controller) planBookings(d *draft) {
 	type cand struct {
 		m  *Machine
-		id TaskID
+		id domain.TaskID
 		j  *Job
 		o  bool
 	}
@@ -442,7 +445,7 @@
 			for _, id := range c.queueByPriority(m) {
 				j := c.cache.jobs[id.Job]
 				if c.queues.machineOf[id] != name || j == nil || j.phase != phaseOpen || d.changed[id] ||
-					j.task(id.Index).State != Queued || c.taskShard(j, j.task(id.Index)) != c.cfg.Node {
+					j.task(id.Index).State != domain.Queued || c.taskShard(j, j.task(id.Index)) != c.cfg.Node {
 					continue
 				}
 				if int64(c.now) < j.pausedUntil || c.planner.taskHandovers[id] != "" || c.planner.jobHandovers[id.Job] != "" {
@@ -507,8 +510,8 @@
 // queueByPriority is a machine's queue, first come, first served among tasks of the same
 // priority. A small urgent task that fits must not wait behind a large one that
 // doesn't: on a day of pipelines their last jobs waited 30 s so.
-func (c *Controller) queueByPriority(m *Machine) []TaskID {
-	prio := func(id TaskID) int {
+func (c *Controller) queueByPriority(m *Machine) []domain.TaskID {
+	prio := func(id domain.TaskID) int {
 		if j := c.cache.jobs[id.Job]; j != nil {
 			return j.priority
 		}
@@ -516,7 +519,7 @@
 	}
 	for i := 1; i < len(m.queue); i++ {
 		if prio(m.queue[i]) > prio(m.queue[i-1]) {
-			slices.SortStableFunc(m.queue, func(a, b TaskID) int { return prio(b) - prio(a) })
+			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return prio(b) - prio(a) })
 			break
 		}
 	}
@@ -532,7 +535,7 @@
 			return
 		}
 		delete(c.planner.jobHandovers, id)
-		if j == nil || j.Header.State != StateOpen || !isUntouched(j) || j.queuedHere > 0 || !slices.Contains(c.cache.view.Serving, to) ||
+		if j == nil || j.Header.State != domain.StateOpen || !isUntouched(j) || j.queuedHere > 0 || !slices.Contains(c.cache.view.Serving, to) ||
 			c.shardOf(j) != c.cfg.Node {
 			continue
 		}
@@ -554,7 +557,7 @@
 		to := c.planner.taskHandovers[id]
 		j := c.cache.jobs[id.Job]
 		delete(c.planner.taskHandovers, id)
-		if j == nil || j.Header.State != StateOpen || d.changed[id] || j.task(id.Index).State != Queued ||
+		if j == nil || j.Header.State != domain.StateOpen || d.changed[id] || j.task(id.Index).State != domain.Queued ||
 			!slices.Contains(c.cache.view.Serving, to) || c.taskShard(j, j.task(id.Index)) != c.cfg.Node {
 			continue
 		}
@@ -566,7 +569,7 @@
 			return
 		}
 		t := d.task(j, id.Index)
-		d.addCondition(keyJob(j.ID))
+		d.addCondition(codec.KeyJob(j.ID))
 		d.growth[d.keyOf(j, id.Index)] += tuning.ReleaseBytes
 		t.Shard = to
 		c.dequeue(id)
@@ -578,7 +581,7 @@
 }
 
 // recordRunTime keeps smoothed run times per machine, class and type.
-func (c *Controller) recordRunTime(m *Machine, sp *JobSpec, run float64) {
+func (c *Controller) recordRunTime(m *Machine, sp *domain.JobSpec, run float64) {
 	if run <= 0 || math.IsNaN(run) {
 		return
 	}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // stocked is an acting node of five with idle machines and a job of many tasks in
@@ -16,19 +19,19 @@
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
 		m := c.addMachine(fmt.Sprintf("n-%06d", i))
-		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for k := 0; k < 4; k++ {
-			c.enqueue(TaskID{jobName(1), 4*i + k}, m)
+			c.enqueue(domain.TaskID{Job: jobName(1), Index: 4*i + k}, m)
 		}
 	}
 	return c
 }
 
 // openJob is the header of an array in the pack c-0/0.
-func openJob(t *testing.T, i, n, prio int, cpu int64) KeyValue {
+func openJob(t *testing.T, i, n, prio int, cpu int64) domain.KeyValue {
 	t.Helper()
-	return KeyValue{Key: keyJob(jobName(i)), ModRevision: uint64(i + 10), Value: mustEncode(JobHeader{State: StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: prio, TaskCount: n, Request: Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
+	return domain.KeyValue{Key: codec.KeyJob(jobName(i)), ModRevision: uint64(i + 10), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: prio, TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
 // TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
@@ -56,12 +59,12 @@
 	for prio, want := range map[int]string{1: "", 2: jobName(3)} {
 		c := acting()
 		m := c.addMachine("n-000001")
-		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
-		c.cache.occupancy[m.Name] = occupancy{used: Resources{CPU: 14000}}
+		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		c.cache.occupancy[m.Name] = occupancy{used: domain.Resources{CPU: 14000}}
 		c.apply(openJob(t, 2, 1, 1, 5000))
 		c.apply(openJob(t, 3, 1, prio, 1000))
-		c.enqueue(TaskID{jobName(2), 0}, m)
-		c.enqueue(TaskID{jobName(3), 0}, m)
+		c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
+		c.enqueue(domain.TaskID{Job: jobName(3), Index: 0}, m)
 		d := c.newDraft()
 		c.planBookings(d)
 		got := ""
@@ -83,10 +86,10 @@
 			p.machines[i].Type = "box"
 		}
 	}
-	h := JobHeader{State: StateOpen, TaskCount: 300, ChunkSize: 300, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 2,
-		Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, TaskCount: 300, Request: Resources{CPU: 16000}, Spot: true}}
-	c.cfg.Teams = map[string]Quota{"red": {}}
-	c.apply(KeyValue{Key: keyJob(jobName(1)), Value: mustEncode(h), ModRevision: 5})
+	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 300, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 2,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300, Request: domain.Resources{CPU: 16000}, Spot: true}}
+	c.cfg.Teams = map[string]domain.Quota{"red": {}}
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(h), ModRevision: 5})
 	c.peers.inventoryAt = -1
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
 	awake := map[string]int{}
@@ -116,15 +119,15 @@
 
 // exclude tells whether two transactions change a value that both found unchanged:
 // whichever is carried out first, the other never is.
-func exclude(a, b Transaction) bool {
+func exclude(a, b domain.Transaction) bool {
 	had := map[string]uint64{}
 	for _, k := range a.Conditions {
 		had[k.Key] = k.ModRevision
 	}
 	for _, k := range b.Conditions {
 		stamp, both := had[k.Key]
-		writes := func(t Transaction) bool {
-			return slices.ContainsFunc(t.Puts, func(p Put) bool { return p.Key == k.Key })
+		writes := func(t domain.Transaction) bool {
+			return slices.ContainsFunc(t.Puts, func(p domain.Put) bool { return p.Key == k.Key })
 		}
 		if both && stamp == k.ModRevision && writes(a) && writes(b) {
 			return true
@@ -145,41 +148,41 @@
 		in    bool
 	}{"pack": {pack: "c-0/1"}, "chunk": {chunk: 40}, "header": {in: true}, "team": {pack: "c-0/1"}} {
 		c := acting()
-		c.cfg.Teams = map[string]Quota{"red": {Limit: Resources{CPU: 16000}}}
-		c.apply(KeyValue{Key: prefixTeam + "red", ModRevision: 5, Value: mustEncode(TeamShares{ByNode: map[string]Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
-		c.commits.avoidUntil[prefixTeam+"red"] = time.Hour
-		h := JobHeader{State: StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.in, Shard: "c-0", AcceptOrder: 1,
-			Spec: &JobSpec{Class: "c", Team: "red", Shape: Array, Priority: 1, TaskCount: 4, Request: Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
-		c.apply(KeyValue{Key: keyJob(jobName(2)), ModRevision: 6, Value: mustEncode(h)})
+		c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
+		c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
+		c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
+		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.in, Shard: "c-0", AcceptOrder: 1,
+			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
+		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(h)})
 		c.apply(openJob(t, 1, 4, 1, 1000))
 		m := c.addMachine("n-000001")
-		c.recordHeartbeat(m, &Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for i := range 4 {
-			c.enqueue(TaskID{jobName(2), i}, m)
+			c.enqueue(domain.TaskID{Job: jobName(2), Index: i}, m)
 		}
 		if kind == "team" {
 			c.dequeueAll(m.Name)
-			delete(c.commits.avoidUntil, prefixTeam+"red") // it has too large a share, and gives it back
+			delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // it has too large a share, and gives it back
 		}
 		first := planned(t, c)
 		if len(first.Transaction.Puts) == 0 {
 			t.Fatalf("%s: nothing planned", kind)
 		}
-		c.onCommit(CommitAnswered{ID: first.ID, Result: InDoubt})
+		c.onCommit(CommitAnswered{ID: first.ID, Result: domain.InDoubt})
 		c.dequeueAll(m.Name)
 		for i := range 4 {
-			c.enqueue(TaskID{jobName(1), i}, m)
+			c.enqueue(domain.TaskID{Job: jobName(1), Index: i}, m)
 		}
 		second := planned(t, c)
 		if len(second.Transaction.Puts) == 0 || !exclude(first.Transaction, second.Transaction) {
 			t.Errorf("%s: both %v and %v may be carried out", kind, first.Transaction, second.Transaction)
 		}
-		c.onCommit(CommitAnswered{ID: second.ID, Result: InDoubt})
+		c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
 		third := planned(t, c)
 		if !exclude(first.Transaction, third.Transaction) || !exclude(second.Transaction, third.Transaction) {
 			t.Errorf("%s: the third, %v, excludes not all before it", kind, third.Transaction)
 		}
-		c.onCommit(CommitAnswered{ID: third.ID, Result: Committed, Revision: 200})
+		c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
 		if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
 			t.Errorf("%s: %d values are written again though all is settled", kind, d.changes())
 		}
@@ -189,14 +192,14 @@
 // TestLargeArraysHoldNoMachines: the leader keeps machines for gangs that wait, not for
 // an array of thousands of tasks, which would keep all of them from other jobs.
 func TestLargeArraysHoldNoMachines(t *testing.T) {
-	for shape, held := range map[Shape]bool{Array: false, Gang: true} {
+	for shape, held := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
 		c := stocked(t, 10)
-		h := JobHeader{State: StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
-			Spec: &JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: Resources{CPU: 4000}, EstimatedRuntime: 5}}
-		if shape == Gang {
+		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
+			Spec: &domain.JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 5}}
+		if shape == domain.Gang {
 			h.TaskCount, h.Spec.TaskCount = 4, 4
 		}
-		c.apply(KeyValue{Key: keyJob(jobName(9)), Value: mustEncode(h), ModRevision: 60})
+		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(9)), Value: codec.Encode(h), ModRevision: 60})
 		pending := c.pendingWork(c.machines())
 		if len(pending) < 2 {
 			t.Fatalf("%s: %d jobs want machines", shape, len(pending))
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -4,15 +4,19 @@
 	"slices"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // preemptible tells whether tasks of the job may be stopped for any task that doesn't
 // yield itself: single tasks of idle priority.
-func preemptible(sp *JobSpec) bool { return sp.Priority == tuning.PrioIdle && sp.Shape == Array }
+func preemptible(sp *domain.JobSpec) bool {
+	return sp.Priority == tuning.PrioIdle && sp.Shape == domain.Array
+}
 
 // roomBeside is the room that a task can have on a machine: what is free, and for tasks
 // that don't yield themselves what those hold that do.
-func roomBeside(free, idle Resources, yields bool) Resources {
+func roomBeside(free, idle domain.Resources, yields bool) domain.Resources {
 	if yields {
 		return free
 	}
@@ -43,7 +47,7 @@
 		return false
 	}
 	t := j.task(b.Task.Index)
-	return t.State == Booked && t.Attempt == b.Attempt
+	return t.State == domain.Booked && t.Attempt == b.Attempt
 }
 
 // preemptOn stops as many idle tasks on a machine as its queue needs to start, beside
@@ -51,7 +55,7 @@
 // booked last.
 func (c *Controller) preemptOn(m *Machine) {
 	lack := c.missingRoomOn(m)
-	if lack == (Resources{}) {
+	if lack == (domain.Resources{}) {
 		return
 	}
 	for _, id := range c.preemptibleOn(m) {
@@ -62,7 +66,7 @@
 			m.nextDirectStopAt = c.now // at once, by a direct command
 			c.debug("task yields", "task", id, "machine", m.Name, "attempt", attempt)
 		}
-		if lack = lack.Plus(j.Header.Spec.Request, -1); (Resources{}).Fits(lack) {
+		if lack = lack.Plus(j.Header.Spec.Request, -1); (domain.Resources{}).Fits(lack) {
 			return
 		}
 	}
@@ -70,10 +74,10 @@
 
 // missingRoomOn is what the tasks that wait in a machine's queue, up to the first that would
 // wait for others than idle ones, need beyond the free room.
-func (c *Controller) missingRoomOn(m *Machine) Resources {
+func (c *Controller) missingRoomOn(m *Machine) domain.Resources {
 	size := c.machineType(m.Type).Capacity
 	free, idle := c.freeOn(m.Name, size, nil), c.cache.occupancy[m.Name].preemptible.used
-	var need Resources
+	var need domain.Resources
 	for _, id := range c.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
 		if c.queues.machineOf[id] != m.Name || j == nil || j.Header.Spec == nil || preemptible(j.Header.Spec) {
@@ -86,16 +90,16 @@
 		need = next
 	}
 	lack := need.Plus(free, -1)
-	return Resources{max(lack.CPU, 0), max(lack.GPU, 0), max(lack.Memory, 0)}
+	return domain.Resources{CPU: max(lack.CPU, 0), GPU: max(lack.GPU, 0), Memory: max(lack.Memory, 0)}
 }
 
 // preemptibleOn lists the tasks on a machine that yield, those first that are being stopped.
-func (c *Controller) preemptibleOn(m *Machine) []TaskID {
-	ids := slices.DeleteFunc(sortedTasks(c.cache.bookedOn[m.Name]), func(id TaskID) bool {
+func (c *Controller) preemptibleOn(m *Machine) []domain.TaskID {
+	ids := slices.DeleteFunc(sortedTasks(c.cache.bookedOn[m.Name]), func(id domain.TaskID) bool {
 		j := c.cache.jobs[id.Job]
 		return j.Header.Spec == nil || !preemptible(j.Header.Spec) || j.priority > tuning.PrioIdle
 	})
-	rank := func(id TaskID) int {
+	rank := func(id domain.TaskID) int {
 		j := c.cache.jobs[id.Job]
 		switch {
 		case c.planner.preempted[attemptID{id, j.task(id.Index).Attempt}]:
@@ -105,7 +109,7 @@
 		}
 		return 2
 	}
-	slices.SortStableFunc(ids, func(a, b TaskID) int {
+	slices.SortStableFunc(ids, func(a, b domain.TaskID) int {
 		if ra, rb := rank(a), rank(b); ra != rb {
 			return ra - rb
 		}
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -7,13 +7,15 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // queues are the queues of this controller's machines, and what its draws go by.
 type queues struct {
-	machineOf       map[TaskID]string // the machine in whose queue a task is
-	tasksStaying    map[TaskID]bool   // drew to wait in this shard
-	jobsStaying     map[string]bool   // drew to stay in this shard
+	machineOf       map[domain.TaskID]string // the machine in whose queue a task is
+	tasksStaying    map[domain.TaskID]bool   // drew to wait in this shard
+	jobsStaying     map[string]bool          // drew to stay in this shard
 	lastDrawAt      time.Duration
 	lastStealAt     time.Duration
 	nextPlacementAt time.Duration
@@ -25,14 +27,14 @@
 
 func newQueues() queues {
 	return queues{
-		machineOf: map[TaskID]string{}, tasksStaying: map[TaskID]bool{}, jobsStaying: map[string]bool{},
+		machineOf: map[domain.TaskID]string{}, tasksStaying: map[domain.TaskID]bool{}, jobsStaying: map[string]bool{},
 		runTimeRatios: map[string]*smoothedValue{}, meanLoadAt: -1,
 	}
 }
 
 // placedByLeader: jobs that the leader places as one.
-func placedByLeader(sp *JobSpec) bool {
-	return sp.Shape == Gang || sp.OneZone || sp.Spread || sp.TaskCount >= tuning.LargeJob
+func placedByLeader(sp *domain.JobSpec) bool {
+	return sp.Shape == domain.Gang || sp.OneZone || sp.Spread || sp.TaskCount >= tuning.LargeJob
 }
 
 // isReserved: the leader holds the machine for whole jobs; parts queue nothing on it.
@@ -81,7 +83,7 @@
 }
 
 // dequeue takes a task off the queue it is in, if any.
-func (c *Controller) dequeue(id TaskID) {
+func (c *Controller) dequeue(id domain.TaskID) {
 	if _, ok := c.queues.machineOf[id]; !ok {
 		return
 	}
@@ -105,7 +107,7 @@
 }
 
 // enqueue puts a task last in a machine's queue.
-func (c *Controller) enqueue(id TaskID, m *Machine) {
+func (c *Controller) enqueue(id domain.TaskID, m *Machine) {
 	c.dequeue(id)
 	c.queues.machineOf[id] = m.Name
 	m.queue = append(m.queue, id)
@@ -174,9 +176,9 @@
 			full := false
 			var cs []choice // made for the first task of the job, kept up for the others
 			for i := 0; i < j.Header.TaskCount && j.queuedHere < tuning.QueuedPerJob && !(j.isDoubtful() && j.counts.booked+j.queuedHere > 0); i++ {
-				id := TaskID{j.ID, i}
+				id := domain.TaskID{Job: j.ID, Index: i}
 				t := j.task(i)
-				if t.State != Queued || t.Shard == "" && !home || t.Shard != "" && c.taskShard(j, t) != c.cfg.Node ||
+				if t.State != domain.Queued || t.Shard == "" && !home || t.Shard != "" && c.taskShard(j, t) != c.cfg.Node ||
 					c.queues.machineOf[id] != "" || c.planner.taskHandovers[id] != "" {
 					continue
 				}
@@ -232,10 +234,10 @@
 // target is a machine as one round of placing sees it.
 type target struct {
 	machine       *Machine
-	machineType   *MachineType
+	machineType   *domain.MachineType
 	load          float64
-	free          Resources
-	preemptible   Resources // held by tasks that yield to all others
+	free          domain.Resources
+	preemptible   domain.Resources // held by tasks that yield to all others
 	queued        int64
 	pendingImages []string // images on their way or about to be
 	scarce        bool     // more waits than there is room for
@@ -244,7 +246,7 @@
 // setScarce compares what waits in this part with its room, in the amount that
 // its machines have least of.
 func (c *Controller) setScarce(ts []target) {
-	var want, room Resources
+	var want, room domain.Resources
 	for _, j := range c.cache.openJobs {
 		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.shardOf(j) == c.cfg.Node {
 			want = want.Plus(j.Header.Spec.Request, int64(j.counts.queued-j.queuedHere))
@@ -269,7 +271,7 @@
 	return n
 }
 
-func (c *Controller) anyFittingType(sp *JobSpec) *MachineType {
+func (c *Controller) anyFittingType(sp *domain.JobSpec) *domain.MachineType {
 	for i := range c.cache.machineTypes {
 		if c.machineTypeFits(sp, &c.cache.machineTypes[i]) {
 			return &c.cache.machineTypes[i]
@@ -284,11 +286,11 @@
 type teamRoom struct {
 	c      *Controller
 	claims map[string]quotaClaim
-	used   map[string]Resources
+	used   map[string]domain.Resources
 }
 
 func (c *Controller) newTeamRoom() *teamRoom {
-	r := &teamRoom{c, c.claims(nil), map[string]Resources{}}
+	r := &teamRoom{c, c.claims(nil), map[string]domain.Resources{}}
 	for n := range c.cfg.Teams {
 		r.used[n] = c.teamUsed(n, nil)
 	}
@@ -308,7 +310,7 @@
 	return r
 }
 
-func (r *teamRoom) fits(sp *JobSpec) bool {
+func (r *teamRoom) fits(sp *domain.JobSpec) bool {
 	lim, used := r.c.cfg.Teams[sp.Team].Limit, r.used[sp.Team]
 	if !r.c.guard(GuardQuota) {
 		return true
@@ -316,7 +318,7 @@
 	return withinLimit(used.Plus(sp.Request, 1), lim) && r.claims[sp.Team].allows(sp, used, lim)
 }
 
-func (r *teamRoom) take(sp *JobSpec) { r.used[sp.Team] = r.used[sp.Team].Plus(sp.Request, 1) }
+func (r *teamRoom) take(sp *domain.JobSpec) { r.used[sp.Team] = r.used[sp.Team].Plus(sp.Request, 1) }
 
 // weigh fills in what a target costs a task of the job now; false: the mask
 // takes it out.
@@ -342,7 +344,7 @@
 
 // taskKind is what decides whether a machine's queue takes a task.
 type taskKind struct {
-	request     Resources
+	request     domain.Resources
 	preemptible bool
 }
 
@@ -374,7 +376,7 @@
 }
 
 // roomFor is the room that tasks of a kind can have on the machine.
-func (t *target) roomFor(kind taskKind) Resources {
+func (t *target) roomFor(kind taskKind) domain.Resources {
 	return roomBeside(t.free, t.preemptible, kind.preemptible)
 }
 
@@ -411,7 +413,7 @@
 }
 
 // place draws the target of one arrival. False: nothing can take it now.
-func (c *Controller) place(j *Job, id TaskID, t Task, all []choice, ts []target) bool {
+func (c *Controller) place(j *Job, id domain.TaskID, t domain.Task, all []choice, ts []target) bool {
 	sp := j.Header.Spec
 	cs := leastLoaded(all, tuning.DrawMost)
 	// A task is passed once at most, so that it can't wander.
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -7,21 +7,24 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // keepShare drops a change of a team's key, or writes it as it is if it is tied.
 func (d *draft) keepShare(name string) {
-	if d.c.commits.inDoubt.key != prefixTeam+name {
+	if d.c.commits.inDoubt.key != codec.PrefixTeam+name {
 		delete(d.shares, name)
 		return
 	}
-	d.shares[name] = TeamShares{ByNode: maps.Clone(d.c.cache.shares[name].ByNode)}
-	d.addCondition(prefixTeam + name)
+	d.shares[name] = codec.TeamShares{ByNode: maps.Clone(d.c.cache.shares[name].ByNode)}
+	d.addCondition(codec.PrefixTeam + name)
 }
 
 // teamUsed is what counts against a team's limit: what the others have set
 // aside, and this node's bookings, with those of the draft.
-func (c *Controller) teamUsed(name string, d *draft) Resources {
+func (c *Controller) teamUsed(name string, d *draft) domain.Resources {
 	u := c.cache.usage[name][c.cfg.Node]
 	if d != nil {
 		u = u.Plus(d.usage[name], 1)
@@ -34,12 +37,12 @@
 	return u
 }
 
-func (d *draft) teamUsed(name string) Resources { return d.c.teamUsed(name, d) }
+func (d *draft) teamUsed(name string) domain.Resources { return d.c.teamUsed(name, d) }
 
 // shareSlack is how much of a team's limit a node sets aside beyond its bookings, so
 // that at size hardly any commit has to change a team's key; nothing where the
 // limit is only a few tasks, and less the less is left.
-func (c *Controller) shareSlack(name string, need Resources) Resources {
+func (c *Controller) shareSlack(name string, need domain.Resources) domain.Resources {
 	lim := c.cfg.Teams[name].Limit
 	left := lim
 	for _, r := range c.cache.shares[name].ByNode {
@@ -53,21 +56,21 @@
 		}
 		return s
 	}
-	return Resources{part(lim.CPU, left.CPU, need.CPU), part(lim.GPU, left.GPU, need.GPU), part(lim.Memory, left.Memory, need.Memory)}
+	return domain.Resources{CPU: part(lim.CPU, left.CPU, need.CPU), GPU: part(lim.GPU, left.GPU, need.GPU), Memory: part(lim.Memory, left.Memory, need.Memory)}
 }
 
 // avoidsShare: the team's key lost a conflict just now, and is only changed for
 // what can't do without.
 func (c *Controller) avoidsShare(name string) bool {
-	till, ok := c.commits.avoidUntil[prefixTeam+name]
+	till, ok := c.commits.avoidUntil[codec.PrefixTeam+name]
 	if ok && c.now >= till {
-		delete(c.commits.avoidUntil, prefixTeam+name)
+		delete(c.commits.avoidUntil, codec.PrefixTeam+name)
 	}
 	return ok && c.now < till
 }
 
 // limited leaves out what a team's limit does not bound.
-func limited(r, lim Resources) Resources {
+func limited(r, lim domain.Resources) domain.Resources {
 	if lim.CPU == 0 {
 		r.CPU = 0
 	}
@@ -81,13 +84,15 @@
 }
 
 // ownShare is this node's share of a team's limit.
-func (c *Controller) ownShare(name string) Resources { return c.cache.shares[name].ByNode[c.cfg.Node] }
+func (c *Controller) ownShare(name string) domain.Resources {
+	return c.cache.shares[name].ByNode[c.cfg.Node]
+}
 
 // settleShare writes the team's key if this node's bookings no longer fit its
 // share, or leave much of it unused.
-func (d *draft) settleShare(name string, need Resources) {
+func (d *draft) settleShare(name string, need domain.Resources) {
 	c := d.c
-	if _, ok := d.shares[name]; ok && need == (Resources{}) {
+	if _, ok := d.shares[name]; ok && need == (domain.Resources{}) {
 		return
 	}
 	use := limited(c.cache.usage[name][c.cfg.Node].Plus(d.usage[name], 1), c.cfg.Teams[name].Limit)
@@ -102,13 +107,13 @@
 	if lim := c.cfg.Teams[name].Limit; !withinLimit(d.teamUsed(name).Plus(slack, 1), lim) {
 		want = use
 	}
-	t := TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
+	t := codec.TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
 	if t.ByNode == nil {
-		t.ByNode = map[string]Resources{}
+		t.ByNode = map[string]domain.Resources{}
 	}
 	t.ByNode[c.cfg.Node] = want
 	d.shares[name] = t
-	d.addCondition(prefixTeam + name)
+	d.addCondition(codec.PrefixTeam + name)
 }
 
 // settleShares gives back what others' releases left unused of this node's
@@ -120,7 +125,7 @@
 			return
 		}
 		if _, ok := d.shares[name]; !ok {
-			d.settleShare(name, Resources{GPU: 1000})
+			d.settleShare(name, domain.Resources{GPU: 1000})
 		}
 		if !c.isLeader() || d.changes() >= c.cfg.TransactionLimit {
 			continue
@@ -132,12 +137,12 @@
 			}
 			t, ok := d.shares[name]
 			if !ok {
-				t = TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
+				t = codec.TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
 				d.shares[name] = t
-				d.addCondition(prefixTeam + name)
+				d.addCondition(codec.PrefixTeam + name)
 			}
 			t.ByNode[n] = use
-			if t.ByNode[n] == (Resources{}) {
+			if t.ByNode[n] == (domain.Resources{}) {
 				delete(t.ByNode, n)
 			}
 		}
@@ -146,9 +151,9 @@
 
 // priority orders heads of queues: what the team is owed first, then the
 // job's priority, then first come.
-func (c *Controller) withinGuarantee(sp *JobSpec, d *draft) bool {
+func (c *Controller) withinGuarantee(sp *domain.JobSpec, d *draft) bool {
 	lim := c.cfg.Teams[sp.Team]
-	if lim.Guarantee == (Resources{}) {
+	if lim.Guarantee == (domain.Resources{}) {
 		return false
 	}
 	return withinLimit(d.teamUsed(sp.Team).Plus(sp.Request, 1), lim.Guarantee)
@@ -156,13 +161,13 @@
 
 // quotaClaim is what waiting whole jobs want of their team's limit.
 type quotaClaim struct {
-	gangRequest    Resources // one job
-	waitingGangs   int       // waiting
-	placedByLeader Resources // booked by whole jobs
+	gangRequest    domain.Resources // one job
+	waitingGangs   int              // waiting
+	placedByLeader domain.Resources // booked by whole jobs
 	// A job of which nothing began for long, what one of its tasks takes, and
 	// whether gangs wait for it, too: not for ever, it may not be possible.
 	starvingJob     string
-	starvingRequest Resources
+	starvingRequest domain.Resources
 	aheadOfGangs    bool
 	// Jobs that have waited for long with nothing on don't wait for gangs any
 	// more, unless one of those starves itself.
@@ -194,11 +199,11 @@
 			}
 			continue
 		}
-		if at.queued > 0 && sp.Shape == Gang {
+		if at.queued > 0 && sp.Shape == domain.Gang {
 			age := c.now - time.Duration(j.readyAt)
 			x.gangStarves = x.gangStarves || age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
 			if x.waitingGangs == 0 {
-				x.gangRequest = Resources{}.Plus(sp.Request, int64(sp.TaskCount))
+				x.gangRequest = domain.Resources{}.Plus(sp.Request, int64(sp.TaskCount))
 			}
 			x.waitingGangs++
 		}
@@ -211,7 +216,7 @@
 // quotaAllows tells whether a small task may start within its team's limit: it
 // must fit, and must not take the room that a waiting whole job needs. What no
 // whole job can use, small tasks may.
-func (c *Controller) quotaAllows(sp *JobSpec, d *draft, claims map[string]quotaClaim) bool {
+func (c *Controller) quotaAllows(sp *domain.JobSpec, d *draft, claims map[string]quotaClaim) bool {
 	lim, used := c.cfg.Teams[sp.Team].Limit, d.teamUsed(sp.Team)
 	if !c.guard(GuardQuota) {
 		return true
@@ -231,21 +236,21 @@
 
 // leavesFirst tells whether the team's limit keeps room, beside what is used, for a
 // task of the job that has waited longest.
-func (x quotaClaim) leavesFirst(id string, used, lim Resources) bool {
+func (x quotaClaim) leavesFirst(id string, used, lim domain.Resources) bool {
 	return x.starvingJob == "" || x.starvingJob == id || withinLimit(used.Plus(x.starvingRequest, 1), lim)
 }
 
 // allows tells whether one more small task leaves the waiting whole jobs all
 // that they could have of the team's limit.
-func (x quotaClaim) allows(sp *JobSpec, used, lim Resources) bool {
+func (x quotaClaim) allows(sp *domain.JobSpec, used, lim domain.Resources) bool {
 	if !x.leavesFirst(sp.ID, used.Plus(sp.Request, 1), lim) {
 		return false
 	}
 	if x.starvingJob == sp.ID || x.longWaiting[sp.ID] && !x.gangStarves || x.waitingGangs == 0 || placedByLeader(sp) {
 		return true
 	}
-	fit := func(small Resources) int64 {
-		room := Resources{math.MaxInt32, math.MaxInt32, math.MaxInt32}
+	fit := func(small domain.Resources) int64 {
+		room := domain.Resources{CPU: math.MaxInt32, GPU: math.MaxInt32, Memory: math.MaxInt32}
 		if lim.CPU > 0 {
 			room.CPU = lim.CPU - small.CPU
 		}
@@ -256,5 +261,5 @@
 	}
 	small := used.Plus(x.placedByLeader, -1)
 	want := x.placedByLeader.CountFitting(x.gangRequest, 1000) + int64(x.waitingGangs)
-	return fit(small.Plus(sp.Request, 1)) >= min(want, fit(Resources{}))
+	return fit(small.Plus(sp.Request, 1)) >= min(want, fit(domain.Resources{}))
 }
