--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -4,6 +4,9 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // requests are the users' requests that have no answer yet.
@@ -80,7 +83,7 @@
 func (c *Controller) replyState(req uint64, status int, j *Job) {
 	u := UserReply{RequestID: req, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
-	case j.Header.State == StateDone:
+	case j.Header.State == domain.StateDone:
 		u.State, u.Done, u.Running = "done", j.Header.TaskCount, 0
 	case j.cancelled():
 		u.State, u.Running = "cancelled", 0
@@ -163,7 +166,7 @@
 }
 
 // whyNeverRuns tells why a job can never run, or "".
-func (c *Controller) whyNeverRuns(s *JobSpec) string {
+func (c *Controller) whyNeverRuns(s *domain.JobSpec) string {
 	if !c.guard(GuardNever) {
 		return ""
 	}
@@ -172,10 +175,10 @@
 		return "unknown team"
 	}
 	k := int64(s.TaskCount)
-	if s.Shape == Array {
+	if s.Shape == domain.Array {
 		k = 1
 	}
-	if !withinLimit(Resources{}.Plus(s.Request, k), lim.Limit) {
+	if !withinLimit(domain.Resources{}.Plus(s.Request, k), lim.Limit) {
 		return "over the team's limit"
 	}
 	for i := range c.cache.machineTypes {
@@ -187,12 +190,12 @@
 }
 
 // withinLimit tells whether use stays in a limit, where 0 means none.
-func withinLimit(use, lim Resources) bool {
+func withinLimit(use, lim domain.Resources) bool {
 	return (lim.CPU == 0 || use.CPU <= lim.CPU) && (lim.GPU == 0 || use.GPU <= lim.GPU) &&
 		(lim.Memory == 0 || use.Memory <= lim.Memory)
 }
 
-func (c *Controller) machineTypeFits(s *JobSpec, f *MachineType) bool {
+func (c *Controller) machineTypeFits(s *domain.JobSpec, f *domain.MachineType) bool {
 	if !f.Capacity.Fits(s.Request) || s.ImageGB > f.ImageCacheGB && f.ImageCacheGB > 0 {
 		return false
 	}
@@ -262,16 +265,16 @@
 }
 
 // newHeader is that of a new job.
-func (c *Controller) newHeader(sp *JobSpec) *JobHeader {
+func (c *Controller) newHeader(sp *domain.JobSpec) *codec.JobHeader {
 	sp.MachineTypes = c.knownTypes(sp.MachineTypes)
-	h := &JobHeader{State: StateOpen, Spec: sp, TaskCount: sp.TaskCount, Shard: c.roomiest(sp), AcceptOrder: c.cache.revision + 1}
+	h := &codec.JobHeader{State: domain.StateOpen, Spec: sp, TaskCount: sp.TaskCount, Shard: c.roomiest(sp), AcceptOrder: c.cache.revision + 1}
 	if c.formatOn() {
 		h.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked at once, so its chunks have room for all of
 	// them; in others bookings wait where a chunk is full (draft.room).
 	size := tuning.ChunkBytes
-	if sp.Shape == Gang {
+	if sp.Shape == domain.Gang {
 		size = tuning.TaskBytes
 	}
 	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
@@ -284,19 +287,19 @@
 }
 
 // putJob writes the header of a new job and tells its user.
-func (c *Controller) putJob(e JobSubmitted, h *JobHeader) {
-	t := Transaction{Conditions: []Condition{{keyJob(e.ID), 0}}, Puts: []Put{{Key: keyJob(e.ID), Value: mustEncode(h)}}}
-	c.commit(LaneUser, t, func(r CommitResult, _ CommitAnswered) {
+func (c *Controller) putJob(e JobSubmitted, h *codec.JobHeader) {
+	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyJob(e.ID), ModRevision: 0}}, Puts: []domain.Put{{Key: codec.KeyJob(e.ID), Value: codec.Encode(h)}}}
+	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
 		delete(c.requests.accepting, e.ID)
 		switch r {
-		case Committed:
+		case domain.Committed:
 			c.debug("job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.TaskCount, "part", h.Shard,
 				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.peers.waitingByShard, "est_s", e.Spec.EstimatedRuntime, "due_s", e.Spec.Deadline,
 				"awaits", e.Spec.Dependencies)
 			if j := c.cache.jobs[e.ID]; j != nil {
 				c.replyState(e.RequestID, 201, j)
 			}
-		case Conflict: // somebody else took it: a repeat
+		case domain.Conflict: // somebody else took it: a repeat
 			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
 		default:
 			c.retryLater(e.RequestID, "state service")
@@ -327,17 +330,17 @@
 		return
 	}
 	h := *j.Header
-	h.State = StateCancelled
-	key := keyJob(id)
-	c.commit(LaneUser, Transaction{
-		Conditions: []Condition{{key, c.cache.modRevisions[key]}},
-		Puts:       []Put{{Key: key, Value: mustEncode(&h)}},
-	}, func(r CommitResult, _ CommitAnswered) {
+	h.State = domain.StateCancelled
+	key := codec.KeyJob(id)
+	c.commit(LaneUser, domain.Transaction{
+		Conditions: []domain.Condition{{Key: key, ModRevision: c.cache.modRevisions[key]}},
+		Puts:       []domain.Put{{Key: key, Value: codec.Encode(&h)}},
+	}, func(r domain.CommitResult, _ CommitAnswered) {
 		switch r {
-		case Committed:
+		case domain.Committed:
 			c.debug("job cancelled", "job", id)
 			c.replyState(req, 200, j)
-		case Conflict:
+		case domain.Conflict:
 			c.awaitReadIndex(waiter{requestID: req, id: id, cancel: true})
 		default:
 			c.retryLater(req, "state service")
@@ -348,7 +351,7 @@
 // packFor is the pack of a part that a new job's tasks go to: the first with
 // room for all of them booked. Two nodes may fill one at the same time; then
 // some bookings wait until others end (draft.room).
-func (c *Controller) packFor(sp *JobSpec, part string) (string, bool) {
+func (c *Controller) packFor(sp *domain.JobSpec, part string) (string, bool) {
 	each := tuning.BookedBytes
 	if c.formatOn() {
 		each = tuning.BookedBytesShort
@@ -359,8 +362,8 @@
 		return "", false
 	}
 	for k := 0; ; k++ {
-		name := packName(part, k)
-		if c.cache.oversized[prefixPack+name] {
+		name := codec.PackName(part, k)
+		if c.cache.oversized[codec.PrefixPack+name] {
 			continue
 		}
 		sum := cost(sp.TaskCount)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -8,6 +8,8 @@
 	"sort"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // planReservations keeps machines for jobs that need a whole one: idle ones first;
@@ -48,7 +50,7 @@
 				if sp != nil && reservesMachines(sp) {
 					f.ranGangAt[k.Name] = c.now
 				}
-				if sp == nil || reservesMachines(sp) || sp.Shape == Service {
+				if sp == nil || reservesMachines(sp) || sp.Shape == domain.Service {
 					ok = false
 					break
 				}
@@ -108,7 +110,7 @@
 	// In a wide fleet each part needs the room for its own jobs: those that wait in
 	// one can't use what another one keeps free.
 	wide := c.isLargeFleet()
-	wants, all := map[string]Resources{}, Resources{}
+	wants, all := map[string]domain.Resources{}, domain.Resources{}
 	part := func(k machineState) string {
 		if !wide {
 			return ""
@@ -154,7 +156,7 @@
 	}
 	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
 	for n, w := range wants {
-		wants[n] = Resources{grow(w.CPU), grow(w.GPU), grow(w.Memory)}
+		wants[n] = domain.Resources{CPU: grow(w.CPU), GPU: grow(w.GPU), Memory: grow(w.Memory)}
 		all = all.Plus(wants[n], 1)
 	}
 	sort.SliceStable(cs, func(a, b int) bool { return cs[a].price < cs[b].price })
@@ -182,7 +184,7 @@
 		}
 		c.debug("fleet", "want", all, "tasks_by_machine", busy)
 	}
-	have := map[string]Resources{}
+	have := map[string]domain.Resources{}
 	for _, x := range cs {
 		n := part(x.k)
 		if have[n].Fits(wants[n]) {
@@ -207,7 +209,7 @@
 	if len(f.resting) == 0 {
 		return
 	}
-	free, parts := make([]Resources, len(ks)), make([]string, len(ks))
+	free, parts := make([]domain.Resources, len(ks)), make([]string, len(ks))
 	for i, k := range ks {
 		free[i], parts[i] = k.free, part(k)
 	}
@@ -238,7 +240,7 @@
 
 // spareMachines is how many machines are kept ready for a class whose tasks should
 // start sooner than a machine boots.
-func (c *Controller) spareMachines(sp *JobSpec) int {
+func (c *Controller) spareMachines(sp *domain.JobSpec) int {
 	most := max(c.cfg.SpareMachines, int(math.Ceil(c.scaling.gangTaskRate[sp.Class]*tuning.SpareSeconds)))
 	if c.cfg.SpareMachines == 0 {
 		most = 0
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // machineKind is a kind of machine that can be rented.
@@ -29,7 +31,7 @@
 
 // pendingWork is unbooked work of one job that its team's limit lets run.
 type pendingWork struct {
-	spec  *JobSpec
+	spec  *domain.JobSpec
 	tasks int
 	job   *Job // nil: none yet
 	// How many of them each zone may take; nil: any number.
@@ -38,7 +40,7 @@
 
 // pendingWork is the work that waits, given the machines that are there or boot.
 func (c *Controller) pendingWork(machines []machineState) []pendingWork {
-	used := map[string]Resources{}
+	used := map[string]domain.Resources{}
 	for n := range c.cfg.Teams {
 		used[n] = c.teamUsed(n, nil)
 	}
@@ -62,7 +64,7 @@
 			used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 			n++
 		}
-		if sp.Shape == Gang && n < sp.TaskCount {
+		if sp.Shape == domain.Gang && n < sp.TaskCount {
 			continue
 		}
 		if n > 0 {
@@ -93,8 +95,8 @@
 	}
 	type slot struct {
 		k    machineState
-		free Resources
-		idle Resources // held by tasks that yield
+		free domain.Resources
+		idle domain.Resources // held by tasks that yield
 	}
 	var slots []slot
 	leaving := c.leaving()
@@ -106,7 +108,7 @@
 	}
 	type plan struct {
 		o    machineKind
-		free Resources
+		free domain.Resources
 	}
 	var plans []plan
 	pend = slices.Clone(pend)
@@ -226,7 +228,7 @@
 
 // cheapest is the kind with the least price per task of which n are left, in the zones
 // that may take any.
-func (c *Controller) cheapest(sp *JobSpec, n int, zones zoneAllowance) (machineKind, bool) {
+func (c *Controller) cheapest(sp *domain.JobSpec, n int, zones zoneAllowance) (machineKind, bool) {
 	best, bestP, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
 		fl := &c.cache.machineTypes[i]
@@ -286,7 +288,7 @@
 		delete(f.pauses, o)
 	}
 	for _, n := range e.Names {
-		f.unlisted[n] = Instance{Name: n, Type: o.machineType, Zone: o.zone, Spot: o.spot, Status: "booting"}
+		f.unlisted[n] = domain.Instance{Name: n, Type: o.machineType, Zone: o.zone, Spot: o.spot, Status: "booting"}
 		f.knownSince[n] = c.now
 	}
 	c.info("rented", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", r.request.Count, "got", len(e.Names))
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -7,18 +7,21 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // scaling is the leader's care for machines. All of it is rebuilt from the
 // cloud's list and the cache by a new leader.
 type scaling struct {
-	instances      map[string]Instance
+	instances      map[string]domain.Instance
 	listed         bool
 	listing        bool
 	listSentAt     time.Duration
 	nextListAt     time.Duration
-	unlisted       map[string]Instance      // rented, not yet listed
-	knownSince     map[string]time.Duration // when first known here
+	unlisted       map[string]domain.Instance // rented, not yet listed
+	knownSince     map[string]time.Duration   // when first known here
 	rentalCount    int
 	rentals        map[string]rental
 	pauses         map[machineKind]rentalPause
@@ -40,7 +43,7 @@
 }
 
 type gangClass struct {
-	spec   *JobSpec
+	spec   *domain.JobSpec
 	seenAt time.Duration
 }
 
@@ -49,7 +52,7 @@
 func (f *scaling) reset(time.Duration) {
 	n := f.rentalCount
 	*f = scaling{
-		instances: map[string]Instance{}, unlisted: map[string]Instance{}, knownSince: map[string]time.Duration{}, rentalCount: n,
+		instances: map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{}, rentalCount: n,
 		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{}, reserved: map[string]bool{}, evicting: map[string]bool{}, unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{}, ranGangAt: map[string]time.Duration{}, resting: map[string]bool{},
 		idleSince: map[string]time.Duration{}, gangClasses: map[string]gangClass{},
 	}
@@ -94,7 +97,7 @@
 		return
 	}
 	f.listed = true
-	f.instances = map[string]Instance{}
+	f.instances = map[string]domain.Instance{}
 	for _, i := range e.Instances {
 		f.instances[i.Name] = i
 		delete(f.unlisted, i.Name)
@@ -114,10 +117,10 @@
 
 // machineState is a machine that the leader counts on or has to care for.
 type machineState struct {
-	Instance
+	domain.Instance
 	heard  bool
-	cordon Cordon
-	free   Resources
+	cordon domain.Cordon
+	free   domain.Resources
 	tasks  int
 }
 
@@ -140,7 +143,7 @@
 	for _, i := range c.inventory() {
 		k := all[i.name]
 		if k == nil {
-			k = &machineState{Instance: Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: "running"}}
+			k = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: "running"}}
 			all[i.name] = k
 		}
 		k.heard = true
@@ -151,7 +154,7 @@
 	var l []machineState
 	for n, k := range all {
 		k.cordon = c.cache.cordons[n]
-		if k.cordon.State == CordonGone {
+		if k.cordon.State == domain.CordonGone {
 			continue
 		}
 		fl := c.machineType(k.Type)
@@ -176,10 +179,10 @@
 	var names []string
 	for _, n := range slices.Sorted(maps.Keys(c.cache.cordons)) {
 		m := c.cache.cordons[n]
-		if _, gone := c.cordons.wanted[n]; m.State != CordonDrain || gone || c.cache.revision < c.cache.modRevisions[prefixCordons+c.cordonPageOf(n)] {
+		if _, gone := c.cordons.wanted[n]; m.State != domain.CordonDrain || gone || c.cache.revision < c.cache.modRevisions[codec.PrefixCordons+c.cordonPageOf(n)] {
 			continue
 		}
-		if (m.Reason == DrainIdle || m.Reason == DrainFaulty) && len(c.cache.bookedOn[n]) > 0 {
+		if (m.Reason == domain.DrainIdle || m.Reason == domain.DrainFaulty) && len(c.cache.bookedOn[n]) > 0 {
 			continue
 		}
 		if len(names) < tuning.ReturnMost {
@@ -200,7 +203,7 @@
 		return
 	}
 	for _, n := range e.Names {
-		c.cordon(n, Cordon{State: CordonGone})
+		c.cordon(n, domain.Cordon{State: domain.CordonGone})
 	}
 	c.info("machines returned", "names", e.Names)
 }
@@ -248,11 +251,11 @@
 		}
 		switch {
 		case k.Status == "failed":
-			c.cordon(k.Name, Cordon{CordonDrain, DrainFailed})
+			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed})
 		case k.Status == "booting" && !k.heard && age > time.Duration(tuning.BootPatience*fl.BootSeconds*float64(time.Second)):
-			c.cordon(k.Name, Cordon{CordonDrain, DrainStuck})
+			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainStuck})
 		case unheard && c.now-f.unheardSince[k.Name] > tuning.UnheardPatience:
-			c.cordon(k.Name, Cordon{CordonDrain, DrainStuck})
+			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainStuck})
 		case k.heard && k.tasks == 0 && age > tuning.MinHeld:
 			keep := tuning.IdleKeep
 			if k.Spot {
@@ -265,7 +268,7 @@
 				keep = tuning.IdleKeepWhole
 			}
 			if since, ok := f.idleSince[k.Name]; ok && c.now-since > keep && (f.resting[k.Name] || !c.wanted(k, pend)) {
-				c.cordon(k.Name, Cordon{CordonDrain, DrainIdle})
+				c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
 			}
 		}
 	}
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -4,6 +4,9 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // TestValuesStaySmall: with 1,500 machines and values of 4 KiB neither the pages
@@ -11,7 +14,7 @@
 // be written again.
 func TestValuesStaySmall(t *testing.T) {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1"}, ValueLimit: 4096, TransactionLimit: 8, FenceAge: 7 * time.Second}, "x")
-	c.cache.view = &View{Epoch: 3, Leader: "c-0", Members: map[string]string{"c-0": "x", "c-1": "y"}, Serving: []string{"c-0", "c-1"}}
+	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: map[string]string{"c-0": "x", "c-1": "y"}, Serving: []string{"c-0", "c-1"}}
 	c.cache.members = map[string]string{"c-0": "x", "c-1": "y"}
 	c.now, c.membership.synced, c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = time.Minute, true, time.Minute, time.Minute
 	for round := 0; round < 30; round++ {
@@ -19,9 +22,9 @@
 			n := fmt.Sprintf("n-%06d", i)
 			switch c.cache.cordons[n].State {
 			case "":
-				c.cordon(n, Cordon{CordonDrain, DrainIdle})
-			case CordonDrain:
-				c.cordon(n, Cordon{State: CordonGone})
+				c.cordon(n, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
+			case domain.CordonDrain:
+				c.cordon(n, domain.Cordon{State: domain.CordonGone})
 			}
 		}
 		c.now += 10 * time.Second
@@ -33,7 +36,7 @@
 					t.Fatalf("%s has %d bytes", a.Key, len(a.Value))
 				}
 			}
-			c.onCommit(CommitAnswered{ID: id, Result: Committed, Revision: uint64(round + 1)})
+			c.onCommit(CommitAnswered{ID: id, Result: domain.Committed, Revision: uint64(round + 1)})
 		}
 	}
 	if n := len(c.cache.cordonPages["c-0"].Gone) + len(c.cache.cordonPages["c-1"].Gone); n < 300 {
@@ -50,7 +53,7 @@
 	if v == nil || len(v.OwnerOverrides) < 50 {
 		t.Fatalf("no overrides: %+v", v)
 	}
-	if n := len(mustEncode(v)); n > c.cfg.ValueLimit {
+	if n := len(codec.Encode(v)); n > c.cfg.ValueLimit {
 		t.Errorf("the view has %d bytes", n)
 	}
 }
@@ -61,17 +64,17 @@
 // eighty idle machines that were held for them.
 func TestRefusedCommitsCostNothing(t *testing.T) {
 	c := New(Settings{Node: "c-0", WriteRate: 8}, "x")
-	txn := Transaction{Puts: make([]Put, 8)}
-	p := c.commit(LaneTask, txn, func(CommitResult, CommitAnswered) {})
+	txn := domain.Transaction{Puts: make([]domain.Put, 8)}
+	p := c.commit(LaneTask, txn, func(domain.CommitResult, CommitAnswered) {})
 	if c.commits.tokens != 0 {
 		t.Fatalf("%g left", c.commits.tokens)
 	}
-	c.onCommit(CommitAnswered{ID: p.id, Result: Refused})
+	c.onCommit(CommitAnswered{ID: p.id, Result: domain.Refused})
 	if c.commits.tokens != 8 {
 		t.Errorf("%g left after a refusal", c.commits.tokens)
 	}
-	p = c.commit(LaneTask, txn, func(CommitResult, CommitAnswered) {})
-	c.onCommit(CommitAnswered{ID: p.id, Result: InDoubt}) // it may have been carried out
+	p = c.commit(LaneTask, txn, func(domain.CommitResult, CommitAnswered) {})
+	c.onCommit(CommitAnswered{ID: p.id, Result: domain.InDoubt}) // it may have been carried out
 	if c.commits.tokens != 0 {
 		t.Errorf("%g left after an unknown outcome", c.commits.tokens)
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -24,22 +24,6 @@
 	return []PlanningPass{PassQueue, PassCached, PassAny, PassLargeArray}
 }
 
-// CommandReason says why a command was given.
-type CommandReason string
-
-// The reasons for commands. A start has only one: its booking is committed and names
-// the worker's session.
-const (
-	ReasonBooked           CommandReason = "booked"
-	ReasonSettled          CommandReason = "settled"     // clear: the outcome is committed
-	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer wanted on that machine
-	ReasonGangBroken       CommandReason = "gang_broken" // not all tasks of the attempt are booked any more
-	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves together
-	ReasonPreempted        CommandReason = "preempted"   // for work of higher priority, or idle work for any other
-	ReasonPreemptionNotice CommandReason = "recalled"    // the cloud takes the machine
-	ReasonDraining         CommandReason = "draining"    // the machine takes no more work
-)
-
 // Status is what a controller knows of itself at one moment.
 type Status struct {
 	Epoch     uint64        // of the view, and the fencing token of all commands; 0: none yet
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // isLargeFleet: the parts are so large that jobs are passed and stolen whole, as long as
@@ -65,7 +67,7 @@
 
 // peerFits: the peer has a machine that may take a task of the job. The answer
 // is kept for as long as the peer's word.
-func (c *Controller) peerFits(p *peerState, sp *JobSpec) bool {
+func (c *Controller) peerFits(p *peerState, sp *domain.JobSpec) bool {
 	k := fitKey{sp.Request, sp.Zone, strings.Join(sp.MachineTypes, ","), sp.Spot}
 	ok, known := p.fits[k]
 	if known {
@@ -85,15 +87,15 @@
 }
 
 type fitKey struct {
-	request     Resources
+	request     domain.Resources
 	zone, types string
 	spot        bool
 }
 
 // canStart: a queued task that would fit the machine right now.
-func (c *Controller) canStart(id TaskID, m *Machine, free Resources) bool {
+func (c *Controller) canStart(id domain.TaskID, m *Machine, free domain.Resources) bool {
 	j := c.cache.jobs[id.Job]
-	if j == nil || j.Header.State != StateOpen || j.task(id.Index).State != Queued || int64(c.now) < j.pausedUntil {
+	if j == nil || j.Header.State != domain.StateOpen || j.task(id.Index).State != domain.Queued || int64(c.now) < j.pausedUntil {
 		return false
 	}
 	sp := j.Header.Spec
@@ -134,7 +136,7 @@
 		}
 		for n := 0; n < tuning.HandoverMost; n++ {
 			var cs []choice
-			var take []TaskID
+			var take []domain.TaskID
 			for _, o := range from {
 				if o == m || len(o.queue) == 0 {
 					continue
@@ -168,7 +170,7 @@
 
 // mayBegin tells whether one more task of a job fits its team's limit as it is used
 // now, beside what others claim of it.
-func (c *Controller) mayBegin(sp *JobSpec, claims map[string]quotaClaim) bool {
+func (c *Controller) mayBegin(sp *domain.JobSpec, claims map[string]quotaClaim) bool {
 	lim, used := c.cfg.Teams[sp.Team].Limit, c.teamUsed(sp.Team, nil)
 	return withinLimit(used.Plus(sp.Request, 1), lim) && claims[sp.Team].allows(sp, used, lim)
 }
@@ -177,7 +179,7 @@
 func (c *Controller) stealRemote(mine []*Machine) {
 	// Where work waits that other parts have, by kind of task.
 	type lot struct {
-		sp    *JobSpec
+		sp    *domain.JobSpec
 		parts map[string]bool
 	}
 	var lots []lot
@@ -199,7 +201,7 @@
 		x := lot{j.Header.Spec, map[string]bool{}}
 		// A job's last task may be far back, and wait in a part that has no machine.
 		for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
-			if t := j.task(i); t.State == Queued {
+			if t := j.task(i); t.State == domain.Queued {
 				seen++
 				x.parts[c.taskShard(j, t)] = true
 			}
@@ -237,7 +239,7 @@
 			sent++
 			most := tuning.HandoverMost
 			if n := idle[machineKind{m.Type, m.Zone, m.Spot}]; wide {
-				free, most = Resources{}.Plus(free, n), tuning.HandoverMost*int(n)
+				free, most = domain.Resources{}.Plus(free, n), tuning.HandoverMost*int(n)
 				sent = tuning.StealMost // one for all alike
 			}
 			c.emit(SendPeerMessage{To: cs[k].name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
@@ -252,9 +254,9 @@
 		return
 	}
 	room, n, claims := s.Room, 0, c.claims(nil)
-	give := func(id TaskID) {
+	give := func(id domain.TaskID) {
 		j := c.cache.jobs[id.Job]
-		if j == nil || n >= s.MaxTasks || j.Header.State != StateOpen || c.planner.taskHandovers[id] != "" || j.task(id.Index).State != Queued ||
+		if j == nil || n >= s.MaxTasks || j.Header.State != domain.StateOpen || c.planner.taskHandovers[id] != "" || j.task(id.Index).State != domain.Queued ||
 			int64(c.now) < j.pausedUntil {
 			return
 		}
@@ -291,8 +293,8 @@
 			continue
 		}
 		for i := 0; i < j.Header.TaskCount; i++ {
-			id := TaskID{j.ID, i}
-			if t := j.task(i); t.State == Queued && c.queues.machineOf[id] == "" && c.taskShard(j, t) == c.cfg.Node {
+			id := domain.TaskID{Job: j.ID, Index: i}
+			if t := j.task(i); t.State == domain.Queued && c.queues.machineOf[id] == "" && c.taskShard(j, t) == c.cfg.Node {
 				give(id)
 			}
 		}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -6,204 +6,16 @@
 import (
 	"log/slog"
 	"time"
-)
-
-// Resources is an amount of a machine in thousandths (CPUs, GPUs, GB), kept whole so
-// that sums of bookings and releases come out exactly.
-type Resources struct {
-	CPU    int64 `json:"c,omitempty"`
-	GPU    int64 `json:"g,omitempty"`
-	Memory int64 `json:"m,omitempty"`
-}
-
-// Plus returns r + k*o.
-func (r Resources) Plus(o Resources, k int64) Resources {
-	return Resources{r.CPU + k*o.CPU, r.GPU + k*o.GPU, r.Memory + k*o.Memory}
-}
-
-// Fits tells whether o fits into r.
-func (r Resources) Fits(o Resources) bool {
-	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Memory <= r.Memory
-}
-
-// CountFitting is how many of o fit into r, at most most.
-func (r Resources) CountFitting(o Resources, most int64) int64 {
-	n := most
-	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
-		if p[1] > 0 {
-			n = min(n, p[0]/p[1])
-		}
-	}
-	return max(n, 0)
-}
 
-// Shape of a job.
-type Shape string
-
-// The shapes.
-const (
-	Array   Shape = "array"
-	Gang    Shape = "gang"
-	Service Shape = "service"
-)
-
-// JobSpec is a job as its user described it.
-type JobSpec struct {
-	ID                   string    `json:"-"`
-	Class                string    `json:"cl"`
-	Team                 string    `json:"tm"`
-	Shape                Shape     `json:"sh"`
-	Priority             int       `json:"pr"` // 3 production .. 0 idle
-	TaskCount            int       `json:"n"`
-	Request              Resources `json:"r"`
-	MachineTypes         []string  `json:"ty,omitempty"`
-	Zone                 string    `json:"z,omitempty"`
-	OneZone              bool      `json:"oz,omitempty"`
-	Spread               bool      `json:"sp,omitempty"`
-	Spot                 bool      `json:"s,omitempty"`
-	Image                string    `json:"im,omitempty"`
-	ImageGB              float64   `json:"ig,omitempty"`
-	EstimatedRuntime     float64   `json:"es,omitempty"`
-	CheckpointInterval   float64   `json:"ck,omitempty"`
-	CheckpointCost       float64   `json:"sv,omitempty"`
-	Deadline             float64   `json:"du,omitempty"`
-	DependencyText       string    `json:"aw,omitempty"` // names of the jobs it awaits, short (needs.go)
-	DependencyListName   string    `json:"at,omitempty"` // under which the rest of them is kept
-	DependencyListPieces int       `json:"an,omitempty"` // in how many pieces
-	Dependencies         []string  `json:"-"`            // as submitted, or as read back
-}
-
-// JobState is the committed state of a job.
-type JobState string
-
-// The states of a job; done and cancelled are final.
-const (
-	StateOpen      JobState = "open"
-	StateDone      JobState = "done"
-	StateCancelled JobState = "cancelled"
+	"brassglade/internal/domain"
 )
 
-// JobHeader is the value of job/ID.
-type JobHeader struct {
-	State        JobState    `json:"st"`
-	Spec         *JobSpec    `json:"s,omitempty"`
-	TaskCount    int         `json:"n"`
-	Shard        string      `json:"p,omitempty"` // the part that the job was sent to
-	AcceptOrder  uint64      `json:"q,omitempty"` // ledger when accepted: first come
-	ChunkSize    int         `json:"ch,omitempty"`
-	Handovers    int         `json:"hp,omitempty"` // times that it was passed whole
-	Inline       bool        `json:"i,omitempty"`  // the header holds the tasks itself, in T
-	InlineTasks  *ChunkValue `json:"t,omitempty"`
-	Pack         string      `json:"k,omitempty"`  // the shared value that holds all its tasks, if not own chunks
-	DoneChunks   int         `json:"dc,omitempty"` // chunks with every task done
-	StopThrough  uint64      `json:"h,omitempty"`  // gangs: attempts up to it are to stop, all tasks together
-	Released     bool        `json:"cl,omitempty"` // cancelled and every booking released
-	AcceptedAtMS int64       `json:"bo,omitempty"` // time of day when it was accepted, ms
-	DoneAtMS     int64       `json:"en,omitempty"` // time of day when it was done, ms
-	SplitChunks  []byte      `json:"cu,omitempty"` // bits: chunks that are kept in several cells
-	CellSize     int         `json:"su,omitempty"` // tasks a cell
-	DoneTasks    int         `json:"fi,omitempty"` // once anything is cut: tasks of chunks and cells that are done, in place of Chunks
-}
-
-// IsSplit tells whether chunk k is kept in cells.
-func (h *JobHeader) IsSplit(k int) bool {
-	return k/8 < len(h.SplitChunks) && h.SplitChunks[k/8]&(1<<(k%8)) != 0
-}
-
-// TaskState is the committed state of a task.
-type TaskState int
-
-// The states of a task.
-const (
-	Queued TaskState = iota
-	Booked
-	Done
-)
-
-// Task is a task as committed in its chunk. A booking names everything that a
-// run needs: attempt, machine and the machine's session.
-type Task struct {
-	State      TaskState
-	Attempt    uint64
-	Machine    string
-	AgentEpoch uint64
-	Shard      string // queued: the part it was passed to; booked: the node that booked it
-	Zone       string
-}
-
-// View is the value of the view key.
-type View struct {
-	Epoch          uint64            `json:"e"`
-	Leader         string            `json:"l"`
-	Members        map[string]string `json:"m"` // node -> incarnation
-	Serving        []string          `json:"s"` // sorted
-	OwnerOverrides map[string]string `json:"o,omitempty"`
-	Zoned          bool              `json:"z,omitempty"` // zones are apart: machines belong to the serving nodes of their own
-}
-
-// Cordon of a machine; none means in use.
-type Cordon struct {
-	State  string // CordonDrain or CordonGone
-	Reason string
-}
-
-// Marks of machines.
-const (
-	CordonDrain = "drain" // takes no new bookings
-	CordonGone  = "gone"  // the cloud said that it and all on it are gone
-
-	DrainIdle      = "idle"
-	DrainLost      = "lost"
-	DrainFaulty    = "sick"
-	DrainFailed    = "failed"
-	DrainStuck     = "stuck" // never booted
-	DrainUnheeding = "deaf"  // reports, but answers have no effect
-)
-
-// TeamShares is the value of team/NAME: what each node has set aside of the team's
-// limit for the bookings it made or is about to make. The sum stays within the
-// limit, and a node's bookings stay within its share.
-type TeamShares struct {
-	ByNode map[string]Resources `json:"r"`
-}
-
-// CordonPage is the value of mach/NODE: the marks of the machines whose home that
-// node is. Gone machines stand oldest first and are forgotten in that order.
-type CordonPage struct {
-	Draining map[string]string `json:"d,omitempty"` // machine -> why
-	Gone     []string          `json:"g,omitempty"`
-}
-
-// MachineType is a machine type.
-type MachineType struct {
-	Name         string    `json:"n"`
-	Capacity     Resources `json:"r"`
-	ImageCacheGB float64   `json:"c"`
-	FetchGBPerS  float64   `json:"f"`
-	Price        float64   `json:"p"`
-	SpotPrice    float64   `json:"s"`
-	BootSeconds  float64   `json:"b"`
-	Zones        []string  `json:"z"`
-	Listed       float64   `json:"-"`
-}
-
-// MachineTypePage is the value of the flavors key.
-type MachineTypePage struct {
-	Types []MachineType `json:"f"`
-	More  int           `json:"m,omitempty"` // further pages, flavors/1 and so on
-}
-
-// Quota of one team, in thousandths; 0 means none.
-type Quota struct {
-	Guarantee, Limit Resources
-}
-
 // Settings is what the core needs of the settings file.
 type Settings struct {
 	Node              string
 	Zone              string
 	Nodes             []string // all, sorted
-	Teams             map[string]Quota
+	Teams             map[string]domain.Quota
 	Zones             []string
 	ZoneOf            map[string]string // node -> zone
 	HeartbeatInterval time.Duration
@@ -230,99 +42,6 @@
 	Learn             bool
 }
 
-// KeyValue is an item of the state service.
-type KeyValue struct {
-	Key         string
-	Value       []byte // nil: deleted
-	ModRevision uint64
-}
-
-// Condition is a condition of a commit.
-type Condition struct {
-	Key         string
-	ModRevision uint64
-}
-
-// Put is a change of a commit.
-type Put struct {
-	Key     string
-	Value   []byte // nil: delete
-	LeaseID uint64
-}
-
-// Transaction is a conditional write.
-type Transaction struct {
-	Conditions []Condition
-	Puts       []Put
-}
-
-// TaskID names a task in reports and orders.
-type TaskID struct {
-	Job   string
-	Index int
-}
-
-// TaskReport is a task as a worker reports it.
-type TaskReport struct {
-	Task    TaskID
-	Attempt uint64
-	State   string
-	Cause   string
-	Saved   bool
-}
-
-// The task states and causes that matter to the core, in its own names.
-const (
-	ReportedFetching = "fetching"
-	ReportedWaiting  = "waiting"
-	ReportedRunning  = "running"
-	ReportedSaving   = "saving"
-	ReportedEnded    = "ended"
-
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
-)
-
-// Heartbeat is a worker's report.
-type Heartbeat struct {
-	Machine, Addr, Type, Zone          string
-	Spot                               bool
-	AgentEpoch, Sequence, FencingToken uint64
-	PreemptionNotice                   float64 // < 0: none
-	Tasks                              []TaskReport
-}
-
-// CommandKind of an order.
-type CommandKind string
-
-// The orders.
-const (
-	StartTask  CommandKind = "run"
-	StopTask   CommandKind = "halt"
-	ForgetTask CommandKind = "clear"
-)
-
-// Command to a worker.
-type Command struct {
-	Kind         CommandKind
-	Task         TaskID
-	Attempt      uint64
-	GraceSeconds float64
-	Reason       CommandReason // for logs and metrics; the worker is not told
-}
-
-// Instance is a machine in the cloud's list.
-type Instance struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	Status                 string
-	HeldSeconds            float64
-}
-
 // Event is an input of Step.
 type Event interface{}
 
@@ -332,13 +51,13 @@
 	Tick struct{}
 	// SnapshotLoaded replaces the cache.
 	SnapshotLoaded struct {
-		Items    []KeyValue
+		Items    []domain.KeyValue
 		Revision uint64
 	}
 	// WatchAdvanced carries changes in order up to Ledger.
 	WatchAdvanced struct {
 		Sent     time.Duration // when the watch was sent, on the core's clock; < 0: unknown
-		Items    []KeyValue
+		Items    []domain.KeyValue
 		Revision uint64
 	}
 	// ConfirmationAnswered answers ConfirmView. Same: the view is the one asked about.
@@ -351,7 +70,7 @@
 	// CommitAnswered answers Commit.
 	CommitAnswered struct {
 		ID        uint64
-		Result    CommitResult
+		Result    domain.CommitResult
 		Malformed bool // refused as malformed: too large, or on a grant that is over
 		Revision  uint64
 		Failed    []string
@@ -360,7 +79,7 @@
 	KeysRead struct {
 		ID    uint64
 		OK    bool
-		Items []KeyValue
+		Items []domain.KeyValue
 	}
 	// LeaseGranted answers GrantLease.
 	LeaseGranted struct {
@@ -375,26 +94,26 @@
 	// HeartbeatReceived is a worker's report, to be answered by HeartbeatReply.
 	HeartbeatReceived struct {
 		RequestID uint64
-		Heartbeat Heartbeat
+		Heartbeat domain.Heartbeat
 	}
 	// CommandsAnswered answers SendCommands.
 	CommandsAnswered struct {
 		Machine   string
 		OK        bool
-		Heartbeat *Heartbeat
+		Heartbeat *domain.Heartbeat
 	}
 	// JobSubmitted is a submission. Spec is nil when malformed.
 	JobSubmitted struct {
 		RequestID uint64
 		ID        string
-		Spec      *JobSpec
+		Spec      *domain.JobSpec
 	}
 	// JobQueried asks for a job's state.
 	JobQueried struct {
 		RequestID uint64
 		ID        string
 	}
-	// JobCancelled cancels a job.
+	// StateCancelled cancels a job.
 	JobCancelled struct {
 		RequestID uint64
 		ID        string
@@ -402,13 +121,13 @@
 	// MachineTypesListed answers ListMachineTypes.
 	MachineTypesListed struct {
 		OK    bool
-		Types []MachineType
+		Types []domain.MachineType
 	}
 	// InstancesListed answers ListInstances: the whole list, all pages.
 	InstancesListed struct {
 		Sent      time.Duration
 		OK        bool
-		Instances []Instance
+		Instances []domain.Instance
 	}
 	// RentalAnswered answers RentMachines.
 	RentalAnswered struct {
@@ -429,17 +148,6 @@
 	}
 )
 
-// CommitResult of a commit.
-type CommitResult int
-
-// The results of a commit.
-const (
-	Committed CommitResult = iota
-	Conflict
-	Refused // not executed (429, 503, 400)
-	InDoubt // may have been executed or may yet be
-)
-
 // PeerMessage is what nodes tell each other: hints only, nothing depends on them
 // for safety.
 type PeerMessage struct {
@@ -465,7 +173,7 @@
 type StealRequest struct {
 	Type, Zone string
 	Spot       bool
-	Room       Resources
+	Room       domain.Resources
 	MaxTasks   int
 }
 
@@ -483,7 +191,7 @@
 	Commit struct {
 		ID          uint64
 		Lane        int
-		Transaction Transaction
+		Transaction domain.Transaction
 	}
 	// ReadKeys reads a few keys from the state service itself.
 	ReadKeys struct {
@@ -500,13 +208,13 @@
 		Status       int
 		Owner        string
 		FencingToken uint64
-		Commands     []Command
+		Commands     []domain.Command
 	}
 	// SendCommands sends orders straight to a worker.
 	SendCommands struct {
 		Machine, Addr            string
 		FencingToken, AgentEpoch uint64
-		Commands                 []Command
+		Commands                 []domain.Command
 	}
 	// UserReply answers a user.
 	UserReply struct {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -5,19 +5,21 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // jobsByUrgency orders the open jobs that parts place: what a team is owed first,
 // then priority, then such that as many jobs as can be meet their aims.
 func (c *Controller) jobsByUrgency() []*Job {
 	var l []*urgent
-	before := map[string]Resources{}
+	before := map[string]domain.Resources{}
 	for _, j := range c.cache.openJobs {
 		sp := j.Header.Spec
 		lim := c.cfg.Teams[sp.Team].Guarantee
 		all := before[sp.Team].Plus(sp.Request, int64(j.Header.TaskCount-j.counts.done))
 		age := (c.now - time.Duration(j.readyAt)).Seconds()
-		owed := lim != (Resources{}) && withinLimit(all, lim) && age <= c.cfg.GuaranteeWithin
+		owed := lim != (domain.Resources{}) && withinLimit(all, lim) && age <= c.cfg.GuaranteeWithin
 		before[sp.Team] = all
 		if j.counts.queued == 0 || placedByLeader(sp) || int64(c.now) < j.pausedUntil {
 			continue
@@ -137,7 +139,7 @@
 }
 
 // slots is how many tasks like this the machines heard of can run at once.
-func (c *Controller) slots(sp *JobSpec) float64 {
+func (c *Controller) slots(sp *domain.JobSpec) float64 {
 	c.inventory()
 	n := int64(0)
 	for k, count := range c.peers.machinesByKind {
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -6,9 +6,10 @@
 	"sort"
 	"time"
 
-	json "github.com/goccy/go-json"
-
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // views is what this controller weighs when it proposes views, and what it derives from
@@ -23,7 +24,7 @@
 	notServingSince map[string]time.Duration // by controller
 	peersHeardSince time.Duration            // since when all serving peers are heard; < 0: they aren't
 	zoneSilentAt    map[string]time.Duration // when most of a zone's machines were last silent
-	ownersView      *View                    // that ownerByMachine was made for
+	ownersView      *domain.View             // that ownerByMachine was made for
 	ownerByMachine  map[string]string
 	overrideChanges map[string]overrideChange // by machine
 	overrideSeenAt  map[string]time.Duration  // when an override was first seen, by machine
@@ -52,14 +53,6 @@
 	zone   string // the machine's
 }
 
-func mustEncode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(err) // own records always encode
-	}
-	return b
-}
-
 // hash64 is FNV-1a with a finishing mix, for rendezvous hashing.
 func hash64(parts ...string) uint64 {
 	h := uint64(14695981039346656037)
@@ -90,7 +83,7 @@
 // zones are apart it is the hash over the nodes of the machine's own zone, if any
 // serve there. A machine never changes its zone, so whoever knows the zone finds
 // the same owner; whoever doesn't finds none.
-func (c *Controller) owner(v *View, machine, zone string) string {
+func (c *Controller) owner(v *domain.View, machine, zone string) string {
 	if v == nil {
 		return ""
 	}
@@ -158,7 +151,7 @@
 
 // taskShard tells whose queue a queued task belongs to. A part that doesn't
 // serve falls to a hash over the view without any write.
-func (c *Controller) taskShard(j *Job, t Task) string {
+func (c *Controller) taskShard(j *Job, t domain.Task) string {
 	p := t.Shard
 	if p == "" {
 		p = j.Header.Shard
@@ -171,11 +164,11 @@
 }
 
 // shardOf is the part of a job, where its tasks wait unless they were passed on.
-func (c *Controller) shardOf(j *Job) string { return c.taskShard(j, Task{}) }
+func (c *Controller) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
 
 // adoptView takes a newer view from the watch and settles from when on this
 // node owns each machine.
-func (c *Controller) adoptView(v *View) {
+func (c *Controller) adoptView(v *domain.View) {
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = v, c.now
 	// The confirmations so far were about the old view; the watch that brought
@@ -205,7 +198,7 @@
 		}
 		c.takeOwnership(n)
 	}
-	c.queues.machineOf = map[TaskID]string{}
+	c.queues.machineOf = map[domain.TaskID]string{}
 	for _, m := range c.heartbeats.machines {
 		m.queue = nil
 	}
@@ -281,18 +274,18 @@
 	next.Epoch = epoch + 1
 	c.views.proposing = true
 	c.info("proposing a view", "epoch", next.Epoch, "leader", next.Leader, "serving", next.Serving)
-	c.commit(LaneView, Transaction{
-		Conditions: []Condition{{keyView, c.cache.modRevisions[keyView]}},
-		Puts:       []Put{{Key: keyView, Value: mustEncode(next)}},
-	}, func(CommitResult, CommitAnswered) {
+	c.commit(LaneView, domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
+		Puts:       []domain.Put{{Key: codec.KeyView, Value: codec.Encode(next)}},
+	}, func(domain.CommitResult, CommitAnswered) {
 		c.views.proposing = false
 		c.views.nextProposalAt = c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause)))
 	})
 }
 
-func (c *Controller) desiredView() *View {
+func (c *Controller) desiredView() *domain.View {
 	v := c.cache.view
-	next := &View{Members: maps.Clone(c.cache.members), OwnerOverrides: map[string]string{}}
+	next := &domain.View{Members: maps.Clone(c.cache.members), OwnerOverrides: map[string]string{}}
 	changed := v == nil || !maps.Equal(v.Members, next.Members)
 	names := slices.Sorted(maps.Keys(next.Members))
 	if v == nil {
@@ -361,7 +354,7 @@
 		if c.isLargeFleet() && c.now-c.views.overrideSeenAt[m] > tuning.OverKeep {
 			continue // its worker comes back if the reason is still there
 		}
-		if _, ok := next.Members[o]; ok && c.cache.cordons[m].State != CordonGone && rendezvous(m, next.Serving) != o {
+		if _, ok := next.Members[o]; ok && c.cache.cordons[m].State != domain.CordonGone && rendezvous(m, next.Serving) != o {
 			next.OwnerOverrides[m] = o
 		}
 	}
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -3,13 +3,15 @@
 import (
 	"cmp"
 	"slices"
+
+	"brassglade/internal/domain"
 )
 
 // zoneBound tells whether a task's place depends on where the job's other tasks are.
-func zoneBound(sp *JobSpec) bool { return sp.TaskCount > 1 && (sp.OneZone || sp.Spread) }
+func zoneBound(sp *domain.JobSpec) bool { return sp.TaskCount > 1 && (sp.OneZone || sp.Spread) }
 
 // spreadOverZones tells whether each zone takes only a part of the job's tasks.
-func spreadOverZones(sp *JobSpec) bool { return zoneBound(sp) && sp.Spread }
+func spreadOverZones(sp *domain.JobSpec) bool { return zoneBound(sp) && sp.Spread }
 
 // bindingZones counts a job's booked tasks by zone as the draft would leave them. The map
 // is empty, never nil, for a job whose tasks don't depend on each other's zones.
@@ -46,7 +48,7 @@
 // (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, n int, machines []machineState) zoneAllowance {
 	sp := j.Header.Spec
-	if !zoneBound(sp) || sp.Shape == Array {
+	if !zoneBound(sp) || sp.Shape == domain.Array {
 		return nil
 	}
 	booked, allowed := c.bookedZones(j, nil), zoneAllowance{}
@@ -65,7 +67,7 @@
 // chooseZone is the zone to gather room in for n tasks that must be together: one that has
 // it already, else of those where machines can be rented now, or of all if there are none,
 // the one with most room, and of these the cheapest.
-func (c *Controller) chooseZone(sp *JobSpec, n int64, machines []machineState, choices []string) (string, bool) {
+func (c *Controller) chooseZone(sp *domain.JobSpec, n int64, machines []machineState, choices []string) (string, bool) {
 	if len(choices) == 0 {
 		return "", false
 	}
@@ -92,7 +94,7 @@
 }
 
 // rentable tells whether a machine for the job's tasks may be asked for in the zone now.
-func (c *Controller) rentable(sp *JobSpec, n int64, zone string) bool {
+func (c *Controller) rentable(sp *domain.JobSpec, n int64, zone string) bool {
 	_, ok := c.cheapest(sp, int(n), zoneAllowance{zone: n})
 	return ok
 }
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -8,6 +8,9 @@
 	"time"
 
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 // wideCore is a node that leads a fleet of 2,000 machines in two zones. The
@@ -22,13 +25,13 @@
 		m[n] = n + ".1"
 	}
 	c.cache.members = m
-	c.cache.view = &View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
-	c.cache.machineTypes = []MachineType{{Name: "box", Capacity: Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
+	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
+	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
 	c.membership.lease, c.membership.synced = memberKeyWritten, true
 	for i := 0; i < 2000; i++ {
 		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
 		if o := c.ownerIn(n, z); o == "c-0" {
-			c.recordHeartbeat(c.addMachine(n), &Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+			c.recordHeartbeat(c.addMachine(n), &domain.Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		} else {
 			if c.peers.byName[o] == nil {
 				c.peers.byName[o] = &peerState{fits: map[fitKey]bool{}}
@@ -186,7 +189,7 @@
 	m := c.heartbeats.machines[c.machineNames()[0]]
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
-		r := &Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
+		r := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
 		c.checkRepliesHeeded(m, r)
 		c.recordHeartbeat(m, r, true)
 		m.answeredAt = c.now
@@ -197,7 +200,7 @@
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
-		c.checkRepliesHeeded(m, &Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
+		c.checkRepliesHeeded(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
 	if m.unheededReplies != 2 {
 		t.Errorf("%d reports count as unheeded, each 5 s after an answer", m.unheededReplies)
@@ -221,13 +224,13 @@
 		}
 		packs := ""
 		for _, a := range c.commits.taskCommit.transaction.Puts {
-			if strings.HasPrefix(a.Key, prefixPack) {
-				packs += a.Key[len(prefixPack):] + " "
+			if strings.HasPrefix(a.Key, codec.PrefixPack) {
+				packs += a.Key[len(codec.PrefixPack):] + " "
 			}
 		}
 		seen = append(seen, packs)
 		ledger++
-		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: Committed, Revision: ledger})
+		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: domain.Committed, Revision: ledger})
 		c.cache.revision = ledger
 	}
 	if want := []string{"c-0/0 c-0/1 ", "c-1/0 ", "c-2/3 "}; !slices.Equal(seen, want) {
@@ -247,17 +250,17 @@
 	ledger := uint64(10)
 	put := func(key string, v any) {
 		ledger++
-		c.apply(KeyValue{Key: key, Value: mustEncode(v), ModRevision: ledger})
+		c.apply(domain.KeyValue{Key: key, Value: codec.Encode(v), ModRevision: ledger})
 	}
 	for i, pack := range packs {
 		id := fmt.Sprintf("job-00000%d", i)
-		put(keyJob(id), &JobHeader{State: StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
-			Spec: &JobSpec{Class: "x", Team: "red", Shape: Array, TaskCount: 2, Request: Resources{CPU: 1000}}})
-		v := &ChunkValue{Texts: map[string]string{}}
-		v.put(id, []Task{{State: Booked, Attempt: 1, Machine: mine[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(mine[i])}, {State: Done}})
-		put(prefixPack+pack, v)
-		c.recordHeartbeat(c.heartbeats.machines[mine[i]], &Heartbeat{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
-			Tasks: []TaskReport{{Task: TaskID{id, 0}, Attempt: 1, State: ReportedEnded, Cause: CauseDone}}}, true)
+		put(codec.KeyJob(id), &codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
+			Spec: &domain.JobSpec{Class: "x", Team: "red", Shape: domain.Array, TaskCount: 2, Request: domain.Resources{CPU: 1000}}})
+		v := &codec.ChunkValue{Texts: map[string]string{}}
+		v.Put(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: mine[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(mine[i])}, {State: domain.Done}})
+		put(codec.PrefixPack+pack, v)
+		c.recordHeartbeat(c.heartbeats.machines[mine[i]], &domain.Heartbeat{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
+			Tasks: []domain.TaskReport{{Task: domain.TaskID{Job: id, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}}}, true)
 	}
 	c.cache.revision = ledger
 	return ledger
@@ -269,7 +272,7 @@
 	c := wideCore()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens, c.membership.stateReachable = 8, 5, 8, 8, true
 	c.ended("c-0/0")
-	turn := func(r CommitResult) {
+	turn := func(r domain.CommitResult) {
 		c.now += 2 * time.Second
 		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.planner.dirty = c.now, c.now, true
 		c.Step(c.now, Tick{})
@@ -279,14 +282,14 @@
 		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: r})
 	}
 	for i := 0; i < 12; i++ {
-		turn(Refused)
+		turn(domain.Refused)
 	}
 	fair := 5 * tuning.LeaderWeight // it leads, and has more to write than the others
 	if c.commits.rate < fair || c.commits.rate > 1.1*fair {
 		t.Errorf("%g changes a second after refusals", c.commits.rate)
 	}
 	c.now += time.Minute
-	turn(Refused)
+	turn(domain.Refused)
 	if c.commits.rate < 1.2*fair {
 		t.Errorf("%g changes a second a minute later", c.commits.rate)
 	}
--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // grown is a deployment of the size that the grown ones have.
@@ -26,9 +28,9 @@
 	}
 	set.HeartbeatInterval = 5 * time.Second
 	set.WriteRate, set.ReadRate = 25*0.92/float64(nodes), 100*0.92/float64(nodes)
-	set.Teams = map[string]scheduler.Quota{
-		"red":  {Guarantee: scheduler.Resources{GPU: 800000}, Limit: scheduler.Resources{GPU: int64(fill) * 12000}},
-		"blue": {Guarantee: scheduler.Resources{GPU: 800000}, Limit: scheduler.Resources{GPU: int64(fill) * 12000}},
+	set.Teams = map[string]domain.Quota{
+		"red":  {Guarantee: domain.Resources{GPU: 800000}, Limit: domain.Resources{GPU: int64(fill) * 12000}},
+		"blue": {Guarantee: domain.Resources{GPU: 800000}, Limit: domain.Resources{GPU: int64(fill) * 12000}},
 	}
 	for _, f := range change {
 		f(&set)
@@ -42,12 +44,12 @@
 		w.fed++
 		id := fmt.Sprintf("job-%06d", 100000+w.fed)
 		team := []string{"red", "blue"}[i%2]
-		sp := scheduler.JobSpec{ID: id, Class: "c", Team: team, Shape: scheduler.Array, Priority: 1, TaskCount: 20 + i%7*10,
-			Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+		sp := domain.JobSpec{ID: id, Class: "c", Team: team, Shape: domain.Array, Priority: 1, TaskCount: 20 + i%7*10,
+			Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 40, CheckpointInterval: 10, CheckpointCost: 2}
 		if i%4 == 3 {
-			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority, sp.Class = scheduler.Gang, 1+i%3, false, 2, "g"
-			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority, sp.Class = domain.Gang, 1+i%3, false, 2, "g"
+			sp.Request = domain.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(25+i%50)*time.Second) })
 	}
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -9,11 +9,13 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // newView notices a change of leader: kept reports reach every controller then.
 func (w *Cluster) newView(value []byte) {
-	var v scheduler.View
+	var v domain.View
 	if json.Unmarshal(value, &v) != nil || v.Leader == w.leader {
 		return
 	}
@@ -82,7 +84,7 @@
 	}
 	w.fed++
 	id := fmt.Sprintf("job-7%06d", w.fed)
-	sp := scheduler.JobSpec{ID: id, Class: "odd", Team: "red", Shape: scheduler.Array, TaskCount: 1, Request: scheduler.Resources{CPU: 1000}, EstimatedRuntime: 5}
+	sp := domain.JobSpec{ID: id, Class: "odd", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 5}
 	spec, want := &sp, 422
 	switch w.fed % 4 {
 	case 0:
@@ -165,14 +167,14 @@
 }
 
 // roomOn is how many tasks of a job a machine still has room for.
-func (k *worker) roomOn(sp *scheduler.JobSpec) int64 {
+func (k *worker) roomOn(sp *domain.JobSpec) int64 {
 	if k.gone || !k.up || k.hung || k.sick || k.recall >= 0 || k.w.Now < k.deafTill || k.w.Now < k.muteTill ||
 		k.spot && !sp.Spot || sp.Zone != "" && sp.Zone != k.zone {
 		return 0
 	}
 	free := size
 	for id, x := range k.tasks {
-		if x.state != scheduler.ReportedEnded {
+		if x.state != domain.ReportedEnded {
 			free = free.Plus(k.w.jobs[id.Job].spec.Request, -1)
 		}
 	}
@@ -186,13 +188,13 @@
 	if len(w.workers) > tuning.WideFleet {
 		return
 	}
-	used, there := map[string]scheduler.Resources{}, map[string]zoneCount{}
+	used, there := map[string]domain.Resources{}, map[string]zoneCount{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
 		}
 		for _, id := range k.ids() {
-			if x := k.tasks[id]; x.state != scheduler.ReportedEnded {
+			if x := k.tasks[id]; x.state != domain.ReportedEnded {
 				sp := w.jobs[id.Job].spec
 				used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 				if there[id.Job] == nil {
@@ -206,13 +208,13 @@
 		t := w.jobs[id]
 		sp := &t.spec
 		at := 1
-		if sp.Shape == scheduler.Gang {
+		if sp.Shape == domain.Gang {
 			at = sp.TaskCount
 		}
 		lim := w.set.Teams[sp.Team].Limit
 		after := used[sp.Team].Plus(sp.Request, int64(at))
 		waits := t.accepted && t.told == "" && !t.cancelAsk && !t.mistake && w.allDone(t) && there[id].sum()+int64(len(t.done)) < int64(sp.TaskCount) &&
-			(sp.Shape != scheduler.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
+			(sp.Shape != domain.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
 		if !waits {
 			delete(w.room, id)
 			continue
@@ -250,7 +252,7 @@
 }
 
 // usable is how much of the room a job's zone rule lets it use, given where its tasks are.
-func (z zoneCount) usable(sp *scheduler.JobSpec, there zoneCount) (n int64) {
+func (z zoneCount) usable(sp *domain.JobSpec, there zoneCount) (n int64) {
 	if !sp.OneZone && !sp.Spread {
 		return z.sum()
 	}
@@ -289,7 +291,7 @@
 				by[k] = &share{}
 			}
 			by[k].all++
-			if t.told == "done" || t.spec.Shape == scheduler.Service && t.begun {
+			if t.told == "done" || t.spec.Shape == domain.Service && t.begun {
 				by[k].served++
 			}
 		}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -14,6 +14,8 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 type action struct {
@@ -67,7 +69,7 @@
 	old               bool          // all nodes begin as the version before
 	spell             map[string]spell
 	met               map[string]int                      // what really came about, so that tests can tell that troubles met
-	kept              []scheduler.Heartbeat               // old reports, kept for the next leader
+	kept              []domain.Heartbeat                  // old reports, kept for the next leader
 	leader            string                              // as the state service has it
 	room              map[string]map[string]time.Duration // since when a job waits beside room on a machine
 
@@ -100,7 +102,7 @@
 
 // truth is what really became of a job.
 type truth struct {
-	spec       scheduler.JobSpec
+	spec       domain.JobSpec
 	run        time.Duration
 	done       map[int]bool
 	accepted   bool
@@ -150,9 +152,9 @@
 func Settings() scheduler.Settings {
 	return scheduler.Settings{
 		Nodes: []string{"c-0", "c-1", "c-2"}, Zones: []string{"a", "b"},
-		Teams: map[string]scheduler.Quota{
-			"red":  {Guarantee: scheduler.Resources{GPU: 8000}, Limit: scheduler.Resources{GPU: 12000}},
-			"blue": {Guarantee: scheduler.Resources{GPU: 8000}, Limit: scheduler.Resources{GPU: 40000}},
+		Teams: map[string]domain.Quota{
+			"red":  {Guarantee: domain.Resources{GPU: 8000}, Limit: domain.Resources{GPU: 12000}},
+			"blue": {Guarantee: domain.Resources{GPU: 8000}, Limit: domain.Resources{GPU: 40000}},
 		},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 40 * time.Second, GangPeerWait: 5 * time.Second,
 		FenceAge: tuning.Fence, ValueLimit: 4096, TransactionLimit: 8, ListLag: 4 * time.Second,
@@ -456,7 +458,7 @@
 		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.st.perform(n, x, r) }, func(r any) {
 			ev, ok := r.(scheduler.CommitAnswered)
 			if !ok {
-				ev = scheduler.CommitAnswered{ID: x.ID, Result: scheduler.InDoubt}
+				ev = scheduler.CommitAnswered{ID: x.ID, Result: domain.InDoubt}
 			}
 			back(ev)
 		})
@@ -514,7 +516,7 @@
 		}
 		w.call(n.name, k.name, tuning.DirectTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
 			ev := scheduler.CommandsAnswered{Machine: x.Machine}
-			if rep, ok := r.(scheduler.Heartbeat); ok {
+			if rep, ok := r.(domain.Heartbeat); ok {
 				ev.Heartbeat = &rep
 			}
 			back(ev)
@@ -579,7 +581,7 @@
 }
 
 // Submit sends a job and repeats it until it is accepted; then polls.
-func (w *Cluster) Submit(s scheduler.JobSpec, run time.Duration) {
+func (w *Cluster) Submit(s domain.JobSpec, run time.Duration) {
 	t := w.jobs[s.ID]
 	if t == nil {
 		t = &truth{spec: s, run: run, done: map[int]bool{}, cancelAt: -1, readyAt: -1}
@@ -727,7 +729,7 @@
 func (w *Cluster) Unfinished() []string {
 	var l []string
 	for id, t := range w.jobs {
-		if t.accepted && t.told == "" && t.spec.Shape != scheduler.Service {
+		if t.accepted && t.told == "" && t.spec.Shape != domain.Service {
 			l = append(l, id)
 		}
 	}
@@ -749,7 +751,7 @@
 // checkPlaces checks quota and cancelled work; called whenever a task comes on
 // a machine and every second.
 func (w *Cluster) checkPlaces() {
-	used := map[string]scheduler.Resources{}
+	used := map[string]domain.Resources{}
 	for _, k := range w.workers {
 		if k.gone {
 			continue
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // This file compares two commits: `make digest` prints, for each kind of day, a digest of
@@ -86,7 +88,7 @@
 	}
 }
 
-func (d *digest) commands(commands []scheduler.Command) {
+func (d *digest) commands(commands []domain.Command) {
 	for _, c := range commands {
 		d.line("command", string(c.Kind), c.Task.Job, c.Task.Index, c.Attempt, c.GraceSeconds, string(c.Reason))
 	}
@@ -148,8 +150,8 @@
 	w := withGuest(seed, 4)
 	w.onEffect = d.add
 	w.after(time.Second, func() {
-		w.Submit(scheduler.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: scheduler.Array, Priority: 0, TaskCount: 150,
-			Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
+		w.Submit(domain.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: domain.Array, Priority: 0, TaskCount: 150,
+			Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
 	})
 	w.feed(25, 4*time.Second)
 	w.Run(300 * time.Second)
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // The tests in this file play fleets of up to 4,000 machines. The race detector
@@ -185,7 +187,7 @@
 	w.st.lower(set.ValueLimit, set.TransactionLimit)
 	for i := 0; i < 20; i++ {
 		a, b := fmt.Sprintf("job-%06d", 900000+2*i), fmt.Sprintf("job-%06d", 900001+2*i)
-		sp := scheduler.JobSpec{ID: a, Class: "p", Team: "red", Shape: scheduler.Array, TaskCount: 3, Request: scheduler.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
+		sp := domain.JobSpec{ID: a, Class: "p", Team: "red", Shape: domain.Array, TaskCount: 3, Request: domain.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
 		next := sp
 		next.ID, next.Dependencies = b, []string{a}
 		w.after(time.Duration(i)*time.Second, func() { w.Submit(sp, 5*time.Second); w.Submit(next, 5*time.Second) })
@@ -221,11 +223,11 @@
 // deployment. What each controller holds stays far below its memory, and what the
 // array's tasks cost leaves the state service changes for others.
 func TestFleetLargestArray(t *testing.T) {
-	w := grown(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = scheduler.Quota{} })
+	w := grown(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
 	w.feed(200, 400*time.Millisecond)
 	w.Run(50 * time.Second)
-	w.Submit(scheduler.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: scheduler.Array, Priority: 1, TaskCount: 100000,
-		Request: scheduler.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
+	w.Submit(domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: 1, TaskCount: 100000,
+		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
 	changes := w.st.changes
 	w.Run(110 * time.Second)
 	perSecond := float64(w.st.changes-changes) / 60
@@ -247,16 +249,16 @@
 func (w *Cluster) feedZoneBound(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		w.fed++
-		sp := scheduler.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: scheduler.Array, Priority: 1,
-			TaskCount: 30 + i%5*40, Request: scheduler.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
+		sp := domain.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: domain.Array, Priority: 1,
+			TaskCount: 30 + i%5*40, Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 30, CheckpointInterval: 10, CheckpointCost: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
 		switch i % 4 {
 		case 1: // whole machines: seldom are as many empty in one zone
 			sp.TaskCount = 10 + i%7*5
-			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Request = domain.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		case 3:
-			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = scheduler.Gang, 2+i%3, false, 2
-			sp.Request = scheduler.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
+			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = domain.Gang, 2+i%3, false, 2
+			sp.Request = domain.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
 		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(15+i%40)*time.Second) })
 	}
@@ -296,7 +298,7 @@
 			w := zoneBoundFleet(x.fill, x.drop)
 			ran := 0
 			for id, j := range w.jobs {
-				if j.spec.Class == "z" && j.spec.Shape == scheduler.Array {
+				if j.spec.Class == "z" && j.spec.Shape == domain.Array {
 					ran += len(w.firstRuns(id))
 				}
 			}
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -9,13 +9,15 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // withGuest is the small deployment with a further team that has neither guarantee
 // nor limit.
 func withGuest(seed uint64, fill int) *Cluster {
 	set := Settings()
-	set.Teams["guest"] = scheduler.Quota{}
+	set.Teams["guest"] = domain.Quota{}
 	w := New(seed, set)
 	w.fill = fill
 	w.Watchful()
@@ -49,8 +51,8 @@
 func TestIdleWorkYields(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		w := withGuest(seed, 2)
-		idle := scheduler.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: scheduler.Array, Priority: tuning.PrioIdle, TaskCount: 40,
-			Request: scheduler.Resources{CPU: 4000, Memory: 8000}, Spot: true, Image: "sims", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 10, CheckpointCost: 2}
+		idle := domain.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: domain.Array, Priority: tuning.PrioIdle, TaskCount: 40,
+			Request: domain.Resources{CPU: 4000, Memory: 8000}, Spot: true, Image: "sims", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 10, CheckpointCost: 2}
 		w.after(2*time.Second, func() { w.Submit(idle, 300*time.Second) })
 		w.Run(59 * time.Second)
 		if n := len(w.firstRuns(idle.ID)); n < 16 {
@@ -63,8 +65,8 @@
 		}
 		const jobs = 8
 		for i := 0; i < jobs; i++ {
-			sp := scheduler.JobSpec{ID: fmt.Sprintf("job-%06d", 100+i), Class: "c", Team: "blue", Shape: scheduler.Array, Priority: 1, TaskCount: 2,
-				Request: scheduler.Resources{CPU: 4000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 20}
+			sp := domain.JobSpec{ID: fmt.Sprintf("job-%06d", 100+i), Class: "c", Team: "blue", Shape: domain.Array, Priority: 1, TaskCount: 2,
+				Request: domain.Resources{CPU: 4000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 20}
 			w.after(time.Duration(60+8*i)*time.Second-w.Now, func() { w.Submit(sp, 20*time.Second) })
 		}
 		w.Run(1500 * time.Second)
@@ -85,10 +87,10 @@
 // machines of a grown deployment. The releases of its tasks must leave room in the
 // commits for the bookings of the other teams' jobs, which go on starting.
 func TestLargeArrayLeavesChanges(t *testing.T) {
-	w := grown(5, 60, func(s *scheduler.Settings) { s.Teams["guest"] = scheduler.Quota{} })
+	w := grown(5, 60, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
 	w.feed(500, 350*time.Millisecond)
-	array := scheduler.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: scheduler.Array, Priority: tuning.PrioIdle, TaskCount: 12000,
-		Request: scheduler.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
+	array := domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: tuning.PrioIdle, TaskCount: 12000,
+		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
 	w.Run(60 * time.Second)
 	before := w.Starts()
 	w.Run(80 * time.Second)
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/domain"
 )
 
 // each runs f every second of the world.
@@ -34,7 +36,7 @@
 		running := map[key]int{}
 		for _, k := range w.workers {
 			for _, id := range k.ids() {
-				if t := k.tasks[id]; t.state == scheduler.ReportedRunning && !k.hung && w.jobs[id.Job].spec.Shape == scheduler.Gang {
+				if t := k.tasks[id]; t.state == domain.ReportedRunning && !k.hung && w.jobs[id.Job].spec.Shape == domain.Gang {
 					running[key{id.Job, t.attempt}]++
 				}
 			}
@@ -43,7 +45,7 @@
 			for _, id := range k.ids() {
 				t, j := k.tasks[id], w.jobs[id.Job]
 				g := key{id.Job, t.attempt}
-				if t.state != scheduler.ReportedRunning || j.spec.Shape != scheduler.Gang || running[g] >= j.spec.TaskCount || len(j.done) > 0 {
+				if t.state != domain.ReportedRunning || j.spec.Shape != domain.Gang || running[g] >= j.spec.TaskCount || len(j.done) > 0 {
 					continue
 				}
 				n := fmt.Sprintf("%s %d", g.job, g.a)
@@ -52,7 +54,7 @@
 				}
 				if w.Now-lost[n] >= w.set.GangPeerWait {
 					k.do(func() {
-						if t.state == scheduler.ReportedRunning {
+						if t.state == domain.ReportedRunning {
 							k.end(id, t, "peers", false)
 						}
 					})
@@ -306,10 +308,10 @@
 	_, oneZone := opt["onezone"]
 	_, spread := opt["spread"]
 	_, mistake := opt["mistake"]
-	w.Submit(scheduler.JobSpec{
+	w.Submit(domain.JobSpec{
 		Dependencies: needs, Deadline: num("due", 0),
-		ID: f[1], Class: "c", Team: f[4], Shape: scheduler.Shape(f[2]), Priority: int(num("prio", 1)), TaskCount: n,
-		Request: scheduler.Resources{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Memory: 4000},
+		ID: f[1], Class: "c", Team: f[4], Shape: domain.Shape(f[2]), Priority: int(num("prio", 1)), TaskCount: n,
+		Request: domain.Resources{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Memory: 4000},
 		Spot:    spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], MachineTypes: types, Image: "img", ImageGB: 1, EstimatedRuntime: num("run", 20), CheckpointInterval: num("ckpt", 0), CheckpointCost: 2,
 	}, dur("run", 20))
 	w.jobs[f[1]].mistake = mistake
--- a/internal/simulation/shapes_test.go
+++ b/internal/simulation/shapes_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"brassglade/internal/scheduler"
+	"brassglade/internal/domain"
 )
 
 // TestEveryShapeAndFlag: a job of each shape, of one task and of several, runs under each
@@ -16,7 +16,7 @@
 	flags := []string{"", "spread", "onezone", "spot", "zone=b", "types=box", "spot spread", "spot onezone", "zone=b spread", "zone=b onezone"}
 	// Several tasks that must be in one zone, at most half of them in each: no place has room.
 	impossible := func(tasks int, flag string) bool { return tasks > 1 && flag == "zone=b spread" }
-	for _, shape := range []scheduler.Shape{scheduler.Array, scheduler.Gang, scheduler.Service} {
+	for _, shape := range []domain.Shape{domain.Array, domain.Gang, domain.Service} {
 		for _, tasks := range []int{1, 3} {
 			for _, flag := range flags {
 				if impossible(tasks, flag) {
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -7,6 +7,9 @@
 	"time"
 
 	"brassglade/internal/scheduler"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
 )
 
 type entry struct {
@@ -31,7 +34,7 @@
 	w          *Cluster
 	kv         map[string]entry
 	ledger     uint64
-	log        []scheduler.KeyValue
+	log        []domain.KeyValue
 	leases     map[uint64]*lease
 	next       uint64
 	down       bool
@@ -102,7 +105,7 @@
 		for _, k := range ks {
 			s.ledger++
 			delete(s.kv, k)
-			s.log = append(s.log, scheduler.KeyValue{Key: k, ModRevision: s.ledger})
+			s.log = append(s.log, domain.KeyValue{Key: k, ModRevision: s.ledger})
 		}
 	}
 	if len(ended) > 0 {
@@ -126,7 +129,7 @@
 		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))), func() {
 			ev, _ := s.commit(n.name, x).(scheduler.CommitAnswered)
 			w.came("late transaction")
-			if ev.Result == scheduler.Committed {
+			if ev.Result == domain.Committed {
 				w.came("late transaction that changed something")
 			}
 		})
@@ -150,7 +153,7 @@
 
 func (s *service) commit(node string, e scheduler.Commit) any {
 	if s.off(node) {
-		return scheduler.CommitAnswered{ID: e.ID, Result: scheduler.Refused}
+		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
 	ev := scheduler.CommitAnswered{ID: e.ID, Revision: s.ledger}
 	s.changes += len(e.Transaction.Puts)
@@ -170,7 +173,7 @@
 			s.w.broke("limit", "%s", over)
 		}
 		s.tooLarge++
-		ev.Result, ev.Malformed = scheduler.Refused, true
+		ev.Result, ev.Malformed = domain.Refused, true
 		return ev
 	}
 	for _, a := range e.Transaction.Puts {
@@ -180,17 +183,17 @@
 			}
 		}
 		if a.LeaseID != 0 && s.leases[a.LeaseID] == nil {
-			ev.Result, ev.Malformed = scheduler.Refused, true
+			ev.Result, ev.Malformed = domain.Refused, true
 			return ev
 		}
 	}
 	for _, k := range e.Transaction.Conditions {
 		if s.kv[k.Key].stamp != k.ModRevision {
-			ev.Result = scheduler.Conflict
+			ev.Result = domain.Conflict
 			ev.Failed = append(ev.Failed, k.Key)
 		}
 	}
-	if ev.Result == scheduler.Conflict {
+	if ev.Result == domain.Conflict {
 		return ev
 	}
 	s.ledger++
@@ -200,7 +203,7 @@
 		} else {
 			s.kv[a.Key] = entry{a.Value, s.ledger, a.LeaseID}
 		}
-		s.log = append(s.log, scheduler.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.ledger})
+		s.log = append(s.log, domain.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.ledger})
 		if a.Key == "b/view" {
 			s.w.newView(a.Value)
 		}
@@ -217,7 +220,7 @@
 	ev := scheduler.KeysRead{ID: e.ID, OK: true}
 	for _, k := range e.Keys {
 		if x, ok := s.kv[k]; ok {
-			ev.Items = append(ev.Items, scheduler.KeyValue{Key: k, Value: x.v, ModRevision: x.stamp})
+			ev.Items = append(ev.Items, domain.KeyValue{Key: k, Value: x.v, ModRevision: x.stamp})
 		}
 	}
 	return ev
@@ -250,8 +253,8 @@
 	}
 	ev := scheduler.SnapshotLoaded{Revision: s.ledger}
 	for k, e := range s.kv {
-		if strings.HasPrefix(k, scheduler.KeyRoot) {
-			ev.Items = append(ev.Items, scheduler.KeyValue{Key: k, Value: e.v, ModRevision: e.stamp})
+		if strings.HasPrefix(k, codec.Root) {
+			ev.Items = append(ev.Items, domain.KeyValue{Key: k, Value: e.v, ModRevision: e.stamp})
 		}
 	}
 	ev.Items = s.seenBy(node, ev.Items)
@@ -288,12 +291,12 @@
 
 // seenBy is what a node makes of changes: one of the version before drops what it
 // doesn't know.
-func (s *service) seenBy(node string, l []scheduler.KeyValue) []scheduler.KeyValue {
+func (s *service) seenBy(node string, l []domain.KeyValue) []domain.KeyValue {
 	n := s.w.node(node)
 	if n == nil || !n.old {
-		return append([]scheduler.KeyValue(nil), l...)
+		return append([]domain.KeyValue(nil), l...)
 	}
-	var r []scheduler.KeyValue
+	var r []domain.KeyValue
 	for _, kv := range l {
 		if kv.Value != nil {
 			v, _, ok := asBefore(kv.Key, kv.Value)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -7,6 +7,8 @@
 
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
 )
 
 // provider is a cloud with one machine type, two zones and a lagging list.
@@ -17,13 +19,13 @@
 	n     int
 }
 
-var size = scheduler.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
+var size = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
 func (c *provider) flavors() any {
 	if !c.up {
 		return nil
 	}
-	return scheduler.MachineTypesListed{OK: true, Types: []scheduler.MachineType{{
+	return scheduler.MachineTypesListed{OK: true, Types: []domain.MachineType{{
 		Name: "box", Capacity: size, ImageCacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
 	}}}
 }
@@ -41,7 +43,7 @@
 		if k.up {
 			st = "running"
 		}
-		ev.Instances = append(ev.Instances, scheduler.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
+		ev.Instances = append(ev.Instances, domain.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
 			HeldSeconds: (c.w.Now - k.born).Seconds()})
 	}
 	return ev
@@ -97,7 +99,7 @@
 
 // on: it has its image and has not ended.
 func (t *task) on() bool {
-	return t.state == scheduler.ReportedWaiting || t.state == scheduler.ReportedRunning || t.state == scheduler.ReportedSaving
+	return t.state == domain.ReportedWaiting || t.state == domain.ReportedRunning || t.state == domain.ReportedSaving
 }
 
 // worker is one machine.
@@ -115,7 +117,7 @@
 	tally      uint64
 	baton      uint64
 	node       int
-	tasks      map[scheduler.TaskID]*task
+	tasks      map[domain.TaskID]*task
 	answered   time.Duration // sending time of the last answered report
 	busy       bool          // a report is in flight
 	last       time.Duration
@@ -132,7 +134,7 @@
 const lateBoot = 2
 
 func newWorker(w *Cluster, name, zone string, spot bool) *worker {
-	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[scheduler.TaskID]*task{}, recall: -1}
+	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[domain.TaskID]*task{}, recall: -1}
 	w.workers = append(w.workers, k)
 	w.byName[name] = k
 	boot := time.Duration(8000+w.rng.IntN(6000)) * time.Millisecond
@@ -159,8 +161,8 @@
 	return k
 }
 
-func (k *worker) ids() []scheduler.TaskID {
-	l := make([]scheduler.TaskID, 0, len(k.tasks))
+func (k *worker) ids() []domain.TaskID {
+	l := make([]domain.TaskID, 0, len(k.tasks))
 	for id := range k.tasks {
 		l = append(l, id)
 	}
@@ -173,7 +175,7 @@
 func (k *worker) vanish(how string) {
 	k.w.log("%s %s", k.name, how)
 	k.gone, k.goneAt = true, k.w.Now
-	k.tasks = map[scheduler.TaskID]*task{}
+	k.tasks = map[domain.TaskID]*task{}
 }
 
 // do runs f now, or when the machine no longer hangs.
@@ -219,7 +221,7 @@
 	if k.w.Now-k.answered > k.w.set.WorkerLease {
 		k.w.log("%s loses its lease, shift %d", k.name, k.shift+1)
 		k.shift++
-		k.tasks = map[scheduler.TaskID]*task{}
+		k.tasks = map[domain.TaskID]*task{}
 		k.answered = k.w.Now
 	}
 	k.w.after(100*time.Millisecond, k.leases)
@@ -230,16 +232,16 @@
 	k.w.after(wait, func() { k.do(k.report) })
 }
 
-func (k *worker) makeReport() scheduler.Heartbeat {
+func (k *worker) makeReport() domain.Heartbeat {
 	k.tally++
-	r := scheduler.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
+	r := domain.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
 		AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, PreemptionNotice: -1}
 	if k.recall >= 0 {
 		r.PreemptionNotice = max(0, (k.recall - k.w.Now).Seconds())
 	}
 	for _, id := range k.ids() {
 		t := k.tasks[id]
-		r.Tasks = append(r.Tasks, scheduler.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, domain.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -315,48 +317,48 @@
 	})
 }
 
-func (k *worker) obey(os []scheduler.Command) {
+func (k *worker) obey(os []domain.Command) {
 	for _, o := range os {
 		t := k.tasks[o.Task]
 		switch o.Kind {
-		case scheduler.ForgetTask:
-			if t != nil && t.attempt == o.Attempt && t.state == scheduler.ReportedEnded {
+		case domain.ForgetTask:
+			if t != nil && t.attempt == o.Attempt && t.state == domain.ReportedEnded {
 				delete(k.tasks, o.Task)
 			}
-		case scheduler.StopTask:
-			if t == nil || t.attempt != o.Attempt || t.state == scheduler.ReportedEnded {
+		case domain.StopTask:
+			if t == nil || t.attempt != o.Attempt || t.state == domain.ReportedEnded {
 				continue
 			}
 			sp := k.w.jobs[o.Task.Job].spec
-			if t.state == scheduler.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
-				t.state = scheduler.ReportedSaving
+			if t.state == domain.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
+				t.state = domain.ReportedSaving
 				k.w.after(time.Duration(sp.CheckpointCost*float64(time.Second)), func() {
 					k.do(func() {
-						if k.tasks[o.Task] == t && t.state == scheduler.ReportedSaving {
-							k.end(o.Task, t, scheduler.CauseStopped, true)
+						if k.tasks[o.Task] == t && t.state == domain.ReportedSaving {
+							k.end(o.Task, t, domain.CauseStopped, true)
 						}
 					})
 				})
-			} else if t.state != scheduler.ReportedSaving || o.GraceSeconds == 0 {
-				k.end(o.Task, t, scheduler.CauseStopped, false)
+			} else if t.state != domain.ReportedSaving || o.GraceSeconds == 0 {
+				k.end(o.Task, t, domain.CauseStopped, false)
 			}
-		case scheduler.StartTask:
+		case domain.StartTask:
 			k.start(o)
 		}
 	}
 }
 
-func (k *worker) end(id scheduler.TaskID, t *task, cause string, saved bool) {
-	t.state, t.cause, t.saved = scheduler.ReportedEnded, cause, saved
+func (k *worker) end(id domain.TaskID, t *task, cause string, saved bool) {
+	t.state, t.cause, t.saved = domain.ReportedEnded, cause, saved
 	k.w.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, k.name, cause)
 	k.changed()
 }
 
-func (k *worker) start(o scheduler.Command) {
+func (k *worker) start(o domain.Command) {
 	id := o.Task
 	j := k.w.jobs[id.Job]
 	if t := k.tasks[id]; t != nil {
-		if t.attempt != o.Attempt && t.state != scheduler.ReportedEnded {
+		if t.attempt != o.Attempt && t.state != domain.ReportedEnded {
 			k.w.broke("busy", "%v try %d on %s beside try %d", id, o.Attempt, k.name, t.attempt)
 		}
 		return
@@ -372,22 +374,22 @@
 			k.w.broke("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, k.name, late.Seconds())
 		}
 	}
-	t := &task{attempt: o.Attempt, state: scheduler.ReportedFetching}
+	t := &task{attempt: o.Attempt, state: domain.ReportedFetching}
 	k.tasks[id] = t
-	var used scheduler.Resources
+	var used domain.Resources
 	for x, y := range k.tasks {
-		if y.state != scheduler.ReportedEnded {
+		if y.state != domain.ReportedEnded {
 			used = used.Plus(k.w.jobs[x.Job].spec.Request, 1)
 		}
 	}
 	if !size.Fits(used) {
-		k.end(id, t, scheduler.CauseNoRoom, false)
+		k.end(id, t, domain.CauseNoRoom, false)
 		return
 	}
 	shift := k.shift
 	k.w.after(time.Duration(500+k.w.rng.IntN(1500))*time.Millisecond, func() {
 		k.do(func() {
-			if k.shift != shift || k.tasks[id] != t || t.state != scheduler.ReportedFetching {
+			if k.shift != shift || k.tasks[id] != t || t.state != domain.ReportedFetching {
 				return
 			}
 			k.arrive(id, t, j)
@@ -396,9 +398,9 @@
 }
 
 // arrive: the task has its image and is on the machine from now on.
-func (k *worker) arrive(id scheduler.TaskID, t *task, j *truth) {
+func (k *worker) arrive(id domain.TaskID, t *task, j *truth) {
 	if k.sick || j.mistake {
-		k.end(id, t, scheduler.CauseError, false)
+		k.end(id, t, domain.CauseError, false)
 		return
 	}
 	for _, o := range k.w.workers {
@@ -413,25 +415,25 @@
 	if j.cancelAt >= 0 && k.w.Now-j.cancelAt > k.w.set.CancelWithin {
 		k.w.broke("ran_cancelled", "%s/%d starts on %s", id.Job, id.Index, k.name)
 	}
-	t.state = scheduler.ReportedWaiting
+	t.state = domain.ReportedWaiting
 	// In a wide world the sums over all machines are made each second only.
 	if len(k.w.workers) <= tuning.WideFleet {
 		k.w.checkPlaces()
 	}
-	if j.spec.Shape != scheduler.Gang || j.spec.TaskCount == 1 {
+	if j.spec.Shape != domain.Gang || j.spec.TaskCount == 1 {
 		k.run(id, t, j)
 		return
 	}
 	type member struct {
 		k  *worker
-		id scheduler.TaskID
+		id domain.TaskID
 		t  *task
 	}
 	var all []member
 	for _, o := range k.w.workers {
 		for i := 0; i < j.spec.TaskCount; i++ {
-			oid := scheduler.TaskID{Job: id.Job, Index: i}
-			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == scheduler.ReportedWaiting {
+			oid := domain.TaskID{Job: id.Job, Index: i}
+			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == domain.ReportedWaiting {
 				all = append(all, member{o, oid, x})
 			}
 		}
@@ -445,7 +447,7 @@
 
 // checkZones checks the rules on a job's zones as one of its tasks comes on, given the
 // others that are on machines: all in one zone, or at most half in each.
-func (k *worker) checkZones(id scheduler.TaskID, j *truth) {
+func (k *worker) checkZones(id domain.TaskID, j *truth) {
 	if !j.spec.OneZone && !j.spec.Spread {
 		return
 	}
@@ -470,12 +472,12 @@
 	}
 }
 
-func (k *worker) run(id scheduler.TaskID, t *task, j *truth) {
+func (k *worker) run(id domain.TaskID, t *task, j *truth) {
 	j.begun = true
-	t.state = scheduler.ReportedRunning
+	t.state = domain.ReportedRunning
 	k.w.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, k.name, k.zone)
 	k.changed()
-	if j.spec.Shape == scheduler.Service {
+	if j.spec.Shape == domain.Service {
 		return
 	}
 	left := j.run
@@ -485,16 +487,16 @@
 	shift := k.shift
 	k.w.after(left, func() {
 		k.do(func() {
-			if k.shift == shift && k.tasks[id] == t && t.state == scheduler.ReportedRunning {
+			if k.shift == shift && k.tasks[id] == t && t.state == domain.ReportedRunning {
 				j.done[id.Index] = true
-				for i := 0; i < j.spec.TaskCount && j.spec.Shape == scheduler.Gang; i++ {
+				for i := 0; i < j.spec.TaskCount && j.spec.Shape == domain.Gang; i++ {
 					j.done[i] = true // they complete together
 				}
 				if len(j.done) == j.spec.TaskCount && j.asked && k.w.strikes("endings") {
 					k.w.came("cancelled at its end")
 					k.w.Abort(id.Job)
 				}
-				k.end(id, t, scheduler.CauseDone, false)
+				k.end(id, t, domain.CauseDone, false)
 			}
 		})
 	})
