--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -110,10 +110,10 @@
 func (h *handler) user(c echo.Context, make func(uint64) scheduler.Event) error {
 	// Workers hold on to their connections, hundreds of them, and come all to one
 	// node when the others end: users make room for them.
-	if h.crowded(tuning.ConnsShare) {
+	if h.crowded(tuning.ConnectionShare) {
 		c.Response().Header().Set("Connection", "close")
 	}
-	if h.crowded(tuning.ConnsMost) {
+	if h.crowded(tuning.MaxConnections) {
 		return later(c, "too many connections")
 	}
 	a, ok := h.b.Ask(false, make)
--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// put2 adds a job's tasks in the shorter form.
+// putShort adds a job's tasks in the shorter form.
 func (v *ChunkValue) putShort(id string, ts []domain.Task) {
 	var b strings.Builder
 	type kind struct {
@@ -157,7 +157,7 @@
 	v.Texts[id] = b.String()
 }
 
-// put adds a job's tasks.
+// Put adds a job's tasks.
 func (v *ChunkValue) Put(id string, ts []domain.Task) {
 	if v.Version == shortForm {
 		v.putShort(id, ts)
--- a/internal/codec/chunk_decode.go
+++ b/internal/codec/chunk_decode.go
@@ -8,13 +8,13 @@
 	"brassglade/internal/domain"
 )
 
-// errChunk is returned for text that no version writes.
+// ErrMalformedChunk is returned for text that no version writes.
 var ErrMalformedChunk = errors.New("malformed text of tasks")
 
-// chunkMost bounds the tasks that one text may claim, against nonsense in the store.
+// maxTasksPerText bounds the tasks that one text may claim, against nonsense in the store.
 const maxTasksPerText = 200000
 
-// tasks reads a job's tasks back and hands each to take. What was read before an error
+// Tasks reads a job's tasks back and hands each to take. What was read before an error
 // has been handed over.
 func (v *ChunkValue) Tasks(text string, take func(int, domain.Task)) error {
 	d := &chunkDecoder{value: v, take: take}
--- a/internal/codec/keys.go
+++ b/internal/codec/keys.go
@@ -39,7 +39,7 @@
 const (
 	KeyFormat    = "b/format"
 	PrefixFormat = "b/format/"
-	// formatNow: jobs that await others; values that move when they are too large.
+	// CurrentFormat: jobs that await others; values that move when they are too large.
 	CurrentFormat = 2
 )
 
@@ -53,7 +53,7 @@
 	return l
 }
 
-// joinNames joins names to texts of at most the given bytes each.
+// JoinNames joins names to texts of at most the given bytes each.
 func JoinNames(ids []string, most int) []string {
 	var l []string
 	for _, id := range ids {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -117,10 +117,10 @@
 	if err := faults(s); err != nil {
 		return nil, err
 	}
-	if f := s.fence(); f < tuning.FenceLeast {
+	if f := s.fence(); f < tuning.MinFenceAge {
 		w := s.Params.Workers
 		return nil, fmt.Errorf("params.workers.cancel_s: %g s leaves %.1f s besides lease_s (%g s) and margins; at least %.1f s are needed",
-			w.CancelS, f.Seconds(), w.LeaseS, tuning.FenceLeast.Seconds())
+			w.CancelS, f.Seconds(), w.LeaseS, tuning.MinFenceAge.Seconds())
 	}
 	return s, nil
 }
@@ -155,7 +155,7 @@
 // a cancelled task is gone in time even if its node was cut off just then.
 func (s *Settings) fence() time.Duration {
 	w := s.Params.Workers
-	return min(tuning.Fence, secs(w.CancelS-w.LeaseS*1.001)-tuning.DriftMargin-tuning.FenceMargin)
+	return min(tuning.FenceAge, secs(w.CancelS-w.LeaseS*1.001)-tuning.DriftMargin-tuning.FenceMargin)
 }
 
 // Least are the limits of the state service that hold now and will hold after
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -79,7 +79,7 @@
 		}
 		// What a node last allowed is dead before a cancellation has to be carried out.
 		c := s.Core(nil, 1)
-		if last := c.FenceAge + c.WorkerLease + c.WorkerLease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.FenceAge < tuning.FenceLeast || last > c.CancelWithin+time.Microsecond {
+		if last := c.FenceAge + c.WorkerLease + c.WorkerLease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.FenceAge < tuning.MinFenceAge || last > c.CancelWithin+time.Microsecond {
 			t.Errorf("fence %v, a cancelled task may last %v of %v", c.FenceAge, last, c.CancelWithin)
 		}
 	})
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -190,7 +190,7 @@
 	for {
 		since, err := c.snapshot(emit)
 		if err != nil {
-			time.Sleep(tuning.ConfirmRetry)
+			time.Sleep(tuning.ConfirmationRetry)
 			continue
 		}
 		for {
@@ -245,7 +245,7 @@
 		if st == 410 {
 			return 0, true
 		}
-		time.Sleep(tuning.ConfirmRetry)
+		time.Sleep(tuning.ConfirmationRetry)
 		return since, false
 	}
 	var w watched
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -140,7 +140,7 @@
 		return o, s.State != domain.ReportedSaving
 	case m.preemptionAt >= 0:
 		o.Reason = domain.ReasonPreemptionNotice
-		left := (m.preemptionAt - c.now - tuning.RecallMargin).Seconds()
+		left := (m.preemptionAt - c.now - tuning.PreemptionMargin).Seconds()
 		if s.State == domain.ReportedSaving {
 			return o, false
 		}
@@ -221,7 +221,7 @@
 		}
 	}
 	if len(halts) > 0 {
-		m.nextDirectStopAt = c.now + tuning.HaltRepeat
+		m.nextDirectStopAt = c.now + tuning.StopRepeat
 		c.logCommands(m, halts)
 		c.emit(SendCommands{Machine: m.Name, Addr: m.Addr, FencingToken: c.cache.view.Epoch, AgentEpoch: m.agentEpoch, Commands: halts})
 	}
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -34,21 +34,21 @@
 
 // writeCordons writes the wanted marks, page by page in one commit.
 func (c *Controller) writeCordons() {
-	if c.cordons.writing || len(c.cordons.wanted) == 0 || c.now < c.cordons.nextWriteAt || !c.mayAct() || c.cfg.WriteRate > 0 && c.commits.tokens <= -c.cfg.WriteRate*tuning.MarkDebt {
+	if c.cordons.writing || len(c.cordons.wanted) == 0 || c.now < c.cordons.nextWriteAt || !c.mayAct() || c.cfg.WriteRate > 0 && c.commits.tokens <= -c.cfg.WriteRate*tuning.CordonDebt {
 		return
 	}
 	// Task commits spend changes as soon as there are any: marks may go into
 	// debt, or machines taken away would be neither returned nor replaced.
 	c.cordons.nextWriteAt = c.now + c.pace()
 	if c.isLargeFleet() {
-		c.cordons.nextWriteAt = c.now + tuning.MarkEvery
+		c.cordons.nextWriteAt = c.now + tuning.CordonInterval
 		// Idle machines can wait for others: each change of a page fails the
 		// bookings under way on the machines that share it.
 		urgent := false
 		for _, m := range c.cordons.wanted {
 			urgent = urgent || m.State == domain.CordonDrain && m.Reason != domain.DrainIdle
 		}
-		if !urgent && c.now-c.cordons.lastWriteAt < tuning.MarkIdleEvery {
+		if !urgent && c.now-c.cordons.lastWriteAt < tuning.IdleCordonInterval {
 			return
 		}
 		c.cordons.lastWriteAt = c.now
@@ -102,7 +102,7 @@
 	c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) {
 		c.cordons.writing = false
 		if r != domain.Committed {
-			c.cordons.nextWriteAt = c.now + tuning.ConfirmRetry // and again, by then the cache knows more
+			c.cordons.nextWriteAt = c.now + tuning.ConfirmationRetry // and again, by then the cache knows more
 			return
 		}
 		for _, n := range names {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -266,7 +266,7 @@
 	var keys []string
 	for _, id := range e.Spec.Dependencies {
 		if c.cache.jobs[id] == nil && !slices.Contains(keys, codec.KeyJob(id)) {
-			if keys = append(keys, codec.KeyJob(id)); len(keys) > tuning.LookUps {
+			if keys = append(keys, codec.KeyJob(id)); len(keys) > tuning.MaxLookups {
 				c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
 				return
 			}
@@ -347,7 +347,7 @@
 		return
 	}
 	h := c.newHeader(&sp)
-	if t := codec.JoinNames(open, tuning.NeedsInHeader); len(t) <= 1 {
+	if t := codec.JoinNames(open, tuning.DependenciesInHeader); len(t) <= 1 {
 		if len(t) == 1 {
 			sp.DependencyText = t[0]
 		}
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -13,7 +13,7 @@
 func (c *Controller) checkRepliesHeeded(m *Machine, r *domain.Heartbeat) {
 	// Reports that a cut held back come all at once; none of them can show an
 	// answer given a moment ago.
-	if !m.heardOnce || r.AgentEpoch != m.agentEpoch || m.answeredAt < 0 || c.now-m.answeredAt < tuning.HeedAfter {
+	if !m.heardOnce || r.AgentEpoch != m.agentEpoch || m.answeredAt < 0 || c.now-m.answeredAt < tuning.ReplySettleTime {
 		return
 	}
 	missed := r.FencingToken < m.sentToken
@@ -55,19 +55,19 @@
 	n, jobs := 0, 0
 	for id, e := range m.failures {
 		j := c.cache.jobs[id]
-		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != domain.StateDone && (c.now-e.firstAt < tuning.SickSettle || j.failsElsewhere(e.count)) {
+		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != domain.StateDone && (c.now-e.firstAt < tuning.FaultySettle || j.failsElsewhere(e.count)) {
 			continue
 		}
 		n += e.count
 		jobs++
 	}
-	return n >= tuning.SickErrors && (jobs >= 2 || n >= 2*tuning.SickErrors)
+	return n >= tuning.FaultyErrors && (jobs >= 2 || n >= 2*tuning.FaultyErrors)
 }
 
 // failedHere: tasks of the job failed here, and none was ever done. It is tried elsewhere
 // next, which shows whose fault it is.
 func (m *Machine) failedHere(j *Job) bool {
-	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.SickErrors
+	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.FaultyErrors
 }
 
 // failsElsewhere: of a job of which nothing was ever done, a good part of the tries
@@ -95,5 +95,5 @@
 // that gave an answer up would be returned, while one that really hears nothing
 // loses its tasks with its lease anyway.
 func (c *Controller) ignoresReplies(m *Machine) bool {
-	return m.unheededReplies >= tuning.UnheededMost && (!c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval)
+	return m.unheededReplies >= tuning.MaxUnheededReplies && (!c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval)
 }
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -155,7 +155,7 @@
 // what it knew before, until it has confirmed anew.
 func TestFrozenBetweenEvents(t *testing.T) {
 	c, m := booked(t, "")
-	c.heartbeats.pending[m.Name] = &pendingHeartbeat{m.Name, 7, 1, 1, c.now + tuning.CheckinHold}
+	c.heartbeats.pending[m.Name] = &pendingHeartbeat{m.Name, 7, 1, 1, c.now + tuning.HeartbeatHold}
 	c.requests.waiting = append(c.requests.waiting, waiter{requestID: 8, id: jobName(1), askedAt: c.now})
 	out := c.Step(c.now+time.Minute, Tick{})
 	got := map[string]int{}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -125,7 +125,7 @@
 	c.planner.dirty = true
 	c.placeTasks()
 	c.planCommit()
-	h := &pendingHeartbeat{m.Name, e.RequestID, r.Sequence, r.AgentEpoch, c.now + tuning.CheckinHold}
+	h := &pendingHeartbeat{m.Name, e.RequestID, r.Sequence, r.AgentEpoch, c.now + tuning.HeartbeatHold}
 	if c.worthDelaying(m) {
 		c.heartbeats.pending[m.Name] = h
 		return
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -12,7 +12,7 @@
 // largeArray tells whether the leader places the job's tasks only because there are
 // so many of them: each may go anywhere its job allows.
 func largeArray(sp *domain.JobSpec) bool {
-	return sp.Shape != domain.Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJob
+	return sp.Shape != domain.Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJobTasks
 }
 
 // reservesMachines tells whether the leader keeps machines for jobs like this one. It
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -139,7 +139,7 @@
 	if t.machine.Spot {
 		price = t.machineType.SpotPrice
 	}
-	dear := min(price/float64(all)/cheap, tuning.DearMost)
+	dear := min(price/float64(all)/cheap, tuning.MaxDearness)
 	return c.runTime(sp) * (tuning.PackRuns*float64(room)/float64(all) + tuning.DearRuns*(dear-1))
 }
 
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -18,7 +18,7 @@
 		f.nextTypesAt = c.now + 3*time.Second
 		return
 	}
-	f.nextTypesAt = c.now + tuning.FlavorsEvery
+	f.nextTypesAt = c.now + tuning.MachineTypesInterval
 	if c.isLeader() && string(codec.Encode(e.Types)) != string(codec.Encode(c.cache.machineTypes)) {
 		c.commit(LaneUser, domain.Transaction{
 			Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -75,7 +75,7 @@
 		if c.now >= c.membership.nextRenewalAt {
 			c.membership.renewalSentAt = c.now
 			c.setLease(leaseRequested)
-			c.emit(GrantLease{TTL: tuning.GrantLife})
+			c.emit(GrantLease{TTL: tuning.LeaseTTL})
 		}
 	case leaseHeld:
 		if c.now >= c.membership.nextMemberWriteAt {
@@ -88,19 +88,19 @@
 	}
 	// The cache may show that the member key is gone although the grant lives
 	// (an older incarnation's expiry, or a late write of it).
-	if c.membership.lease == memberKeyWritten && c.membership.synced && c.cache.members[c.cfg.Node] != c.membership.incarnation && c.now >= c.membership.nextRenewalAt-tuning.RenewEvery/2 {
+	if c.membership.lease == memberKeyWritten && c.membership.synced && c.cache.members[c.cfg.Node] != c.membership.incarnation && c.now >= c.membership.nextRenewalAt-tuning.LeaseRenewalInterval/2 {
 		c.setLease(leaseHeld)
 	}
 }
 
 func (c *Controller) onLeaseGranted(e LeaseGranted) {
 	if !e.OK {
-		c.membership.nextRenewalAt = c.now + tuning.ConfirmRetry
+		c.membership.nextRenewalAt = c.now + tuning.ConfirmationRetry
 		c.setLease(leaseNone)
 		return
 	}
 	c.membership.leaseID, c.membership.leaseRenewedAt = e.LeaseID, c.membership.renewalSentAt
-	c.membership.nextRenewalAt = c.membership.renewalSentAt + tuning.RenewEvery
+	c.membership.nextRenewalAt = c.membership.renewalSentAt + tuning.LeaseRenewalInterval
 	c.setLease(leaseHeld)
 }
 
@@ -112,9 +112,9 @@
 		c.setLease(leaseNone)
 	case e.OK:
 		c.membership.leaseRenewedAt = c.membership.renewalSentAt
-		c.membership.nextRenewalAt = c.membership.renewalSentAt + tuning.RenewEvery
+		c.membership.nextRenewalAt = c.membership.renewalSentAt + tuning.LeaseRenewalInterval
 	default:
-		c.membership.nextRenewalAt = c.now + tuning.ConfirmRetry
+		c.membership.nextRenewalAt = c.now + tuning.ConfirmationRetry
 	}
 }
 
@@ -131,7 +131,7 @@
 		} else {
 			// Not at once: a grant that ran out refuses the key each time, until
 			// the renewal says so.
-			c.membership.nextMemberWriteAt = c.now + tuning.ConfirmRetry
+			c.membership.nextMemberWriteAt = c.now + tuning.ConfirmationRetry
 			c.membership.nextRenewalAt = min(c.membership.nextRenewalAt, c.membership.nextMemberWriteAt)
 			c.setLease(leaseHeld)
 		}
@@ -154,7 +154,7 @@
 	if c.membership.confirming || !c.membership.synced || c.now < c.membership.nextConfirmationAt {
 		return
 	}
-	due := c.now-c.membership.confirmationSentAt >= tuning.ConfirmEvery || c.membership.fenceConfirmedAt < 0
+	due := c.now-c.membership.confirmationSentAt >= tuning.ConfirmationInterval || c.membership.fenceConfirmedAt < 0
 	for _, w := range c.requests.waiting {
 		due = due || w.askedAt >= c.membership.confirmationSentAt
 	}
@@ -170,7 +170,7 @@
 	c.membership.nextConfirmationAt = c.now + c.confirmationGap()
 	c.membership.stateReachable = e.OK
 	if !e.OK {
-		c.membership.nextConfirmationAt = c.now + tuning.ConfirmRetry
+		c.membership.nextConfirmationAt = c.now + tuning.ConfirmationRetry
 		c.failWaiters()
 		return
 	}
@@ -182,9 +182,9 @@
 // confirmationGap keeps what readers can cause to a part of this node's requests.
 func (c *Controller) confirmationGap() time.Duration {
 	if c.cfg.ReadRate <= 0 {
-		return tuning.ConfirmGap
+		return tuning.MinConfirmationGap
 	}
-	return max(tuning.ConfirmGap, time.Duration(float64(time.Second)/(tuning.ConfirmShare*c.cfg.ReadRate)))
+	return max(tuning.MinConfirmationGap, time.Duration(float64(time.Second)/(tuning.ConfirmationShare*c.cfg.ReadRate)))
 }
 
 // settleConfirmations counts the confirmations that the cache has caught up with.
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -199,7 +199,7 @@
 	for _, p := range c.peers.byName {
 		n += len(p.machines)
 	}
-	return min(tuning.PaceMost, time.Duration(n)*tuning.PaceMachine)
+	return min(tuning.MaxPace, time.Duration(n)*tuning.PaceMachine)
 }
 
 // gossip sends this node's machines and loads, and whether the state service
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -374,17 +374,17 @@
 				row += x.count
 			}
 			// Until it shows whose fault it is, the machine is given less to fail.
-			m.noBookingsUntil = c.now + min(time.Duration(row)*tuning.RefusedPause, tuning.ErrorRowMost)
+			m.noBookingsUntil = c.now + min(time.Duration(row)*tuning.RefusedPause, tuning.MaxErrorRowPause)
 			if int64(c.now) >= j.pausedUntil { // its tasks that fail together count as one try
 				j.failures++
 			}
-			p := min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.ErrorPauseMost)
+			p := min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.MaxErrorPause)
 			j.pausedUntil = int64(c.now + p)
 		case domain.CauseNoRoom, domain.CauseBusy:
 			m.noBookingsUntil = c.now + tuning.RefusedPause
 		case domain.CauseUnknown:
 			j.failures++
-			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.ErrorPauseMost))
+			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.MaxErrorPause))
 		}
 		c.recordFinish(m)
 	})
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,7 +11,7 @@
 // preemptible tells whether tasks of the job may be stopped for any task that doesn't
 // yield itself: single tasks of idle priority.
 func preemptible(sp *domain.JobSpec) bool {
-	return sp.Priority == tuning.PrioIdle && sp.Shape == domain.Array
+	return sp.Priority == tuning.PriorityIdle && sp.Shape == domain.Array
 }
 
 // roomBeside is the room that a task can have on a machine: what is free, and for tasks
@@ -97,7 +97,7 @@
 func (c *Controller) preemptibleOn(m *Machine) []domain.TaskID {
 	ids := slices.DeleteFunc(sortedTasks(c.cache.bookedOn[m.Name]), func(id domain.TaskID) bool {
 		j := c.cache.jobs[id.Job]
-		return j.Header.Spec == nil || !preemptible(j.Header.Spec) || j.priority > tuning.PrioIdle
+		return j.Header.Spec == nil || !preemptible(j.Header.Spec) || j.priority > tuning.PriorityIdle
 	})
 	rank := func(id domain.TaskID) int {
 		j := c.cache.jobs[id.Job]
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -34,7 +34,7 @@
 
 // placedByLeader: jobs that the leader places as one.
 func placedByLeader(sp *domain.JobSpec) bool {
-	return sp.Shape == domain.Gang || sp.OneZone || sp.Spread || sp.TaskCount >= tuning.LargeJob
+	return sp.Shape == domain.Gang || sp.OneZone || sp.Spread || sp.TaskCount >= tuning.LargeJobTasks
 }
 
 // isReserved: the leader holds the machine for whole jobs; parts queue nothing on it.
@@ -46,7 +46,7 @@
 		return false
 	}
 	p := c.peers.byName[c.cache.view.Leader]
-	return p != nil && c.now-p.heardAt < tuning.GangHold && p.reserved[name]
+	return p != nil && c.now-p.heardAt < tuning.ReservationFresh && p.reserved[name]
 }
 
 // isEvicting: the leader wants the machine emptied for work of higher priority.
@@ -415,7 +415,7 @@
 // place draws the target of one arrival. False: nothing can take it now.
 func (c *Controller) place(j *Job, id domain.TaskID, t domain.Task, all []choice, ts []target) bool {
 	sp := j.Header.Spec
-	cs := leastLoaded(all, tuning.DrawMost)
+	cs := leastLoaded(all, tuning.MaxDrawTargets)
 	// A task is passed once at most, so that it can't wander.
 	if t.Shard == "" && !c.queues.tasksStaying[id] && !c.isLargeFleet() {
 		if len(cs) == 0 {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -185,7 +185,7 @@
 		if !placedByLeader(sp) {
 			// Large tasks at a limit: each small one of the team that ends would
 			// make room for another small one, for as long as those come.
-			if at.booked+at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.ClaimMost {
+			if at.booked+at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.MaxClaimAge {
 				if x.longWaiting == nil {
 					x.longWaiting = map[string]bool{}
 				}
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -280,7 +280,7 @@
 	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
 	if pack, ok := c.packFor(sp, h.Shard); ok {
 		h.Pack, h.ChunkSize = pack, h.TaskCount
-	} else if placedByLeader(sp) && h.TaskCount <= tuning.InHeader {
+	} else if placedByLeader(sp) && h.TaskCount <= tuning.MaxInlineTasks {
 		h.Inline, h.ChunkSize = true, h.TaskCount
 	}
 	return h
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -21,7 +21,7 @@
 	f.reserved, f.evicting = map[string]bool{}, map[string]bool{}
 	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
 		w := f.gangClasses[class]
-		if c.now-w.seenAt > tuning.WholeMemory {
+		if c.now-w.seenAt > tuning.GangClassMemory {
 			delete(f.gangClasses, class)
 			continue
 		}
@@ -59,7 +59,7 @@
 				x.wait = max(x.wait, left, 3)
 			}
 			if old[k.Name] {
-				x.wait -= tuning.HoldBonus
+				x.wait -= tuning.ReservationBonus
 			}
 			if ok {
 				cs = append(cs, x)
@@ -69,7 +69,7 @@
 		idle := 0
 		for _, x := range cs {
 			// It has the image, and the next such job is likely soon.
-			if at, was := f.ranGangAt[x.k.Name]; was && x.k.tasks == 0 && c.now-at < tuning.HoldAfter {
+			if at, was := f.ranGangAt[x.k.Name]; was && x.k.tasks == 0 && c.now-at < tuning.KeepReservedAfterGang {
 				f.reserved[x.k.Name] = true
 				idle++
 			}
@@ -138,7 +138,7 @@
 		}
 		p /= size
 		if old[k.Name] {
-			p *= tuning.RestSticky
+			p *= tuning.RestingStickiness
 		}
 		// Among equals those with little to run go empty first.
 		p *= 1.1 - 0.1*min(float64(k.tasks), 10)/10
@@ -161,7 +161,7 @@
 	}
 	sort.SliceStable(cs, func(a, b int) bool { return cs[a].price < cs[b].price })
 	if c.now >= f.nextLogAt {
-		f.nextLogAt = c.now + tuning.FleetTell
+		f.nextLogAt = c.now + tuning.ScalingLogInterval
 		busy := ""
 		for _, k := range ms {
 			tag := ""
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -167,7 +167,7 @@
 			credit -= int(n)
 			left -= n
 		}
-		for left > 0 && len(plans) < tuning.RentPlans {
+		for left > 0 && len(plans) < tuning.MaxRentalPlans {
 			o, ok := c.cheapest(p.spec, int(left), zones)
 			if !ok {
 				break
@@ -189,14 +189,14 @@
 	}
 	hires := 0
 	for _, o := range order {
-		for n := count[o]; n > 0 && hires < tuning.RentsAtOnce; n -= tuning.RentMost {
+		for n := count[o]; n > 0 && hires < tuning.MaxRentalsAtOnce; n -= tuning.MaxMachinesPerRental {
 			if n < count[o] && f.pauses[o].failures > 0 {
 				break // was short last time: one request tells
 			}
 			hires++
 			f.rentalCount++
 			e := RentMachines{RentalID: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount), Type: o.machineType, Zone: o.zone, Spot: o.spot,
-				Count: min(n, tuning.RentMost)}
+				Count: min(n, tuning.MaxMachinesPerRental)}
 			f.rentals[e.RentalID] = rental{e, c.now}
 			c.info("renting", "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", e.Count)
 			c.emit(e)
@@ -282,7 +282,7 @@
 	o := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
 	p := f.pauses[o]
 	if len(e.Names) < r.request.Count && c.now >= p.until {
-		d := min(tuning.NoCapacityPause<<min(p.failures, 8), tuning.NoCapacityMost)
+		d := min(tuning.NoCapacityPause<<min(p.failures, 8), tuning.MaxNoCapacityPause)
 		f.pauses[o] = rentalPause{c.now + d, p.failures + 1}
 	} else if len(e.Names) == r.request.Count {
 		delete(f.pauses, o)
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -77,7 +77,7 @@
 	if c.now < f.nextDecisionAt {
 		return
 	}
-	f.nextDecisionAt = c.now + max(tuning.FleetEvery, 2*c.pace())
+	f.nextDecisionAt = c.now + max(tuning.ScalingInterval, 2*c.pace())
 	c.planScaleIn()
 	if f.listed {
 		ms := c.machines()
@@ -92,7 +92,7 @@
 func (c *Controller) onInstancesListed(e InstancesListed) {
 	f := &c.scaling
 	f.listing = false
-	f.nextListAt = c.now + tuning.ListEvery
+	f.nextListAt = c.now + tuning.InstanceListInterval
 	if !e.OK {
 		return
 	}
@@ -185,7 +185,7 @@
 		if (m.Reason == domain.DrainIdle || m.Reason == domain.DrainFaulty) && len(c.cache.bookedOn[n]) > 0 {
 			continue
 		}
-		if len(names) < tuning.ReturnMost {
+		if len(names) < tuning.MaxReturnsAtOnce {
 			names = append(names, n)
 		}
 	}
@@ -262,10 +262,10 @@
 				keep = tuning.IdleKeepSpot
 			}
 			if f.resting[k.Name] && c.isLargeFleet() {
-				keep = tuning.IdleKeepRest // beyond the headroom, which grows with the fleet
+				keep = tuning.IdleKeepResting // beyond the headroom, which grows with the fleet
 			}
 			if f.reserved[k.Name] {
-				keep = tuning.IdleKeepWhole
+				keep = tuning.IdleKeepReserved
 			}
 			if since, ok := f.idleSince[k.Name]; ok && c.now-since > keep && (f.resting[k.Name] || !c.wanted(k, pend)) {
 				c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -21,7 +21,7 @@
 		n += len(p.machines)
 	}
 	c.countWaiting()
-	return n > tuning.WideFleet || c.peers.waitingTotal > tuning.WideBacklog
+	return n > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
 // isUntouched: nothing of the job was booked or handed over yet.
@@ -119,7 +119,7 @@
 				break
 			}
 		}
-		if len(from) >= tuning.DrawMost {
+		if len(from) >= tuning.MaxDrawTargets {
 			break
 		}
 	}
@@ -134,7 +134,7 @@
 		if free.CPU == 0 {
 			continue
 		}
-		for n := 0; n < tuning.HandoverMost; n++ {
+		for n := 0; n < tuning.MaxHandovers; n++ {
 			var cs []choice
 			var take []domain.TaskID
 			for _, o := range from {
@@ -219,7 +219,7 @@
 	}
 	sent := 0
 	for _, m := range mine {
-		if len(m.queue) > 0 || sent >= tuning.StealMost {
+		if len(m.queue) > 0 || sent >= tuning.MaxStealRequests {
 			continue
 		}
 		free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
@@ -237,10 +237,10 @@
 		}
 		if k := c.draw(&c.learner.steal, cs); k >= 0 {
 			sent++
-			most := tuning.HandoverMost
+			most := tuning.MaxHandovers
 			if n := idle[machineKind{m.Type, m.Zone, m.Spot}]; wide {
-				free, most = domain.Resources{}.Plus(free, n), tuning.HandoverMost*int(n)
-				sent = tuning.StealMost // one for all alike
+				free, most = domain.Resources{}.Plus(free, n), tuning.MaxHandovers*int(n)
+				sent = tuning.MaxStealRequests // one for all alike
 			}
 			c.emit(SendPeerMessage{To: cs[k].name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
 				Type: m.Type, Zone: m.Zone, Spot: m.Spot, Room: free, MaxTasks: most}}})
@@ -275,7 +275,7 @@
 		for _, j := range c.cache.openJobs {
 			sp := j.Header.Spec
 			if placedByLeader(sp) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" || c.shardOf(j) != c.cfg.Node ||
-				j.Header.Handovers >= tuning.HopsMost || !c.allowsMachine(sp, s.Type, s.Zone, s.Spot) {
+				j.Header.Handovers >= tuning.MaxHops || !c.allowsMachine(sp, s.Type, s.Zone, s.Spot) {
 				continue
 			}
 			if fit := room.CountFitting(sp.Request, int64(sp.TaskCount)); 2*fit >= int64(sp.TaskCount) && n < s.MaxTasks {
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -216,7 +216,7 @@
 		}
 		if old != nil && old.OwnerOverrides[m] != o {
 			mv := c.views.overrideChanges[m]
-			if c.now-mv.lastAt > tuning.MoveMemory {
+			if c.now-mv.lastAt > tuning.OverrideChangeMemory {
 				mv.count = 0
 			}
 			c.views.overrideChanges[m] = overrideChange{mv.count + 1, c.now}
@@ -301,7 +301,7 @@
 			if !ok {
 				c.views.notServingSince[n], since = c.now, c.now
 			}
-			if c.now-since < tuning.ReserveAfter {
+			if c.now-since < tuning.ServeAgainAfter {
 				continue
 			}
 			changed = true
@@ -325,7 +325,7 @@
 	// Overrides have room for some of the machines that zones apart from each
 	// other part from their owners, and each would be a change of the view.
 	next.Zoned = v.Zoned && !c.zonesReconnected()
-	if len(apart) >= tuning.ApartMachines {
+	if len(apart) >= tuning.MinMachinesApart {
 		next.Zoned = true
 	}
 	changed = changed || next.Zoned != v.Zoned
@@ -342,7 +342,7 @@
 	// again: overrides have room up to a bound, and machines beyond it wait. Those
 	// of a view written under larger limits are dropped beyond it: any node may own
 	// a machine after a change of epoch.
-	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverBytes)
+	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
 	if len(v.OwnerOverrides) > most && (c.formatOn() || c.formats.limitsFell) {
 		changed, overOnly = true, false
 	}
@@ -351,7 +351,7 @@
 		if next.Zoned || len(next.OwnerOverrides) >= most {
 			break
 		}
-		if c.isLargeFleet() && c.now-c.views.overrideSeenAt[m] > tuning.OverKeep {
+		if c.isLargeFleet() && c.now-c.views.overrideSeenAt[m] > tuning.OverrideLifetime {
 			continue // its worker comes back if the reason is still there
 		}
 		if _, ok := next.Members[o]; ok && c.cache.cordons[m].State != domain.CordonGone && rendezvous(m, next.Serving) != o {
@@ -381,7 +381,7 @@
 			}
 		}
 	}
-	if !changed || overOnly && c.isLargeFleet() && c.now-c.views.adoptedAt < tuning.OverPause {
+	if !changed || overOnly && c.isLargeFleet() && c.now-c.views.adoptedAt < tuning.OverridePause {
 		return nil
 	}
 	return next
@@ -398,7 +398,7 @@
 	if c.views.peersHeardSince < 0 {
 		c.views.peersHeardSince = c.now
 	}
-	return c.isLeader() && c.now-c.views.peersHeardSince > tuning.ZonedKeep && c.now-c.views.adoptedAt > tuning.ZonedKeep
+	return c.isLeader() && c.now-c.views.peersHeardSince > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
 }
 
 // recordRedirect remembers that a worker was sent on to its owner.
@@ -413,17 +413,17 @@
 		return
 	}
 	c.views.lastRedirect[machine] = redirectMark{shift, tally}
-	if mv := c.views.overrideChanges[machine]; mv.count >= tuning.MovesMost && c.now-mv.lastAt < tuning.MoveMemory {
+	if mv := c.views.overrideChanges[machine]; mv.count >= tuning.MaxOverrideChanges && c.now-mv.lastAt < tuning.OverrideChangeMemory {
 		return
 	}
 	owner += "/" + c.cache.view.Members[owner] // a new incarnation starts afresh
 	weight := 1
 	if baton == c.cache.view.Epoch {
-		weight = tuning.BounceCount
+		weight = tuning.RedirectCount
 	}
 	keep := c.views.redirects[machine][:0]
 	for _, b := range c.views.redirects[machine] {
-		if c.now-b.at < tuning.BounceWindow && b.owner == owner {
+		if c.now-b.at < tuning.RedirectWindow && b.owner == owner {
 			keep = append(keep, b)
 		}
 	}
@@ -443,7 +443,7 @@
 		owner := c.ownerIn(m, bs[len(bs)-1].zone)
 		inc := owner + "/" + c.cache.view.Members[owner]
 		for _, b := range bs {
-			if c.now-b.at < tuning.BounceWindow && b.owner == inc {
+			if c.now-b.at < tuning.RedirectWindow && b.owner == inc {
 				n += b.weight
 				first, last = min(first, b.at), max(last, b.at)
 				zones[m] = b.zone
@@ -455,7 +455,7 @@
 		// and again, and leave their tasks in other parts' packs. Nodes also see a
 		// new view one after the other, and send a worker to and fro meanwhile:
 		// only one that came back after trying its owner in vain has lost it.
-		if n >= tuning.BounceCount && (!wide || c.now-first >= tuning.BounceSettle && last-first >= tuning.BounceBack) {
+		if n >= tuning.RedirectCount && (!wide || c.now-first >= tuning.RedirectSettle && last-first >= tuning.RedirectReturn) {
 			count[owner] = append(count[owner], m)
 		}
 		if n == 0 {
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -185,7 +185,7 @@
 // machines that fit have room for it all the time and its team is under its limit.
 // Wide worlds are left out.
 func (w *Cluster) checkRoom() {
-	if len(w.workers) > tuning.WideFleet {
+	if len(w.workers) > tuning.LargeFleetMachines {
 		return
 	}
 	used, there := map[string]domain.Resources{}, map[string]zoneCount{}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -157,7 +157,7 @@
 			"blue": {Guarantee: domain.Resources{GPU: 8000}, Limit: domain.Resources{GPU: 40000}},
 		},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 20 * time.Second, CancelWithin: 40 * time.Second, GangPeerWait: 5 * time.Second,
-		FenceAge: tuning.Fence, ValueLimit: 4096, TransactionLimit: 8, ListLag: 4 * time.Second,
+		FenceAge: tuning.FenceAge, ValueLimit: 4096, TransactionLimit: 8, ListLag: 4 * time.Second,
 		StartWithin: map[string]float64{}, FinishWithin: map[string][]float64{}, SpareMachines: 0, Learn: true,
 	}
 }
@@ -547,7 +547,7 @@
 		}
 		ev, ok := r.(scheduler.SnapshotLoaded)
 		if !ok {
-			n.w.after(tuning.ConfirmRetry, func() { n.snapshot(g) })
+			n.w.after(tuning.ConfirmationRetry, func() { n.snapshot(g) })
 			return
 		}
 		n.since = ev.Revision
@@ -565,7 +565,7 @@
 		if n.gen != g {
 			return
 		}
-		pause := tuning.ConfirmRetry
+		pause := tuning.ConfirmationRetry
 		if ev, ok := r.(scheduler.WatchAdvanced); ok {
 			n.since = max(n.since, ev.Revision)
 			ev.Sent = sent
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -51,7 +51,7 @@
 func TestIdleWorkYields(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		w := withGuest(seed, 2)
-		idle := domain.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: domain.Array, Priority: tuning.PrioIdle, TaskCount: 40,
+		idle := domain.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: domain.Array, Priority: tuning.PriorityIdle, TaskCount: 40,
 			Request: domain.Resources{CPU: 4000, Memory: 8000}, Spot: true, Image: "sims", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 10, CheckpointCost: 2}
 		w.after(2*time.Second, func() { w.Submit(idle, 300*time.Second) })
 		w.Run(59 * time.Second)
@@ -89,7 +89,7 @@
 func TestLargeArrayLeavesChanges(t *testing.T) {
 	w := grown(5, 60, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
 	w.feed(500, 350*time.Millisecond)
-	array := domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: tuning.PrioIdle, TaskCount: 12000,
+	array := domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: tuning.PriorityIdle, TaskCount: 12000,
 		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
 	w.Run(60 * time.Second)
 	before := w.Starts()
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -417,7 +417,7 @@
 	}
 	t.state = domain.ReportedWaiting
 	// In a wide world the sums over all machines are made each second only.
-	if len(k.w.workers) <= tuning.WideFleet {
+	if len(k.w.workers) <= tuning.LargeFleetMachines {
 		k.w.checkPlaces()
 	}
 	if j.spec.Shape != domain.Gang || j.spec.TaskCount == 1 {
