--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"errors"
 	"io"
 	"log/slog"
 	"net"
@@ -48,7 +49,7 @@
 	e.JSONSerializer = jsonCodec{}
 	e.HTTPErrorHandler = func(err error, c echo.Context) {
 		code := http.StatusInternalServerError
-		if h, ok := err.(*echo.HTTPError); ok {
+		if h, ok := errors.AsType[*echo.HTTPError](err); ok {
 			code = h.Code
 		}
 		if !c.Response().Committed {
