--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -56,7 +56,7 @@
 	idForm = regexp.MustCompile(`^job-[0-9]{6,20}$`)
 	check  = newCheck()
 	shapes = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
-	prios  = map[string]int{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
+	prios  = map[string]domain.Priority{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
 )
 
 func newCheck() *validator.Validate {
--- a/internal/codec/chunk_decode.go
+++ b/internal/codec/chunk_decode.go
@@ -14,51 +14,51 @@
 // maxTasksPerText bounds the tasks that one text may claim, against nonsense in the store.
 const maxTasksPerText = 200000
 
-// Tasks reads a job's tasks back and hands each to take. What was read before an error
-// has been handed over.
+// Tasks reads a job's tasks back and hands each to take, with its number in the chunk or cell.
+// What was read before an error has been handed over. The error is ErrMalformedChunk.
 func (v *ChunkValue) Tasks(text string, take func(int, domain.Task)) error {
 	d := &chunkDecoder{value: v, take: take}
 	if v.Version == shortForm {
-		return d.short(text)
+		return d.readShortForm(text)
 	}
-	return d.long(text)
+	return d.readFirstForm(text)
 }
 
-// chunkDecoder reads one text. A number or name that can't be read makes it bad.
+// chunkDecoder reads one text.
 type chunkDecoder struct {
-	value *ChunkValue
-	take  func(int, domain.Task)
-	next  int // number of the next task of the runs of states
-	bad   bool
+	value     *ChunkValue
+	take      func(int, domain.Task)
+	next      int  // number of the next task of the runs
+	malformed bool // a number or name couldn't be read
 }
 
 // number reads a decimal number.
-func (d *chunkDecoder) number(s string) uint64 {
-	x, err := strconv.ParseUint(s, 10, 64)
-	d.bad = d.bad || err != nil
-	return x
+func (d *chunkDecoder) number(text string) uint64 {
+	n, err := strconv.ParseUint(text, 10, 64)
+	d.malformed = d.malformed || err != nil
+	return n
 }
 
 // name reads a place in the value's list of names.
-func (d *chunkDecoder) name(s string) string {
-	x, err := strconv.Atoi(s)
-	if err != nil || x < 0 || x >= len(d.value.Names) {
-		d.bad = true
+func (d *chunkDecoder) name(text string) string {
+	place, err := strconv.Atoi(text)
+	if err != nil || place < 0 || place >= len(d.value.Names) {
+		d.malformed = true
 		return ""
 	}
-	return d.value.Names[x]
+	return d.value.Names[place]
 }
 
-// list hands over the tasks of a list of numbers: 8-10.12.
-func (d *chunkDecoder) list(list string, t domain.Task) error {
-	for _, r := range strings.Split(list, ".") {
-		first, last, isRange := strings.Cut(r, "-")
+// takeNumbered hands over a task for each number of a text: 8-10.12.
+func (d *chunkDecoder) takeNumbered(numbers string, t domain.Task) error {
+	for _, stretch := range strings.Split(numbers, separatorNumbers) {
+		first, last, isRange := strings.Cut(stretch, numberRange)
 		from := d.number(first)
 		to := from
 		if isRange {
 			to = d.number(last)
 		}
-		if d.bad || to < from || to > maxTasksPerText {
+		if d.malformed || to < from || to > maxTasksPerText {
 			return ErrMalformedChunk
 		}
 		for i := from; i <= to; i++ {
@@ -68,26 +68,26 @@
 	return nil
 }
 
-// run hands over n tasks of one state, which fields describe: a count, and for queued
-// ones maybe the attempts so far and the part. Booked ones are only counted here.
-func (d *chunkDecoder) run(state byte, n uint64, fields []string) error {
+// takeRun hands over count tasks of one state, which fields describe: a count, and for queued
+// ones maybe the attempts so far and the shard. Booked ones are only counted here.
+func (d *chunkDecoder) takeRun(mark byte, count uint64, fields []string) error {
 	var t domain.Task
-	switch state {
-	case '?':
+	switch mark {
+	case markQueued:
 		if len(fields) == 3 {
 			t.Attempt, t.Shard = d.number(fields[1]), d.name(fields[2])
 		}
-	case '!':
+	case markDone:
 		t.State = domain.Done
-	case '*':
+	case markBooked:
 		t.State = domain.Booked
 	default:
 		return ErrMalformedChunk
 	}
-	if d.bad || n > maxTasksPerText {
+	if d.malformed || count > maxTasksPerText {
 		return ErrMalformedChunk
 	}
-	for ; n > 0; n-- {
+	for ; count > 0; count-- {
 		if t.State != domain.Booked {
 			d.take(d.next, t)
 		}
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// booking is what a group of bookings shares: zone and part, and session and attempt
-// where these aren't both 1.
+// booking reads what bookings share but for the machine: zone and controller, and agent epoch
+// and attempt where these aren't both 1.
 func (d *chunkDecoder) booking(fields []string) (domain.Task, error) {
 	t := domain.Task{State: domain.Booked, AgentEpoch: 1, Attempt: 1}
 	if len(fields) != 2 && len(fields) != 4 {
@@ -110,15 +110,15 @@
 	return t, nil
 }
 
-// short reads the form of V 2.
-func (d *chunkDecoder) short(text string) error {
-	runs, groups, booked := strings.Cut(text, "/")
+// readShortForm reads a text of the shorter form.
+func (d *chunkDecoder) readShortForm(text string) error {
+	runs, groups, hasBookings := strings.Cut(text, shortFormGroup)
 	for len(runs) > 0 {
-		end := strings.IndexAny(runs[1:], "?*!") + 1
+		end := strings.IndexAny(runs[1:], runMarks) + 1
 		if end == 0 {
 			end = len(runs)
 		}
-		if err := d.shortRun(runs[0], strings.Split(runs[1:end], ",")); err != nil {
+		if err := d.readShortRun(runs[0], strings.Split(runs[1:end], separatorField)); err != nil {
 			return err
 		}
 		runs = runs[end:]
@@ -126,74 +126,80 @@
 	if d.next == 0 {
 		return ErrMalformedChunk
 	}
-	if !booked {
+	if !hasBookings {
 		return nil
 	}
-	for _, group := range strings.Split(groups, "/") {
-		if err := d.shortGroup(strings.Split(group, "|")); err != nil {
+	for _, group := range strings.Split(groups, shortFormGroup) {
+		if err := d.readShortGroup(strings.Split(group, shortFormMachine)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// shortRun reads a run of states; a count of one is left out.
-func (d *chunkDecoder) shortRun(state byte, fields []string) error {
-	if len(fields) != 1 && (len(fields) != 3 || state != '?') {
+// readShortRun reads a run; a count of one is left out.
+func (d *chunkDecoder) readShortRun(mark byte, fields []string) error {
+	if len(fields) != 1 && (len(fields) != 3 || mark != markQueued) {
 		return ErrMalformedChunk
 	}
-	n := uint64(1)
+	count := uint64(1)
 	if fields[0] != "" {
-		n = d.number(fields[0])
+		count = d.number(fields[0])
 	}
-	return d.run(state, n, fields)
+	return d.takeRun(mark, count, fields)
 }
 
-// shortGroup reads the bookings that share all but machine and number.
-func (d *chunkDecoder) shortGroup(parts []string) error {
-	t, err := d.booking(strings.Split(parts[0], ","))
+// readShortGroup reads the bookings that share all but machine and number: what they share,
+// then the machines.
+func (d *chunkDecoder) readShortGroup(parts []string) error {
+	t, err := d.booking(strings.Split(parts[0], separatorField))
 	if err != nil {
 		return err
 	}
 	for _, part := range parts[1:] {
-		name, list, _ := strings.Cut(part, ":")
-		if d.bad {
+		name, numbers, _ := strings.Cut(part, separatorTasks)
+		if d.malformed {
 			return ErrMalformedChunk
 		}
 		t.Machine = d.value.MachinePrefix + name
-		if err := d.list(list, t); err != nil {
+		if err := d.takeNumbered(numbers, t); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// long reads the first form.
-func (d *chunkDecoder) long(text string) error {
-	runs, groups, booked := strings.Cut(text, "|")
-	for _, item := range strings.Split(runs, ";") {
-		fields := strings.Split(item, ",")
+// readFirstForm reads a text of the first form.
+func (d *chunkDecoder) readFirstForm(text string) error {
+	runs, groups, hasBookings := strings.Cut(text, firstFormBookings)
+	for _, run := range strings.Split(runs, firstFormItem) {
+		fields := strings.Split(run, separatorField)
 		if len(fields[0]) < 2 || len(fields) != 1 && len(fields) != 3 {
 			return ErrMalformedChunk
 		}
-		if err := d.run(fields[0][0], d.number(fields[0][1:]), fields); err != nil {
+		if err := d.takeRun(fields[0][0], d.number(fields[0][1:]), fields); err != nil {
 			return err
 		}
 	}
-	if !booked {
+	if !hasBookings {
 		return nil
 	}
-	for _, item := range strings.Split(groups, ";") {
-		head, list, _ := strings.Cut(item, ":")
-		machine, rest, _ := strings.Cut(head, ",")
-		t, err := d.booking(strings.Split(rest, ","))
-		if err != nil {
-			return err
-		}
-		t.Machine = machine
-		if err := d.list(list, t); err != nil {
+	for _, group := range strings.Split(groups, firstFormItem) {
+		if err := d.readFirstGroup(group); err != nil {
 			return err
 		}
 	}
 	return nil
 }
+
+// readFirstGroup reads the bookings that share all but the number.
+func (d *chunkDecoder) readFirstGroup(group string) error {
+	head, numbers, _ := strings.Cut(group, separatorTasks)
+	machine, rest, _ := strings.Cut(head, separatorField)
+	t, err := d.booking(strings.Split(rest, separatorField))
+	if err != nil {
+		return err
+	}
+	t.Machine = machine
+	return d.takeNumbered(numbers, t)
+}
--- /dev/null
+++ b/internal/codec/chunk_encode.go
@@ -0,0 +1,197 @@
+package codec
+
+import (
+	"cmp"
+	"slices"
+	"strconv"
+	"strings"
+
+	"brassglade/internal/domain"
+)
+
+// Put adds a job's tasks, in the form of the value.
+func (v *ChunkValue) Put(id string, tasks []domain.Task) {
+	e := chunkEncoder{value: v, tasks: tasks}
+	e.writeRuns()
+	if v.Version == shortForm {
+		e.writeShortBookings()
+	} else {
+		e.writeFirstBookings()
+	}
+	v.Texts[id] = e.text.String()
+}
+
+// chunkEncoder writes the text of one job's tasks.
+type chunkEncoder struct {
+	value *ChunkValue
+	tasks []domain.Task
+	text  strings.Builder
+}
+
+func (e *chunkEncoder) isShort() bool { return e.value.Version == shortForm }
+
+// writeName writes the place of a name in the value's list, which gets it if it lacks it.
+func (e *chunkEncoder) writeName(name string) {
+	place := slices.Index(e.value.Names, name)
+	if place < 0 {
+		place = len(e.value.Names)
+		e.value.Names = append(e.value.Names, name)
+	}
+	e.text.WriteString(strconv.Itoa(place))
+}
+
+func (e *chunkEncoder) writeNumber(n uint64) { e.text.WriteString(strconv.FormatUint(n, 10)) }
+
+// writeRuns writes the runs of tasks of the same state.
+func (e *chunkEncoder) writeRuns() {
+	for from := 0; from < len(e.tasks); {
+		to := from + 1
+		for to < len(e.tasks) && belongToOneRun(e.tasks[from], e.tasks[to]) {
+			to++
+		}
+		if from > 0 && !e.isShort() {
+			e.text.WriteString(firstFormItem)
+		}
+		e.writeRun(e.tasks[from], to-from)
+		from = to
+	}
+}
+
+// belongToOneRun: a run says all of its queued and done tasks, and only the number of booked
+// ones.
+func belongToOneRun(a, b domain.Task) bool {
+	return a == b || a.State == domain.Booked && b.State == domain.Booked
+}
+
+// writeRun writes a run of tasks that are like the given one.
+func (e *chunkEncoder) writeRun(t domain.Task, count int) {
+	e.text.WriteByte(runMarks[t.State])
+	if count > 1 || !e.isShort() {
+		e.text.WriteString(strconv.Itoa(count))
+	}
+	if t.State == domain.Queued && (t.Attempt > 0 || t.Shard != "") {
+		e.text.WriteString(separatorField)
+		e.writeNumber(t.Attempt)
+		e.text.WriteString(separatorField)
+		e.writeName(t.Shard)
+	}
+}
+
+// writeBooking writes what bookings share but for the machine: zone and controller, and agent
+// epoch and attempt where these aren't both 1.
+func (e *chunkEncoder) writeBooking(zone, controller string, agentEpoch, attempt uint64) {
+	e.writeName(zone)
+	e.text.WriteString(separatorField)
+	e.writeName(controller)
+	if agentEpoch != 1 || attempt != 1 {
+		e.text.WriteString(separatorField)
+		e.writeNumber(agentEpoch)
+		e.text.WriteString(separatorField)
+		e.writeNumber(attempt)
+	}
+}
+
+// writeTaskNumbers writes numbers of tasks, which ascend: 8-10.12.
+func (e *chunkEncoder) writeTaskNumbers(numbers []int) {
+	e.text.WriteString(separatorTasks)
+	for first := 0; first < len(numbers); {
+		last := first
+		for last+1 < len(numbers) && numbers[last+1] == numbers[last]+1 {
+			last++
+		}
+		if first > 0 {
+			e.text.WriteString(separatorNumbers)
+		}
+		e.text.WriteString(strconv.Itoa(numbers[first]))
+		if last > first {
+			e.text.WriteString(numberRange)
+			e.text.WriteString(strconv.Itoa(numbers[last]))
+		}
+		first = last + 1
+	}
+}
+
+// writeFirstBookings writes the bookings of the first form: a group for each machine, agent
+// epoch, attempt and controller.
+func (e *chunkEncoder) writeFirstBookings() {
+	var booked []int
+	for i := range e.tasks {
+		if e.tasks[i].State == domain.Booked {
+			booked = append(booked, i)
+		}
+	}
+	slices.SortStableFunc(booked, func(a, b int) int {
+		x, y := &e.tasks[a], &e.tasks[b]
+		return cmp.Or(cmp.Compare(x.Machine, y.Machine), cmp.Compare(x.AgentEpoch, y.AgentEpoch),
+			cmp.Compare(x.Attempt, y.Attempt), cmp.Compare(x.Shard, y.Shard), cmp.Compare(a, b))
+	})
+	separator := firstFormBookings
+	for from := 0; from < len(booked); {
+		t, to := &e.tasks[booked[from]], from+1
+		for to < len(booked) && e.tasks[booked[to]] == *t {
+			to++
+		}
+		e.text.WriteString(separator)
+		e.text.WriteString(t.Machine)
+		e.text.WriteString(separatorField)
+		e.writeBooking(t.Zone, t.Shard, t.AgentEpoch, t.Attempt)
+		e.writeTaskNumbers(booked[from:to])
+		separator, from = firstFormItem, to
+	}
+}
+
+// bookingGroup is what the bookings of one group of the shorter form share.
+type bookingGroup struct {
+	zone, controller    string
+	agentEpoch, attempt uint64
+}
+
+// bookingsByMachine are the bookings of a group: machines in the order of their first task, and
+// the numbers of the tasks on each.
+type bookingsByMachine struct {
+	machines []string
+	tasks    map[string][]int
+}
+
+// writeShortBookings writes the bookings of the shorter form, grouped by all but the machine.
+func (e *chunkEncoder) writeShortBookings() {
+	var groups []bookingGroup
+	bookings := map[bookingGroup]*bookingsByMachine{}
+	for i := range e.tasks {
+		t := &e.tasks[i]
+		if t.State != domain.Booked {
+			continue
+		}
+		group := bookingGroup{t.Zone, t.Shard, t.AgentEpoch, t.Attempt}
+		if bookings[group] == nil {
+			groups, bookings[group] = append(groups, group), &bookingsByMachine{tasks: map[string][]int{}}
+		}
+		bookings[group].add(t.Machine, i)
+	}
+	slices.SortFunc(groups, func(a, b bookingGroup) int {
+		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.controller, b.controller),
+			cmp.Compare(a.agentEpoch, b.agentEpoch), cmp.Compare(a.attempt, b.attempt))
+	})
+	for _, group := range groups {
+		e.text.WriteString(shortFormGroup)
+		e.writeBooking(group.zone, group.controller, group.agentEpoch, group.attempt)
+		e.writeMachines(bookings[group])
+	}
+}
+
+func (b *bookingsByMachine) add(machine string, task int) {
+	if b.tasks[machine] == nil {
+		b.machines = append(b.machines, machine)
+	}
+	b.tasks[machine] = append(b.tasks[machine], task)
+}
+
+// writeMachines writes the machines of a group by name, with the tasks on each.
+func (e *chunkEncoder) writeMachines(b *bookingsByMachine) {
+	slices.Sort(b.machines)
+	for _, machine := range b.machines {
+		e.text.WriteString(shortFormMachine)
+		e.text.WriteString(strings.TrimPrefix(machine, e.value.MachinePrefix))
+		e.writeTaskNumbers(b.tasks[machine])
+	}
+}
--- /dev/null
+++ b/internal/codec/job_header_test.go
@@ -0,0 +1,77 @@
+package codec
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestCells: the cells of a job are stretches one after the other that cover all its tasks, each
+// task has the key of its cell, and each key names the first task of its cell.
+func TestCells(t *testing.T) {
+	split := JobHeader{TaskCount: 50, ChunkSize: 20, CellSize: 8}
+	split.SplitChunks = split.WithSplit(1)
+	far := JobHeader{TaskCount: 200, ChunkSize: 10, CellSize: 10}
+	far.SplitChunks = far.WithSplit(17)
+	for _, want := range []struct {
+		header JobHeader
+		keys   []string
+		firsts []int
+	}{
+		{JobHeader{TaskCount: 3, ChunkSize: 3, Inline: true}, []string{"b/job/job-1"}, []int{0}},
+		{JobHeader{TaskCount: 3, ChunkSize: 3, Pack: "c-0/4"}, []string{"b/pack/c-0/4"}, []int{0}},
+		{JobHeader{TaskCount: 50, ChunkSize: 20}, []string{"b/task/job-1/0", "b/task/job-1/1", "b/task/job-1/2"}, []int{0, 20, 40}},
+		{split, []string{"b/task/job-1/0", "b/task/job-1/1/0", "b/task/job-1/1/1", "b/task/job-1/1/2", "b/task/job-1/2"}, []int{0, 20, 28, 36, 40}},
+	} {
+		h := &want.header
+		var keys []string
+		var firsts []int
+		for task := 0; task < h.TaskCount; task = h.CellEnd(task) {
+			from, to := h.Cell(task)
+			if from != task || to <= from {
+				t.Fatalf("%+v: task %d begins cell %d to %d", h, task, from, to)
+			}
+			for i := from; i < to; i++ {
+				if f, e := h.Cell(i); f != from || e != to || h.KeyOf("job-1", i) != h.KeyOf("job-1", from) {
+					t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.KeyOf("job-1", i))
+				}
+			}
+			keys, firsts = append(keys, h.KeyOf("job-1", task)), append(firsts, from)
+		}
+		if !slices.Equal(keys, want.keys) || !slices.Equal(firsts, want.firsts) || h.CellCount() != len(keys) {
+			t.Errorf("%+v: %d cells, %v from %v", h, h.CellCount(), keys, firsts)
+		}
+	}
+	for task, path := range map[int][]string{0: {"0"}, 20: {"1"}, 28: {"1", "1"}, 40: {"2"}} {
+		if got, ok := split.FirstTaskOf(path); !ok || got != task {
+			t.Errorf("%v names task %d, %t", path, got, ok)
+		}
+	}
+	for _, path := range [][]string{nil, {""}, {"x"}, {"3"}, {"-1"}, {"1", "x"}, {"2", "2"}, {"1", "0", "0"}} {
+		if got, ok := split.FirstTaskOf(path); ok {
+			t.Errorf("%v names task %d", path, got)
+		}
+	}
+	if far.IsSplit(16) || !far.IsSplit(17) || far.IsSplit(18) || far.IsSplit(99) || len((&JobHeader{}).SplitChunks) != 0 {
+		t.Errorf("split: %b", far.SplitChunks)
+	}
+}
+
+// TestParseKey: each key is of the kind that it was made for.
+func TestParseKey(t *testing.T) {
+	for key, want := range map[string]struct {
+		kind Kind
+		name string
+	}{
+		KeyView: {KindView, ""}, KeyFormat: {KindFormat, ""}, PrefixFormat + "c-0": {KindFormat, "c-0"},
+		KeyMachineTypes: {KindMachineTypes, ""}, KeyMachineTypePage(0): {KindMachineTypes, ""}, KeyMachineTypePage(3): {KindMachineTypes, "3"},
+		PrefixMember + "c-0": {KindMember, "c-0"}, KeyJob("job-1"): {KindJob, "job-1"}, KeyChunk("job-1", 2): {KindTasks, "job-1/2"},
+		KeyCell("job-1", 2, 3): {KindTasks, "job-1/2/3"}, PrefixPack + PackName("c-0", 4): {KindPack, "c-0/4"},
+		KeyDependencyPiece("job-1", "c-0.1-7", 0): {KindDependencies, "job-1/c-0.1-7/0"}, PrefixTeam + "red": {KindTeam, "red"},
+		PrefixCordons + "c-0": {KindCordons, "c-0"}, PrefixWindow + "c-0": {KindWindow, "c-0"},
+		"b/other": {KindUnknown, ""}, "b/viewer": {KindUnknown, ""}, "": {KindUnknown, ""},
+	} {
+		if kind, name := ParseKey(key); kind != want.kind || name != want.name {
+			t.Errorf("%s: kind %d, name %q", key, kind, name)
+		}
+	}
+}
--- a/internal/codec/keys.go
+++ b/internal/codec/keys.go
@@ -6,11 +6,13 @@
 	"strings"
 )
 
-// Keys of the state service.
+// Keys of the state service and what they begin with; package doc says what each holds.
 const (
-	Root               = "b/"
+	Root               = "b/" // what all keys begin with
 	KeyView            = "b/view"
+	KeyFormat          = "b/format"
 	KeyMachineTypes    = "b/flavors"
+	PrefixFormat       = "b/format/"
 	PrefixMachineTypes = "b/flavors/"
 	PrefixMember       = "b/member/"
 	PrefixJob          = "b/job/"
@@ -22,51 +24,85 @@
 	PrefixDependencies = "b/need/"
 )
 
-func KeyJob(id string) string { return PrefixJob + id }
-
-func KeyCell(id string, k, s int) string {
-	return PrefixTask + id + "/" + strconv.Itoa(k) + "/" + strconv.Itoa(s)
-}
-
-func PackName(part string, k int) string { return part + "/" + strconv.Itoa(k) }
+// Kind is what a key holds.
+type Kind int
 
-// Versions work side by side while controllers are replaced one by one, and a
-// process that ends before its turn comes back as the version before. Nothing
-// that the version before would misread is written until every controller of the
-// settings has announced the format below, each in a key of its own that hangs on
-// no grant. A controller that has announced never comes back as an older one, so
-// the leader then writes that the format is on, and it stays on.
+// The kinds of keys. KindUnknown is a key that this version doesn't know.
 const (
-	KeyFormat    = "b/format"
-	PrefixFormat = "b/format/"
-	// CurrentFormat: jobs that await others; values that move when they are too large.
-	CurrentFormat = 2
+	KindUnknown Kind = iota
+	KindView
+	KindMember
+	KindFormat
+	KindJob
+	KindTasks // a chunk or a cell of one
+	KindPack
+	KindDependencies
+	KindTeam
+	KindCordons
+	KindMachineTypes
+	KindWindow
 )
 
-const jobNamePrefix = "job-"
+// kindByPrefix says what the keys below a prefix hold.
+var kindByPrefix = [...]struct {
+	prefix string
+	kind   Kind
+}{
+	{PrefixTask, KindTasks},
+	{PrefixPack, KindPack},
+	{PrefixJob, KindJob},
+	{PrefixTeam, KindTeam},
+	{PrefixWindow, KindWindow},
+	{PrefixCordons, KindCordons},
+	{PrefixMember, KindMember},
+	{PrefixDependencies, KindDependencies},
+	{PrefixFormat, KindFormat},
+	{PrefixMachineTypes, KindMachineTypes},
+}
 
-func ParseNames(text string) []string {
-	l := strings.Fields(text)
-	for i := range l {
-		l[i] = jobNamePrefix + l[i]
+// ParseKey tells what a key holds and its name among the keys of that kind: the rest after the
+// prefix, "" for a key without one.
+func ParseKey(key string) (kind Kind, name string) {
+	switch key {
+	case KeyView:
+		return KindView, ""
+	case KeyFormat:
+		return KindFormat, ""
+	case KeyMachineTypes:
+		return KindMachineTypes, ""
+	}
+	for _, p := range kindByPrefix {
+		if strings.HasPrefix(key, p.prefix) {
+			return p.kind, key[len(p.prefix):]
+		}
 	}
-	return l
+	return KindUnknown, ""
 }
 
-// JoinNames joins names to texts of at most the given bytes each.
-func JoinNames(ids []string, most int) []string {
-	var l []string
-	for _, id := range ids {
-		s := strings.TrimPrefix(id, jobNamePrefix)
-		if n := len(l); n > 0 && len(l[n-1])+1+len(s) <= most {
-			l[n-1] += " " + s
-		} else {
-			l = append(l, s)
-		}
+// KeyJob is the key of a job's header.
+func KeyJob(id string) string { return PrefixJob + id }
+
+// KeyChunk is the key of a chunk of a job.
+func KeyChunk(id string, chunk int) string { return PrefixTask + id + "/" + strconv.Itoa(chunk) }
+
+// KeyCell is the key of a cell of a split chunk of a job.
+func KeyCell(id string, chunk, cell int) string {
+	return PrefixTask + id + "/" + strconv.Itoa(chunk) + "/" + strconv.Itoa(cell)
+}
+
+// PackName names a pack of a shard: the rest of its key after PrefixPack.
+func PackName(shard string, number int) string { return shard + "/" + strconv.Itoa(number) }
+
+// KeyMachineTypePage is the key of a page of machine types, counted from 0.
+func KeyMachineTypePage(page int) string {
+	if page == 0 {
+		return KeyMachineTypes
 	}
-	return l
+	return PrefixMachineTypes + strconv.Itoa(page)
 }
 
-func KeyDependencyPiece(id, tag string, k int) string {
-	return fmt.Sprintf("%s%s/%s/%d", PrefixDependencies, id, tag, k)
+// KeyDependencyPiece is the key of a piece of the list of jobs that a job depends on. The tag
+// names the list among those that were written for submissions of the same job.
+func KeyDependencyPiece(id, tag string, piece int) string {
+	return fmt.Sprintf("%s%s/%s/%d", PrefixDependencies, id, tag, piece)
 }
--- a/internal/domain/job.go
+++ b/internal/domain/job.go
@@ -1,38 +1,41 @@
 package domain
 
-// Shape of a job.
+// Shape of a job: how its tasks depend on each other.
 type Shape string
 
 // The shapes.
 const (
-	Array   Shape = "array"
-	Gang    Shape = "gang"
-	Service Shape = "service"
+	Array   Shape = "array"   // independent tasks
+	Gang    Shape = "gang"    // all tasks start and end together (gang scheduling)
+	Service Shape = "service" // tasks that never end by themselves
 )
 
-// JobSpec is a job as its user described it.
+// Priority of a job, from 0 (idle) to 3 (production).
+type Priority int
+
+// JobSpec is a job as its user described it; it is stored in the job's header.
 type JobSpec struct {
-	ID                   string    `json:"-"`
+	ID                   string    `json:"-"` // stands in the key
 	Class                string    `json:"cl"`
 	Team                 string    `json:"tm"`
 	Shape                Shape     `json:"sh"`
-	Priority             int       `json:"pr"` // 3 production .. 0 idle
+	Priority             Priority  `json:"pr"`
 	TaskCount            int       `json:"n"`
-	Request              Resources `json:"r"`
-	MachineTypes         []string  `json:"ty,omitempty"`
-	Zone                 string    `json:"z,omitempty"`
-	OneZone              bool      `json:"oz,omitempty"`
-	Spread               bool      `json:"sp,omitempty"`
-	Spot                 bool      `json:"s,omitempty"`
+	Request              Resources `json:"r"`            // of each task
+	MachineTypes         []string  `json:"ty,omitempty"` // types that it may run on; none: any
+	Zone                 string    `json:"z,omitempty"`  // zone that it must run in; "": any
+	OneZone              bool      `json:"oz,omitempty"` // all tasks in the same zone
+	Spread               bool      `json:"sp,omitempty"` // tasks on different machines
+	Spot                 bool      `json:"s,omitempty"`  // may run on spot machines
 	Image                string    `json:"im,omitempty"`
-	ImageGB              float64   `json:"ig,omitempty"`
-	EstimatedRuntime     float64   `json:"es,omitempty"`
-	CheckpointInterval   float64   `json:"ck,omitempty"`
-	CheckpointCost       float64   `json:"sv,omitempty"`
-	Deadline             float64   `json:"du,omitempty"`
-	DependencyText       string    `json:"aw,omitempty"` // names of the jobs it awaits, short (needs.go)
-	DependencyListName   string    `json:"at,omitempty"` // under which the rest of them is kept
-	DependencyListPieces int       `json:"an,omitempty"` // in how many pieces
+	ImageGB              float64   `json:"ig,omitempty"` // size of the image, GB
+	EstimatedRuntime     float64   `json:"es,omitempty"` // of a task, s
+	CheckpointInterval   float64   `json:"ck,omitempty"` // between checkpoints, s; 0: none
+	CheckpointCost       float64   `json:"sv,omitempty"` // time that saving takes, s
+	Deadline             float64   `json:"du,omitempty"` // after the submission, s; 0: none
+	DependencyText       string    `json:"aw,omitempty"` // jobs that it depends on, while they are few (codec.JoinNames)
+	DependencyListName   string    `json:"at,omitempty"` // tag of the keys that the others are kept under
+	DependencyListPieces int       `json:"an,omitempty"` // number of those keys
 	Dependencies         []string  `json:"-"`            // as submitted, or as read back
 }
 
--- a/internal/domain/resources.go
+++ b/internal/domain/resources.go
@@ -8,28 +8,28 @@
 	Memory int64 `json:"m,omitempty"`
 }
 
-// Plus returns r + k*o.
-func (r Resources) Plus(o Resources, k int64) Resources {
-	return Resources{r.CPU + k*o.CPU, r.GPU + k*o.GPU, r.Memory + k*o.Memory}
+// Plus returns r and times as much of other; a negative number takes away.
+func (r Resources) Plus(other Resources, times int64) Resources {
+	return Resources{r.CPU + times*other.CPU, r.GPU + times*other.GPU, r.Memory + times*other.Memory}
 }
 
-// Fits tells whether o fits into r.
-func (r Resources) Fits(o Resources) bool {
-	return o.CPU <= r.CPU && o.GPU <= r.GPU && o.Memory <= r.Memory
+// Fits tells whether a request fits into r.
+func (r Resources) Fits(request Resources) bool {
+	return request.CPU <= r.CPU && request.GPU <= r.GPU && request.Memory <= r.Memory
 }
 
-// CountFitting is how many of o fit into r, at most most.
-func (r Resources) CountFitting(o Resources, most int64) int64 {
-	n := most
-	for _, p := range [3][2]int64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
-		if p[1] > 0 {
-			n = min(n, p[0]/p[1])
+// CountFitting is how many of a request fit into r together, from 0 to most.
+func (r Resources) CountFitting(request Resources, most int64) int64 {
+	count := most
+	for _, pair := range [3]struct{ room, request int64 }{{r.CPU, request.CPU}, {r.GPU, request.GPU}, {r.Memory, request.Memory}} {
+		if pair.request > 0 {
+			count = min(count, pair.room/pair.request)
 		}
 	}
-	return max(n, 0)
+	return max(count, 0)
 }
 
-// Quota of one team, in thousandths; 0 means none.
+// Quota of one team: what it is guaranteed and what it may use at most. Zero means none.
 type Quota struct {
 	Guarantee, Limit Resources
 }
--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -2,7 +2,6 @@
 
 import (
 	"sort"
-	"strconv"
 	"strings"
 	"time"
 
@@ -12,74 +11,6 @@
 	"brassglade/internal/domain"
 )
 
-// keyOf is where task i of a job is kept: in a value of its own chunk, or cell of
-// a chunk, in the pack that the job shares with others of its part, or in the
-// job's header.
-func keyOf(j *Job, i int) string {
-	if j.Header.Inline {
-		return codec.KeyJob(j.ID)
-	}
-	if j.Header.Pack != "" {
-		return codec.PrefixPack + j.Header.Pack
-	}
-	k := i / j.Header.ChunkSize
-	if j.Header.IsSplit(k) {
-		return codec.KeyCell(j.ID, k, (i-k*j.Header.ChunkSize)/j.Header.CellSize)
-	}
-	return codec.PrefixTask + j.ID + "/" + strconv.Itoa(k)
-}
-
-// cell is the stretch of tasks that share a value with task i.
-func (j *Job) cell(i int) (from, to int) {
-	h := j.Header
-	k := i / h.ChunkSize
-	from, to = k*h.ChunkSize, min((k+1)*h.ChunkSize, h.TaskCount)
-	if h.IsSplit(k) {
-		from += (i - from) / h.CellSize * h.CellSize
-		to = min(from+h.CellSize, to)
-	}
-	return from, to
-}
-
-// cellEnd is where the next cell begins.
-func (j *Job) cellEnd(i int) int {
-	_, to := j.cell(i)
-	return to
-}
-
-// cells is the number of values that hold the job's tasks.
-func (j *Job) cells() int {
-	n := 0
-	for i := 0; i < j.Header.TaskCount; i = j.cellEnd(i) {
-		n++
-	}
-	return n
-}
-
-// Job is a job in the cache.
-type Job struct {
-	ID          string
-	Header      *codec.JobHeader
-	Tasks       []domain.Task // nil until a chunk was written: all queued
-	counts      placement     // of the committed tasks
-	failures    int
-	pausedUntil int64 // no start before this time (steady, ns): pause after errors
-	beyondAims  bool  // beyond all aims, as the last order had it
-	queuedHere  int   // tasks now in queues of machines here
-
-	phase                  phase
-	submittedAt            int64 // when it was submitted (steady, ns)
-	readyAt                int64 // when it could first start: all that it awaits was done
-	dependenciesDoneAt     int64 // when the last job that it awaits was done, as far as known
-	unfinishedDependencies int   // jobs that it awaits and that are not done
-	missingPieces          int   // pieces of its list that are not here yet
-	dependencyFailed       bool  // a job that it awaits is cancelled, and so is it
-	// What it is urgent for: itself, or a job that needs it.
-	priority        int
-	deadlineAt      int64   // when it should be done for the deadline (steady, ns), if deadlineSeconds > 0
-	deadlineSeconds float64 // the deadline that this comes from, s
-}
-
 // cache is the watched cache of the state service. Every change to it goes
 // through apply, which keeps the indexes.
 type cache struct {
@@ -146,20 +77,6 @@
 	}
 }
 
-// task returns the committed record of task i.
-func (j *Job) task(i int) domain.Task {
-	if j.Tasks == nil {
-		return domain.Task{}
-	}
-	return j.Tasks[i]
-}
-
-// final: nothing will change any more about how the job ended.
-func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
-
-// cancelled by its user, or for a job that it awaits.
-func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
-
 // setTask is the one function that changes a cached task; it keeps the
 // counts and indexes.
 func (c *Controller) setTask(j *Job, i int, t domain.Task) {
@@ -369,21 +286,6 @@
 	c.planner.dirty = true
 }
 
-// firstTaskOf is the first task of the chunk or cell that the rest of a key names.
-func (j *Job) firstTaskOf(f []string) (int, bool) {
-	if len(f) < 1 || len(f) > 2 || j.Header.ChunkSize < 1 {
-		return 0, false
-	}
-	k, err := strconv.Atoi(f[0])
-	i := k * j.Header.ChunkSize
-	if err == nil && len(f) == 2 && j.Header.CellSize > 0 {
-		var s int
-		s, err = strconv.Atoi(f[1])
-		i += s * j.Header.CellSize
-	}
-	return i, err == nil && i >= 0 && i < j.Header.TaskCount
-}
-
 func (c *Controller) setTaskAt(j *Job, i int, t domain.Task) {
 	if i >= 0 && i < j.Header.TaskCount {
 		c.setTask(j, i, t)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -16,7 +16,7 @@
 func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) domain.KeyValue {
 	t.Helper()
 	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: prio, TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(prio), TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
 	if l := codec.JoinNames(needs, 1<<20); len(l) > 0 {
 		h.Spec.DependencyText = l[0]
 	}
--- /dev/null
+++ b/internal/scheduler/job.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
+
+// Job is a job in the cache: what the state service says of it, and what this controller works
+// out from that. Times are of this controller's steady clock.
+type Job struct {
+	ID     string
+	Header *codec.JobHeader // as committed last; never changed in place
+	Tasks  []domain.Task    // as committed; nil until a chunk was written: all are queued
+
+	counts     placement // of Tasks
+	queuedHere int       // tasks now in queues of machines of this controller
+	phase      phase     // set by setPhase alone
+
+	submittedAt int64 // ns
+	readyAt     int64 // when it could first start: all that it depends on was done; ns
+
+	// Pause after failures of its tasks.
+	failures    int
+	pausedUntil int64 // no start before this time, ns
+
+	// What it depends on.
+	dependenciesDoneAt     int64 // when the last job that it depends on was done, as far as known, ns
+	unfinishedDependencies int   // jobs that it depends on and that are not done
+	missingPieces          int   // pieces of its list of dependencies that are not here yet
+	dependencyFailed       bool  // a job that it depends on is cancelled, and so is it
+
+	// What it is urgent for: itself, or a job that depends on it.
+	priority        domain.Priority
+	deadlineAt      int64   // when it should be done for the deadline, if deadlineSeconds > 0; ns
+	deadlineSeconds float64 // the deadline that this comes from, s
+	beyondAims      bool    // too late for any objective, as it was when the jobs were last ordered
+}
+
+// task returns the committed record of task i.
+func (j *Job) task(i int) domain.Task {
+	if j.Tasks == nil {
+		return domain.Task{}
+	}
+	return j.Tasks[i]
+}
+
+// final: nothing will change any more about how the job ended.
+func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
+
+// cancelled by its user, or for a job that it depends on.
+func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
+
+// keyOf is the key of the value that holds task i of a job.
+func keyOf(j *Job, i int) string { return j.Header.KeyOf(j.ID, i) }
+
+// cell is the stretch of tasks that share a value with task i.
+func (j *Job) cell(i int) (from, to int) { return j.Header.Cell(i) }
+
+// cellEnd is where the cell after that of task i begins.
+func (j *Job) cellEnd(i int) int { return j.Header.CellEnd(i) }
+
+// cells is the number of values that hold the job's tasks.
+func (j *Job) cells() int { return j.Header.CellCount() }
+
+// firstTaskOf is the first task of the chunk or cell that the rest of a key names.
+func (j *Job) firstTaskOf(path []string) (int, bool) { return j.Header.FirstTaskOf(path) }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -513,7 +513,7 @@
 func (c *Controller) queueByPriority(m *Machine) []domain.TaskID {
 	prio := func(id domain.TaskID) int {
 		if j := c.cache.jobs[id.Job]; j != nil {
-			return j.priority
+			return int(j.priority)
 		}
 		return 0
 	}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -31,7 +31,7 @@
 func openJob(t *testing.T, i, n, prio int, cpu int64) domain.KeyValue {
 	t.Helper()
 	return domain.KeyValue{Key: codec.KeyJob(jobName(i)), ModRevision: uint64(i + 10), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: prio, TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(prio), TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
 // TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -310,7 +310,7 @@
 	_, mistake := opt["mistake"]
 	w.Submit(domain.JobSpec{
 		Dependencies: needs, Deadline: num("due", 0),
-		ID: f[1], Class: "c", Team: f[4], Shape: domain.Shape(f[2]), Priority: int(num("prio", 1)), TaskCount: n,
+		ID: f[1], Class: "c", Team: f[4], Shape: domain.Shape(f[2]), Priority: domain.Priority(num("prio", 1)), TaskCount: n,
 		Request: domain.Resources{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Memory: 4000},
 		Spot:    spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], MachineTypes: types, Image: "img", ImageGB: 1, EstimatedRuntime: num("run", 20), CheckpointInterval: num("ckpt", 0), CheckpointCost: 2,
 	}, dur("run", 20))
