--- /dev/null
+++ b/internal/scheduler/cache_jobs.go
@@ -0,0 +1,194 @@
+package scheduler
+
+import (
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
+
+// applyJob takes a job's header. Headers are never deleted.
+func (c *Controller) applyJob(id string, value []byte) (matters bool, err error) {
+	if value == nil {
+		return false, nil
+	}
+	header, err := codec.Decode[codec.JobHeader](value)
+	if err != nil {
+		return false, err
+	}
+	c.applyHeader(id, header)
+	return true, nil
+}
+
+// applyHeader takes a job's header in place of the one before.
+func (c *Controller) applyHeader(id string, header *codec.JobHeader) {
+	j := c.cache.jobs[id]
+	isNew := j == nil
+	if isNew {
+		j = c.addJob(id, header)
+	}
+	c.carrySpec(j, header, isNew)
+	switch {
+	case header.State == domain.StateOpen && header.Pack != j.Header.Pack:
+		c.cache.movePack(j, header)
+	case header.Shard != j.Header.Shard:
+		c.dequeueTasks(j, header.TaskCount)
+	}
+	j.Header = header
+	if isNew {
+		c.linkDependencies(j)
+	}
+	if header.InlineTasks != nil {
+		if err := c.applyText(j, 0, header.InlineTasks, header.InlineTasks.Texts[id]); err != nil {
+			c.reportUnreadable(codec.KeyJob(id), err)
+		}
+	}
+	c.settlePhase(j)
+	if j.final() && header.Spec == nil {
+		c.cache.forgetTasks(j)
+	}
+}
+
+// addJob enters a job just met. Its age counts from now or, if the header comes with a
+// snapshot, from when it was accepted.
+func (c *Controller) addJob(id string, header *codec.JobHeader) *Job {
+	j := &Job{ID: id, Header: header, counts: placement{queued: header.TaskCount}, submittedAt: int64(c.now)}
+	if c.cache.loadingSnapshot && header.AcceptedAtMS > 0 {
+		j.submittedAt = min(j.submittedAt, c.steadyTime(header.AcceptedAtMS))
+	}
+	j.dependenciesDoneAt = j.submittedAt
+	c.cache.jobs[id] = j
+	if header.Spec != nil {
+		c.cache.indexPack(j)
+	}
+	return j
+}
+
+// carrySpec completes the job's description in its new header by what isn't stored there, or
+// lets go of the bookings if the new header has none any more.
+func (c *Controller) carrySpec(j *Job, header *codec.JobHeader, isNew bool) {
+	if header.Spec != nil {
+		header.Spec.ID = j.ID
+		if j.Header.Spec != nil && !isNew {
+			header.Spec.Dependencies = j.Header.Spec.Dependencies
+		}
+		return
+	}
+	if j.Header.Spec == nil || j.counts.booked == 0 {
+		return
+	}
+	// The final header drops the spec only when nothing is booked; a chunk older than
+	// it may still be in the cache.
+	for i := range j.Tasks {
+		if j.Tasks[i].State == domain.Booked {
+			c.setTask(j, i, domain.Task{State: domain.Queued})
+		}
+	}
+}
+
+// movePack gives a job that was passed whole to another shard, or moved with its tasks, the
+// header that names its new pack.
+func (c *cache) movePack(j *Job, header *codec.JobHeader) {
+	c.unindexPack(j)
+	j.Header = header
+	c.indexPack(j)
+}
+
+// dequeueTasks takes all tasks of a job out of the queues of machines here.
+func (c *Controller) dequeueTasks(j *Job, taskCount int) {
+	for i := 0; i < taskCount && j.queuedHere > 0; i++ {
+		c.dequeue(domain.TaskID{Job: j.ID, Index: i})
+	}
+}
+
+// forgetTasks drops the tasks of a job that is over: the header says all there is to know.
+func (c *cache) forgetTasks(j *Job) {
+	c.unindexPack(j)
+	j.Tasks = nil
+	delete(c.awaitingRelease, j.ID)
+}
+
+// setTask is the one function that changes a cached task; it keeps the
+// counts and indexes.
+func (c *Controller) setTask(j *Job, i int, t domain.Task) {
+	old := j.task(i)
+	if old == t {
+		return
+	}
+	if j.Tasks == nil {
+		j.Tasks = make([]domain.Task, j.Header.TaskCount)
+		j.counts.queued = j.Header.TaskCount
+	}
+	id := domain.TaskID{Job: j.ID, Index: i}
+	j.counts.count(old.State, -1)
+	j.counts.count(t.State, 1)
+	if old.State == domain.Booked {
+		c.heartbeats.touched[old.Machine] = true
+		c.cache.removeBooking(j, id, old)
+	}
+	if t.State == domain.Booked {
+		c.heartbeats.touched[t.Machine] = true
+		c.cache.addBooking(j, id, t, c.bookingInfo(j))
+		delete(c.queues.tasksStaying, id)
+	}
+	j.Tasks[i] = t
+	if t.State != domain.Queued || c.taskShard(j, t) != c.cfg.Node {
+		c.dequeue(id)
+	}
+}
+
+// bookingInfo is what is to be remembered of a booking of a job's task that is seen now.
+func (c *Controller) bookingInfo(j *Job) bookingInfo {
+	info := bookingInfo{seenAt: c.now}
+	if j.Header.Spec != nil {
+		info.runTimeMS = int64(1000 * c.runTime(j.Header.Spec))
+	}
+	return info
+}
+
+// addBooking enters a booking into the indexes.
+func (c *cache) addBooking(j *Job, id domain.TaskID, t domain.Task, info bookingInfo) {
+	tasks := c.bookedOn[t.Machine]
+	if tasks == nil {
+		tasks = map[domain.TaskID]bool{}
+		c.bookedOn[t.Machine] = tasks
+	}
+	tasks[id] = true
+	c.bookings[id] = info
+	c.countBooking(j, id, t, 1)
+}
+
+// removeBooking takes a booking out of the indexes.
+func (c *cache) removeBooking(j *Job, id domain.TaskID, t domain.Task) {
+	c.countBooking(j, id, t, -1)
+	delete(c.bookedOn[t.Machine], id)
+	delete(c.bookings, id)
+	if len(c.bookedOn[t.Machine]) == 0 {
+		delete(c.bookedOn, t.Machine)
+		delete(c.occupancy, t.Machine)
+	}
+}
+
+// countBooking counts a booking in (times 1) or out (-1) of what is used of its machine and by
+// the controller that booked it. Without a spec nothing is known of what it takes.
+func (c *cache) countBooking(j *Job, id domain.TaskID, t domain.Task, times int64) {
+	spec := j.Header.Spec
+	if spec == nil {
+		return
+	}
+	runTimeMS := c.bookings[id].runTimeMS
+	o := c.occupancy[t.Machine]
+	o.count(spec.Request, runTimeMS, times)
+	if reservesMachines(spec) {
+		o.gangTasks += int(times)
+	}
+	if preemptible(spec) {
+		o.preemptible.count(spec.Request, runTimeMS, times)
+	}
+	o.zone = t.Zone
+	c.occupancy[t.Machine] = o
+	byController := c.usage[spec.Team]
+	if byController == nil {
+		byController = map[string]domain.Resources{}
+		c.usage[spec.Team] = byController
+	}
+	byController[t.Shard] = byController[t.Shard].Plus(spec.Request, times)
+}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -96,7 +96,7 @@
 		if c.cache.loadingSnapshot {
 			j.readyAt = max(j.submittedAt, j.dependenciesDoneAt)
 		}
-		c.insertOpen(j)
+		c.cache.insertOpen(j)
 		if j.Header.Spec != nil && len(j.Header.Spec.Dependencies) > 0 && old == phaseWaiting {
 			c.debug("job may start", "job", j.ID, "waited_s", (c.now - time.Duration(j.submittedAt)).Seconds())
 		}
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
 	"time"
 
 	"brassglade/internal/tuning"
@@ -11,65 +10,82 @@
 	"brassglade/internal/domain"
 )
 
+// Pauses before the machine types are listed again.
+const (
+	listingRetry = 3 * time.Second // after a listing that failed
+	commitRetry  = time.Second     // after a commit of a new list that failed
+)
+
+// onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
 func (c *Controller) onMachineTypesListed(e MachineTypesListed) {
-	f := &c.scaling
-	f.listingTypes = false
+	c.scaling.listingTypes = false
 	if !e.OK {
-		f.nextTypesAt = c.now + 3*time.Second
+		c.scaling.nextTypesAt = c.now + listingRetry
 		return
 	}
-	f.nextTypesAt = c.now + tuning.MachineTypesInterval
-	if c.isLeader() && string(codec.Encode(e.Types)) != string(codec.Encode(c.cache.machineTypes)) {
-		c.commit(LaneUser, domain.Transaction{
-			Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
-			Puts:       c.machineTypePages(e.Types),
-		}, func(r domain.CommitResult, _ CommitAnswered) {
-			if r != domain.Committed {
-				c.scaling.nextTypesAt = c.now + time.Second
-			}
-		})
+	c.scaling.nextTypesAt = c.now + tuning.MachineTypesInterval
+	if !c.isLeader() || string(codec.Encode(e.Types)) == string(codec.Encode(c.cache.machineTypes)) {
+		return
 	}
+	c.commit(LaneUser, domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
+		Puts:       c.putsOfMachineTypes(e.Types),
+	}, func(r domain.CommitResult, _ CommitAnswered) {
+		if r != domain.Committed {
+			c.scaling.nextTypesAt = c.now + commitRetry
+		}
+	})
 }
 
-// machineTypePages are the values that the types go into: one, or where they would not
+// putsOfMachineTypes are the values that the types go into: one page, or where it would not
 // fit a smaller bound, several, once all controllers read those.
-func (c *Controller) machineTypePages(fs []domain.MachineType) []domain.Put {
-	if b := codec.Encode(codec.MachineTypePage{Types: fs}); len(b) <= c.cfg.ValueLimit || !c.formatOn() && len(b) <= c.valueBound() {
-		return []domain.Put{{Key: codec.KeyMachineTypes, Value: b}}
-	}
-	var pages []codec.MachineTypePage
-	for _, f := range fs {
-		n := len(pages)
-		if n > 0 {
-			if p := append(slices.Clone(pages[n-1].Types), f); len(codec.Encode(codec.MachineTypePage{Types: p, More: 99})) <= c.cfg.ValueLimit {
-				pages[n-1].Types = p
-				continue
-			}
-		}
-		pages = append(pages, codec.MachineTypePage{Types: []domain.MachineType{f}})
+func (c *Controller) putsOfMachineTypes(types []domain.MachineType) []domain.Put {
+	value := codec.Encode(codec.MachineTypePage{Types: types})
+	if len(value) <= c.cfg.ValueLimit || !c.formatOn() && len(value) <= c.valueBound() {
+		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
-	if n := len(pages); n > c.cfg.TransactionLimit {
-		c.error("too many machine types", "pages", n)
+	pages := c.pagesOfMachineTypes(types)
+	if len(pages) > c.cfg.TransactionLimit {
+		c.error("too many machine types", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
 	}
 	pages[0].More = len(pages) - 1
 	var puts []domain.Put
-	for i, p := range pages {
-		key := codec.KeyMachineTypes
-		if i > 0 {
-			key = codec.PrefixMachineTypes + strconv.Itoa(i)
-		}
-		puts = append(puts, domain.Put{Key: key, Value: codec.Encode(p)})
+	for i, page := range pages {
+		puts = append(puts, domain.Put{Key: codec.KeyMachineTypePage(i), Value: codec.Encode(page)})
 	}
 	return puts
 }
 
-// applyMachineTypes takes a page of types.
-func (c *Controller) applyMachineTypes(key string, f codec.MachineTypePage) {
-	c.cache.machineTypePages[key] = f
+// pagesOfMachineTypes spreads the types over pages that fit a value each, with room for the
+// number of further pages in the first.
+func (c *Controller) pagesOfMachineTypes(types []domain.MachineType) []codec.MachineTypePage {
+	var pages []codec.MachineTypePage
+	for _, machineType := range types {
+		if last := len(pages) - 1; last >= 0 {
+			longer := append(slices.Clone(pages[last].Types), machineType)
+			if len(codec.Encode(codec.MachineTypePage{Types: longer, More: 99})) <= c.cfg.ValueLimit {
+				pages[last].Types = longer
+				continue
+			}
+		}
+		pages = append(pages, codec.MachineTypePage{Types: []domain.MachineType{machineType}})
+	}
+	return pages
+}
+
+// applyMachineTypes takes a page of types, and puts those of all pages together anew.
+func (c *Controller) applyMachineTypes(key string, value []byte) (matters bool, err error) {
+	page, err := decodePage[codec.MachineTypePage](value)
+	if err != nil {
+		return false, err
+	}
+	c.cache.machineTypePages[key] = page
 	first := c.cache.machineTypePages[codec.KeyMachineTypes]
 	c.cache.machineTypes = slices.Clone(first.Types)
 	for i := 1; i <= first.More; i++ {
-		c.cache.machineTypes = append(c.cache.machineTypes, c.cache.machineTypePages[codec.PrefixMachineTypes+strconv.Itoa(i)].Types...)
+		c.cache.machineTypes = append(c.cache.machineTypes, c.cache.machineTypePages[codec.KeyMachineTypePage(i)].Types...)
 	}
+	c.recordSize(key, len(value))
+	return true, nil
 }
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -60,7 +60,7 @@
 		c := acting()
 		m := c.addMachine("n-000001")
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
-		c.cache.occupancy[m.Name] = occupancy{used: domain.Resources{CPU: 14000}}
+		c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
 		c.apply(openJob(t, 2, 1, 1, 5000))
 		c.apply(openJob(t, 3, 1, prio, 1000))
 		c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
--- /dev/null
+++ b/internal/scheduler/splits.go
@@ -0,0 +1,389 @@
+package scheduler
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+	"strings"
+
+	"brassglade/internal/tuning"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
+
+// planSplits brings one value of this shard that is too large to fit again. Jobs
+// leave a pack for others, the longest texts first, until the rest fits; a job
+// that fits no pack, and a chunk, is split into cells. Every such transaction fits
+// the smaller limits, so it goes on when they have fallen.
+func (c *Controller) planSplits(d *draft) {
+	defer clear(c.commits.fullValues)
+	for _, key := range c.valuesToShrink() {
+		if until, ok := c.commits.avoidUntil[key]; ok && c.now < until {
+			continue
+		}
+		if c.shrinkValue(d, key) {
+			return
+		}
+	}
+}
+
+// valuesToShrink are the values that are too large, then those that had no room for a booking.
+// The latter are relieved the same way, but written again in the same commit, since others may
+// go on changing them.
+func (c *Controller) valuesToShrink() []string {
+	keys := slices.Sorted(maps.Keys(c.cache.oversized))
+	for _, key := range slices.Sorted(maps.Keys(c.commits.fullValues)) {
+		if !c.cache.oversized[key] {
+			keys = append(keys, key)
+		}
+	}
+	return keys
+}
+
+// shrinkValue plans to make a value smaller. It tells whether the draft has anything to commit
+// for it; if not, the next value may be looked at.
+func (c *Controller) shrinkValue(d *draft, key string) (planned bool) {
+	kind, name := codec.ParseKey(key)
+	switch kind {
+	case codec.KindTasks:
+		id, _, _ := strings.Cut(name, "/")
+		return c.shrinkChunk(d, key, c.cache.jobs[id])
+	case codec.KindPack:
+		if c.packShard(name) != c.cfg.Node {
+			return false
+		}
+		if c.cache.oversized[key] {
+			return c.shrinkPack(d, key, name)
+		}
+		return c.relieveFullPack(d, key, name)
+	}
+	return false
+}
+
+// packShard is the shard that cares for a pack.
+func (c *Controller) packShard(pack string) string {
+	shard, _, _ := strings.Cut(pack, "/")
+	if slices.Contains(c.cache.view.Serving, shard) {
+		return shard
+	}
+	return rendezvous(pack, c.cache.view.Serving)
+}
+
+// shrinkChunk splits a chunk. A value that no job keeps its tasks in any more, since it was
+// split or the job is over, is forgotten.
+func (c *Controller) shrinkChunk(d *draft, key string, j *Job) (planned bool) {
+	inUse := false
+	if j != nil && j.Header.Spec != nil {
+		for i := 0; i < j.Header.TaskCount; i = j.cellEnd(i) {
+			if keyOf(j, i) != key {
+				continue
+			}
+			inUse = true
+			if c.shardOf(j) == c.cfg.Node && c.splitCell(d, j, i) {
+				return true
+			}
+		}
+	}
+	if !inUse {
+		delete(c.cache.oversized, key)
+	}
+	return false
+}
+
+// shrinkPack moves jobs out of a pack that is too large, the longest texts first, or splits the
+// one that fits no other pack.
+func (c *Controller) shrinkPack(d *draft, key, pack string) (planned bool) {
+	if !c.isOversized(key) {
+		d.rewrite(key) // without what left it
+		return true
+	}
+	for _, j := range c.longestTexts(pack) {
+		if c.moveOrSplit(d, key, j, slog.LevelInfo) {
+			return true
+		}
+	}
+	return d.hasHeadersOrDrops(key)
+}
+
+// relieveFullPack moves the job with the longest text out of a pack that had no room for a
+// booking, or splits it if it is alone there.
+func (c *Controller) relieveFullPack(d *draft, key, pack string) (planned bool) {
+	jobs := c.longestTexts(pack)
+	if c.cache.valueSizes[key] < c.cfg.ValueLimit/2 {
+		return false // it has room again
+	}
+	d.rewrite(key)
+	if len(jobs) == 0 {
+		return d.hasHeadersOrDrops(key)
+	}
+	if len(c.cache.jobsByPack[pack]) > 1 {
+		if c.moveOrSplit(d, key, jobs[0], slog.LevelDebug) {
+			return true
+		}
+	} else {
+		d.keys, d.conditions = map[string]bool{}, map[string]bool{}
+		if c.splitCell(d, jobs[0], 0) {
+			return true
+		}
+	}
+	return d.hasHeadersOrDrops(key)
+}
+
+// longestTexts are the jobs of a pack that have tasks in it, the longest texts first.
+func (c *Controller) longestTexts(pack string) []*Job {
+	jobs := c.cache.jobsByPack[pack]
+	bytes := map[string]int{}
+	for id, j := range jobs {
+		if j.Tasks != nil {
+			bytes[id] = c.textBytes(j)
+		}
+	}
+	ids := slices.SortedFunc(maps.Keys(bytes), func(a, b string) int {
+		if bytes[a] != bytes[b] {
+			return bytes[b] - bytes[a]
+		}
+		return strings.Compare(a, b)
+	})
+	longest := make([]*Job, len(ids))
+	for i, id := range ids {
+		longest[i] = jobs[id]
+	}
+	return longest
+}
+
+// moveOrSplit moves a job out of its pack, whose key is given, or splits it if it fits no other
+// one and nothing else is in the draft. It tells whether the draft takes no more.
+func (c *Controller) moveOrSplit(d *draft, key string, j *Job, level slog.Level) (isFull bool) {
+	pack, ok := d.target(j)
+	if !ok {
+		return d.changes() == 0 && c.splitCell(d, j, 0)
+	}
+	if !d.hasRoomToMove(j, pack) {
+		return true
+	}
+	d.move(j, pack)
+	d.onCommit = append(d.onCommit, func() { c.log(level, "value made smaller", "key", key, "job", j.ID, "to", pack) })
+	return false
+}
+
+// rewrite has a pack written again, with the tasks that belong there now.
+func (d *draft) rewrite(key string) {
+	d.keys[key] = true
+	d.addCondition(key)
+}
+
+// hasHeadersOrDrops tells whether anything is to be committed for a pack: jobs that move have
+// new headers. If nothing is, the pack need not be written either.
+func (d *draft) hasHeadersOrDrops(key string) bool {
+	if len(d.headers) > 0 {
+		return true
+	}
+	delete(d.keys, key)
+	return false
+}
+
+// target is a pack that a job may leave its own for, with room for its text.
+func (d *draft) target(j *Job) (pack string, ok bool) {
+	if pack, ok := d.moved[j.ID]; ok {
+		return pack, true
+	}
+	c := d.c
+	need := c.textBytes(j) + len(j.ID) + 3*tuning.TaskBytes
+	if need > c.cfg.ValueLimit-2*tuning.PackSlack {
+		return "", false // it would take a whole pack, and soon not fit that
+	}
+	shard, _, _ := strings.Cut(j.Header.Pack, "/")
+	for number := 0; ; number++ {
+		pack := codec.PackName(shard, number)
+		if pack == j.Header.Pack || !c.mayGrow(codec.PrefixPack+pack) {
+			continue
+		}
+		key := codec.PrefixPack + pack
+		if c.cache.valueSizes[key]+d.growth[key]+need <= c.cfg.ValueLimit*tuning.PackPercent/100 {
+			return pack, true
+		}
+	}
+}
+
+// mayGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
+func (c *Controller) mayGrow(key string) bool {
+	if c.cache.oversized[key] {
+		return false
+	}
+	until, ok := c.commits.avoidUntil[key]
+	return !ok || c.now >= until
+}
+
+// hasRoomToMove tells whether the draft may take the move of a job to a pack.
+func (d *draft) hasRoomToMove(j *Job, pack string) bool {
+	limit := d.c.cfg.TransactionLimit
+	return d.changes()+d.changesOfMove(j, pack) <= limit && len(d.conditions)+4 <= 4*limit
+}
+
+// changesOfMove is how many changes a move adds to the draft.
+func (d *draft) changesOfMove(j *Job, pack string) int {
+	changes := 0
+	if d.headers[j.ID] == nil {
+		changes++
+	}
+	if j.Tasks != nil && !d.keys[codec.PrefixPack+pack] {
+		changes++
+	}
+	return changes
+}
+
+// move takes a job out of its pack into another one: the header names the new
+// pack, which gets the job's tasks in the same commit. What the old pack still
+// says of it counts for nothing from then on, so the old pack need not be written.
+// The commit is conditional on it all the same, and since its revision stays as it
+// is, a change of a job in a value that is too large is conditional on the job's
+// header, too (task).
+func (d *draft) move(j *Job, pack string) {
+	if _, ok := d.moved[j.ID]; ok {
+		return
+	}
+	d.addCondition(codec.PrefixPack + j.Header.Pack)
+	d.header(j).Pack = pack
+	d.moved[j.ID] = pack
+	if j.Tasks == nil {
+		return
+	}
+	key := codec.PrefixPack + pack
+	if !d.keys[key] {
+		d.bytes += d.c.valueBytes(key)
+		d.rewrite(key)
+	}
+	d.growth[key] += d.c.textBytes(j) + len(j.ID) + 8
+	d.copyCell(j, 0) // a pack holds all tasks of a job
+}
+
+// cellSplit is a chunk, or the whole of a job that fits no pack, as it is kept in cells.
+type cellSplit struct {
+	source string          // key of the value that the tasks come from
+	header codec.JobHeader // that names the cells
+	cells  []domain.Put
+}
+
+// splitCell splits the cell of task i, or the whole of a job that fits no pack, into
+// cells whose text fits whatever is booked in them. If they are too many for one
+// commit, those that the header doesn't name yet are written first, each commit
+// conditional on the value that they come from, which can't change meanwhile
+// without failing the last one.
+func (c *Controller) splitCell(d *draft, j *Job, i int) (planned bool) {
+	if !canSplit(j, i) {
+		return false
+	}
+	split := c.cellSplit(j, i)
+	d.addCondition(split.source)
+	d.addCondition(codec.KeyJob(j.ID))
+	room := c.cfg.TransactionLimit - 1 // beside the header
+	dropsSource := !c.cache.oversized[split.source]
+	if dropsSource {
+		room--
+	}
+	if !c.draftCells(d, j, split, room) {
+		return true // the rest, and the header, come with later commits
+	}
+	if dropsSource {
+		d.dropSource(j, split.source)
+	}
+	d.headers[j.ID] = &split.header
+	d.onCommit = append(d.onCommit, func() {
+		c.info("value made smaller", "key", split.source, "job", j.ID, "cells", len(split.cells))
+	})
+	return true
+}
+
+// canSplit tells whether the value with task i can be split into cells: it has tasks of its own
+// and isn't a cell already.
+func canSplit(j *Job, i int) bool {
+	isCell := j.Header.CellSize > 0 && j.Header.IsSplit(i/j.Header.ChunkSize)
+	return !j.Header.Inline && !isCell && j.Tasks != nil
+}
+
+// cellSplit works out the cells of the chunk with task i and the header that names them.
+func (c *Controller) cellSplit(j *Job, i int) *cellSplit {
+	h := j.Header
+	chunk := i / h.ChunkSize
+	from, to := h.Chunk(i)
+	split := &cellSplit{source: keyOf(j, i), header: *h}
+	split.header.Pack, split.header.CellSize = "", c.cellSize(h)
+	split.header.SplitChunks = h.WithSplit(chunk)
+	if h.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
+		split.header.DoneTasks, split.header.DoneChunks = doneTasksBeside(j, from), 0
+	}
+	for cell, first := 0, from; first < to; cell, first = cell+1, first+split.header.CellSize {
+		tasks := j.Tasks[first:min(first+split.header.CellSize, to)]
+		split.header.DoneTasks += doneTasks(tasks)
+		split.cells = append(split.cells, domain.Put{
+			Key:   codec.KeyCell(j.ID, chunk, cell),
+			Value: codec.Encode(c.chunkOf(map[string][]domain.Task{j.ID: tasks})),
+		})
+	}
+	return split
+}
+
+// cellSize is the number of tasks in a cell of a job: the same for all its chunks, and few
+// enough that the longest bookings of all fit a value.
+func (c *Controller) cellSize(h *codec.JobHeader) int {
+	if h.CellSize > 0 {
+		return h.CellSize
+	}
+	return max(1, (c.cfg.ValueLimit-tuning.PackSlack)/tuning.TaskBytes)
+}
+
+// draftCells puts the cells that are not written yet into the draft, as many as there is room
+// for. It tells whether that was all of them.
+func (c *Controller) draftCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
+	complete = true
+	lastChange := max(c.cache.modRevisions[split.source], c.cache.modRevisions[codec.KeyJob(j.ID)])
+	for _, cell := range split.cells {
+		// Written already if it is there since source and header last changed. The
+		// commit that names the cells is conditional on those two: then no late one
+		// of these can have changed a cell meanwhile, and conditions are few.
+		if len(split.cells) > room && c.cache.modRevisions[cell.Key] > lastChange {
+			continue
+		}
+		if len(d.rawPuts) >= room {
+			complete = false
+			continue
+		}
+		d.rawPuts = append(d.rawPuts, cell)
+		d.addCondition(cell.Key)
+	}
+	return complete
+}
+
+// dropSource takes a job's tasks out of the value that they were kept in before a split. A
+// value that is not too large may be changed under the same revision by who doesn't look at the
+// header: it goes, or is written without the job.
+func (d *draft) dropSource(j *Job, source string) {
+	if j.Header.Pack != "" {
+		d.keys[source], d.finished[j.ID] = true, true
+	} else {
+		d.rawPuts = append(d.rawPuts, domain.Put{Key: source})
+	}
+}
+
+// doneTasksBeside is the number of tasks in chunks that are all done, but for the chunk that
+// begins with the given task.
+func doneTasksBeside(j *Job, from int) int {
+	done := 0
+	for first := 0; first < j.Header.TaskCount; first += j.Header.ChunkSize {
+		if first != from {
+			done += doneTasks(j.Tasks[first:min(first+j.Header.ChunkSize, j.Header.TaskCount)])
+		}
+	}
+	return done
+}
+
+// doneTasks is the number of tasks in a cell of which all are done, else 0.
+func doneTasks(cell []domain.Task) int {
+	for _, t := range cell {
+		if t.State != domain.Done {
+			return 0
+		}
+	}
+	return len(cell)
+}
