--- a/internal/codec/job_header_test.go
+++ b/internal/codec/job_header_test.go
@@ -23,20 +23,7 @@
 		{split, []string{"b/task/job-1/0", "b/task/job-1/1/0", "b/task/job-1/1/1", "b/task/job-1/1/2", "b/task/job-1/2"}, []int{0, 20, 28, 36, 40}},
 	} {
 		h := &want.header
-		var keys []string
-		var firsts []int
-		for task := 0; task < h.TaskCount; task = h.CellEnd(task) {
-			from, to := h.Cell(task)
-			if from != task || to <= from {
-				t.Fatalf("%+v: task %d begins cell %d to %d", h, task, from, to)
-			}
-			for i := from; i < to; i++ {
-				if f, e := h.Cell(i); f != from || e != to || h.KeyOf("job-1", i) != h.KeyOf("job-1", from) {
-					t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.KeyOf("job-1", i))
-				}
-			}
-			keys, firsts = append(keys, h.KeyOf("job-1", task)), append(firsts, from)
-		}
+		keys, firsts := walkCells(t, h)
 		if !slices.Equal(keys, want.keys) || !slices.Equal(firsts, want.firsts) || h.CellCount() != len(keys) {
 			t.Errorf("%+v: %d cells, %v from %v", h, h.CellCount(), keys, firsts)
 		}
@@ -56,6 +43,25 @@
 	}
 }
 
+// walkCells returns the key and the first task of each cell of job-1, and checks that all tasks
+// of a cell agree about it.
+func walkCells(t *testing.T, h *JobHeader) (keys []string, firsts []int) {
+	t.Helper()
+	for task := 0; task < h.TaskCount; task = h.CellEnd(task) {
+		from, to := h.Cell(task)
+		if from != task || to <= from {
+			t.Fatalf("%+v: task %d begins cell %d to %d", h, task, from, to)
+		}
+		for i := from; i < to; i++ {
+			if f, e := h.Cell(i); f != from || e != to || h.KeyOf("job-1", i) != h.KeyOf("job-1", from) {
+				t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.KeyOf("job-1", i))
+			}
+		}
+		keys, firsts = append(keys, h.KeyOf("job-1", task)), append(firsts, from)
+	}
+	return keys, firsts
+}
+
 // TestParseKey: each key is of the kind that it was made for.
 func TestParseKey(t *testing.T) {
 	for key, want := range map[string]struct {
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -71,7 +71,7 @@
 }
 
 // TestFormatNeedsAll: the new format is announced only behind a view that has this
-// incarnation, turned on only by the leader once every node of the settings, not
+// incarnation, turned on only by the leader once every controller of the settings, not
 // only of the view, has announced it, and stays on.
 func TestFormatNeedsAll(t *testing.T) {
 	c := acting()
@@ -112,83 +112,115 @@
 	}
 }
 
+// The new limits that TestEachKindFitsAgain checks against.
+const (
+	fallenValueLimit       = 2048 // bytes
+	fallenTransactionLimit = 4    // changes
+)
+
 // TestEachKindFitsAgain: values of each kind that are larger than the new limits, 2
 // KiB and 4 changes, are written again within them after the limits fell.
 func TestEachKindFitsAgain(t *testing.T) {
-	large := func() *Controller {
-		c := acting()
-		c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
-		return c
-	}
-	check := func(what string, puts []domain.Put) {
-		t.Helper()
-		if len(puts) > 4 {
-			t.Errorf("%s: %d changes", what, len(puts))
-		}
-		for _, p := range puts {
-			if len(p.Value) > 2048 {
-				t.Errorf("%s: %s has %d bytes", what, p.Key, len(p.Value))
-			}
+	t.Run("view", viewFitsAgain)
+	t.Run("cordon page", cordonPageFitsAgain)
+	t.Run("machine types", machineTypesFitAgain)
+	t.Run("window", windowFitsAgain)
+	t.Run("header", headerFitsAgain)
+	t.Run("pack and chunk", packAndChunkFitAgain)
+}
+
+// afterLimitsFell is an acting controller that knows that the limits fell below what was stored.
+func afterLimitsFell() *Controller {
+	c := acting()
+	c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
+	return c
+}
+
+// checkLimits: the changes of a transaction are within the new limits.
+func checkLimits(t *testing.T, puts []domain.Put) {
+	t.Helper()
+	if len(puts) > fallenTransactionLimit {
+		t.Errorf("%d changes", len(puts))
+	}
+	for _, p := range puts {
+		if len(p.Value) > fallenValueLimit {
+			t.Errorf("%s has %d bytes", p.Key, len(p.Value))
 		}
 	}
-	// A view full of overrides.
-	c := large()
+}
+
+// viewFitsAgain: a view full of overrides.
+func viewFitsAgain(t *testing.T) {
+	c := afterLimitsFell()
 	c.cfg.Nodes = []string{"c-0", "c-1"}
-	m := map[string]string{"c-0": "x", "c-1": "y"}
-	over := map[string]string{}
+	members := map[string]string{"c-0": "x", "c-1": "y"}
+	overrides := map[string]string{}
 	for i := 0; i < 200; i++ {
 		n := fmt.Sprintf("n-%06d", i)
-		over[n] = []string{"c-0", "c-1"}[hash64(n)%2]
+		overrides[n] = []string{"c-0", "c-1"}[hash64(n)%2]
 	}
-	c.cache.members, c.cache.view = m, &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: []string{"c-0", "c-1"}, OwnerOverrides: over}
+	c.cache.members, c.cache.view = members, &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: []string{"c-0", "c-1"}, OwnerOverrides: overrides}
 	if v := c.desiredView(); v == nil {
 		t.Error("a view that is too large stays")
 	} else {
-		check("view", []domain.Put{{Key: codec.KeyView, Value: codec.Encode(v)}})
+		checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(v)}})
 	}
-	// A page of marks of machines that wait for their return, one of which is gone.
-	c = large()
-	p := codec.CordonPage{Draining: map[string]string{}}
+}
+
+// cordonPageFitsAgain: a page of machines that wait for their return, one of which is gone.
+func cordonPageFitsAgain(t *testing.T) {
+	c := afterLimitsFell()
+	page := codec.CordonPage{Draining: map[string]string{}}
 	for i := 0; i < 400; i++ {
-		p.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
+		page.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
 	}
-	c.apply(domain.KeyValue{Key: codec.PrefixCordons + "c-0", Value: codec.Encode(p), ModRevision: 5})
+	c.apply(domain.KeyValue{Key: codec.PrefixCordons + "c-0", Value: codec.Encode(page), ModRevision: 5})
 	c.cordon("n-000007", domain.Cordon{State: domain.CordonGone})
 	c.writeCordons()
 	for _, x := range c.commits.pending {
-		check("marks", x.transaction.Puts)
+		checkLimits(t, x.transaction.Puts)
 	}
 	commitAll(t, c)
 	if c.cache.cordons["n-000007"].State != domain.CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
 		t.Errorf("n-000007 is %q, %d machines wait for their return", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
 	}
-	// Forty machine types.
-	c = large()
-	var fs []domain.MachineType
+}
+
+// machineTypesFitAgain: forty machine types.
+func machineTypesFitAgain(t *testing.T) {
+	c := afterLimitsFell()
+	var types []domain.MachineType
 	for i := 0; i < 40; i++ {
-		fs = append(fs, domain.MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
+		types = append(types, domain.MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
 			SpotPrice: 12.1, BootSeconds: 25, Zones: []string{"north", "south"}})
 	}
-	c.onMachineTypesListed(MachineTypesListed{OK: true, Types: fs})
+	c.onMachineTypesListed(MachineTypesListed{OK: true, Types: types})
 	for _, x := range c.commits.pending {
-		check("flavors", x.transaction.Puts)
+		checkLimits(t, x.transaction.Puts)
 	}
 	commitAll(t, c)
 	if len(c.cache.machineTypes) != 40 {
 		t.Errorf("%d types are known", len(c.cache.machineTypes))
 	}
-	// A window of 2,000 loads.
+}
+
+// windowFitsAgain: a window of 2,000 loads.
+func windowFitsAgain(t *testing.T) {
+	c := afterLimitsFell()
 	w := codec.WindowRecord{CriticWeights: make([]float64, 4)}
 	for i := 0; i < 2000; i++ {
 		w.Loads = append(w.Loads, float64(i)+0.5)
 	}
 	b := c.encodeWindow(w)
-	check("window", []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: b}})
+	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: b}})
 	if len(b) < 700 {
 		t.Error("hardly any load is left")
 	}
-	// A header with names and a list that its user chose freely.
-	c = large()
+}
+
+// headerFitsAgain: a header with names and a list that its user chose freely.
+func headerFitsAgain(t *testing.T) {
+	c := afterLimitsFell()
 	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
 	for i := 0; i < 300; i++ {
 		h.Spec.MachineTypes = append(h.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
@@ -197,36 +229,26 @@
 	c.apply(domain.KeyValue{Key: codec.KeyJob("job-000001"), Value: codec.Encode(h), ModRevision: 3})
 	d := c.newDraft()
 	d.header(c.cache.jobs["job-000001"])
-	txn := d.transaction()
-	check("header", txn.Puts)
+	checkLimits(t, d.transaction().Puts)
 	if sp := d.headers["job-000001"].Spec; !c.allowsMachine(sp, "box", "a", false) || c.allowsMachine(sp, "type-7", "a", false) && c.machineType("type-7") != nil {
 		t.Errorf("types %v", sp.MachineTypes)
 	}
-	// A pack of thirty jobs, and a chunk that is cut: planSplits until all fit.
-	c = large()
-	ts := func(n, from int) []domain.Task {
-		l := make([]domain.Task, n)
-		for i := range l {
-			l[i] = domain.Task{State: domain.Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", from+i), AgentEpoch: uint64(11 + i%2), Zone: "a", Shard: "c-0"}
-		}
-		return l
-	}
-	pack := codec.ChunkValue{Texts: map[string]string{}}
-	for i := 0; i < 30; i++ {
-		id := jobName(i)
-		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 12, ChunkSize: 12, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 12}}), ModRevision: uint64(i + 1)})
-		pack.Put(id, ts(12, 20*i))
-	}
-	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(50)), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 139, Shard: "c-0", AcceptOrder: 40,
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300}}), ModRevision: 40})
-	chunk := codec.ChunkValue{Texts: map[string]string{}}
-	chunk.Put(jobName(50), ts(139, 1000))
-	c.apply(domain.KeyValue{Key: codec.PrefixPack + "c-0/0", Value: codec.Encode(pack), ModRevision: 50})
-	c.apply(domain.KeyValue{Key: codec.PrefixTask + jobName(50) + "/0", Value: codec.Encode(chunk), ModRevision: 51})
-	if len(c.cache.oversized) != 2 || c.cache.jobs[jobName(50)].counts.booked != 139 {
-		t.Fatalf("too large: %v", c.cache.oversized)
+}
+
+// bookedTasks are n booked tasks, each on a machine of its own from the given number on.
+func bookedTasks(n, firstMachine int) []domain.Task {
+	tasks := make([]domain.Task, n)
+	for i := range tasks {
+		tasks[i] = domain.Task{State: domain.Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", firstMachine+i), AgentEpoch: uint64(11 + i%2), Zone: "a", Shard: "c-0"}
 	}
+	return tasks
+}
+
+// packAndChunkFitAgain: a pack of thirty jobs, and a chunk that is split: planSplits until all
+// fit. Another controller that reads what is stored then knows the same bookings.
+func packAndChunkFitAgain(t *testing.T) {
+	c := afterLimitsFell()
+	applyLargePackAndChunk(t, c)
 	stored := map[string][]byte{}
 	for id, j := range c.cache.jobs {
 		stored[codec.KeyJob(id)] = codec.Encode(j.Header)
@@ -236,7 +258,7 @@
 		clear(c.commits.oversizedInPlan)
 		c.planSplits(d)
 		txn := d.transaction()
-		check("pack and chunk", txn.Puts)
+		checkLimits(t, txn.Puts)
 		if len(txn.Conditions) > 16 {
 			t.Errorf("%d conditions", len(txn.Conditions))
 		}
@@ -251,13 +273,41 @@
 	if len(c.cache.oversized) > 0 {
 		t.Errorf("still too large: %v", c.cache.oversized)
 	}
-	// Another node that reads what is stored now knows the same bookings.
 	o := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
 	ev := SnapshotLoaded{Revision: 99}
 	for k, v := range stored {
 		ev.Items = append(ev.Items, domain.KeyValue{Key: k, Value: v, ModRevision: 99})
 	}
 	o.loadSnapshot(ev)
+	checkSameBookings(t, c, o)
+}
+
+// applyLargePackAndChunk gives a controller jobs 0 to 29 in one pack that is too large, and job
+// 50 with one chunk that is.
+func applyLargePackAndChunk(t *testing.T, c *Controller) {
+	t.Helper()
+	pack := codec.ChunkValue{Texts: map[string]string{}}
+	for i := 0; i < 30; i++ {
+		id := jobName(i)
+		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 12, ChunkSize: 12, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
+			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 12}}), ModRevision: uint64(i + 1)})
+		pack.Put(id, bookedTasks(12, 20*i))
+	}
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(50)), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 139, Shard: "c-0", AcceptOrder: 40,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300}}), ModRevision: 40})
+	chunk := codec.ChunkValue{Texts: map[string]string{}}
+	chunk.Put(jobName(50), bookedTasks(139, 1000))
+	c.apply(domain.KeyValue{Key: codec.PrefixPack + "c-0/0", Value: codec.Encode(pack), ModRevision: 50})
+	c.apply(domain.KeyValue{Key: codec.PrefixTask + jobName(50) + "/0", Value: codec.Encode(chunk), ModRevision: 51})
+	if len(c.cache.oversized) != 2 || c.cache.jobs[jobName(50)].counts.booked != 139 {
+		t.Fatalf("too large: %v", c.cache.oversized)
+	}
+}
+
+// checkSameBookings: two controllers know the same bookings of the jobs of
+// applyLargePackAndChunk, and all of them.
+func checkSameBookings(t *testing.T, c, o *Controller) {
+	t.Helper()
 	for i := 0; i <= 50; i++ {
 		j, x := c.cache.jobs[jobName(i)], o.cache.jobs[jobName(i)]
 		if j == nil {
