--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -31,7 +31,7 @@
 func openJob(t *testing.T, i, n, prio int, cpu int64) domain.KeyValue {
 	t.Helper()
 	return domain.KeyValue{Key: codec.KeyJob(jobName(i)), ModRevision: uint64(i + 10), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: prio, TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(prio), TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
 // TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
@@ -60,7 +60,7 @@
 		c := acting()
 		m := c.addMachine("n-000001")
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
-		c.cache.occupancy[m.Name] = occupancy{used: domain.Resources{CPU: 14000}}
+		c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
 		c.apply(openJob(t, 2, 1, 1, 5000))
 		c.apply(openJob(t, 3, 1, prio, 1000))
 		c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
