--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
@@ -10,53 +9,148 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/quota"
 )
 
-// keepShare drops a change of a team's key, or writes it as it is if it is tied.
-func (d *draft) keepShare(name string) {
-	if d.c.commits.inDoubt.key != codec.PrefixTeam+name {
-		delete(d.shares, name)
-		return
-	}
-	d.shares[name] = codec.TeamShares{ByNode: maps.Clone(d.c.cache.shares[name].ByNode)}
-	d.addCondition(codec.PrefixTeam + name)
+// This file reads the cache and the draft for team quotas; the arithmetic is that of package
+// quota. A team's key in the state service holds each controller's share of the team's limit:
+// a controller books within its own share alone, and changes the key when it needs more or
+// keeps much unused, so that no two controllers together can exceed the limit.
+
+// withinLimit tells whether use stays in a limit, where 0 means none.
+func withinLimit(use, limit domain.Resources) bool { return quota.Within(use, limit) }
+
+// limited leaves out what a team's limit does not bound.
+func limited(amount, limit domain.Resources) domain.Resources { return quota.Bounded(amount, limit) }
+
+// quotaClaim is what the waiting jobs of one team claim of its limit.
+type quotaClaim struct {
+	quota.Claim
+	// The starving job goes ahead of gangs, too: not for ever, it may not be possible.
+	aheadOfGangs bool
+}
+
+// allows tells whether one more task of a job leaves what the team's waiting jobs claim.
+func (x quotaClaim) allows(spec *domain.JobSpec, used, limit domain.Resources) bool {
+	return x.Allows(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
+}
+
+// leavesFirst tells whether the team's limit keeps room, beside what is used, for a
+// task of the job that has waited longest.
+func (x quotaClaim) leavesFirst(id string, used, limit domain.Resources) bool {
+	return x.LeavesFirst(id, used, limit)
 }
 
-// teamUsed is what counts against a team's limit: what the others have set
-// aside, and this node's bookings, with those of the draft.
+// teamUsed is what counts against a team's limit: what the other controllers have set aside,
+// and this one's bookings, with those of the draft (nil: none).
 func (c *Controller) teamUsed(name string, d *draft) domain.Resources {
-	u := c.cache.usage[name][c.cfg.Node]
+	used := c.cache.usage[name][c.cfg.Node]
 	if d != nil {
-		u = u.Plus(d.usage[name], 1)
+		used = used.Plus(d.usage[name], 1)
 	}
-	for n, r := range c.cache.shares[name].ByNode {
-		if n != c.cfg.Node {
-			u = u.Plus(r, 1)
+	for node, share := range c.cache.shares[name].ByNode {
+		if node != c.cfg.Node {
+			used = used.Plus(share, 1)
 		}
 	}
-	return u
+	return used
 }
 
 func (d *draft) teamUsed(name string) domain.Resources { return d.c.teamUsed(name, d) }
 
-// shareSlack is how much of a team's limit a node sets aside beyond its bookings, so
-// that at size hardly any commit has to change a team's key; nothing where the
-// limit is only a few tasks, and less the less is left.
-func (c *Controller) shareSlack(name string, need domain.Resources) domain.Resources {
-	lim := c.cfg.Teams[name].Limit
-	left := lim
-	for _, r := range c.cache.shares[name].ByNode {
-		left = left.Plus(r, -1)
+// withinGuarantee tells whether one more task of a job is still owed to its team: such
+// heads of queues go first, whatever their priority.
+func (c *Controller) withinGuarantee(spec *domain.JobSpec, d *draft) bool {
+	team := c.cfg.Teams[spec.Team]
+	if team.Guarantee == (domain.Resources{}) {
+		return false
 	}
-	n := int64(len(c.cfg.Nodes))
-	part := func(lim, left, need int64) int64 {
-		s := max(0, min(lim/(tuning.SlackShare*n), left/(2*n)))
-		if s < tuning.SlackTasks*need {
-			return 0
+	return withinLimit(d.teamUsed(spec.Team).Plus(spec.Request, 1), team.Guarantee)
+}
+
+// claims are, by team, what waiting jobs claim of its limit beside what the draft (nil:
+// none) books.
+func (c *Controller) claims(d *draft) map[string]quotaClaim {
+	claims := map[string]quotaClaim{}
+	for _, j := range c.cache.openJobs {
+		spec, placed := j.Header.Spec, c.placementOf(j, d)
+		claim := claims[spec.Team]
+		if placedByLeader(spec) {
+			c.addPlacedClaim(&claim, j, placed)
+		} else if !c.addSmallClaim(&claim, j, placed) {
+			continue
 		}
-		return s
+		claims[spec.Team] = claim
 	}
-	return domain.Resources{CPU: part(lim.CPU, left.CPU, need.CPU), GPU: part(lim.GPU, left.GPU, need.GPU), Memory: part(lim.Memory, left.Memory, need.Memory)}
+	return claims
+}
+
+// addSmallClaim adds to a team's claim what a job does whose tasks are placed one by one;
+// false: nothing, as of nearly all.
+func (c *Controller) addSmallClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
+	age := c.now - time.Duration(j.readyAt)
+	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
+		if claim.LongWaiting == nil {
+			claim.LongWaiting = map[string]bool{}
+		}
+		claim.LongWaiting[j.ID] = true
+		added = true
+	}
+	if claim.StarvingJob == "" && c.isStarving(j, placed) && int64(c.now) >= j.pausedUntil {
+		claim.StarvingJob, claim.StarvingRequest = j.ID, j.Header.Spec.Request
+		claim.aheadOfGangs = age < tuning.StarveAfter+tuning.GangBlock
+		added = true
+	}
+	return added
+}
+
+// addPlacedClaim adds to a team's claim what a job does that the leader places.
+func (c *Controller) addPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
+	spec := j.Header.Spec
+	if placed.queued > 0 && spec.Shape == domain.Gang {
+		age := c.now - time.Duration(j.readyAt)
+		claim.GangStarves = claim.GangStarves || age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+		if claim.WaitingGangs == 0 {
+			claim.GangRequest = domain.Resources{}.Plus(spec.Request, int64(spec.TaskCount))
+		}
+		claim.WaitingGangs++
+	}
+	claim.PlacedByLeader = claim.PlacedByLeader.Plus(spec.Request, int64(placed.booked))
+}
+
+// quotaAllows tells whether a small task may start within its team's limit: it
+// must fit, and must not take the room that a waiting whole job needs. What no
+// whole job can use, small tasks may.
+func (c *Controller) quotaAllows(spec *domain.JobSpec, d *draft, claims map[string]quotaClaim) bool {
+	limit, used := c.cfg.Teams[spec.Team].Limit, d.teamUsed(spec.Team)
+	if !c.guard(GuardQuota) {
+		return true
+	}
+	if !withinLimit(used.Plus(spec.Request, 1), limit) {
+		return false
+	}
+	if c.avoidsShare(spec.Team) && !d.ownShareFits(spec) {
+		c.planner.dirty = true
+		return false
+	}
+	return claims[spec.Team].allows(spec, used, limit)
+}
+
+// ownShareFits tells whether one more task goes into this controller's share as it is,
+// so that the team's key needn't change.
+func (d *draft) ownShareFits(spec *domain.JobSpec) bool {
+	own := d.ownUsage(spec.Team).Plus(spec.Request, 1)
+	return d.c.ownShare(spec.Team).Fits(limited(own, d.c.cfg.Teams[spec.Team].Limit))
+}
+
+// ownUsage is what this controller has booked for a team, with the draft's bookings.
+func (d *draft) ownUsage(team string) domain.Resources {
+	return d.c.cache.usage[team][d.c.cfg.Node].Plus(d.usage[team], 1)
+}
+
+// ownShare is this controller's share of a team's limit.
+func (c *Controller) ownShare(name string) domain.Resources {
+	return c.cache.shares[name].ByNode[c.cfg.Node]
 }
 
 // avoidsShare: the team's key lost a conflict just now, and is only changed for
@@ -69,55 +163,63 @@
 	return ok && c.now < till
 }
 
-// limited leaves out what a team's limit does not bound.
-func limited(r, lim domain.Resources) domain.Resources {
-	if lim.CPU == 0 {
-		r.CPU = 0
+// shareSlack is how much of a team's limit this controller sets aside beyond its bookings.
+func (c *Controller) shareSlack(name string, request domain.Resources) domain.Resources {
+	limit := c.cfg.Teams[name].Limit
+	left := limit
+	for _, share := range c.cache.shares[name].ByNode {
+		left = left.Plus(share, -1)
 	}
-	if lim.GPU == 0 {
-		r.GPU = 0
-	}
-	if lim.Memory == 0 {
-		r.Memory = 0
-	}
-	return r
+	return quota.Slack(limit, left, request, len(c.cfg.Nodes))
 }
 
-// ownShare is this node's share of a team's limit.
-func (c *Controller) ownShare(name string) domain.Resources {
-	return c.cache.shares[name].ByNode[c.cfg.Node]
-}
-
-// settleShare writes the team's key if this node's bookings no longer fit its
-// share, or leave much of it unused.
-func (d *draft) settleShare(name string, need domain.Resources) {
+// settleShare writes the team's key if this controller's bookings no longer fit its share, or
+// leave much of it unused. The request is that of the task which was booked or released.
+func (d *draft) settleShare(name string, request domain.Resources) {
 	c := d.c
-	if _, ok := d.shares[name]; ok && need == (domain.Resources{}) {
+	if _, ok := d.shares[name]; ok && request == (domain.Resources{}) {
 		return
 	}
-	use := limited(c.cache.usage[name][c.cfg.Node].Plus(d.usage[name], 1), c.cfg.Teams[name].Limit)
+	limit := c.cfg.Teams[name].Limit
+	use := limited(d.ownUsage(name), limit)
 	have := c.ownShare(name)
-	slack := c.shareSlack(name, need)
+	slack := c.shareSlack(name, request)
 	fits := have.Fits(use)
 	if fits && (c.avoidsShare(name) || use.Plus(slack, 2).Fits(have)) {
 		d.keepShare(name)
 		return
 	}
 	want := use.Plus(slack, 1)
-	if lim := c.cfg.Teams[name].Limit; !withinLimit(d.teamUsed(name).Plus(slack, 1), lim) {
+	if !withinLimit(d.teamUsed(name).Plus(slack, 1), limit) {
 		want = use
 	}
-	t := codec.TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
-	if t.ByNode == nil {
-		t.ByNode = map[string]domain.Resources{}
+	shares := c.cache.cloneShares(name)
+	if shares.ByNode == nil {
+		shares.ByNode = map[string]domain.Resources{}
+	}
+	shares.ByNode[c.cfg.Node] = want
+	d.shares[name] = shares
+	d.addCondition(codec.PrefixTeam + name)
+}
+
+// keepShare drops a change of a team's key, or writes the key as it is if a commit of unknown
+// outcome changes it, too: the two must exclude each other.
+func (d *draft) keepShare(name string) {
+	if d.c.commits.inDoubt.key != codec.PrefixTeam+name {
+		delete(d.shares, name)
+		return
 	}
-	t.ByNode[c.cfg.Node] = want
-	d.shares[name] = t
+	d.shares[name] = d.c.cache.cloneShares(name)
 	d.addCondition(codec.PrefixTeam + name)
 }
 
-// settleShares gives back what others' releases left unused of this node's
-// shares, and, as the leader, of those of nodes that are not members.
+// cloneShares copies the committed shares of a team's limit.
+func (s *cache) cloneShares(name string) codec.TeamShares {
+	return codec.TeamShares{ByNode: maps.Clone(s.shares[name].ByNode)}
+}
+
+// settleShares gives back what others' releases left unused of this controller's shares,
+// and, as the leader, of those of controllers that are not members.
 func (d *draft) settleShares() {
 	c := d.c
 	for _, name := range slices.Sorted(maps.Keys(c.cache.shares)) {
@@ -127,139 +229,30 @@
 		if _, ok := d.shares[name]; !ok {
 			d.settleShare(name, domain.Resources{GPU: 1000})
 		}
-		if !c.isLeader() || d.changes() >= c.cfg.TransactionLimit {
-			continue
-		}
-		for n, r := range c.cache.shares[name].ByNode {
-			use := limited(c.cache.usage[name][n], c.cfg.Teams[name].Limit)
-			if _, member := c.cache.view.Members[n]; member || use == r {
-				continue
-			}
-			t, ok := d.shares[name]
-			if !ok {
-				t = codec.TeamShares{ByNode: maps.Clone(c.cache.shares[name].ByNode)}
-				d.shares[name] = t
-				d.addCondition(codec.PrefixTeam + name)
-			}
-			t.ByNode[n] = use
-			if t.ByNode[n] == (domain.Resources{}) {
-				delete(t.ByNode, n)
-			}
+		if c.isLeader() && d.changes() < c.cfg.TransactionLimit {
+			d.settleAbsentShares(name)
 		}
 	}
 }
 
-// priority orders heads of queues: what the team is owed first, then the
-// job's priority, then first come.
-func (c *Controller) withinGuarantee(sp *domain.JobSpec, d *draft) bool {
-	lim := c.cfg.Teams[sp.Team]
-	if lim.Guarantee == (domain.Resources{}) {
-		return false
-	}
-	return withinLimit(d.teamUsed(sp.Team).Plus(sp.Request, 1), lim.Guarantee)
-}
-
-// quotaClaim is what waiting whole jobs want of their team's limit.
-type quotaClaim struct {
-	gangRequest    domain.Resources // one job
-	waitingGangs   int              // waiting
-	placedByLeader domain.Resources // booked by whole jobs
-	// A job of which nothing began for long, what one of its tasks takes, and
-	// whether gangs wait for it, too: not for ever, it may not be possible.
-	starvingJob     string
-	starvingRequest domain.Resources
-	aheadOfGangs    bool
-	// Jobs that have waited for long with nothing on don't wait for gangs any
-	// more, unless one of those starves itself.
-	longWaiting map[string]bool
-	gangStarves bool
-}
-
-// claims are, by team, what waiting jobs claim of its limit beside what the draft (nil:
-// none) books.
-func (c *Controller) claims(d *draft) map[string]quotaClaim {
-	r := map[string]quotaClaim{}
-	for _, j := range c.cache.openJobs {
-		sp, at := j.Header.Spec, c.placementOf(j, d)
-		x := r[sp.Team]
-		if !placedByLeader(sp) {
-			// Large tasks at a limit: each small one of the team that ends would
-			// make room for another small one, for as long as those come.
-			if at.booked+at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.MaxClaimAge {
-				if x.longWaiting == nil {
-					x.longWaiting = map[string]bool{}
-				}
-				x.longWaiting[j.ID] = true
-				r[sp.Team] = x
-			}
-			if x.starvingJob == "" && c.isStarving(j, at) && int64(c.now) >= j.pausedUntil {
-				x.starvingJob, x.starvingRequest = j.ID, sp.Request
-				x.aheadOfGangs = c.now-time.Duration(j.readyAt) < tuning.StarveAfter+tuning.GangBlock
-				r[sp.Team] = x
-			}
+// settleAbsentShares lowers the shares of controllers that are not members to what is
+// still booked by them.
+func (d *draft) settleAbsentShares(name string) {
+	c := d.c
+	for node, share := range c.cache.shares[name].ByNode {
+		use := limited(c.cache.usage[name][node], c.cfg.Teams[name].Limit)
+		if _, member := c.cache.view.Members[node]; member || use == share {
 			continue
 		}
-		if at.queued > 0 && sp.Shape == domain.Gang {
-			age := c.now - time.Duration(j.readyAt)
-			x.gangStarves = x.gangStarves || age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
-			if x.waitingGangs == 0 {
-				x.gangRequest = domain.Resources{}.Plus(sp.Request, int64(sp.TaskCount))
-			}
-			x.waitingGangs++
-		}
-		x.placedByLeader = x.placedByLeader.Plus(sp.Request, int64(at.booked))
-		r[sp.Team] = x
-	}
-	return r
-}
-
-// quotaAllows tells whether a small task may start within its team's limit: it
-// must fit, and must not take the room that a waiting whole job needs. What no
-// whole job can use, small tasks may.
-func (c *Controller) quotaAllows(sp *domain.JobSpec, d *draft, claims map[string]quotaClaim) bool {
-	lim, used := c.cfg.Teams[sp.Team].Limit, d.teamUsed(sp.Team)
-	if !c.guard(GuardQuota) {
-		return true
-	}
-	if !withinLimit(used.Plus(sp.Request, 1), lim) {
-		return false
-	}
-	if c.avoidsShare(sp.Team) {
-		own := c.cache.usage[sp.Team][c.cfg.Node].Plus(d.usage[sp.Team], 1).Plus(sp.Request, 1)
-		if !c.ownShare(sp.Team).Fits(limited(own, lim)) {
-			c.planner.dirty = true
-			return false
-		}
-	}
-	return claims[sp.Team].allows(sp, used, lim)
-}
-
-// leavesFirst tells whether the team's limit keeps room, beside what is used, for a
-// task of the job that has waited longest.
-func (x quotaClaim) leavesFirst(id string, used, lim domain.Resources) bool {
-	return x.starvingJob == "" || x.starvingJob == id || withinLimit(used.Plus(x.starvingRequest, 1), lim)
-}
-
-// allows tells whether one more small task leaves the waiting whole jobs all
-// that they could have of the team's limit.
-func (x quotaClaim) allows(sp *domain.JobSpec, used, lim domain.Resources) bool {
-	if !x.leavesFirst(sp.ID, used.Plus(sp.Request, 1), lim) {
-		return false
-	}
-	if x.starvingJob == sp.ID || x.longWaiting[sp.ID] && !x.gangStarves || x.waitingGangs == 0 || placedByLeader(sp) {
-		return true
-	}
-	fit := func(small domain.Resources) int64 {
-		room := domain.Resources{CPU: math.MaxInt32, GPU: math.MaxInt32, Memory: math.MaxInt32}
-		if lim.CPU > 0 {
-			room.CPU = lim.CPU - small.CPU
+		shares, ok := d.shares[name]
+		if !ok {
+			shares = c.cache.cloneShares(name)
+			d.shares[name] = shares
+			d.addCondition(codec.PrefixTeam + name)
 		}
-		if lim.GPU > 0 {
-			room.GPU = lim.GPU - small.GPU
+		shares.ByNode[node] = use
+		if use == (domain.Resources{}) {
+			delete(shares.ByNode, node)
 		}
-		return room.CountFitting(x.gangRequest, 1000)
 	}
-	small := used.Plus(x.placedByLeader, -1)
-	want := x.placedByLeader.CountFitting(x.gangRequest, 1000) + int64(x.waitingGangs)
-	return fit(small.Plus(sp.Request, 1)) >= min(want, fit(domain.Resources{}))
 }
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -189,12 +189,6 @@
 	return "a task fits no allowed machine type"
 }
 
-// withinLimit tells whether use stays in a limit, where 0 means none.
-func withinLimit(use, lim domain.Resources) bool {
-	return (lim.CPU == 0 || use.CPU <= lim.CPU) && (lim.GPU == 0 || use.GPU <= lim.GPU) &&
-		(lim.Memory == 0 || use.Memory <= lim.Memory)
-}
-
 func (c *Controller) machineTypeFits(s *domain.JobSpec, f *domain.MachineType) bool {
 	if !f.Capacity.Fits(s.Request) || s.ImageGB > f.ImageCacheGB && f.ImageCacheGB > 0 {
 		return false
