--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -61,9 +61,9 @@
 		queues:     newQueues(),
 		planner:    newPlanner(),
 		cordons:    newCordons(),
+		learner:    newLearner(),
 	}
 	c.scaling.init()
-	c.learner.init(cfg.Node)
 	return c
 }
 
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -10,19 +10,20 @@
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 )
 
 // peers is what the other controllers last told, and what is summed up over all shards.
 type peers struct {
 	byName         map[string]*peerState
-	nextGossipAt   time.Duration
+	nextGossip     steady.Gate
 	inventory      []inventoryMachine
 	inventoryAt    time.Duration // < 0: none
 	inventoryEpoch uint64
 	machinesByKind map[machineKind]int64 // of the inventory
 
 	waitingCountedAt          time.Duration    // < 0: not yet
-	waitingByShard            map[string]int64 // tasks that wait, less the preemptible ones
+	waitingByShard            map[string]int64 // tasks that wait, less the preemptible ones and those late beyond all aims
 	preemptibleWaitingByShard map[string]int64
 	waitingTotal              int64
 }
@@ -31,88 +32,129 @@
 	return peers{byName: map[string]*peerState{}, inventoryAt: -1, waitingCountedAt: -1}
 }
 
-// peerState is what another node last told.
+// peerState is what another controller last told.
 type peerState struct {
 	heardAt  time.Duration
 	epoch    uint64
-	usable   bool
-	load     float64
+	usable   bool    // the state service answers it
+	load     float64 // mean of its machines, s, with what was passed there since
 	machines []PeerMachine
-	reserved map[string]bool
-	evicting map[string]bool
-	fits     map[fitKey]bool
+	reserved map[string]bool // of the leader: machines kept for jobs that it places
+	evicting map[string]bool // of the leader: machines that it wants emptied
+	fits     map[fitKey]bool // whether it has a machine for such tasks, as far as asked
 }
 
+// addLoad counts tasks passed to the peer that it doesn't tell of yet; seconds is their run time.
+// Four tasks or so run on a machine at once.
+func (p *peerState) addLoad(seconds float64) {
+	if n := len(p.machines); n > 0 {
+		p.load += seconds / float64(4*n)
+	}
+}
+
+// onPeerMessage takes what a peer tells, or its request for work.
 func (c *Controller) onPeerMessage(e PeerMessageReceived) {
-	m := e.Message
-	if m.Steal != nil {
-		c.onSteal(e.From, m.Steal)
+	message := e.Message
+	if message.Steal != nil {
+		c.onSteal(e.From, message.Steal)
 		return
 	}
-	p := &peerState{fits: map[fitKey]bool{}, heardAt: c.now, epoch: m.Epoch, usable: m.Usable, load: m.Load, machines: m.Machines, reserved: map[string]bool{}, evicting: map[string]bool{}}
-	for _, h := range m.Reserved {
-		p.reserved[h] = true
+	c.peers.byName[e.From] = &peerState{
+		heardAt:  c.now,
+		epoch:    message.Epoch,
+		usable:   message.Usable,
+		load:     message.Load,
+		machines: message.Machines,
+		reserved: setOf(message.Reserved),
+		evicting: setOf(message.Evicting),
+		fits:     map[fitKey]bool{},
 	}
-	for _, h := range m.Evicting {
-		p.evicting[h] = true
+}
+
+// setOf is the set of some names.
+func setOf(names []string) map[string]bool {
+	set := map[string]bool{}
+	for _, name := range names {
+		set[name] = true
 	}
-	c.peers.byName[e.From] = p
+	return set
 }
 
-// roomiest is the part with the most room for a job: slots free, else the
+// roomiest is the shard with the most room for a job: slots free, else the
 // least load.
-func (c *Controller) roomiest(sp *domain.JobSpec) string {
-	room, slots := map[string]int64{}, map[string]int64{}
-	for _, m := range c.inventory() {
-		if f := c.machineType(m.machineType); f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) && !c.isReserved(m.name) {
-			free := roomBeside(c.freeOn(m.name, f.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(sp))
-			room[m.owner] += free.CountFitting(sp.Request, int64(sp.TaskCount))
-			slots[m.owner] += f.Capacity.CountFitting(sp.Request, 64)
+func (c *Controller) roomiest(spec *domain.JobSpec) string {
+	roomByShard, slotsByShard := c.roomByShard(spec)
+	best, bestScore := c.cfg.Node, math.Inf(-1)
+	for _, node := range c.cache.view.Serving {
+		load := c.shardLoad(node)
+		score := c.roomScore(node, spec, load, roomByShard[node], slotsByShard[node])
+		if score > bestScore {
+			best, bestScore = node, score
 		}
 	}
-	best, bestV := c.cfg.Node, math.Inf(-1)
-	for _, n := range c.cache.view.Serving {
-		load := 0.0
-		if n == c.cfg.Node {
-			load = c.meanLoad()
-		} else if p := c.peers.byName[n]; p != nil {
-			load = p.load
-		}
-		// What waits there is not in the bookings yet. Parts without room are
-		// compared by what waits for each of their slots: otherwise all jobs
-		// would go to the one whose backlog happens to be shortest.
-		left := room[n] - c.waitingIn(n, sp)
-		v := float64(min(left, int64(sp.TaskCount)))*1000 - load
-		if c.isLargeFleet() {
-			v = float64(left) / float64(max(slots[n], 1))
-			if left >= int64(sp.TaskCount) {
-				// Several parts have room for all of it. By load alone every node would
-				// send all small jobs to the same one for seconds, and that one has
-				// only its own part of the changes to book them with.
-				v = 1e6 - float64(c.waitingIn(n, sp)) + float64(hash64(sp.ID, n)%1000)/1000
-			}
-		}
-		if v > bestV {
-			best, bestV = n, v
+	return best
+}
+
+// roomByShard counts the tasks of a job that each shard's machines have room for, and those
+// that they would have room for if they were empty.
+func (c *Controller) roomByShard(spec *domain.JobSpec) (room, slots map[string]int64) {
+	room, slots = map[string]int64{}, map[string]int64{}
+	for _, m := range c.inventory() {
+		machineType := c.machineType(m.machineType)
+		if machineType == nil || !c.allowsMachine(spec, m.machineType, m.zone, m.spot) || c.isReserved(m.name) {
+			continue
 		}
+		free := roomBeside(c.freeOn(m.name, machineType.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(spec))
+		room[m.owner] += free.CountFitting(spec.Request, int64(spec.TaskCount))
+		slots[m.owner] += machineType.Capacity.CountFitting(spec.Request, 64)
 	}
-	return best
+	return room, slots
+}
+
+// shardLoad is a shard's mean load as far as known, s.
+func (c *Controller) shardLoad(node string) float64 {
+	if node == c.cfg.Node {
+		return c.meanLoad()
+	}
+	if peer := c.peers.byName[node]; peer != nil {
+		return peer.load
+	}
+	return 0
+}
+
+// roomScore is how good a shard is for a job, by its load and the tasks of the job that it has
+// room and slots for. What waits there is not in the bookings yet. Shards without room are
+// compared by what waits for each of their slots: otherwise all jobs would go to the
+// one whose backlog happens to be shortest.
+func (c *Controller) roomScore(node string, spec *domain.JobSpec, load float64, room, slots int64) float64 {
+	left, tasks := room-c.waitingIn(node, spec), int64(spec.TaskCount)
+	switch {
+	case !c.isLargeFleet():
+		return float64(min(left, tasks))*1000 - load
+	case left < tasks:
+		return float64(left) / float64(max(slots, 1))
+	}
+	// Several shards have room for all of it. By load alone every controller would
+	// send all small jobs to the same one for seconds, and that one has
+	// only its own part of the changes to book them with.
+	return 1e6 - float64(c.waitingIn(node, spec)) + float64(hash64(spec.ID, node)%1000)/1000
 }
 
-// waitingIn counts the tasks that wait in a part and go ahead of those of a job, or may:
+// waitingIn counts the tasks that wait in a shard and go ahead of those of a job, or may:
 // not those of jobs late beyond all aims, and not those that yield to it. Counted
-// with these, the parts that a guest's idle work was sent to got no other work for
+// with these, the shards that a guest's idle work was sent to got no other work for
 // minutes, and a fifth of the machines ran nothing else.
-func (c *Controller) waitingIn(part string, sp *domain.JobSpec) int64 {
+func (c *Controller) waitingIn(shard string, spec *domain.JobSpec) int64 {
 	c.countWaiting()
-	n := c.peers.waitingByShard[part]
-	if preemptible(sp) {
-		n += c.peers.preemptibleWaitingByShard[part]
+	n := c.peers.waitingByShard[shard]
+	if preemptible(spec) {
+		n += c.peers.preemptibleWaitingByShard[shard]
 	}
 	return n
 }
 
-// countWaiting sums up the tasks of open jobs that wait, by part.
+// countWaiting sums up the tasks of open jobs that wait, by shard. The sums are kept for half
+// the pace of planning.
 func (c *Controller) countWaiting() {
 	if c.peers.waitingCountedAt >= 0 && c.now-c.peers.waitingCountedAt <= c.pace()/2 {
 		return
@@ -133,7 +175,7 @@
 	}
 }
 
-// inventoryMachine is a machine that some node hears.
+// inventoryMachine is a machine that some controller hears.
 type inventoryMachine struct {
 	name, addr, machineType, zone, owner string
 	spot                                 bool
@@ -142,6 +184,7 @@
 	toldImages                           []string                 // images, of others'
 }
 
+// hasImage tells whether the machine has fetched an image, as far as known.
 func (m *inventoryMachine) hasImage(image string) bool {
 	if m.images != nil {
 		_, ok := m.images[image]
@@ -152,86 +195,129 @@
 
 // inventory lists the machines that take bookings, own ones and those that
 // peers told of lately; the leader's is sorted by name. It is kept for as long as the pace of
-// planning: what it says of others is older anyway, and a booking for a session
-// or a mark that changed meanwhile is never carried out.
+// planning: what it says of others is older anyway, and a booking for an agent epoch
+// or a cordon that changed meanwhile is never carried out.
 func (c *Controller) inventory() []inventoryMachine {
 	if c.peers.inventoryAt >= 0 && c.now-c.peers.inventoryAt < c.pace() && c.peers.inventoryEpoch == c.cache.view.Epoch {
 		return c.peers.inventory
 	}
-	l := make([]inventoryMachine, 0, len(c.peers.inventory)+16)
+	machines := make([]inventoryMachine, 0, len(c.peers.inventory)+16)
+	machines = c.appendOwnMachines(machines)
+	machines = c.appendPeerMachines(machines)
+	// Only the leader chooses among them; the others sum them up.
+	if c.isLeader() {
+		slices.SortFunc(machines, func(a, b inventoryMachine) int { return cmp.Compare(a.name, b.name) })
+	}
+	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = machines, c.now, c.cache.view.Epoch
+	c.countKinds()
+	return machines
+}
+
+// appendOwnMachines adds this controller's machines that take bookings.
+func (c *Controller) appendOwnMachines(machines []inventoryMachine) []inventoryMachine {
 	for name, m := range c.heartbeats.machines {
-		if c.isBookable(m) && c.owns(name) {
-			l = append(l, inventoryMachine{name, m.Addr, m.Type, m.Zone, c.cfg.Node, m.Spot, m.agentEpoch, m.images, nil})
+		if !c.isBookable(m) || !c.owns(name) {
+			continue
 		}
+		machines = append(machines, inventoryMachine{
+			name: name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: c.cfg.Node,
+			spot: m.Spot, agentEpoch: m.agentEpoch, images: m.images,
+		})
 	}
-	for n, p := range c.peers.byName {
-		if c.now-p.heardAt > 4*tuning.DrawEvery || n == c.cfg.Node {
+	return machines
+}
+
+// appendPeerMachines adds the machines that peers told of lately and own.
+func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
+	for node, peer := range c.peers.byName {
+		if c.now-peer.heardAt > 4*tuning.DrawEvery || node == c.cfg.Node {
 			continue
 		}
-		for i := range p.machines {
-			m := &p.machines[i]
-			if m.Leaving || c.cache.cordons[m.Name].State != "" || c.ownerIn(m.Name, m.Zone) != n {
+		for i := range peer.machines {
+			m := &peer.machines[i]
+			if m.Leaving || c.cache.cordons[m.Name].State != "" || c.ownerIn(m.Name, m.Zone) != node {
 				continue
 			}
-			l = append(l, inventoryMachine{m.Name, m.Addr, m.Type, m.Zone, n, m.Spot, m.AgentEpoch, nil, m.Images})
+			machines = append(machines, inventoryMachine{
+				name: m.Name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: node,
+				spot: m.Spot, agentEpoch: m.AgentEpoch, toldImages: m.Images,
+			})
 		}
 	}
-	// Only the leader chooses among them; the others sum them up.
-	if c.isLeader() {
-		slices.SortFunc(l, func(a, b inventoryMachine) int { return cmp.Compare(a.name, b.name) })
-	}
-	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = l, c.now, c.cache.view.Epoch
-	// Slots by kind of machine, for estimates.
+	return machines
+}
+
+// countKinds counts the inventory's machines by kind, for estimates of slots.
+func (c *Controller) countKinds() {
 	c.peers.machinesByKind = map[machineKind]int64{}
-	for i := range l {
-		if !c.isReserved(l[i].name) {
-			c.peers.machinesByKind[machineKind{l[i].machineType, l[i].zone, l[i].spot}]++
+	for i := range c.peers.inventory {
+		m := &c.peers.inventory[i]
+		if !c.isReserved(m.name) {
+			c.peers.machinesByKind[machineKind{m.machineType, m.zone, m.spot}]++
 		}
 	}
-	return l
+}
+
+// machineCount is how many machines this controller knows or was told of.
+func (c *Controller) machineCount() int {
+	n := len(c.heartbeats.machines)
+	for _, peer := range c.peers.byName {
+		n += len(peer.machines)
+	}
+	return n
 }
 
 // pace is the least time between two plans, and between two walks over all
-// machines: both take time in proportion to their number, and a node has a
+// machines: both take time in proportion to their number, and a controller has a
 // small part of a processor.
 func (c *Controller) pace() time.Duration {
-	n := len(c.heartbeats.machines)
-	for _, p := range c.peers.byName {
-		n += len(p.machines)
-	}
-	return min(tuning.MaxPace, time.Duration(n)*tuning.PaceMachine)
+	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
 }
 
-// gossip sends this node's machines and loads, and whether the state service
-// answers it.
+// gossip tells the peers of this controller's machines and loads, and whether the state
+// service answers it; as the leader also which machines it reserves and evicts.
 func (c *Controller) gossip() {
-	if c.now < c.peers.nextGossipAt || c.cache.view == nil {
+	if !c.peers.nextGossip.IsOpen(c.now) || c.cache.view == nil {
 		return
 	}
-	c.peers.nextGossipAt = c.now + max(tuning.DrawEvery/4, 2*c.pace())
-	msg := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.stateServiceAnswers()}
-	acting := c.mayAct()
+	c.peers.nextGossip.Close(c.now + max(tuning.DrawEvery/4, 2*c.pace()))
+	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.stateServiceAnswers()}
+	if c.mayAct() {
+		message.Machines = c.gossipMachines()
+	}
+	if c.isLeader() {
+		kept := maps.Clone(c.scaling.reserved)
+		maps.Copy(kept, c.scaling.resting)
+		message.Reserved = slices.Sorted(maps.Keys(kept))
+		message.Evicting = slices.Sorted(maps.Keys(c.scaling.evicting))
+	}
+	for _, node := range c.cfg.Nodes {
+		if node != c.cfg.Node {
+			c.emit(SendPeerMessage{To: node, Message: message})
+		}
+	}
+}
+
+// gossipMachines are this controller's machines as peers are told of them.
+func (c *Controller) gossipMachines() []PeerMachine {
+	var machines []PeerMachine
 	for _, name := range c.machineNames() {
 		m := c.heartbeats.machines[name]
-		if !acting || !c.owns(name) || !m.heardOnce || c.now-m.heardAt > tuning.Silent || c.cache.cordons[name].State == domain.CordonGone ||
-			m.agentEpoch <= m.abandonedEpoch {
+		if !c.owns(name) || !c.isAlive(m) {
 			continue
 		}
-		msg.Machines = append(msg.Machines, PeerMachine{
+		machines = append(machines, PeerMachine{
 			Name: name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			Leaving: m.preemptionAt >= 0 || !c.isBookable(m), AgentEpoch: m.agentEpoch, Load: c.load(m),
 			Images: slices.Sorted(maps.Keys(m.images)),
 		})
 	}
-	if c.isLeader() {
-		both := maps.Clone(c.scaling.reserved)
-		maps.Copy(both, c.scaling.resting)
-		msg.Reserved = slices.Sorted(maps.Keys(both))
-		msg.Evicting = slices.Sorted(maps.Keys(c.scaling.evicting))
-	}
-	for _, n := range c.cfg.Nodes {
-		if n != c.cfg.Node {
-			c.emit(SendPeerMessage{To: n, Message: msg})
-		}
-	}
+	return machines
+}
+
+// isAlive tells whether a machine was heard lately, in an agent epoch that was not given up,
+// and is not gone.
+func (c *Controller) isAlive(m *Machine) bool {
+	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
+		c.cache.cordons[m.Name].State != domain.CordonGone && m.agentEpoch > m.abandonedEpoch
 }
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -9,312 +9,420 @@
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/policy"
 )
 
-// isLargeFleet: the parts are so large that jobs are passed and stolen whole, as long as
+// isLargeFleet: the shards are so large that jobs are passed and stolen whole, as long as
 // none of their tasks was booked. One by one, tasks of most jobs would lie in
-// parts other than the one whose value holds them, and two nodes' commits of
+// shards other than the one whose value holds them, and two controllers' commits of
 // one value at a time keep failing each other.
 func (c *Controller) isLargeFleet() bool {
-	n := len(c.heartbeats.machines)
-	for _, p := range c.peers.byName {
-		n += len(p.machines)
-	}
 	c.countWaiting()
-	return n > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
+	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
 // isUntouched: nothing of the job was booked or handed over yet.
 func isUntouched(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
+// isSettling: the job's shard was chosen for its room a moment ago, so the job first gets
+// a chance there.
+func (c *Controller) isSettling(j *Job) bool {
+	return c.now-time.Duration(j.readyAt) < tuning.StealAfter
+}
+
 // passJob draws once whether a job of which nothing could start here stays in
-// this part or goes to another, each at its mean load; true: it goes. The part
-// was chosen for its room a moment ago, so the job first gets a chance there.
-func (c *Controller) passJob(j *Job, ts []target) bool {
-	sp := j.Header.Spec
-	if !isUntouched(j) || j.Header.Handovers > 0 || c.queues.jobsStaying[j.ID] || j.queuedHere > 0 ||
-		c.now-time.Duration(j.readyAt) < tuning.StealAfter {
+// this shard or goes to another, each at its mean load; true: it goes.
+func (p *placing) passJob(j *Job) bool {
+	c, spec := p.c, j.Header.Spec
+	if !isUntouched(j) || j.Header.Handovers > 0 || c.queues.jobsStaying[j.ID] || j.queuedHere > 0 || c.isSettling(j) {
 		return false
 	}
-	var cs []choice
-	for i := range ts {
-		if t := &ts[i]; t.machineType.Capacity.Fits(sp.Request) && c.allowsMachine(sp, t.machine.Type, t.machine.Zone, t.machine.Spot) {
-			cs = append(cs, choice{name: c.cfg.Node, load: c.meanLoad()})
-			break
-		}
-	}
-	for _, n := range c.cache.view.Serving {
-		if p := c.peers.byName[n]; n != c.cfg.Node && p != nil && c.now-p.heardAt <= 3*tuning.DrawEvery && c.peerFits(p, sp) {
-			cs = append(cs, choice{name: n, load: p.load, cost: tuning.PassCost})
-		}
+	var offers []policy.Choice
+	if p.couldRun(spec) {
+		offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
 	}
-	k := c.draw(&c.learner.arrive, cs)
+	offers = c.appendPeers(offers, spec)
+	k := c.draw(&c.learner.arrivals, offers)
 	if k < 0 {
 		return false
 	}
 	c.queues.jobsStaying[j.ID] = true
-	to := cs[k].name
+	to := offers[k].Name
 	if to == c.cfg.Node {
 		return false
 	}
 	c.planner.jobHandovers[j.ID] = to
 	c.planner.dirty = true
-	if p := c.peers.byName[to]; len(p.machines) > 0 {
-		p.load += c.runTime(sp) * float64(j.Header.TaskCount) / float64(4*len(p.machines))
-	}
+	c.peers.byName[to].addLoad(c.runTime(spec) * float64(j.Header.TaskCount))
 	return true
 }
 
-// peerFits: the peer has a machine that may take a task of the job. The answer
-// is kept for as long as the peer's word.
-func (c *Controller) peerFits(p *peerState, sp *domain.JobSpec) bool {
-	k := fitKey{sp.Request, sp.Zone, strings.Join(sp.MachineTypes, ","), sp.Spot}
-	ok, known := p.fits[k]
-	if known {
-		return ok
-	}
-	for i := range p.machines {
-		pm := &p.machines[i]
-		f := c.machineType(pm.Type)
-		if f != nil && !pm.Leaving && c.cache.cordons[pm.Name].State == "" && f.Capacity.Fits(sp.Request) &&
-			c.allowsMachine(sp, pm.Type, pm.Zone, pm.Spot) && !c.isReserved(pm.Name) {
-			ok = true
-			break
+// couldRun tells whether some target, were it empty, could run a task of the job.
+func (p *placing) couldRun(spec *domain.JobSpec) bool {
+	for i := range p.targets {
+		t := &p.targets[i]
+		if t.machineType.Capacity.Fits(spec.Request) && p.c.allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) {
+			return true
 		}
 	}
-	p.fits[k] = ok
-	return ok
+	return false
 }
 
+// fitKey is what decides whether a peer has a machine for the tasks of a job.
 type fitKey struct {
 	request     domain.Resources
 	zone, types string
 	spot        bool
 }
 
-// canStart: a queued task that would fit the machine right now.
+// peerFits tells whether a peer has a machine that may take a task of the job. The answer
+// is kept for as long as the peer's word.
+func (c *Controller) peerFits(peer *peerState, spec *domain.JobSpec) bool {
+	key := fitKey{spec.Request, spec.Zone, strings.Join(spec.MachineTypes, ","), spec.Spot}
+	fits, known := peer.fits[key]
+	if known {
+		return fits
+	}
+	for i := range peer.machines {
+		if c.peerMachineFits(&peer.machines[i], spec) {
+			fits = true
+			break
+		}
+	}
+	peer.fits[key] = fits
+	return fits
+}
+
+// peerMachineFits tells whether a peer's machine, were it empty, could take a task of the job.
+func (c *Controller) peerMachineFits(m *PeerMachine, spec *domain.JobSpec) bool {
+	machineType := c.machineType(m.Type)
+	return machineType != nil && !m.Leaving && c.cache.cordons[m.Name].State == "" &&
+		machineType.Capacity.Fits(spec.Request) &&
+		c.allowsMachine(spec, m.Type, m.Zone, m.Spot) && !c.isReserved(m.Name)
+}
+
+// canStart tells whether a queued task would fit the machine right now.
 func (c *Controller) canStart(id domain.TaskID, m *Machine, free domain.Resources) bool {
 	j := c.cache.jobs[id.Job]
-	if j == nil || j.Header.State != domain.StateOpen || j.task(id.Index).State != domain.Queued || int64(c.now) < j.pausedUntil {
+	if j == nil || !c.isWaiting(j, id.Index) {
 		return false
 	}
-	sp := j.Header.Spec
-	return free.Fits(sp.Request) && c.allowsMachine(sp, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
-		withinLimit(c.teamUsed(sp.Team, nil).Plus(sp.Request, 1), c.cfg.Teams[sp.Team].Limit)
+	spec := j.Header.Spec
+	return free.Fits(spec.Request) && c.allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
+		withinLimit(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
-// stealLocal: a machine with idle room and an empty queue takes a waiting task
-// from another queue of this part.
-func (c *Controller) stealLocal(mine []*Machine) {
-	// Those that have to wait where they queue, at most a draw's worth of them.
-	var from []*Machine
-	for _, o := range mine {
-		free := c.freeOn(o.Name, c.machineType(o.Type).Capacity, nil)
-		for _, id := range o.queue {
-			if c.queues.machineOf[id] != o.Name {
-				continue
-			}
-			if free = free.Plus(c.cache.jobs[id.Job].Header.Spec.Request, -1); !(free.CPU >= 0 && free.GPU >= 0 && free.Memory >= 0) {
-				from = append(from, o)
-				break
-			}
-		}
-		if len(from) >= tuning.MaxDrawTargets {
-			break
-		}
-	}
+// isWaiting tells whether a task of a job waits to be booked and may be so now: the job is
+// not over, and not paused after errors.
+func (c *Controller) isWaiting(j *Job, index int) bool {
+	return j.Header.State == domain.StateOpen && j.task(index).State == domain.Queued && int64(c.now) >= j.pausedUntil
+}
+
+// stealLocal: a machine with idle room and an empty queue takes waiting tasks
+// from other queues of this shard.
+func (c *Controller) stealLocal(machines []*Machine) {
+	from := c.machinesBehind(machines)
 	if len(from) == 0 {
 		return
 	}
-	for _, m := range mine {
+	for _, m := range machines {
 		if len(m.queue) > 0 {
 			continue
 		}
-		free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
-		if free.CPU == 0 {
+		if free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil); free.CPU != 0 {
+			c.stealTo(m, free, from)
+		}
+	}
+}
+
+// machinesBehind are machines in whose queues some task has to wait for the end of others,
+// at most a draw's worth of them.
+func (c *Controller) machinesBehind(machines []*Machine) []*Machine {
+	var behind []*Machine
+	for _, m := range machines {
+		if c.isBehind(m) {
+			behind = append(behind, m)
+		}
+		if len(behind) >= tuning.MaxDrawTargets {
+			break
+		}
+	}
+	return behind
+}
+
+// isBehind tells whether the tasks in a machine's queue need more than what is free there.
+func (c *Controller) isBehind(m *Machine) bool {
+	free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
+	for _, id := range m.queue {
+		if !c.queues.isIn(id, m) {
 			continue
 		}
-		for n := 0; n < tuning.MaxHandovers; n++ {
-			var cs []choice
-			var take []domain.TaskID
-			for _, o := range from {
-				if o == m || len(o.queue) == 0 {
-					continue
-				}
-				of := c.freeOn(o.Name, c.machineType(o.Type).Capacity, nil)
-				for _, id := range o.queue {
-					if c.queues.machineOf[id] != o.Name {
-						continue
-					}
-					sp := c.cache.jobs[id.Job].Header.Spec
-					if of.Fits(sp.Request) {
-						of = of.Plus(sp.Request, -1)
-						continue // starts there at once
-					}
-					if c.canStart(id, m, free) {
-						cs = append(cs, choice{name: o.Name, load: c.load(o)})
-						take = append(take, id)
-						break
-					}
-				}
+		free = free.Plus(c.cache.jobs[id.Job].Header.Spec.Request, -1)
+		if free.CPU < 0 || free.GPU < 0 || free.Memory < 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// stealTo moves tasks from the queues of machines that are behind to that of an idle one
+// for as long as it has room, each drawn among the first of every queue that it can take.
+func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
+	for n := 0; n < tuning.MaxHandovers; n++ {
+		var offers []policy.Choice
+		var tasks []domain.TaskID // by Ref of the offer
+		for _, other := range from {
+			if other == m || len(other.queue) == 0 {
+				continue
 			}
-			k := c.draw(&c.learner.steal, cs)
-			if k < 0 {
-				break
+			if id, ok := c.firstToSteal(other, m, free); ok {
+				offers = append(offers, policy.Choice{Name: other.Name, Load: c.load(other), Ref: len(tasks)})
+				tasks = append(tasks, id)
 			}
-			free = free.Plus(c.cache.jobs[take[k].Job].Header.Spec.Request, -1)
-			c.enqueue(take[k], m)
 		}
+		k := c.draw(&c.learner.steals, offers)
+		if k < 0 {
+			return
+		}
+		id := tasks[offers[k].Ref]
+		free = free.Plus(c.cache.jobs[id.Job].Header.Spec.Request, -1)
+		c.enqueue(id, m)
 	}
 }
 
+// firstToSteal is the first task in a machine's queue that can't start there at once, but
+// could on an idle machine with that much free.
+func (c *Controller) firstToSteal(from, to *Machine, freeThere domain.Resources) (domain.TaskID, bool) {
+	free := c.freeOn(from.Name, c.machineType(from.Type).Capacity, nil)
+	for _, id := range from.queue {
+		if !c.queues.isIn(id, from) {
+			continue
+		}
+		spec := c.cache.jobs[id.Job].Header.Spec
+		if free.Fits(spec.Request) {
+			free = free.Plus(spec.Request, -1)
+			continue // starts there at once
+		}
+		if c.canStart(id, to, freeThere) {
+			return id, true
+		}
+	}
+	return domain.TaskID{}, false
+}
+
 // mayBegin tells whether one more task of a job fits its team's limit as it is used
 // now, beside what others claim of it.
-func (c *Controller) mayBegin(sp *domain.JobSpec, claims map[string]quotaClaim) bool {
-	lim, used := c.cfg.Teams[sp.Team].Limit, c.teamUsed(sp.Team, nil)
-	return withinLimit(used.Plus(sp.Request, 1), lim) && claims[sp.Team].allows(sp, used, lim)
+func (c *Controller) mayBegin(spec *domain.JobSpec, claims map[string]quotaClaim) bool {
+	limit, used := c.cfg.Teams[spec.Team].Limit, c.teamUsed(spec.Team, nil)
+	return withinLimit(used.Plus(spec.Request, 1), limit) && claims[spec.Team].allows(spec, used, limit)
+}
+
+// stealableWork is waiting work of one job, and the other shards that have some of it.
+type stealableWork struct {
+	spec   *domain.JobSpec
+	shards map[string]bool
 }
 
-// stealRemote asks another part for tasks that fit a machine with idle room.
-func (c *Controller) stealRemote(mine []*Machine) {
-	// Where work waits that other parts have, by kind of task.
-	type lot struct {
-		sp    *domain.JobSpec
-		parts map[string]bool
+// stealRemote asks other shards for tasks that fit machines with idle room.
+func (c *Controller) stealRemote(machines []*Machine) {
+	work := c.stealableElsewhere()
+	if len(work) == 0 {
+		return
 	}
-	var lots []lot
-	wide := c.isLargeFleet()
 	idle := map[machineKind]int64{}
-	for _, m := range mine {
+	for _, m := range machines {
 		if len(m.queue) == 0 {
 			idle[machineKind{m.Type, m.Zone, m.Spot}]++
 		}
 	}
-	claims := c.claims(nil)
+	large := c.isLargeFleet()
+	sent := 0
+	for _, m := range machines {
+		if len(m.queue) > 0 || sent >= tuning.MaxStealRequests {
+			continue
+		}
+		free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
+		offers := c.shardsToAsk(work, m, free)
+		k := c.draw(&c.learner.steals, offers)
+		if k < 0 {
+			continue
+		}
+		sent++
+		most := tuning.MaxHandovers
+		if large {
+			n := idle[machineKind{m.Type, m.Zone, m.Spot}]
+			free, most = domain.Resources{}.Plus(free, n), tuning.MaxHandovers*int(n)
+			sent = tuning.MaxStealRequests // one for all alike
+		}
+		c.emit(SendPeerMessage{To: offers[k].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
+			Type: m.Type, Zone: m.Zone, Spot: m.Spot, Room: free, MaxTasks: most}}})
+	}
+}
+
+// stealableElsewhere is work that waits in other shards and could begin, by job.
+func (c *Controller) stealableElsewhere() []stealableWork {
+	var work []stealableWork
+	large, claims := c.isLargeFleet(), c.claims(nil)
 	for _, j := range c.cache.openJobs {
 		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || !c.mayBegin(j.Header.Spec, claims) {
 			continue
 		}
-		if wide && (!isUntouched(j) || c.now-time.Duration(j.readyAt) < tuning.StealAfter) {
+		if large && (!isUntouched(j) || c.isSettling(j)) {
 			continue
 		}
-		x := lot{j.Header.Spec, map[string]bool{}}
-		// A job's last task may be far back, and wait in a part that has no machine.
-		for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
-			if t := j.task(i); t.State == domain.Queued {
-				seen++
-				x.parts[c.taskShard(j, t)] = true
-			}
-		}
-		delete(x.parts, c.cfg.Node)
-		if len(x.parts) > 0 {
-			lots = append(lots, x)
+		if shards := c.otherShardsOf(j); len(shards) > 0 {
+			work = append(work, stealableWork{j.Header.Spec, shards})
 		}
-		if len(lots) >= tuning.StealLots {
+		if len(work) >= tuning.StealLots {
 			break
 		}
 	}
-	if len(lots) == 0 {
-		return
-	}
-	sent := 0
-	for _, m := range mine {
-		if len(m.queue) > 0 || sent >= tuning.MaxStealRequests {
-			continue
-		}
-		free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
-		parts := map[string]bool{}
-		for _, x := range lots {
-			if free.Fits(x.sp.Request) && c.allowsMachine(x.sp, m.Type, m.Zone, m.Spot) {
-				maps.Copy(parts, x.parts)
-			}
+	return work
+}
+
+// otherShardsOf are the other shards in which tasks of a job wait. A job's last task may be
+// far back, and wait in a shard that has no machine; only the first few are looked at.
+func (c *Controller) otherShardsOf(j *Job) map[string]bool {
+	shards := map[string]bool{}
+	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
+		if task := j.task(i); task.State == domain.Queued {
+			seen++
+			shards[c.taskShard(j, task)] = true
 		}
-		var cs []choice
-		for _, n := range slices.Sorted(maps.Keys(parts)) {
-			if p := c.peers.byName[n]; p != nil {
-				cs = append(cs, choice{name: n, load: p.load})
-			}
+	}
+	delete(shards, c.cfg.Node)
+	return shards
+}
+
+// shardsToAsk are the shards, in order of name, that have work for an idle machine.
+func (c *Controller) shardsToAsk(work []stealableWork, m *Machine, free domain.Resources) []policy.Choice {
+	shards := map[string]bool{}
+	for _, w := range work {
+		if free.Fits(w.spec.Request) && c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
+			maps.Copy(shards, w.shards)
 		}
-		if k := c.draw(&c.learner.steal, cs); k >= 0 {
-			sent++
-			most := tuning.MaxHandovers
-			if n := idle[machineKind{m.Type, m.Zone, m.Spot}]; wide {
-				free, most = domain.Resources{}.Plus(free, n), tuning.MaxHandovers*int(n)
-				sent = tuning.MaxStealRequests // one for all alike
-			}
-			c.emit(SendPeerMessage{To: cs[k].name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
-				Type: m.Type, Zone: m.Zone, Spot: m.Spot, Room: free, MaxTasks: most}}})
+	}
+	var offers []policy.Choice
+	for _, node := range slices.Sorted(maps.Keys(shards)) {
+		if peer := c.peers.byName[node]; peer != nil {
+			offers = append(offers, policy.Choice{Name: node, Load: peer.load, Ref: noTarget})
 		}
 	}
+	return offers
+}
+
+// stealAnswer is what is given to a peer that asked for work.
+type stealAnswer struct {
+	c       *Controller
+	to      string // the peer
+	request *StealRequest
+	room    domain.Resources // left of what it asked for
+	given   int              // tasks
+	claims  map[string]quotaClaim
 }
 
 // onSteal takes tasks off the queues and lets the next commit hand them over.
-func (c *Controller) onSteal(from string, s *StealRequest) {
+func (c *Controller) onSteal(from string, request *StealRequest) {
 	if !c.mayAct() || !slices.Contains(c.cache.view.Serving, from) {
 		return
 	}
-	room, n, claims := s.Room, 0, c.claims(nil)
-	give := func(id domain.TaskID) {
-		j := c.cache.jobs[id.Job]
-		if j == nil || n >= s.MaxTasks || j.Header.State != domain.StateOpen || c.planner.taskHandovers[id] != "" || j.task(id.Index).State != domain.Queued ||
-			int64(c.now) < j.pausedUntil {
-			return
+	s := &stealAnswer{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
+	if c.isLargeFleet() {
+		s.giveJobs()
+		return
+	}
+	// Unplaced ones first, then those that can't start where they queue.
+	s.giveUnplaced()
+	s.giveQueued()
+}
+
+// allows tells whether the peer's machine may run tasks of a job.
+func (s *stealAnswer) allows(spec *domain.JobSpec) bool {
+	return s.c.allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
+}
+
+// giveJobs gives whole jobs of which the peer has room for at least half.
+func (s *stealAnswer) giveJobs() {
+	c := s.c
+	for _, j := range c.cache.openJobs {
+		spec := j.Header.Spec
+		if !s.mayGiveJob(j) {
+			continue
 		}
-		sp := j.Header.Spec
-		// What its team's limit or a claim on it keeps from starting would only fill
-		// the room that another task could use.
-		if !room.Fits(sp.Request) || !c.allowsMachine(sp, s.Type, s.Zone, s.Spot) || !c.mayBegin(sp, claims) {
-			return
+		fitting := s.room.CountFitting(spec.Request, int64(spec.TaskCount))
+		if 2*fitting < int64(spec.TaskCount) || s.given >= s.request.MaxTasks {
+			continue
 		}
-		room = room.Plus(sp.Request, -1)
-		n++
-		c.planner.taskHandovers[id] = from
+		c.planner.jobHandovers[j.ID] = s.to
 		c.planner.dirty = true
+		s.room = s.room.Plus(spec.Request, -fitting)
+		s.given += spec.TaskCount
 	}
-	if c.isLargeFleet() {
-		for _, j := range c.cache.openJobs {
-			sp := j.Header.Spec
-			if placedByLeader(sp) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" || c.shardOf(j) != c.cfg.Node ||
-				j.Header.Handovers >= tuning.MaxHops || !c.allowsMachine(sp, s.Type, s.Zone, s.Spot) {
-				continue
-			}
-			if fit := room.CountFitting(sp.Request, int64(sp.TaskCount)); 2*fit >= int64(sp.TaskCount) && n < s.MaxTasks {
-				c.planner.jobHandovers[j.ID] = from
-				c.planner.dirty = true
-				room = room.Plus(sp.Request, -fit)
-				n += sp.TaskCount
-			}
-		}
-		return
+}
+
+// mayGiveJob tells whether a job may go to the peer as a whole: it is of this shard, nothing
+// of it is queued, and it hasn't wandered far.
+func (s *stealAnswer) mayGiveJob(j *Job) bool {
+	c, spec := s.c, j.Header.Spec
+	if placedByLeader(spec) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
+		return false
 	}
-	// Unplaced ones first, then those that can't start where they queue.
+	return c.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
+}
+
+// giveUnplaced gives tasks that are in no queue yet.
+func (s *stealAnswer) giveUnplaced() {
+	c := s.c
 	for _, j := range c.cache.openJobs {
-		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || j.queuedHere >= j.counts.queued || n >= s.MaxTasks {
+		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || j.queuedHere >= j.counts.queued || s.given >= s.request.MaxTasks {
 			continue
 		}
 		for i := 0; i < j.Header.TaskCount; i++ {
 			id := domain.TaskID{Job: j.ID, Index: i}
-			if t := j.task(i); t.State == domain.Queued && c.queues.machineOf[id] == "" && c.taskShard(j, t) == c.cfg.Node {
-				give(id)
+			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.taskShard(j, task) == c.cfg.Node {
+				s.give(id)
 			}
 		}
 	}
+}
+
+// giveQueued gives tasks that can't start at once on the machine in whose queue they are.
+func (s *stealAnswer) giveQueued() {
+	c := s.c
 	for _, name := range c.machineNames() {
 		m := c.heartbeats.machines[name]
-		f := c.machineType(m.Type)
-		if len(m.queue) == 0 || f == nil {
+		machineType := c.machineType(m.Type)
+		if len(m.queue) == 0 || machineType == nil {
 			continue
 		}
-		free := c.freeOn(name, f.Capacity, nil)
+		free := c.freeOn(name, machineType.Capacity, nil)
 		for _, id := range m.queue {
-			if c.queues.machineOf[id] != name {
+			if !c.queues.isIn(id, m) {
 				continue
 			}
-			if sp := c.cache.jobs[id.Job].Header.Spec; free.Fits(sp.Request) {
-				free = free.Plus(sp.Request, -1)
+			if spec := c.cache.jobs[id.Job].Header.Spec; free.Fits(spec.Request) {
+				free = free.Plus(spec.Request, -1)
 				continue
 			}
-			give(id)
+			s.give(id)
 		}
 	}
 }
+
+// give hands one task over, if the peer may have it, it still waits and there is room. What
+// its team's limit or a claim on it keeps from starting would only fill the room that
+// another task could use.
+func (s *stealAnswer) give(id domain.TaskID) {
+	c, j := s.c, s.c.cache.jobs[id.Job]
+	if j == nil || s.given >= s.request.MaxTasks || c.planner.taskHandovers[id] != "" || !c.isWaiting(j, id.Index) {
+		return
+	}
+	spec := j.Header.Spec
+	if !s.room.Fits(spec.Request) || !s.allows(spec) || !c.mayBegin(spec, s.claims) {
+		return
+	}
+	s.room = s.room.Plus(spec.Request, -1)
+	s.given++
+	c.planner.taskHandovers[id] = s.to
+	c.planner.dirty = true
+}
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -9,62 +9,91 @@
 	"brassglade/internal/domain"
 )
 
-// jobsByUrgency orders the open jobs that parts place: what a team is owed first,
-// then priority, then such that as many jobs as can be meet their aims.
+// urgent is a job in the order of a shard's pool.
+type urgent struct {
+	job             *Job
+	withinGuarantee bool      // its team is owed it, or it starves
+	run             float64   // s a task, from when it is queued
+	work            float64   // s of the whole fleet
+	goals           []float64 // s left until each aim, the first aim first
+	tier            int       // the aim it is put down for; len(goals): none
+}
+
+// jobsByUrgency orders the open jobs that shards place and that may have more tasks in queues:
+// what a team is owed first, then priority, then such that as many jobs as can be meet
+// their aims. It also notes which jobs are late beyond all aims.
 func (c *Controller) jobsByUrgency() []*Job {
-	var l []*urgent
-	before := map[string]domain.Resources{}
+	order := c.urgentJobs()
+	assignTiers(order)
+	sort.SliceStable(order, func(a, b int) bool { return order[a].goesBefore(order[b]) })
+	jobs := make([]*Job, 0, len(order))
+	for _, u := range order {
+		u.job.beyondAims = len(u.goals) > 0 && u.tier >= len(u.goals)
+		if u.job.queuedHere < min(u.job.counts.queued, tuning.QueuedPerJob) {
+			jobs = append(jobs, u.job)
+		}
+	}
+	return jobs
+}
+
+// urgentJobs are the open jobs that shards place and that wait, in the order in which they
+// were accepted. Older jobs use up a team's guarantee before younger ones, whether they
+// wait or run.
+func (c *Controller) urgentJobs() []*urgent {
+	var jobs []*urgent
+	accepted := map[string]domain.Resources{} // by team: what its jobs so far take, as a whole
 	for _, j := range c.cache.openJobs {
-		sp := j.Header.Spec
-		lim := c.cfg.Teams[sp.Team].Guarantee
-		all := before[sp.Team].Plus(sp.Request, int64(j.Header.TaskCount-j.counts.done))
-		age := (c.now - time.Duration(j.readyAt)).Seconds()
-		owed := lim != (domain.Resources{}) && withinLimit(all, lim) && age <= c.cfg.GuaranteeWithin
-		before[sp.Team] = all
-		if j.counts.queued == 0 || placedByLeader(sp) || int64(c.now) < j.pausedUntil {
+		spec := j.Header.Spec
+		guarantee := c.cfg.Teams[spec.Team].Guarantee
+		withJob := accepted[spec.Team].Plus(spec.Request, int64(j.Header.TaskCount-j.counts.done))
+		accepted[spec.Team] = withJob
+		if j.counts.queued == 0 || placedByLeader(spec) || int64(c.now) < j.pausedUntil {
 			continue
 		}
-		// The rule below lets the jobs with the most work give way; none of them
+		isOwed := guarantee != (domain.Resources{}) && withinLimit(withJob, guarantee) && c.age(j) <= c.cfg.GuaranteeWithin
+		// Moore and Hodgson's rule lets the jobs with the most work give way; none of them
 		// may do so for ever.
-		if c.isStarving(j, c.placementOf(j, nil)) {
-			owed = true
-		}
-		x := &urgent{job: j, withinGuarantee: owed, run: c.runTime(sp) + tuning.StartLag}
-		x.work = float64(j.counts.queued) * c.runTime(sp) / c.slots(sp)
-		if j.deadlineSeconds > 0 {
-			// Its own deadline, or what is left of that of a job which needs it.
-			left := time.Duration(j.deadlineAt - int64(c.now)).Seconds()
-			for _, k := range c.cfg.DeadlineMultiples {
-				x.goals = append(x.goals, left+(k-1)*j.deadlineSeconds)
-			}
-		}
-		for _, g := range c.cfg.FinishWithin[sp.Class] {
-			x.goals = append(x.goals, g-age)
-		}
-		l = append(l, x)
+		isOwed = c.isStarving(j, c.placementOf(j, nil)) || isOwed
+		jobs = append(jobs, &urgent{
+			job:             j,
+			withinGuarantee: isOwed,
+			run:             c.runTime(spec) + tuning.StartLag,
+			work:            float64(j.counts.queued) * c.runTime(spec) / c.slots(spec),
+			goals:           c.goals(j),
+		})
 	}
-	assignTiers(l)
-	sort.SliceStable(l, func(a, b int) bool {
-		x, y := l[a], l[b]
-		if x.withinGuarantee != y.withinGuarantee {
-			return x.withinGuarantee
-		}
-		if x.job.priority != y.job.priority {
-			return x.job.priority > y.job.priority
-		}
-		if x.tier != y.tier {
-			return x.tier < y.tier
+	return jobs
+}
+
+// age is how long ago a job could first start, s.
+func (c *Controller) age(j *Job) float64 { return (c.now - time.Duration(j.readyAt)).Seconds() }
+
+// goals are the times left until a job's aims, s: its deadline, or what is left of that of a job
+// which needs it, with the multiples that count, and those of its class.
+func (c *Controller) goals(j *Job) []float64 {
+	var goals []float64
+	if j.deadlineSeconds > 0 {
+		left := time.Duration(j.deadlineAt - int64(c.now)).Seconds()
+		for _, multiple := range c.cfg.DeadlineMultiples {
+			goals = append(goals, left+(multiple-1)*j.deadlineSeconds)
 		}
-		return x.left() < y.left()
-	})
-	js := make([]*Job, 0, len(l))
-	for _, x := range l {
-		x.job.beyondAims = len(x.goals) > 0 && x.tier >= len(x.goals)
-		if x.job.queuedHere < min(x.job.counts.queued, tuning.QueuedPerJob) {
-			js = append(js, x.job)
+	}
+	for _, seconds := range c.cfg.FinishWithin[j.Header.Spec.Class] {
+		goals = append(goals, seconds-c.age(j))
+	}
+	return goals
+}
+
+// slots is how many tasks like this the machines heard of can run at once.
+func (c *Controller) slots(spec *domain.JobSpec) float64 {
+	c.inventory() // brings machinesByKind up to date
+	n := int64(0)
+	for kind, count := range c.peers.machinesByKind {
+		if f := c.machineType(kind.machineType); f != nil && c.allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
+			n += count * f.Capacity.CountFitting(spec.Request, 64)
 		}
 	}
-	return js
+	return float64(max(n, 1))
 }
 
 // isDoubtful: all tries so far failed, several times over. Such a job is tried one task
@@ -77,75 +106,84 @@
 	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
 }
 
-// urgent is a job in the order of a pool.
-type urgent struct {
-	job             *Job
-	withinGuarantee bool
-	run             float64   // s a task
-	work            float64   // s of the whole fleet
-	goals           []float64 // s left until each aim
-	tier            int       // the aim it is put down for; len(goals): none
+// goesBefore is the order of the pool.
+func (u *urgent) goesBefore(other *urgent) bool {
+	switch {
+	case u.withinGuarantee != other.withinGuarantee:
+		return u.withinGuarantee
+	case u.job.priority != other.job.priority:
+		return u.job.priority > other.job.priority
+	case u.tier != other.tier:
+		return u.tier < other.tier
+	}
+	return u.left() < other.left()
 }
 
 // left is the time until the aim the job is put down for; beyond all aims the
 // longest tasks go first, since they make the tail.
-func (x *urgent) left() float64 {
-	if x.tier < len(x.goals) {
-		return x.goals[x.tier]
+func (u *urgent) left() float64 {
+	if u.tier < len(u.goals) {
+		return u.goals[u.tier]
 	}
-	return -x.run
+	return -u.run
 }
 
-// assignTiers puts each job down for the first aim that it can meet beside the
-// others: in order of time left, and whenever one would be late, the job with
-// the most work is moved on to its next aim (Moore and Hodgson's rule).
-func assignTiers(l []*urgent) {
-	most := 0
-	for _, x := range l {
-		most = max(most, len(x.goals))
+// assignTiers puts each job down for the first aim that it can meet beside the others, by
+// Moore and Hodgson's rule for each aim in turn: those that would be late for their first aims
+// try their second ones after all that meet their first.
+func assignTiers(jobs []*urgent) {
+	tiers := 0
+	for _, u := range jobs {
+		tiers = max(tiers, len(u.goals))
 	}
-	t0 := 0.0
-	for tier := 0; tier < most; tier++ {
-		var at []*urgent
-		for _, x := range l {
-			if x.tier == tier && tier < len(x.goals) {
-				at = append(at, x)
+	begin := 0.0
+	for tier := 0; tier < tiers; tier++ {
+		var candidates []*urgent
+		for _, u := range jobs {
+			if u.tier == tier && tier < len(u.goals) {
+				candidates = append(candidates, u)
 			}
 		}
-		sort.SliceStable(at, func(a, b int) bool { return at[a].left() < at[b].left() })
-		t := t0
-		var in []*urgent
-		for _, x := range at {
-			if x.run > x.goals[tier] {
-				x.tier++ // too late even alone
-				continue
-			}
-			in = append(in, x)
-			t += x.work
-			if t+x.run > x.goals[tier] {
-				k := 0
-				for i := range in {
-					if in[i].work > in[k].work {
-						k = i
-					}
-				}
-				t -= in[k].work
-				in[k].tier++
-				in = append(in[:k], in[k+1:]...)
-			}
+		begin = leastLate(candidates, tier, begin)
+	}
+}
+
+// leastLate moves as few jobs as can be on to the next aim such that all others meet this
+// one, if all work is done one job after the other from a time on (s); it returns the time at
+// which that of the others ends.
+//
+// This is Moore and Hodgson's rule (J. M. Moore, "An n job, one machine sequencing algorithm
+// for minimizing the number of late jobs", Management Science 15, 1968): in order of time left,
+// and whenever one job would be late, the one with the most work so far is taken out. Here the
+// one machine is the whole fleet, and a job's last task needs its run time besides.
+func leastLate(candidates []*urgent, tier int, begin float64) (end float64) {
+	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].left() < candidates[b].left() })
+	end = begin
+	var inTime []*urgent
+	for _, u := range candidates {
+		if u.run > u.goals[tier] {
+			u.tier++ // too late even alone
+			continue
+		}
+		inTime = append(inTime, u)
+		end += u.work
+		if end+u.run > u.goals[tier] {
+			k := mostWork(inTime)
+			end -= inTime[k].work
+			inTime[k].tier++
+			inTime = append(inTime[:k], inTime[k+1:]...)
 		}
-		t0 = t
 	}
+	return end
 }
 
-// slots is how many tasks like this the machines heard of can run at once.
-func (c *Controller) slots(sp *domain.JobSpec) float64 {
-	c.inventory()
-	n := int64(0)
-	for k, count := range c.peers.machinesByKind {
-		if f := c.machineType(k.machineType); f != nil && c.allowsMachine(sp, k.machineType, k.zone, k.spot) {
-			n += count * f.Capacity.CountFitting(sp.Request, 64)
+// mostWork is the index of the first job with the most work.
+func mostWork(jobs []*urgent) int {
+	k := 0
+	for i := range jobs {
+		if jobs[i].work > jobs[k].work {
+			k = i
 		}
 	}
-	return float64(max(n, 1))
+	return k
 }
