--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -4,11 +4,10 @@
 	"math"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
+	"brassglade/internal/tuning"
 )
 
 // learner is the online actor-critic of one controller (package policy): an actor for
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -1,11 +1,10 @@
 package scheduler
 
 import (
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
 	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // runTime is the expected run time of a task, s, corrected by what the class
@@ -24,7 +23,7 @@
 // load is L/mu, the expected delay by what is on a machine, s: tasks queued and booked over
 // the service rate of all its slots, which comes of the smoothed run times there and the
 // estimates of these tasks. It is the load x of the thesis (docs/design.md, "The ordinary
-// path: kept, changed, why"). Tasks that yield delay no others and don't count.
+// path: kept, changed, why"). Preemptible tasks delay no others and don't count.
 func (c *Controller) load(m *Machine) float64 {
 	machineType := c.machineType(m.Type)
 	if machineType == nil {
@@ -44,8 +43,8 @@
 	return float64(sum.tasks) * runTime / float64(slots)
 }
 
-// delayingTasks sums up the tasks booked on a machine or in its queue that don't yield. Run
-// times are whole ms, so that the sum doesn't depend on the order.
+// delayingTasks sums up the tasks booked on a machine or in its queue, without preemptible
+// ones. Run times are in full ms, so that the sum doesn't depend on the order.
 func (c *Controller) delayingTasks(m *Machine) taskSum {
 	booked := c.cache.occupancy[m.Name]
 	sum := taskSum{
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -7,10 +7,9 @@
 	"slices"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // peers is what the other controllers last told, and what is summed up over all shards.
@@ -141,7 +140,7 @@
 }
 
 // waitingIn counts the tasks that wait in a shard and go ahead of those of a job, or may:
-// not those of jobs late beyond all aims, and not those that yield to it. Counted
+// not those of jobs late beyond all aims, and not preemptible ones, unless it is itself. Counted
 // with these, the shards that a guest's idle work was sent to got no other work for
 // minutes, and a fifth of the machines ran nothing else.
 func (c *Controller) waitingIn(shard string, spec *domain.JobSpec) int64 {
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -4,10 +4,9 @@
 	"math"
 	"slices"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
+	"brassglade/internal/tuning"
 )
 
 // placeTasks queues the tasks of this shard on its machines, passes them to other shards
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -5,11 +5,10 @@
 	"slices"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/quota"
+	"brassglade/internal/tuning"
 )
 
 // This file reads the cache and the draft for team quotas; the arithmetic is that of package
@@ -85,8 +84,8 @@
 	return claims
 }
 
-// addSmallClaim adds to a team's claim what a job does whose tasks are placed one by one;
-// false: nothing, as of nearly all.
+// addSmallClaim adds to a team's claim what a job does whose tasks are placed one by one. It tells
+// whether that is anything; of nearly all jobs it is not.
 func (c *Controller) addSmallClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
 	age := c.now - time.Duration(j.readyAt)
 	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
@@ -118,9 +117,9 @@
 	claim.PlacedByLeader = claim.PlacedByLeader.Plus(spec.Request, int64(placed.booked))
 }
 
-// quotaAllows tells whether a small task may start within its team's limit: it
-// must fit, and must not take the room that a waiting whole job needs. What no
-// whole job can use, small tasks may.
+// quotaAllows tells whether a task that is placed by itself may start within its team's limit:
+// it must fit, and must not take the room that a waiting gang needs. What no gang can use,
+// such tasks may.
 func (c *Controller) quotaAllows(spec *domain.JobSpec, d *draft, claims map[string]quotaClaim) bool {
 	limit, used := c.cfg.Teams[spec.Team].Limit, d.teamUsed(spec.Team)
 	if !c.guard(GuardQuota) {
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -6,10 +6,9 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
+	"brassglade/internal/tuning"
 )
 
 // isLargeFleet: the shards are so large that jobs are passed and stolen whole, as long as
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -4,10 +4,9 @@
 	"math"
 	"slices"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
+	"brassglade/internal/tuning"
 )
 
 // target is one of this controller's machines as a run of placing sees it.
@@ -16,7 +15,7 @@
 	machineType   *domain.MachineType
 	load          float64          // expected delay there, s
 	free          domain.Resources // not booked
-	preemptible   domain.Resources // held by tasks that yield to all others
+	preemptible   domain.Resources // held by tasks that may be stopped for all others
 	queued        int64            // tasks in the machine's queue
 	pendingImages []string         // images on their way or about to be
 	scarce        bool             // more waits than there is room for
@@ -81,8 +80,8 @@
 }
 
 // isFull: queues are small; what can't start soon waits in the shard's pool, where
-// the order can still change. A task that yields is queued only where it starts at
-// once: waiting there it would go ahead of others that come later.
+// the order can still change. A preemptible task is queued only where it starts
+// at once: waiting there it would go ahead of others that come later.
 func (t *target) isFull(kind taskKind) bool {
 	depth := int64(tuning.QueueDepth)
 	if kind.preemptible {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -4,9 +4,8 @@
 	"sort"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // urgent is a job in the order of a shard's pool.
