--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -17,18 +17,18 @@
 	byName         map[string]*peerState
 	nextGossip     steady.Gate
 	inventory      []inventoryMachine
-	inventoryAt    time.Duration // < 0: none
+	inventoryAt    steady.Instant
 	inventoryEpoch uint64
 	machinesByKind map[machineKind]int64 // of the inventory
 
-	waitingCountedAt          time.Duration    // < 0: not yet
+	waitingCountedAt          steady.Instant
 	waitingByShard            map[string]int64 // tasks that wait, less the preemptible ones and those late beyond all aims
 	preemptibleWaitingByShard map[string]int64
 	waitingTotal              int64
 }
 
 func newPeers() peers {
-	return peers{byName: map[string]*peerState{}, inventoryAt: -1, waitingCountedAt: -1}
+	return peers{byName: map[string]*peerState{}}
 }
 
 // peerState is what another controller last told.
@@ -155,10 +155,10 @@
 // countWaiting sums up the tasks of open jobs that wait, by shard. The sums are kept for half
 // the pace of planning.
 func (c *Controller) countWaiting() {
-	if c.peers.waitingCountedAt >= 0 && c.now-c.peers.waitingCountedAt <= c.pace()/2 {
+	if counted := c.peers.waitingCountedAt; counted.IsKnown() && c.now-counted.Time() <= c.pace()/2 {
 		return
 	}
-	c.peers.waitingCountedAt = c.now
+	c.peers.waitingCountedAt = steady.At(c.now)
 	c.peers.waitingByShard, c.peers.preemptibleWaitingByShard, c.peers.waitingTotal = map[string]int64{}, map[string]int64{}, 0
 	for _, j := range c.cache.openJobs {
 		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) {
@@ -197,7 +197,7 @@
 // planning: what it says of others is older anyway, and a booking for an agent epoch
 // or a cordon that changed meanwhile is never carried out.
 func (c *Controller) inventory() []inventoryMachine {
-	if c.peers.inventoryAt >= 0 && c.now-c.peers.inventoryAt < c.pace() && c.peers.inventoryEpoch == c.cache.view.Epoch {
+	if c.peers.inventoryAt.Within(c.pace(), c.now) && c.peers.inventoryEpoch == c.cache.view.Epoch {
 		return c.peers.inventory
 	}
 	machines := make([]inventoryMachine, 0, len(c.peers.inventory)+16)
@@ -207,7 +207,7 @@
 	if c.isLeader() {
 		slices.SortFunc(machines, func(a, b inventoryMachine) int { return cmp.Compare(a.name, b.name) })
 	}
-	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = machines, c.now, c.cache.view.Epoch
+	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = machines, steady.At(c.now), c.cache.view.Epoch
 	c.countKinds()
 	return machines
 }
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -12,7 +12,7 @@
 // placeTasks queues the tasks of this shard on its machines, passes them to other shards
 // and steals from these.
 func (c *Controller) placeTasks() {
-	if !c.mayAct() || !c.isPlacementDue() {
+	if !c.mayAct() || !c.beginPlacing() {
 		return
 	}
 	machines := c.placementMachines()
@@ -33,9 +33,9 @@
 	}
 }
 
-// isPlacementDue tells whether it is time to place: something changed, or the last time is
-// long ago, and in either case not within a pace of the last time.
-func (c *Controller) isPlacementDue() bool {
+// beginPlacing begins a run of placing if it is time: if something changed or the last run is
+// long ago, and in either case a pace after the last one. False: it is not time.
+func (c *Controller) beginPlacing() bool {
 	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
@@ -298,7 +298,7 @@
 		return true
 	}
 	limit, used := r.c.cfg.Teams[spec.Team].Limit, r.used[spec.Team]
-	return withinLimit(used.Plus(spec.Request, 1), limit) && r.claims[spec.Team].allows(spec, used, limit)
+	return r.claims[spec.Team].admits(spec, used, limit)
 }
 
 // take counts one more task of a job as started.
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -8,6 +8,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 )
 
 // stocked is an acting node of five with idle machines and a job of many tasks in
@@ -90,7 +91,7 @@
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300, Request: domain.Resources{CPU: 16000}, Spot: true}}
 	c.cfg.Teams = map[string]domain.Quota{"red": {}}
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(h), ModRevision: 5})
-	c.peers.inventoryAt = -1
+	c.peers.inventoryAt = steady.Instant{}
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
 	awake := map[string]int{}
 	for _, m := range c.inventory() {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -34,6 +34,12 @@
 	return x.Allows(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
 
+// admits tells whether one more task of a job stays within the team's limit, and leaves what
+// the team's waiting jobs claim.
+func (x quotaClaim) admits(spec *domain.JobSpec, used, limit domain.Resources) bool {
+	return withinLimit(used.Plus(spec.Request, 1), limit) && x.allows(spec, used, limit)
+}
+
 // leavesFirst tells whether the team's limit keeps room, beside what is used, for a
 // task of the job that has waited longest.
 func (x quotaClaim) leavesFirst(id string, used, limit domain.Resources) bool {
@@ -107,8 +113,7 @@
 func (c *Controller) addPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
-		age := c.now - time.Duration(j.readyAt)
-		claim.GangStarves = claim.GangStarves || age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+		claim.GangStarves = claim.GangStarves || c.blocksOthers(j)
 		if claim.WaitingGangs == 0 {
 			claim.GangRequest = domain.Resources{}.Plus(spec.Request, int64(spec.TaskCount))
 		}
@@ -117,6 +122,13 @@
 	claim.PlacedByLeader = claim.PlacedByLeader.Plus(spec.Request, int64(placed.booked))
 }
 
+// blocksOthers tells whether a gang has waited for so long that others wait for it: not for
+// ever, it may not be possible.
+func (c *Controller) blocksOthers(j *Job) bool {
+	age := c.now - time.Duration(j.readyAt)
+	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+}
+
 // quotaAllows tells whether a task that is placed by itself may start within its team's limit:
 // it must fit, and must not take the room that a waiting gang needs. What no gang can use,
 // such tasks may.
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -213,7 +213,7 @@
 // now, beside what others claim of it.
 func (c *Controller) mayBegin(spec *domain.JobSpec, claims map[string]quotaClaim) bool {
 	limit, used := c.cfg.Teams[spec.Team].Limit, c.teamUsed(spec.Team, nil)
-	return withinLimit(used.Plus(spec.Request, 1), limit) && claims[spec.Team].allows(spec, used, limit)
+	return claims[spec.Team].admits(spec, used, limit)
 }
 
 // stealableWork is waiting work of one job, and the other shards that have some of it.
