--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -9,16 +9,21 @@
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 )
 
+// forgetMachineAfter is the silence after which a machine that another controller owns, or
+// that was returned to the cloud, is forgotten.
+const forgetMachineAfter = time.Minute
+
 // heartbeats is what the machines last said, and their heartbeats that wait for an answer.
 type heartbeats struct {
-	machines     map[string]*Machine          // by name
-	sortedNames  []string                     // of machines; nil: to be made anew
-	pending      map[string]*pendingHeartbeat // by machine
-	touched      map[string]bool              // machines whose pending heartbeat is to be looked at again
-	nextReviewAt time.Duration                // no walk over all pending heartbeats before
-	nextWalkAt   time.Duration                // no walk over all machines before
+	machines    map[string]*Machine          // by name; changed by addMachine and dropMachine alone
+	sortedNames []string                     // names of machines; nil: to be made anew
+	pending     map[string]*pendingHeartbeat // by machine
+	touched     map[string]bool              // machines whose pending heartbeat is to be looked at again
+	nextReview  steady.Gate                  // of all pending heartbeats
+	nextWalk    steady.Gate                  // over all machines
 }
 
 func newHeartbeats() heartbeats {
@@ -27,77 +32,32 @@
 	}
 }
 
-// Machine is what this node knows of a machine. Only the owner acts on it.
-type Machine struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-
-	heardOnce      bool
-	agentEpoch     uint64 // of the newest report
-	sequence       uint64
-	fencingToken   uint64
-	reported       map[domain.TaskID]domain.TaskReport
-	heardAt        time.Duration // when last heard (or the end of a grace period)
-	heartbeatAt    time.Duration // when a report last came here as the owner; < 0: not yet
-	preemptionAt   time.Duration // when the cloud takes it; < 0: no notice
-	abandonedEpoch uint64        // sessions up to it are given up: never answered again
-	byHeartbeat    bool          // the newest report came by check-in
-
-	ownedEpoch   uint64        // epoch at which this incarnation became owner
-	ownedSince   time.Duration // when it saw that
-	answeredAt   time.Duration // when it last answered with 200; < 0: not yet
-	epochHeardAt time.Duration // when this node first heard of session shift
-
-	// startsSent: check-in whose answer last carried the run of a booking
-	startsSent map[attemptID]uint64
-
-	unheededReplies int           // reports in a row that show that an answer had no effect
-	unheededAt      time.Duration // when the first of them came
-	sentToken       uint64        // of the last answer
-
-	queue            []domain.TaskID
-	failures         map[string]failureCount // errors since a task was last done here, by job
-	noBookingsUntil  time.Duration
-	nextDirectStopAt time.Duration
-	runTime          smoothedValue
-	images           map[string]time.Duration
-	idleAt           time.Duration
-	runningSince     map[attemptID]time.Duration
-}
-
-func newMachine(name string) *Machine {
-	return &Machine{
-		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
-		startsSent: map[attemptID]uint64{}, failures: map[string]failureCount{}, images: map[string]time.Duration{},
-		runningSince: map[attemptID]time.Duration{},
-	}
-}
+// heartbeatRefusal is why a heartbeat is not answered with commands.
+type heartbeatRefusal int
 
-// isNewer tells whether (shift, tally) is newer than what m last said.
-func (m *Machine) isNewer(shift, tally uint64) bool {
-	return !m.heardOnce || shift > m.agentEpoch || shift == m.agentEpoch && tally > m.sequence
-}
+const (
+	heartbeatAccepted heartbeatRefusal = iota
+	// controllerMayNotAct: its view, lease or revision were not confirmed lately.
+	controllerMayNotAct
+	// newerViewSeen: the agent was answered under a later view than this controller knows.
+	newerViewSeen
+	// ownedElsewhere: another controller owns the machine.
+	ownedElsewhere
+	// agentEpochAbandoned: the tasks of the agent epoch may already run elsewhere, so no
+	// answer may keep it alive.
+	agentEpochAbandoned
+	// machineReturned: the cloud took the machine back, and the same holds.
+	machineReturned
+	// lateCopy: the agent has given this heartbeat up, and its list of tasks is old.
+	lateCopy
+)
 
-// onHeartbeat answers a worker's report. 200 is said only by the entitled owner
-// behind its fence; everyone else names the owner or says 503.
+// onHeartbeat answers a machine's heartbeat. 200 is said only by the machine's owner behind
+// its fence; everyone else names the owner (421) or says 503.
 func (c *Controller) onHeartbeat(e HeartbeatReceived) {
 	r := e.Heartbeat
-	if !c.mayAct() {
-		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
-		return
-	}
-	if r.FencingToken > c.cache.view.Epoch {
-		// The worker has seen a later view than this node.
-		c.membership.nextConfirmationAt = min(c.membership.nextConfirmationAt, c.now)
-		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
-		return
-	}
-	owner := c.ownerIn(r.Machine, r.Zone)
-	if owner != c.cfg.Node {
-		if c.cache.cordons[r.Machine].State != domain.CordonGone {
-			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
-		}
-		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 421, Owner: owner})
+	if refusal := c.refusalByOwnership(&r); refusal != heartbeatAccepted {
+		c.refuseHeartbeat(e.RequestID, &r, refusal)
 		return
 	}
 	m := c.heartbeats.machines[r.Machine]
@@ -105,22 +65,15 @@
 		m = c.addMachine(r.Machine)
 		m.ownedEpoch, m.ownedSince = c.cache.view.Epoch, c.now
 	}
-	// A session given up, or a machine that the cloud took back, must not be
-	// kept alive by an answer: its tasks may already run elsewhere.
-	if c.guard(GuardDead) && r.AgentEpoch <= m.abandonedEpoch || c.cache.cordons[r.Machine].State == domain.CordonGone {
-		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
-		return
-	}
-	if !m.isNewer(r.AgentEpoch, r.Sequence) {
-		// A late copy: the worker has given it up, and its list is old.
-		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
+	if refusal := c.refusalByMachine(m, &r); refusal != heartbeatAccepted {
+		c.refuseHeartbeat(e.RequestID, &r, refusal)
 		return
 	}
 	c.checkRepliesHeeded(m, &r)
 	c.recordHeartbeat(m, &r, true)
-	if h := c.heartbeats.pending[m.Name]; h != nil { // given up by the worker
+	if given := c.heartbeats.pending[m.Name]; given != nil { // the agent gave it up and sent this one
 		delete(c.heartbeats.pending, m.Name)
-		c.emit(HeartbeatReply{RequestID: h.requestID, Status: 503})
+		c.emit(HeartbeatReply{RequestID: given.requestID, Status: 503})
 	}
 	c.planner.dirty = true
 	c.placeTasks()
@@ -133,7 +86,60 @@
 	c.answerHeartbeat(h)
 }
 
-// isBooking tells whether s is the committed booking of its task.
+// refusalByOwnership tells why this controller may not answer the machine, whatever it reports.
+func (c *Controller) refusalByOwnership(r *domain.Heartbeat) heartbeatRefusal {
+	switch {
+	case !c.mayAct():
+		return controllerMayNotAct
+	case r.FencingToken > c.cache.view.Epoch:
+		return newerViewSeen
+	case c.ownerIn(r.Machine, r.Zone) != c.cfg.Node:
+		return ownedElsewhere
+	}
+	return heartbeatAccepted
+}
+
+// refusalByMachine tells why the owner of a machine may not answer this heartbeat of it.
+func (c *Controller) refusalByMachine(m *Machine, r *domain.Heartbeat) heartbeatRefusal {
+	switch {
+	case c.isAbandoned(m, r.AgentEpoch):
+		return agentEpochAbandoned
+	case c.isReturned(r.Machine):
+		return machineReturned
+	case !m.isNewer(r.AgentEpoch, r.Sequence):
+		return lateCopy
+	}
+	return heartbeatAccepted
+}
+
+// refuseHeartbeat answers a heartbeat without commands, and does what the refusal calls for.
+func (c *Controller) refuseHeartbeat(requestID uint64, r *domain.Heartbeat, refusal heartbeatRefusal) {
+	switch refusal {
+	case newerViewSeen:
+		c.membership.nextConfirmationAt = min(c.membership.nextConfirmationAt, c.now)
+	case ownedElsewhere:
+		owner := c.ownerIn(r.Machine, r.Zone)
+		if !c.isReturned(r.Machine) {
+			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
+		}
+		c.emit(HeartbeatReply{RequestID: requestID, Status: 421, Owner: owner})
+		return
+	}
+	c.emit(HeartbeatReply{RequestID: requestID, Status: 503})
+}
+
+// isAbandoned tells whether an agent epoch of the machine is given up. Such a one stays
+// given up: docs/design.md, invariant 6.
+func (c *Controller) isAbandoned(m *Machine, agentEpoch uint64) bool {
+	return c.guard(GuardDead) && agentEpoch <= m.abandonedEpoch
+}
+
+// isReturned tells whether the cloud has confirmed that it took the machine back.
+func (c *Controller) isReturned(machine string) bool {
+	return c.cache.cordons[machine].State == domain.CordonGone
+}
+
+// isBooking tells whether a reported attempt is the committed booking of its task.
 func (c *Controller) isBooking(m *Machine, s domain.TaskReport) bool {
 	j := c.cache.jobs[s.Task.Job]
 	if j == nil || s.Task.Index < 0 || s.Task.Index >= j.Header.TaskCount {
@@ -143,73 +149,77 @@
 	return t.State == domain.Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.AgentEpoch == m.agentEpoch
 }
 
-// recordHeartbeat takes a report that is newer than what m said before.
-func (c *Controller) recordHeartbeat(m *Machine, r *domain.Heartbeat, checkin bool) {
+// recordHeartbeat takes a report that is newer than what m said before: a heartbeat, or a
+// direct answer to commands.
+func (c *Controller) recordHeartbeat(m *Machine, r *domain.Heartbeat, isHeartbeat bool) {
 	if m.Addr == "" || m.Type == "" {
 		c.debug("machine", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot)
 	}
-	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	if !m.heardOnce || r.AgentEpoch > m.agentEpoch {
-		m.epochHeardAt = c.now
-	}
 	if m.heardOnce && r.AgentEpoch > m.agentEpoch {
-		c.info("machine lost its lease", "machine", m.Name, "shift", r.AgentEpoch)
+		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", r.AgentEpoch)
 		clear(m.images)
 	}
-	m.heardOnce, m.agentEpoch, m.sequence, m.fencingToken, m.heardAt, m.heartbeatAt, m.byHeartbeat = true, r.AgentEpoch, r.Sequence, r.FencingToken, c.now, c.now, checkin
-	if r.PreemptionNotice >= 0 {
-		if m.preemptionAt < 0 {
-			c.info("machine recalled", "machine", m.Name, "in_s", r.PreemptionNotice)
-			c.dequeueAll(m.Name)
-		}
-		m.preemptionAt = c.now + time.Duration(r.PreemptionNotice*float64(time.Second))
-	} else if m.preemptionAt >= 0 {
+	m.recordReport(r, isHeartbeat, c.now)
+	c.recordPreemptionNotice(m, r)
+	c.recordReportedTasks(m, r)
+}
+
+// recordPreemptionNotice takes over whether, and when, the cloud takes the machine back. A
+// negative notice is none, which may be one withdrawn.
+func (c *Controller) recordPreemptionNotice(m *Machine, r *domain.Heartbeat) {
+	if r.PreemptionNotice < 0 {
 		m.preemptionAt = -1
+		return
+	}
+	if m.preemptionAt < 0 {
+		c.info("preemption notice", "machine", m.Name, "in_s", r.PreemptionNotice)
+		c.dequeueAll(m.Name)
 	}
+	m.preemptionAt = c.now + time.Duration(r.PreemptionNotice*float64(time.Second))
+}
+
+// recordReportedTasks takes over the list of tasks, and when each was first seen to run.
+func (c *Controller) recordReportedTasks(m *Machine, r *domain.Heartbeat) {
 	clear(m.reported)
 	for _, s := range r.Tasks {
 		m.reported[s.Task] = s
 		j := c.cache.jobs[s.Task.Job]
-		if j == nil || j.Header.Spec == nil {
+		if s.State != domain.ReportedRunning || j == nil || j.Header.Spec == nil {
 			continue
 		}
-		k := attemptID{s.Task, s.Attempt}
-		if s.State == domain.ReportedRunning {
-			m.images[j.Header.Spec.Image] = c.now
-			if _, ok := m.runningSince[k]; !ok {
-				m.runningSince[k] = c.now
-				c.debug("task runs", "task", s.Task, "machine", m.Name, "attempt", s.Attempt)
-			}
-		}
-	}
-	for k := range m.runningSince {
-		if s, ok := m.reported[k.Task]; !ok || s.Attempt != k.Attempt {
-			delete(m.runningSince, k)
+		m.images[j.Header.Spec.Image] = c.now
+		attempt := attemptID{s.Task, s.Attempt}
+		if _, known := m.runningSince[attempt]; !known {
+			m.runningSince[attempt] = c.now
+			c.debug("task runs", "task", s.Task, "machine", m.Name, "attempt", s.Attempt)
 		}
 	}
-	if len(r.Tasks) > 0 {
-		m.idleAt = c.now
-	}
+	m.forgetEnded()
 }
 
-// onCommandsAnswered takes a worker's direct answer; it obeys (Shift, Tally) like any
-// report, but never proves a run undelivered: an answer to a check-in may
-// still be under way.
+// onCommandsAnswered takes an agent's direct answer to commands. It obeys (agent epoch,
+// sequence) like any report, but never proves that a start got lost: an answer to a
+// heartbeat may still be under way (Machine.neverReceived).
 func (c *Controller) onCommandsAnswered(e CommandsAnswered) {
 	m := c.heartbeats.machines[e.Machine]
-	if e.Heartbeat == nil || m == nil || !c.owns(e.Machine) || !m.isNewer(e.Heartbeat.AgentEpoch, e.Heartbeat.Sequence) || e.Heartbeat.AgentEpoch <= m.abandonedEpoch {
+	if e.Heartbeat == nil || m == nil || !c.owns(e.Machine) {
+		return
+	}
+	if !m.isNewer(e.Heartbeat.AgentEpoch, e.Heartbeat.Sequence) || e.Heartbeat.AgentEpoch <= m.abandonedEpoch {
 		return
 	}
-	heard := m.heardAt
+	graceUntil := m.heardAt
 	c.recordHeartbeat(m, e.Heartbeat, false)
-	m.heardAt = max(heard, c.now)
+	m.heardAt = max(graceUntil, c.now)
 	c.planner.dirty = true
 }
 
+// sortedTasks lists the keys of a map by job and index.
 func sortedTasks[V any](m map[domain.TaskID]V) []domain.TaskID {
 	return inOrder(slices.Collect(maps.Keys(m)))
 }
 
+// inOrder sorts task IDs in place, by job and index.
 func inOrder(ids []domain.TaskID) []domain.TaskID {
 	sort.Slice(ids, func(a, b int) bool {
 		if ids[a].Job != ids[b].Job {
@@ -220,140 +230,203 @@
 	return ids
 }
 
-// provenOff tells whether the booking of task id is proven off its machine,
-// as this node can know it: see docs/design.md, invariant 5.
+// provenOff tells whether the booking t of task id is proven off its machine, as far as this
+// controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
+// only once its attempt can't run any more, nor be started by an answer still under way.
 func (c *Controller) provenOff(m *Machine, id domain.TaskID, t domain.Task) bool {
 	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
-		return true
+		return true // tests take the proof away
 	}
-	if c.cache.cordons[m.Name].State == domain.CordonGone {
+	if c.isReturned(m.Name) || m.hasLeftEpoch(t.AgentEpoch) {
 		return true
 	}
-	if m.heardOnce && m.agentEpoch > t.AgentEpoch || m.abandonedEpoch >= t.AgentEpoch {
-		return true
+	if !m.isInEpoch(t.AgentEpoch) {
+		return false // its last word is older than the booking
 	}
-	if m.heardOnce && m.agentEpoch == t.AgentEpoch {
-		if s, ok := m.reported[id]; ok {
-			if s.Attempt == t.Attempt {
-				return s.State == domain.ReportedEnded
-			}
-		} else if m.byHeartbeat && m.fencingToken >= m.ownedEpoch && m.sequence > m.startsSent[attemptID{id, t.Attempt}] {
-			return true // never arrived, and no answer with it is under way
-		}
-	}
-	return false
+	attempt := attemptID{id, t.Attempt}
+	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
-// leaseExpired tells whether no one can have renewed m's lease since too long. A
-// session heard of may have begun just then: without that term a new session,
-// heard but not yet answered, would be given up for the age of the last one's
-// answer, and its live tasks started elsewhere later on.
+// leaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
+// agent epoch heard of may have begun just then: without that term a new one, heard but
+// not yet answered, would be given up for the age of the last one's answer, and its live
+// tasks started elsewhere later on.
 func (c *Controller) leaseExpired(m *Machine) bool {
-	from := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
+	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
-	return c.now > from+lease+tuning.DriftMargin
+	return c.now > renewedAt+lease+tuning.DriftMargin
+}
+
+// silenceReview is what one walk over the machines finds about who is silent.
+type silenceReview struct {
+	limit  time.Duration           // silence from which a machine counts as lost
+	zones  map[string]*zoneSilence // by zone
+	heard  int                     // machines whose heartbeats came to this controller lately
+	silent int                     // machines to be drained, if only they are silent
+}
+
+// zoneSilence is the part of a silenceReview that concerns one zone.
+type zoneSilence struct {
+	machines int        // all of the zone that this controller owns
+	punctual int        // of them those whose heartbeat isn't even late
+	silent   []*Machine // of them those that are lost and not yet cordoned
 }
 
-// reviewMachines gives up dead sessions, marks silent machines and sends direct
-// halts where time matters.
+func (r *silenceReview) zone(name string) *zoneSilence {
+	z := r.zones[name]
+	if z == nil {
+		z = &zoneSilence{}
+		r.zones[name] = z
+	}
+	return z
+}
+
+// areFew tells whether the zone's silent machines are too few to look like a cut.
+func (r *silenceReview) areFew(z *zoneSilence) bool {
+	return z.machines <= tuning.SilentFew && r.silent <= r.heard || r.silent == 1 && r.heard == 0
+}
+
+// reviewMachines walks over all machines once a pace: it abandons agent epochs whose lease
+// has expired, sends direct stops where time matters, and drains machines that are silent,
+// don't heed answers or fail their tasks.
 func (c *Controller) reviewMachines() {
-	if !c.mayAct() || c.now < c.heartbeats.nextWalkAt {
+	if !c.mayAct() || !c.heartbeats.nextWalk.IsOpen(c.now) {
 		return
 	}
-	c.heartbeats.nextWalkAt = c.now + c.pace()
-	for n := range c.cache.bookedOn {
-		if c.heartbeats.machines[n] == nil && c.owns(n) {
-			m := c.addMachine(n)
-			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
-		}
-	}
-	silent, near, all := map[string][]*Machine{}, map[string]int{}, map[string]int{} // by zone
-	heard, quiet := 0, 0
-	limit := tuning.Silent
+	c.heartbeats.nextWalk.Close(c.now + c.pace())
+	c.adoptBookedMachines()
+	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
 	if !c.peersFresh() {
-		limit = tuning.SilentCut
+		review.limit = tuning.SilentCut
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
-	for _, n := range c.machineNames() {
-		m := c.heartbeats.machines[n]
-		if !c.owns(n) {
-			if c.now-m.heardAt > time.Minute {
-				c.dropMachine(n)
-			}
-			continue
-		}
-		mark := c.cache.cordons[n]
-		if mark.State == domain.CordonGone {
-			if len(c.cache.bookedOn[n]) == 0 && c.now-m.heardAt > time.Minute {
-				c.dropMachine(n)
-			}
+	for _, name := range c.machineNames() {
+		m := c.heartbeats.machines[name]
+		if !c.owns(name) || c.isReturned(name) {
+			c.forgetIfSilent(m)
 			continue
 		}
-		if len(c.cache.bookedOn[n]) > 0 && c.leaseExpired(m) {
-			dead := max(m.agentEpoch, m.abandonedEpoch)
-			for id := range c.cache.bookedOn[n] {
-				dead = max(dead, c.cache.jobs[id.Job].task(id.Index).AgentEpoch)
-			}
-			if dead > m.abandonedEpoch {
-				c.info("session given up", "machine", n, "shift", dead)
-				m.abandonedEpoch = dead
-				c.planner.dirty = true
-			}
+		c.abandonExpiredEpoch(m)
+		c.reviewSilence(m, &review)
+	}
+	c.drainSilent(&review)
+	c.drainUnheedingAndFaulty(review.heard)
+}
+
+// adoptBookedMachines takes in the machines of this controller that are known by their
+// bookings alone: nobody has heard them since it became their owner.
+func (c *Controller) adoptBookedMachines() {
+	for name := range c.cache.bookedOn {
+		if c.heartbeats.machines[name] == nil && c.owns(name) {
+			m := c.addMachine(name)
+			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
 		}
-		zone := c.zoneOf(n)
-		all[zone]++
-		switch {
-		case c.now-m.heardAt > limit:
-			if mark.State == "" {
-				silent[zone] = append(silent[zone], m)
-				quiet++
-			}
-		case m.heartbeatAt >= 0 && c.now-m.heartbeatAt <= limit: // not just taken over and yet to come
-			heard++
-			if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
-				near[zone]++
-			}
-			c.sendDirectStops(m)
+	}
+}
+
+// forgetIfSilent drops a machine of another controller, or a returned one, after a while. The
+// owner keeps a returned one for as long as bookings have to be released.
+func (c *Controller) forgetIfSilent(m *Machine) {
+	if c.now-m.heardAt <= forgetMachineAfter {
+		return
+	}
+	if c.owns(m.Name) && len(c.cache.bookedOn[m.Name]) > 0 {
+		return
+	}
+	c.dropMachine(m.Name)
+}
+
+// abandonExpiredEpoch gives up the agent epochs of a machine with bookings whose lease can't
+// have been renewed: its agent has stopped all tasks by now, or does so before it acts again.
+func (c *Controller) abandonExpiredEpoch(m *Machine) {
+	if len(c.cache.bookedOn[m.Name]) == 0 || !c.leaseExpired(m) {
+		return
+	}
+	last := max(m.agentEpoch, m.abandonedEpoch)
+	for id := range c.cache.bookedOn[m.Name] {
+		last = max(last, c.cache.jobs[id.Job].task(id.Index).AgentEpoch)
+	}
+	if last > m.abandonedEpoch {
+		c.info("agent epoch abandoned", "machine", m.Name, "agent_epoch", last)
+		m.abandonedEpoch = last
+		c.planner.dirty = true
+	}
+}
+
+// reviewSilence counts a machine as silent or heard. Those heard are sent direct stops; one
+// just taken over that has yet to come is neither.
+func (c *Controller) reviewSilence(m *Machine, review *silenceReview) {
+	zone := review.zone(c.zoneOf(m.Name))
+	zone.machines++
+	if c.now-m.heardAt > review.limit {
+		if c.cache.cordons[m.Name].State == "" {
+			zone.silent = append(zone.silent, m)
+			review.silent++
 		}
+		return
 	}
-	// Machines that fall silent together are rather cut off from here: all of
-	// them, or those of one zone. Returning those would cost hundreds of machines
-	// with their images, which the cut gives back. The first of them are silent
-	// for long when the last were heard just before the cut, so these are compared
-	// with those whose reports are not even late; and when the cut is over, they
-	// come back one after the other.
-	for _, z := range slices.Sorted(maps.Keys(silent)) {
-		l := silent[z]
-		few := all[z] <= tuning.SilentFew && quiet <= heard || quiet == 1 && heard == 0
-		if len(l) > near[z] && !few {
-			c.views.zoneSilentAt[z] = c.now
+	if m.heartbeatAt < 0 || c.now-m.heartbeatAt > review.limit {
+		return
+	}
+	review.heard++
+	if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
+		zone.punctual++
+	}
+	c.sendDirectStops(m)
+}
+
+// drainSilent drains the machines that are silent on their own. Machines that fall silent
+// together are rather cut off from here: all of them, or those of one zone. Returning those
+// would cost hundreds of machines with their images, which the end of the cut gives back.
+// The first of them are silent for long when the last were heard just before the cut, so
+// these are compared with those whose heartbeats are not even late; and when the cut is
+// over, they come back one after the other.
+func (c *Controller) drainSilent(review *silenceReview) {
+	for _, name := range slices.Sorted(maps.Keys(review.zones)) {
+		zone := review.zones[name]
+		if len(zone.silent) == 0 {
+			continue
 		}
-		if out, was := c.views.zoneSilentAt[z]; !few && was && c.now-out < tuning.SilentCut {
+		few := review.areFew(zone)
+		if len(zone.silent) > zone.punctual && !few {
+			c.views.zoneSilentAt[name] = c.now
+		}
+		if silentAt, known := c.views.zoneSilentAt[name]; !few && known && c.now-silentAt < tuning.SilentCut {
 			continue
 		}
-		for _, m := range l {
+		for _, m := range zone.silent {
 			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
 		}
 	}
-	// If answers to many have no effect, it is this node that is slow or cut off.
-	deaf := 0
+}
+
+// drainUnheedingAndFaulty drains the machines that ignore answers, unless so many do that it
+// is rather this controller that is slow or cut off, and those whose tasks keep failing.
+func (c *Controller) drainUnheedingAndFaulty(heard int) {
+	unheeding := 0
 	for _, m := range c.heartbeats.machines {
 		if c.ignoresReplies(m) {
-			deaf++
+			unheeding++
 		}
 	}
-	for _, n := range c.machineNames() {
-		m := c.heartbeats.machines[n]
-		if c.ignoresReplies(m) && deaf <= 2+heard/10 && c.owns(n) && c.cache.cordons[n].State == "" {
-			c.cordon(n, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
+	isOwnFault := unheeding > 2+heard/10
+	for _, name := range c.machineNames() {
+		m := c.heartbeats.machines[name]
+		if c.ignoresReplies(m) && !isOwnFault && c.isOwnUncordoned(m) {
+			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
 		}
-		if c.owns(m.Name) && len(m.failures) > 0 && c.cache.cordons[m.Name].State == "" && c.isFaulty(m) {
-			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
+		if len(m.failures) > 0 && c.isOwnUncordoned(m) && c.isFaulty(m) {
+			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
 		}
 	}
 }
 
-// peersFresh tells whether all other serving nodes were heard just now.
+// isOwnUncordoned tells whether this controller owns the machine, which isn't cordoned.
+func (c *Controller) isOwnUncordoned(m *Machine) bool {
+	return c.owns(m.Name) && c.cache.cordons[m.Name].State == ""
+}
+
+// peersFresh tells whether all other serving controllers were heard just now.
 func (c *Controller) peersFresh() bool {
 	for _, n := range c.cache.view.Serving {
 		if p := c.peers.byName[n]; n != c.cfg.Node && (p == nil || c.now-p.heardAt > tuning.PeerFresh) {
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -8,9 +8,9 @@
 	"brassglade/internal/domain"
 )
 
-// TestNewSessionIsNotGivenUpForTheOld: after an outage longer than the lease a
-// worker comes in a new session. Its lease runs from that session's beginning,
-// not from the last answer to the old one.
+// TestNewSessionIsNotGivenUpForTheOld: after an outage longer than the lease a machine
+// comes back in a new agent epoch. Its lease runs from the beginning of that epoch, not
+// from the last answer to the old one.
 func TestNewSessionIsNotGivenUpForTheOld(t *testing.T) {
 	c := New(Settings{Node: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
@@ -19,20 +19,20 @@
 	m.answeredAt = c.now
 	c.now = 100 * time.Second
 	if !c.leaseExpired(m) {
-		t.Error("the old session's lease is not over")
+		t.Error("the lease of the old agent epoch has not expired")
 	}
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 2, Sequence: 1}, true)
 	if c.leaseExpired(m) {
-		t.Error("the new session is taken for dead before it was answered")
+		t.Error("the new agent epoch is abandoned before it was answered")
 	}
 	c.now += 22 * time.Second
 	if !c.leaseExpired(m) {
-		t.Error("the new session, never answered, outlives its lease")
+		t.Error("the new agent epoch, never answered, outlives its lease")
 	}
 }
 
-// TestMemberKeyIsNotHammered: a grant that ran out refuses the member key; the
-// node waits before it tries again (incident inc-16a3: eleven times in 60 ms).
+// TestMemberKeyIsNotHammered: a lease that expired refuses the member key; the controller
+// waits before it tries again (incident inc-16a3: eleven times in 60 ms).
 func TestMemberKeyIsNotHammered(t *testing.T) {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
 	c.Step(0, Tick{})
@@ -52,3 +52,119 @@
 		t.Errorf("written %d times in 300 ms", writes)
 	}
 }
+
+// TestHeartbeatRefusals: each reason not to answer a heartbeat with commands is told from
+// the others.
+func TestHeartbeatRefusals(t *testing.T) {
+	c, m := booked(t, "")
+	newest := func() *domain.Heartbeat {
+		return &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 2, FencingToken: 1, PreemptionNotice: -1}
+	}
+	if got := c.refusalByOwnership(newest()); got != heartbeatAccepted {
+		t.Errorf("refused for reason %d", got)
+	}
+	if got := c.refusalByMachine(m, newest()); got != heartbeatAccepted {
+		t.Errorf("refused for reason %d", got)
+	}
+	late := newest()
+	late.Sequence = 1
+	if got := c.refusalByMachine(m, late); got != lateCopy {
+		t.Errorf("a late copy is refused for reason %d", got)
+	}
+	later := newest()
+	later.FencingToken = c.cache.view.Epoch + 1
+	if got := c.refusalByOwnership(later); got != newerViewSeen {
+		t.Errorf("a token of a later view is refused for reason %d", got)
+	}
+	m.abandonedEpoch = 1
+	if got := c.refusalByMachine(m, newest()); got != agentEpochAbandoned {
+		t.Errorf("an abandoned agent epoch is refused for reason %d", got)
+	}
+	m.abandonedEpoch = 0
+	c.cache.cordons[m.Name] = domain.Cordon{State: domain.CordonGone}
+	if got := c.refusalByMachine(m, newest()); got != machineReturned {
+		t.Errorf("a returned machine is refused for reason %d", got)
+	}
+	c.now += time.Hour
+	if got := c.refusalByOwnership(newest()); got != controllerMayNotAct {
+		t.Errorf("without confirmation it is refused for reason %d", got)
+	}
+}
+
+// TestProvenOff: an attempt is proven off by the end that its machine reports, by a later
+// agent epoch, by an abandoned one, by the machine's return, and by a heartbeat that should
+// show its start and doesn't; not by a direct answer, nor by another controller's answer.
+func TestProvenOff(t *testing.T) {
+	id := domain.TaskID{Job: jobName(1), Index: 0}
+	c, m := booked(t, "")
+	task := c.cache.jobs[id.Job].task(0)
+	attempt := attemptID{id, task.Attempt}
+	said := func(change func(*domain.Heartbeat), isHeartbeat bool) bool {
+		r := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
+		change(r)
+		c.recordHeartbeat(m, r, isHeartbeat)
+		return c.provenOff(m, id, task)
+	}
+	reports := func(attempt uint64, state string) func(*domain.Heartbeat) {
+		return func(r *domain.Heartbeat) { r.Tasks = []domain.TaskReport{{Task: id, Attempt: attempt, State: state}} }
+	}
+	m.startsSent[attempt] = 4
+	for _, test := range []struct {
+		what        string
+		change      func(*domain.Heartbeat)
+		isHeartbeat bool
+		proven      bool
+	}{
+		{"it runs", reports(task.Attempt, domain.ReportedRunning), true, false},
+		{"it saves", reports(task.Attempt, domain.ReportedSaving), true, false},
+		{"it ended", reports(task.Attempt, domain.ReportedEnded), true, true},
+		{"another attempt ended", reports(task.Attempt+1, domain.ReportedEnded), true, false},
+		{"its start got lost", func(*domain.Heartbeat) {}, true, true},
+		{"a direct answer lacks it", func(*domain.Heartbeat) {}, false, false},
+		{"its start may be under way", func(r *domain.Heartbeat) { r.Sequence = 4 }, true, false},
+		{"an earlier owner's answer may be under way", func(r *domain.Heartbeat) { r.FencingToken = 0 }, true, false},
+		{"a later agent epoch", func(r *domain.Heartbeat) { r.AgentEpoch, r.Sequence = 2, 1 }, true, true},
+	} {
+		if got := said(test.change, test.isHeartbeat); got != test.proven {
+			t.Errorf("%s: proven off: %v", test.what, got)
+		}
+	}
+	m.agentEpoch = 0
+	if c.provenOff(m, id, task) {
+		t.Error("proven off by a word older than its agent epoch")
+	}
+	m.abandonedEpoch = 1
+	if !c.provenOff(m, id, task) {
+		t.Error("not proven off by an abandoned agent epoch")
+	}
+	m.abandonedEpoch = 0
+	c.cache.cordons[m.Name] = domain.Cordon{State: domain.CordonGone}
+	if !c.provenOff(m, id, task) {
+		t.Error("not proven off by the machine's return")
+	}
+}
+
+// TestWhyNotStart: a booked task is started once, unless a reason stands against it.
+func TestWhyNotStart(t *testing.T) {
+	id := domain.TaskID{Job: jobName(1), Index: 0}
+	for want, change := range map[startRefusal]func(*Controller, *Machine, *Job, attemptID){
+		startAllowed: func(*Controller, *Machine, *Job, attemptID) {},
+		alreadyThere: func(_ *Controller, m *Machine, _ *Job, a attemptID) {
+			m.reported[id] = domain.TaskReport{Task: id, Attempt: a.Attempt}
+		},
+		gangStopped:      func(_ *Controller, _ *Machine, j *Job, a attemptID) { j.Header.StopThrough = a.Attempt },
+		otherEpoch:       func(_ *Controller, m *Machine, _ *Job, _ attemptID) { m.agentEpoch++ },
+		jobClosed:        func(_ *Controller, _ *Machine, j *Job, _ attemptID) { j.Header.State = domain.StateCancelled },
+		releaseTried:     func(c *Controller, _ *Machine, _ *Job, a attemptID) { c.planner.pendingReleases[a] = true },
+		machineTaken:     func(c *Controller, m *Machine, _ *Job, _ attemptID) { m.preemptionAt = c.now },
+		attemptPreempted: func(c *Controller, _ *Machine, _ *Job, a attemptID) { c.planner.preempted[a] = true },
+	} {
+		c, m := booked(t, "")
+		j := c.cache.jobs[id.Job]
+		task := j.task(0)
+		change(c, m, j, attemptID{id, task.Attempt})
+		if got := c.whyNotStart(m, j, id, task); got != want {
+			t.Errorf("refused for reason %d, not %d", got, want)
+		}
+	}
+}
