--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -10,142 +10,196 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 )
 
-// cordons are the cordons that this controller wants written.
+// cordons are the cordons that this controller wants written. Those that are written are the
+// cache's. A machine drains first and is gone once the cloud confirmed its return.
 type cordons struct {
 	wanted      map[string]domain.Cordon // by machine
-	writing     bool
-	nextWriteAt time.Duration
-	lastWriteAt time.Duration
+	writing     bool                     // a commit of cordons is under way
+	nextWrite   steady.Gate
+	lastWriteAt time.Duration // when the gate last let a large fleet's cordons pass (isTimeToWrite)
 }
 
 func newCordons() cordons { return cordons{wanted: map[string]domain.Cordon{}} }
 
-// cordon wants a machine's mark written; writeCordons does it, many at a time.
-func (c *Controller) cordon(name string, m domain.Cordon) {
-	now := c.cache.cordons[name]
-	if _, ok := c.cordons.wanted[name]; ok && m.State != domain.CordonGone || now.State == domain.CordonGone || now.State == m.State {
+// cordonPages are the pages of cordons that one commit changes.
+type cordonPages struct {
+	pages    map[string]codec.CordonPage // by the name of the page
+	machines []string                    // whose wanted cordons are in the pages, in order
+}
+
+// cordon wants a machine's cordon written; writeCordons does it, many at a time. A wanted one
+// is replaced by "gone" alone, and a written one is never taken back.
+func (c *Controller) cordon(machine string, wanted domain.Cordon) {
+	if _, already := c.cordons.wanted[machine]; already && wanted.State != domain.CordonGone {
+		return
+	}
+	if c.hasCordon(machine, wanted.State) {
 		return
 	}
-	c.cordons.wanted[name] = m
-	c.info("machine marked", "machine", name, "mark", m.State, "why", m.Reason)
+	c.cordons.wanted[machine] = wanted
+	c.info("machine marked", "machine", machine, "mark", wanted.State, "why", wanted.Reason)
+}
+
+// hasCordon tells whether the machine's committed cordon is of the state, or gone, after
+// which nothing comes.
+func (c *Controller) hasCordon(machine string, state string) bool {
+	written := c.cache.cordons[machine]
+	return written.State == domain.CordonGone || written.State == state
 }
 
-// writeCordons writes the wanted marks, page by page in one commit.
+// writeCordons writes the wanted cordons, many pages in one commit.
 func (c *Controller) writeCordons() {
-	if c.cordons.writing || len(c.cordons.wanted) == 0 || c.now < c.cordons.nextWriteAt || !c.mayAct() || c.cfg.WriteRate > 0 && c.commits.tokens <= -c.cfg.WriteRate*tuning.CordonDebt {
+	if !c.mayWriteCordons() || !c.isTimeToWriteCordons() {
 		return
 	}
-	// Task commits spend changes as soon as there are any: marks may go into
-	// debt, or machines taken away would be neither returned nor replaced.
-	c.cordons.nextWriteAt = c.now + c.pace()
-	if c.isLargeFleet() {
-		c.cordons.nextWriteAt = c.now + tuning.CordonInterval
-		// Idle machines can wait for others: each change of a page fails the
-		// bookings under way on the machines that share it.
-		urgent := false
-		for _, m := range c.cordons.wanted {
-			urgent = urgent || m.State == domain.CordonDrain && m.Reason != domain.DrainIdle
-		}
-		if !urgent && c.now-c.cordons.lastWriteAt < tuning.IdleCordonInterval {
-			return
+	if changed := c.changedCordonPages(); len(changed.machines) > 0 {
+		c.commitCordons(changed)
+	}
+}
+
+// mayWriteCordons tells whether there is anything to write and a commit may be sent. Task
+// commits spend the changes as soon as there are any: cordons may go into debt, or machines
+// taken away would be neither returned nor replaced.
+func (c *Controller) mayWriteCordons() bool {
+	if c.cordons.writing || len(c.cordons.wanted) == 0 || !c.cordons.nextWrite.IsOpen(c.now) || !c.mayAct() {
+		return false
+	}
+	return c.cfg.WriteRate <= 0 || c.commits.tokens > -c.cfg.WriteRate*tuning.CordonDebt
+}
+
+// isTimeToWriteCordons closes the gate for a while and tells whether to write now. In a
+// large fleet idle machines can wait for others: each change of a page fails the bookings
+// under way on the machines that share it.
+func (c *Controller) isTimeToWriteCordons() bool {
+	if !c.isLargeFleet() {
+		c.cordons.nextWrite.Close(c.now + c.pace())
+		return true
+	}
+	c.cordons.nextWrite.Close(c.now + tuning.CordonInterval)
+	if !c.cordons.hasUrgent() && c.now-c.cordons.lastWriteAt < tuning.IdleCordonInterval {
+		return false
+	}
+	c.cordons.lastWriteAt = c.now
+	return true
+}
+
+// hasUrgent tells whether a machine is to be drained for another reason than being idle.
+func (q *cordons) hasUrgent() bool {
+	for _, cordon := range q.wanted {
+		if cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle {
+			return true
 		}
-		c.cordons.lastWriteAt = c.now
 	}
-	pages := map[string]codec.CordonPage{}
-	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
-	var names []string
-	for _, n := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
-		m, now := c.cordons.wanted[n], c.cache.cordons[n]
-		if now.State == domain.CordonGone || now.State == m.State {
-			delete(c.cordons.wanted, n)
+	return false
+}
+
+// changedCordonPages puts the wanted cordons into copies of their pages, as many pages as one
+// commit takes, and forgets those that need no writing any more. A cordon that its page has
+// no room for waits until others of the page are returned.
+func (c *Controller) changedCordonPages() cordonPages {
+	changed := cordonPages{pages: map[string]codec.CordonPage{}}
+	for _, machine := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
+		wanted := c.cordons.wanted[machine]
+		if c.hasCordon(machine, wanted.State) {
+			delete(c.cordons.wanted, machine)
 			continue
 		}
-		home := c.cordonPageOf(n)
-		p, ok := pages[home]
-		if !ok {
-			if len(pages) >= c.cfg.TransactionLimit {
+		name := c.cordonPageOf(machine)
+		page, copied := changed.pages[name]
+		if !copied {
+			if len(changed.pages) >= c.cfg.TransactionLimit {
 				continue
 			}
-			p = codec.CordonPage{Draining: maps.Clone(c.cache.cordonPages[home].Draining), Gone: slices.Clone(c.cache.cordonPages[home].Gone)}
-			if p.Draining == nil {
-				p.Draining = map[string]string{}
-			}
-			c.dropDraining(&p)
+			page = c.copyCordonPage(name)
 		}
-		was, drained := p.Draining[n]
-		if m.State == domain.CordonGone {
-			delete(p.Draining, n)
-			p.Gone = append(p.Gone, n)
-		} else {
-			p.Draining[n] = m.Reason
+		if c.addCordon(&page, machine, wanted) {
+			changed.pages[name] = page
+			changed.machines = append(changed.machines, machine)
 		}
-		if !c.trimCordonPage(&p) {
-			if delete(p.Draining, n); drained { // no room until others are returned
-				p.Draining[n] = was
-			}
-			continue
-		}
-		pages[home] = p
-		names = append(names, n)
 	}
-	for _, home := range slices.Sorted(maps.Keys(pages)) {
-		key := codec.PrefixCordons + home
-		t.Conditions = append(t.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
-		t.Puts = append(t.Puts, domain.Put{Key: key, Value: codec.Encode(pages[home])})
+	return changed
+}
+
+// copyCordonPage is a copy of a committed page that fits the present limits.
+func (c *Controller) copyCordonPage(name string) codec.CordonPage {
+	committed := c.cache.cordonPages[name]
+	page := codec.CordonPage{Draining: maps.Clone(committed.Draining), Gone: slices.Clone(committed.Gone)}
+	if page.Draining == nil {
+		page.Draining = map[string]string{}
 	}
-	if len(names) == 0 {
-		return
+	c.dropDraining(&page)
+	return page
+}
+
+// addCordon puts a cordon into a page and trims the page; false: there is no room for it.
+func (c *Controller) addCordon(page *codec.CordonPage, machine string, wanted domain.Cordon) bool {
+	before, drained := page.Draining[machine]
+	if wanted.State == domain.CordonGone {
+		delete(page.Draining, machine)
+		page.Gone = append(page.Gone, machine)
+	} else {
+		page.Draining[machine] = wanted.Reason
+	}
+	if c.trimCordonPage(page) {
+		return true
+	}
+	delete(page.Draining, machine)
+	if drained {
+		page.Draining[machine] = before
+	}
+	return false
+}
+
+// commitCordons writes changed pages under the condition of the view and of each page.
+func (c *Controller) commitCordons(changed cordonPages) {
+	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
+	for _, name := range slices.Sorted(maps.Keys(changed.pages)) {
+		key := codec.PrefixCordons + name
+		t.Conditions = append(t.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
+		t.Puts = append(t.Puts, domain.Put{Key: key, Value: codec.Encode(changed.pages[name])})
 	}
 	c.cordons.writing = true
-	c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) {
+	c.commit(LaneTask, t, func(result domain.CommitResult, _ CommitAnswered) {
 		c.cordons.writing = false
-		if r != domain.Committed {
-			c.cordons.nextWriteAt = c.now + tuning.ConfirmationRetry // and again, by then the cache knows more
+		if result != domain.Committed {
+			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
 			return
 		}
-		for _, n := range names {
-			if c.cache.cordons[n].State == c.cordons.wanted[n].State {
-				delete(c.cordons.wanted, n)
+		for _, machine := range changed.machines {
+			if c.cache.cordons[machine].State == c.cordons.wanted[machine].State {
+				delete(c.cordons.wanted, machine)
 			}
 		}
 	})
 }
 
-// dropDraining drops drain marks from a page written under larger limits until it fits
-// again: such a machine takes bookings once more, until it is marked anew.
+// dropDraining drops draining machines from a page written under larger limits until it fits
+// again, idle ones first: such a machine takes bookings once more, until it is cordoned anew.
 func (c *Controller) dropDraining(p *codec.CordonPage) {
 	if c.trimCordonPage(p) {
 		return
 	}
-	names := slices.SortedFunc(maps.Keys(p.Draining), func(a, b string) int {
-		if ia, ib := p.Draining[a] == domain.DrainIdle, p.Draining[b] == domain.DrainIdle; ia != ib {
-			return map[bool]int{true: -1, false: 1}[ia]
+	machines := slices.SortedFunc(maps.Keys(p.Draining), func(a, b string) int {
+		if order := trueFirst(p.Draining[a] == domain.DrainIdle, p.Draining[b] == domain.DrainIdle); order != 0 {
+			return order
 		}
 		return strings.Compare(b, a)
 	})
-	for _, n := range names {
-		if delete(p.Draining, n); c.trimCordonPage(p) {
+	for _, machine := range machines {
+		delete(p.Draining, machine)
+		if c.trimCordonPage(p) {
 			return
 		}
 	}
 }
 
-// trimCordonPage forgets the machines gone longest until the page fits its value;
-// false: it doesn't fit even so.
+// trimCordonPage forgets the machines gone longest until the page fits its value, but none
+// with bookings left to release; false: it doesn't fit even so.
 func (c *Controller) trimCordonPage(p *codec.CordonPage) bool {
-	size := func() int {
-		n := tuning.PackSlack
-		for name, why := range p.Draining {
-			n += len(name) + len(why) + 6
-		}
-		for _, name := range p.Gone {
-			n += len(name) + 3
-		}
-		return n
-	}
-	for i := 0; size() > c.cfg.ValueLimit; {
+	for i := 0; cordonPageSize(p) > c.cfg.ValueLimit; {
 		for i < len(p.Gone) && len(c.cache.bookedOn[p.Gone[i]]) > 0 {
 			i++
 		}
@@ -156,3 +210,16 @@
 	}
 	return true
 }
+
+// cordonPageSize is an upper bound of a page's size as a value, in bytes.
+func cordonPageSize(p *codec.CordonPage) int {
+	const quotes, separators = 2, 1
+	size := tuning.PackSlack
+	for machine, reason := range p.Draining {
+		size += len(machine) + quotes + len(reason) + quotes + 2*separators
+	}
+	for _, machine := range p.Gone {
+		size += len(machine) + quotes + separators
+	}
+	return size
+}
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -8,92 +8,113 @@
 	"brassglade/internal/domain"
 )
 
-// checkRepliesHeeded notices a machine whose reports arrive while answers don't reach it: a
-// report newer than an answer must show the answer's token and tasks.
+// checkRepliesHeeded notices a machine whose heartbeats arrive while answers don't reach it: a
+// heartbeat newer than an answer must show the answer's token and tasks.
 func (c *Controller) checkRepliesHeeded(m *Machine, r *domain.Heartbeat) {
-	// Reports that a cut held back come all at once; none of them can show an
-	// answer given a moment ago.
-	if !m.heardOnce || r.AgentEpoch != m.agentEpoch || m.answeredAt < 0 || c.now-m.answeredAt < tuning.ReplySettleTime {
+	if !m.shouldShowAnswer(r, c.now) {
 		return
 	}
-	missed := r.FencingToken < m.sentToken
-	there := map[domain.TaskID]bool{}
+	unheeded := r.FencingToken < m.sentToken
+	listed := make(map[domain.TaskID]bool, len(r.Tasks))
 	for _, s := range r.Tasks {
-		there[s.Task] = true
+		listed[s.Task] = true
 	}
-	for k, tally := range m.startsSent {
-		if !c.cache.bookedOn[m.Name][k.Task] {
-			delete(m.startsSent, k)
+	for attempt, sequence := range m.startsSent {
+		if !c.cache.bookedOn[m.Name][attempt.Task] {
+			delete(m.startsSent, attempt)
 			continue
 		}
-		if !missed && tally < r.Sequence && tally > 0 && !there[k.Task] && c.cache.bookedOn[m.Name][k.Task] && c.cache.jobs[k.Task.Job].task(k.Task.Index).Attempt == k.Attempt {
-			missed = true
+		wasSentBefore := sequence > 0 && sequence < r.Sequence
+		if wasSentBefore && !listed[attempt.Task] && c.cache.jobs[attempt.Task.Job].task(attempt.Task.Index).Attempt == attempt.Attempt {
+			unheeded = true
 		}
 	}
-	if !missed {
+	m.countUnheeded(unheeded, c.now)
+}
+
+// shouldShowAnswer tells whether a heartbeat would show the last answer had it arrived. Those
+// that a cut held back come all at once, and none of them can show an answer given a moment ago.
+func (m *Machine) shouldShowAnswer(r *domain.Heartbeat, now time.Duration) bool {
+	return m.isInEpoch(r.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplySettleTime
+}
+
+// countUnheeded counts heartbeats in a row that show that an answer had no effect.
+func (m *Machine) countUnheeded(unheeded bool, now time.Duration) {
+	if !unheeded {
 		m.unheededReplies = 0
 		return
 	}
 	if m.unheededReplies == 0 {
-		m.unheededAt = c.now
+		m.unheededAt = now
 	}
 	m.unheededReplies++
 }
 
+// ignoresReplies tells whether answers to m had no effect, twice in a row. In large fleets it
+// takes two heartbeat intervals as well: after a cut hundreds of machines are answered late,
+// and each that gave an answer up would be returned, while one that really hears nothing
+// loses its tasks with its lease anyway.
+func (c *Controller) ignoresReplies(m *Machine) bool {
+	if m.unheededReplies < tuning.MaxUnheededReplies {
+		return false
+	}
+	return !c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval
+}
+
 // failureCount counts a job's errors on a machine, from the first on.
 type failureCount struct {
 	count   int
 	firstAt time.Duration
 }
 
-// isFaulty tells whether tasks keep failing on m for the machine's sake. A job that was
-// submitted with a mistake fails on every machine, so the errors of a job count at
-// once only if a task of it was done somewhere, and else when it had time to be tried
-// elsewhere and wasn't. On a day of the users with such jobs 196 of 1,160 machines
-// were returned as sick when all errors counted.
+// isFaulty tells whether tasks keep failing on m for the machine's sake: errors of two jobs,
+// or twice as many of one. A job that was submitted with a mistake fails on every machine. On
+// a day of the users with such jobs 196 of 1,160 machines were returned as faulty when all
+// errors counted.
 func (c *Controller) isFaulty(m *Machine) bool {
-	n, jobs := 0, 0
-	for id, e := range m.failures {
-		j := c.cache.jobs[id]
-		if j == nil || j.cancelled() || j.counts.done == 0 && j.Header.State != domain.StateDone && (c.now-e.firstAt < tuning.FaultySettle || j.failsElsewhere(e.count)) {
-			continue
+	count, jobs := 0, 0
+	for id, failures := range m.failures {
+		if c.countsAgainstMachine(c.cache.jobs[id], failures) {
+			count += failures.count
+			jobs++
 		}
-		n += e.count
-		jobs++
 	}
-	return n >= tuning.FaultyErrors && (jobs >= 2 || n >= 2*tuning.FaultyErrors)
+	return count >= tuning.FaultyErrors && (jobs >= 2 || count >= 2*tuning.FaultyErrors)
 }
 
-// failedHere: tasks of the job failed here, and none was ever done. It is tried elsewhere
-// next, which shows whose fault it is.
+// countsAgainstMachine tells whether a job's errors on a machine may be the machine's fault
+// (j nil: the job isn't known any more). They may at once if a task of the job was done
+// somewhere, and else when it had time to be tried elsewhere and doesn't fail there.
+func (c *Controller) countsAgainstMachine(j *Job, failures failureCount) bool {
+	if j == nil || j.cancelled() {
+		return false
+	}
+	if j.counts.done > 0 || j.Header.State == domain.StateDone {
+		return true
+	}
+	return c.now-failures.firstAt >= tuning.FaultySettle && !j.failsElsewhere(failures.count)
+}
+
+// failedHere tells whether tasks of the job failed on m, and none was ever done. It is tried
+// elsewhere next, which shows whose fault it is.
 func (m *Machine) failedHere(j *Job) bool {
 	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.FaultyErrors
 }
 
-// failsElsewhere: of a job of which nothing was ever done, a good part of the tries
-// came to nothing beside the errors here. The records say so to all nodes alike.
-func (j *Job) failsElsewhere(here int) bool {
-	tries := -here
+// failsElsewhere tells of a job of which nothing was ever done whether a good part of its
+// attempts came to nothing beside the errors here. The records say so to all controllers alike.
+func (j *Job) failsElsewhere(errorsHere int) bool {
+	elsewhere := -errorsHere
 	for i := range j.Tasks {
-		t := j.Tasks[i]
-		tries += int(t.Attempt)
+		t := &j.Tasks[i]
+		elsewhere += int(t.Attempt)
 		if t.State == domain.Booked {
-			tries--
-		}
-		if j.Header.Spec != nil && j.Header.Spec.Shape == domain.Gang {
-			break // an attempt is one for all
+			elsewhere-- // this one may still succeed
 		}
-		if tries >= max(2, here) {
+		isGang := j.Header.Spec != nil && j.Header.Spec.Shape == domain.Gang
+		if isGang || elsewhere >= max(2, errorsHere) { // an attempt of a gang is one for all its tasks
 			break
 		}
 	}
-	return tries >= 2 && 2*tries >= here
-}
-
-// ignoresReplies: answers to m had no effect, twice in a row. In wide fleets also for two
-// reports' time: after a cut hundreds of workers are answered late, and each
-// that gave an answer up would be returned, while one that really hears nothing
-// loses its tasks with its lease anyway.
-func (c *Controller) ignoresReplies(m *Machine) bool {
-	return m.unheededReplies >= tuning.MaxUnheededReplies && (!c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval)
+	return elsewhere >= 2 && 2*elsewhere >= errorsHere
 }
