--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -5,253 +5,362 @@
 	"maps"
 	"math"
 	"slices"
-	"sort"
+	"strings"
 
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
 )
 
-// planReservations keeps machines for jobs that need a whole one: idle ones first;
-// if more jobs wait than are idle, those that will be empty soonest, and where
-// all that runs there has lower priority, they are emptied.
-func (c *Controller) planReservations(ms []machineState, pend []pendingWork) {
+const (
+	// shortestRest in seconds is the least that a running task is expected to go on.
+	shortestRest = 3
+	// pricedAtLeast is the least GPU, or else CPU, in thousandths, by which a price is divided.
+	pricedAtLeast = 1000
+)
+
+// reservationCandidate is a machine that may be kept for a class of jobs.
+type reservationCandidate struct {
+	machine         *machineState
+	wait            float64 // seconds until it is empty; less for those kept already
+	isLowerPriority bool    // all that runs on it has lower priority than the class
+}
+
+// classDemand is how many machines a class of jobs needs.
+type classDemand struct {
+	spec    *domain.JobSpec
+	waiting int // for tasks that wait
+	needed  int // with those to be kept ready
+}
+
+// planReservations keeps machines for jobs that need a whole one: idle ones first; if more
+// jobs wait than are idle, those that will be empty soonest, and where all that runs there
+// has lower priority, they are emptied.
+func (c *Controller) planReservations(machines []machineState, pending []pendingWork) {
 	f := &c.scaling
-	old := f.reserved
+	before := f.reserved
 	f.reserved, f.evicting = map[string]bool{}, map[string]bool{}
 	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
-		w := f.gangClasses[class]
-		if c.now-w.seenAt > tuning.GangClassMemory {
+		known := f.gangClasses[class]
+		if c.now-known.seenAt > tuning.GangClassMemory {
 			delete(f.gangClasses, class)
 			continue
 		}
-		waiting := 0
-		for _, p := range pend {
-			if p.spec.Class == class && placedByLeader(p.spec) {
-				waiting += p.tasks
-			}
+		demand := c.classDemand(known.spec, pending)
+		candidates := c.reservationCandidates(known.spec, machines, before)
+		idle := c.keepAfterGang(candidates)
+		c.reserve(demand, candidates, idle)
+	}
+}
+
+// classDemand counts the machines that the class of a job needs.
+func (c *Controller) classDemand(sp *domain.JobSpec, pending []pendingWork) classDemand {
+	demand := classDemand{spec: sp}
+	for i := range pending {
+		if work := &pending[i]; work.spec.Class == sp.Class && placedByLeader(work.spec) {
+			demand.waiting += work.tasks
 		}
-		n := waiting + c.spareMachines(w.spec)
-		type cand struct {
-			k    machineState
-			wait float64
-			low  bool // all on it has lower priority
+	}
+	demand.needed = demand.waiting + c.spareMachines(sp)
+	return demand
+}
+
+// reservationCandidates lists the machines that may be kept for jobs like this one, those
+// first that are empty soonest.
+func (c *Controller) reservationCandidates(sp *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
+	var candidates []reservationCandidate
+	for i := range machines {
+		m := &machines[i]
+		if !c.mayReserve(m, sp) {
+			continue
 		}
-		var cs []cand
-		for _, k := range ms {
-			fl := c.machineType(k.Type)
-			if !k.heard || k.cordon.State != "" || f.reserved[k.Name] || !c.allowsMachine(w.spec, k.Type, k.Zone, k.Spot) || !fl.Capacity.Fits(w.spec.Request) {
-				continue
-			}
-			x := cand{k: k, low: true}
-			ok := true
-			for id := range c.cache.bookedOn[k.Name] {
-				sp := c.cache.jobs[id.Job].Header.Spec
-				if sp != nil && reservesMachines(sp) {
-					f.ranGangAt[k.Name] = c.now
-				}
-				if sp == nil || reservesMachines(sp) || sp.Shape == domain.Service {
-					ok = false
-					break
-				}
-				x.low = x.low && c.cache.jobs[id.Job].priority < w.spec.Priority
-				left := c.runTime(sp) - (c.now - c.cache.bookings[id].seenAt).Seconds()
-				x.wait = max(x.wait, left, 3)
-			}
-			if old[k.Name] {
-				x.wait -= tuning.ReservationBonus
-			}
-			if ok {
-				cs = append(cs, x)
-			}
+		candidate, ok := c.reservationCandidate(m, sp)
+		if !ok {
+			continue
 		}
-		sort.SliceStable(cs, func(a, b int) bool { return cs[a].wait < cs[b].wait })
-		idle := 0
-		for _, x := range cs {
-			// It has the image, and the next such job is likely soon.
-			if at, was := f.ranGangAt[x.k.Name]; was && x.k.tasks == 0 && c.now-at < tuning.KeepReservedAfterGang {
-				f.reserved[x.k.Name] = true
-				idle++
-			}
+		if before[m.Name] {
+			candidate.wait -= tuning.ReservationBonus
 		}
-		for _, x := range cs {
-			if f.reserved[x.k.Name] {
-				continue
-			}
-			if len(f.reserved) >= n {
-				break
-			}
-			if x.k.tasks > 0 && idle >= waiting && !x.low {
-				break
-			}
-			f.reserved[x.k.Name] = true
-			if x.k.tasks == 0 {
-				idle++
-			} else if x.low && idle < waiting {
-				f.evicting[x.k.Name] = true
-				idle++
-			}
+		candidates = append(candidates, candidate)
+	}
+	slices.SortStableFunc(candidates, func(a, b reservationCandidate) int {
+		return trueFirst(a.wait < b.wait, b.wait < a.wait)
+	})
+	return candidates
+}
+
+// mayReserve tells whether a machine is in use, not yet kept for another class, and could take
+// a task of the job if it were empty.
+func (c *Controller) mayReserve(m *machineState, sp *domain.JobSpec) bool {
+	return m.heard && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
+		c.allowsMachine(sp, m.Type, m.Zone, m.Spot) && c.machineType(m.Type).Capacity.Fits(sp.Request)
+}
+
+// reservationCandidate tells when a machine will be empty, and whether it may be emptied for
+// the job; false: something on it is not to be waited for, a service or another such job.
+func (c *Controller) reservationCandidate(m *machineState, sp *domain.JobSpec) (reservationCandidate, bool) {
+	candidate := reservationCandidate{machine: m, isLowerPriority: true}
+	for id := range c.cache.bookedOn[m.Name] {
+		j := c.cache.jobs[id.Job]
+		running := j.Header.Spec
+		if running != nil && reservesMachines(running) {
+			c.scaling.ranGangAt[m.Name] = c.now
+		}
+		if running == nil || reservesMachines(running) || running.Shape == domain.Service {
+			return candidate, false
 		}
+		candidate.isLowerPriority = candidate.isLowerPriority && j.priority < sp.Priority
+		left := c.runTime(running) - (c.now - c.cache.bookings[id].seenAt).Seconds()
+		candidate.wait = max(candidate.wait, left, shortestRest)
 	}
+	return candidate, true
 }
 
-// planResting lets the dearest machines run empty while the cheaper ones have
-// room for all that runs and waits, with some headroom: draws by load alone
-// would spread tasks over all machines, and none could ever be returned.
-func (c *Controller) planResting(ms []machineState, pend []pendingWork) {
+// keepAfterGang keeps the idle candidates where a job that needs whole machines ran lately:
+// they have the image, and the next such job is likely soon. It returns how many these are.
+func (c *Controller) keepAfterGang(candidates []reservationCandidate) int {
 	f := &c.scaling
-	old := f.resting
-	f.resting = map[string]bool{}
-	type cand struct {
-		k     machineState
-		price float64
-	}
-	var cs []cand
-	// In a wide fleet each part needs the room for its own jobs: those that wait in
-	// one can't use what another one keeps free.
-	wide := c.isLargeFleet()
-	wants, all := map[string]domain.Resources{}, domain.Resources{}
-	part := func(k machineState) string {
-		if !wide {
-			return ""
+	kept := 0
+	for i := range candidates {
+		m := candidates[i].machine
+		if ranAt, ran := f.ranGangAt[m.Name]; ran && m.tasks == 0 && c.now-ranAt < tuning.KeepReservedAfterGang {
+			f.reserved[m.Name] = true
+			kept++
 		}
-		return c.ownerIn(k.Name, k.Zone)
 	}
-	for _, k := range ms {
-		if !k.heard || k.cordon.State != "" || f.reserved[k.Name] {
+	return kept
+}
+
+// reserve keeps as many of the candidates as the class needs, of which idle ones are kept
+// already. It empties those with work of lower priority if fewer are idle than tasks wait.
+func (c *Controller) reserve(demand classDemand, candidates []reservationCandidate, idle int) {
+	f := &c.scaling
+	for i := range candidates {
+		candidate := &candidates[i]
+		m := candidate.machine
+		if f.reserved[m.Name] {
 			continue
 		}
-		fl := c.machineType(k.Type)
-		o := c.cache.occupancy[k.Name]
-		if o.gangTasks > 0 {
-			continue
+		if len(f.reserved) >= demand.needed {
+			return
 		}
-		here := o.used
-		wants[part(k)] = wants[part(k)].Plus(here, 1)
-		p := fl.Price
-		if k.Spot {
-			p = fl.SpotPrice
+		if m.tasks > 0 && idle >= demand.waiting && !candidate.isLowerPriority {
+			return
 		}
-		size := float64(max(fl.Capacity.GPU, 1000))
-		if fl.Capacity.GPU == 0 {
-			size = float64(max(fl.Capacity.CPU, 1000))
+		f.reserved[m.Name] = true
+		switch {
+		case m.tasks == 0:
+			idle++
+		case candidate.isLowerPriority && idle < demand.waiting:
+			f.evicting[m.Name] = true
+			idle++
 		}
-		p /= size
-		if old[k.Name] {
-			p *= tuning.RestingStickiness
+	}
+}
+
+// restCandidate is a machine that may rest.
+type restCandidate struct {
+	machine *machineState
+	price   float64 // per thousandth of its GPU, or else CPU; higher for those that rest
+	shard   string  // whose jobs it serves; "": all, where the fleet isn't large
+	free    domain.Resources
+}
+
+// shardWork is waiting work of a shard that machines may have to end their rest for.
+type shardWork struct {
+	spec  *domain.JobSpec
+	shard string // "": any, where the fleet isn't large
+	left  int64  // tasks not yet placed
+}
+
+// planResting lets the dearest machines run empty while the cheaper ones have room for all
+// that runs and waits, with some headroom: draws by load alone would spread tasks over all
+// machines, and none could ever be returned. In a large fleet each shard needs the room for
+// its own jobs: those that wait in one can't use what another one keeps free.
+func (c *Controller) planResting(machines []machineState, pending []pendingWork) {
+	before := c.scaling.resting
+	c.scaling.resting = map[string]bool{}
+	candidates := c.restCandidates(machines, before)
+	wanted := c.wantedByShard(candidates, pending)
+	c.logMachines(machines, wanted, before)
+	kept := map[string]domain.Resources{}
+	for i := range candidates {
+		candidate := &candidates[i]
+		if kept[candidate.shard].Fits(wanted[candidate.shard]) {
+			c.scaling.resting[candidate.machine.Name] = true
+			continue
 		}
-		// Among equals those with little to run go empty first.
-		p *= 1.1 - 0.1*min(float64(k.tasks), 10)/10
-		cs = append(cs, cand{k, p})
+		capacity := c.machineType(candidate.machine.Type).Capacity
+		kept[candidate.shard] = kept[candidate.shard].Plus(capacity, 1)
 	}
-	for _, p := range pend {
-		switch {
-		case reservesMachines(p.spec):
-		case wide && p.job != nil && !largeArray(p.spec):
-			n := c.shardOf(p.job)
-			wants[n] = wants[n].Plus(p.spec.Request, int64(p.tasks))
-		default:
-			wants[""] = wants[""].Plus(p.spec.Request, int64(p.tasks))
+	c.endRestFor(candidates, pending)
+}
+
+// restCandidates lists the machines that may rest, the cheapest first.
+func (c *Controller) restCandidates(machines []machineState, before map[string]bool) []restCandidate {
+	var candidates []restCandidate
+	isLarge := c.isLargeFleet()
+	for i := range machines {
+		m := &machines[i]
+		if !m.heard || m.cordon.State != "" || c.scaling.reserved[m.Name] || c.cache.occupancy[m.Name].gangTasks > 0 {
+			continue
+		}
+		shard := ""
+		if isLarge {
+			shard = c.ownerIn(m.Name, m.Zone)
 		}
+		candidates = append(candidates, restCandidate{m, c.restPrice(m, before[m.Name]), shard, m.free})
 	}
-	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
-	for n, w := range wants {
-		wants[n] = domain.Resources{CPU: grow(w.CPU), GPU: grow(w.GPU), Memory: grow(w.Memory)}
-		all = all.Plus(wants[n], 1)
+	slices.SortStableFunc(candidates, func(a, b restCandidate) int {
+		return trueFirst(a.price < b.price, b.price < a.price)
+	})
+	return candidates
+}
+
+// restPrice is the price by which machines are compared to choose those that rest.
+func (c *Controller) restPrice(m *machineState, rested bool) float64 {
+	machineType := c.machineType(m.Type)
+	price := machineType.Price
+	if m.Spot {
+		price = machineType.SpotPrice
 	}
-	sort.SliceStable(cs, func(a, b int) bool { return cs[a].price < cs[b].price })
-	if c.now >= f.nextLogAt {
-		f.nextLogAt = c.now + tuning.ScalingLogInterval
-		busy := ""
-		for _, k := range ms {
-			tag := ""
-			if f.reserved[k.Name] {
-				tag = "h"
-			}
-			if old[k.Name] {
-				tag += "r"
-			}
-			if k.cordon.State != "" {
-				tag += "d"
-			}
-			if !k.heard {
-				tag += "-"
-			}
-			if k.Spot {
-				tag += "s"
-			}
-			busy += fmt.Sprintf(" %d%s", k.tasks, tag)
-		}
-		c.debug("fleet", "want", all, "tasks_by_machine", busy)
+	if machineType.Capacity.GPU > 0 {
+		price /= float64(max(machineType.Capacity.GPU, pricedAtLeast))
+	} else {
+		price /= float64(max(machineType.Capacity.CPU, pricedAtLeast))
+	}
+	if rested {
+		price *= tuning.RestingStickiness
 	}
-	have := map[string]domain.Resources{}
-	for _, x := range cs {
-		n := part(x.k)
-		if have[n].Fits(wants[n]) {
-			f.resting[x.k.Name] = true
+	// Among equals those with little to run go empty first.
+	return price * (1.1 - 0.1*min(float64(m.tasks), 10)/10)
+}
+
+// wantedByShard is the room that each shard wants for what runs and waits, with headroom; what
+// may wait in any shard is under "".
+func (c *Controller) wantedByShard(candidates []restCandidate, pending []pendingWork) map[string]domain.Resources {
+	wanted := map[string]domain.Resources{}
+	for i := range candidates {
+		candidate := &candidates[i]
+		wanted[candidate.shard] = wanted[candidate.shard].Plus(c.cache.occupancy[candidate.machine.Name].used, 1)
+	}
+	isLarge := c.isLargeFleet()
+	for i := range pending {
+		work := &pending[i]
+		if reservesMachines(work.spec) {
 			continue
 		}
-		have[n] = have[n].Plus(c.machineType(x.k.Type).Capacity, 1)
+		shard := ""
+		if isLarge && work.job != nil && !largeArray(work.spec) {
+			shard = c.shardOf(work.job)
+		}
+		wanted[shard] = wanted[shard].Plus(work.spec.Request, int64(work.tasks))
 	}
-	ks := make([]machineState, len(cs))
-	for i, x := range cs {
-		ks[i] = x.k
+	for shard, room := range wanted {
+		wanted[shard] = withHeadroom(room)
 	}
-	c.endRestFor(ks, pend, part)
+	return wanted
 }
 
-// endRestFor ends the rest of machines that waiting tasks need: sums of room say
-// nothing of tasks that fit no single hole, or that their zone or kind keeps from
-// the cheaper machines. Such jobs waited beside empty machines until those were
-// returned, and their claim on the team's limit kept the others waiting, too.
-func (c *Controller) endRestFor(ks []machineState, pend []pendingWork, part func(machineState) string) {
-	f := &c.scaling
-	if len(f.resting) == 0 {
+// withHeadroom adds the headroom to what is wanted.
+func withHeadroom(r domain.Resources) domain.Resources {
+	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
+	return domain.Resources{CPU: grow(r.CPU), GPU: grow(r.GPU), Memory: grow(r.Memory)}
+}
+
+// logMachines adds a debug line about all machines once a while: how many tasks each has, with
+// letters for (h) reserved, (r) rested before, (d) cordoned, (-) unheard and (s) spot.
+func (c *Controller) logMachines(machines []machineState, wantedByShard map[string]domain.Resources, rested map[string]bool) {
+	if !c.scaling.nextLog.IsOpen(c.now) {
 		return
 	}
-	free, parts := make([]domain.Resources, len(ks)), make([]string, len(ks))
-	for i, k := range ks {
-		free[i], parts[i] = k.free, part(k)
+	c.scaling.nextLog.Close(c.now + tuning.ScalingLogInterval)
+	var wanted domain.Resources
+	for _, room := range wantedByShard {
+		wanted = wanted.Plus(room, 1)
+	}
+	var tasks strings.Builder
+	for i := range machines {
+		m := &machines[i]
+		fmt.Fprintf(&tasks, " %d", m.tasks)
+		for _, tag := range []struct {
+			letter string
+			holds  bool
+		}{
+			{"h", c.scaling.reserved[m.Name]},
+			{"r", rested[m.Name]},
+			{"d", m.cordon.State != ""},
+			{"-", !m.heard},
+			{"s", m.Spot},
+		} {
+			if tag.holds {
+				tasks.WriteString(tag.letter)
+			}
+		}
 	}
-	wide := c.isLargeFleet()
-	for _, p := range pend {
-		if placedByLeader(p.spec) || p.job == nil {
+	c.debug("fleet", "want", wanted, "tasks_by_machine", tasks.String())
+}
+
+// endRestFor ends the rest of machines that waiting tasks need: sums of room say nothing of
+// tasks that fit no single hole, or that their zone or kind keeps from the cheaper machines.
+// Such jobs waited beside empty machines until those were returned, and their claim on the
+// team's limit kept the others waiting, too.
+func (c *Controller) endRestFor(candidates []restCandidate, pending []pendingWork) {
+	if len(c.scaling.resting) == 0 {
+		return
+	}
+	isLarge := c.isLargeFleet()
+	for i := range pending {
+		work := &pending[i]
+		if placedByLeader(work.spec) || work.job == nil {
 			continue
 		}
-		left, home := int64(p.tasks), c.shardOf(p.job)
-		for _, resting := range [2]bool{false, true} {
-			for i, k := range ks {
-				if left == 0 {
-					break
-				}
-				if f.resting[k.Name] != resting || wide && parts[i] != home || !c.allowsMachine(p.spec, k.Type, k.Zone, k.Spot) {
-					continue
-				}
-				n := free[i].CountFitting(p.spec.Request, left)
-				if n > 0 && resting {
-					delete(f.resting, k.Name)
-				}
-				free[i] = free[i].Plus(p.spec.Request, -n)
-				left -= n
-			}
+		w := shardWork{spec: work.spec, left: int64(work.tasks)}
+		if isLarge {
+			w.shard = c.shardOf(work.job)
 		}
+		c.packAmong(candidates, &w, false)
+		c.packAmong(candidates, &w, true)
 	}
 }
 
-// spareMachines is how many machines are kept ready for a class whose tasks should
-// start sooner than a machine boots.
-func (c *Controller) spareMachines(sp *domain.JobSpec) int {
-	most := max(c.cfg.SpareMachines, int(math.Ceil(c.scaling.gangTaskRate[sp.Class]*tuning.SpareSeconds)))
-	if c.cfg.SpareMachines == 0 {
-		most = 0
+// packAmong places work on the candidates that rest, or on those that don't, and ends the rest
+// of those that it uses.
+func (c *Controller) packAmong(candidates []restCandidate, w *shardWork, resting bool) {
+	for i := range candidates {
+		if w.left == 0 {
+			return
+		}
+		candidate := &candidates[i]
+		m := candidate.machine
+		if c.scaling.resting[m.Name] != resting || candidate.shard != w.shard || !c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
+			continue
+		}
+		n := candidate.free.CountFitting(w.spec.Request, w.left)
+		if n > 0 && resting {
+			delete(c.scaling.resting, m.Name)
+		}
+		candidate.free = candidate.free.Plus(w.spec.Request, -n)
+		w.left -= n
 	}
-	w, ok := c.cfg.StartWithin[sp.Class]
-	if !ok {
+}
+
+// spareMachines is how many machines are kept ready for the class of a job, whose tasks should
+// start sooner than a machine boots and fetches their image.
+func (c *Controller) spareMachines(sp *domain.JobSpec) int {
+	startWithin, ok := c.cfg.StartWithin[sp.Class]
+	if !ok || c.cfg.SpareMachines == 0 {
 		return 0
 	}
 	for i := range c.cache.machineTypes {
-		if fl := &c.cache.machineTypes[i]; c.machineTypeFits(sp, fl) && w < tuning.SpareReach*(fl.BootSeconds+sp.ImageGB/max(fl.FetchGBPerS, 0.01)) {
-			return most
+		machineType := &c.cache.machineTypes[i]
+		if !c.machineTypeFits(sp, machineType) {
+			continue
+		}
+		toStart := machineType.BootSeconds + sp.ImageGB/max(machineType.FetchGBPerS, 0.01)
+		if startWithin < tuning.SpareReach*toStart {
+			arriving := c.scaling.gangTaskRate[sp.Class] * tuning.SpareSeconds
+			return max(c.cfg.SpareMachines, int(math.Ceil(arriving)))
 		}
 	}
 	return 0
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -5,7 +5,6 @@
 	"maps"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"brassglade/internal/tuning"
@@ -13,252 +12,359 @@
 	"brassglade/internal/domain"
 )
 
+const (
+	// maxPendingTasks of a job are counted as waiting; more would be rented for later.
+	maxPendingTasks = 2000
+	// maxPendingFailures in a row of a job's tasks, and nothing is rented for it.
+	maxPendingFailures = 3
+	// cloudRetry is the pause after the cloud refused a rental for now.
+	cloudRetry = 1500 * time.Millisecond
+)
+
 // machineKind is a kind of machine that can be rented.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
+// rentalPause is the pause of a kind of which the cloud had fewer than were asked for.
 type rentalPause struct {
 	until    time.Duration
-	failures int
+	failures int // in a row
 }
 
+// rental is a request without a final answer.
 type rental struct {
 	request RentMachines
 	sentAt  time.Duration
 }
 
-// pendingWork is unbooked work of one job that its team's limit lets run.
+// pendingWork is unbooked work of one job that its team's limit lets run, or machines to be
+// kept ready for a class of jobs.
 type pendingWork struct {
 	spec  *domain.JobSpec
 	tasks int
-	job   *Job // nil: none yet
-	// How many of them each zone may take; nil: any number.
-	zones zoneAllowance
+	job   *Job          // nil: none yet
+	zones zoneAllowance // how many of them each zone may take; nil: any number
 }
 
-// pendingWork is the work that waits, given the machines that are there or boot.
+// pendingWork is the work that waits, given the machines that are there or boot. It also notes
+// which classes reserve machines, and how many of their tasks came lately.
 func (c *Controller) pendingWork(machines []machineState) []pendingWork {
 	used := map[string]domain.Resources{}
-	for n := range c.cfg.Teams {
-		used[n] = c.teamUsed(n, nil)
+	for team := range c.cfg.Teams {
+		used[team] = c.teamUsed(team, nil)
 	}
 	claims := c.claims(nil)
-	var l []pendingWork
-	came := map[string]int{}
+	var pending []pendingWork
+	arrived := map[string]int{}
 	for _, j := range c.cache.openJobs {
 		sp := j.Header.Spec
 		if reservesMachines(sp) {
 			c.scaling.gangClasses[sp.Class] = gangClass{sp, c.now}
 			if c.now-time.Duration(j.readyAt) < tuning.RateWindow {
-				came[sp.Class] += j.Header.TaskCount
+				arrived[sp.Class] += j.Header.TaskCount
 			}
 		}
-		if j.counts.queued == 0 || j.failures > 3 {
+		if j.counts.queued == 0 || j.failures > maxPendingFailures {
 			continue
 		}
-		lim := c.cfg.Teams[sp.Team].Limit
-		n := 0
-		for n < j.counts.queued && n < 2000 && withinLimit(used[sp.Team].Plus(sp.Request, 1), lim) && claims[sp.Team].allows(sp, used[sp.Team], lim) {
-			used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
-			n++
-		}
-		if sp.Shape == domain.Gang && n < sp.TaskCount {
+		n := c.claimForPending(j, used, claims[sp.Team])
+		if n == 0 || sp.Shape == domain.Gang && n < sp.TaskCount {
 			continue
 		}
-		if n > 0 {
-			l = append(l, pendingWork{spec: sp, tasks: n, job: j, zones: c.zoneAllowance(j, n, machines)})
-		}
+		pending = append(pending, pendingWork{spec: sp, tasks: n, job: j, zones: c.zoneAllowance(j, n, machines)})
 	}
 	c.scaling.gangTaskRate = map[string]float64{}
-	for class, n := range came {
+	for class, n := range arrived {
 		c.scaling.gangTaskRate[class] = float64(n) / tuning.RateWindow.Seconds()
 	}
-	return l
+	return pending
 }
 
-// planScaleOut packs what is pending on what is there or boots, and rents for
-// the rest the kind with the least price per task that fits.
-func (c *Controller) planScaleOut(ms []machineState, pend []pendingWork) {
-	f := &c.scaling
-	for _, h := range slices.Sorted(maps.Keys(f.rentals)) {
-		r := f.rentals[h]
-		if c.now-r.sentAt > tuning.CloudTimeout+time.Second {
-			r.sentAt = c.now
-			f.rentals[h] = r
-			c.emit(r.request) // the same name: a repeat rents nothing more
+// claimForPending counts the queued tasks of a job that its team's limit lets run beside what
+// the team uses, and adds them to that.
+func (c *Controller) claimForPending(j *Job, used map[string]domain.Resources, claim quotaClaim) int {
+	sp := j.Header.Spec
+	limit := c.cfg.Teams[sp.Team].Limit
+	n := 0
+	for n < j.counts.queued && n < maxPendingTasks {
+		next := used[sp.Team].Plus(sp.Request, 1)
+		if !withinLimit(next, limit) || !claim.allows(sp, used[sp.Team], limit) {
+			break
 		}
+		used[sp.Team] = next
+		n++
 	}
-	if len(f.rentals) > 0 {
+	return n
+}
+
+// scaleOutPlan packs what waits on what is there, boots or is to be rented.
+type scaleOutPlan struct {
+	there          []roomThere
+	planned        []plannedMachine
+	turnoverCredit int // tasks that need no new machine, since slots fall free soon
+}
+
+// roomThere is what a scaleOutPlan leaves free on a machine that is there or boots.
+type roomThere struct {
+	machine     *machineState
+	free        domain.Resources
+	preemptible domain.Resources // held by preemptible tasks
+}
+
+// plannedMachine is a machine to be rented, and what a scaleOutPlan leaves free on it.
+type plannedMachine struct {
+	kind machineKind
+	free domain.Resources
+}
+
+// unplacedWork is what a scaleOutPlan has not yet placed of some pending work.
+type unplacedWork struct {
+	pendingWork
+	left      int64
+	zonesLeft zoneAllowance // what remains of the work's
+}
+
+// take counts n tasks as placed in a zone.
+func (w *unplacedWork) take(zone string, n int64) {
+	w.zonesLeft.take(zone, n)
+	w.left -= n
+}
+
+// fitting is how many of the tasks that are left have room in a zone.
+func (w *unplacedWork) fitting(room domain.Resources, zone string) int64 {
+	return room.CountFitting(w.spec.Request, w.zonesLeft.left(zone, w.left))
+}
+
+// planScaleOut packs what is pending on what is there or boots, and rents for the rest the
+// kind with the least price per task that fits. Nothing is planned while a request is open:
+// what it brings isn't known yet.
+func (c *Controller) planScaleOut(machines []machineState, pending []pendingWork) {
+	c.repeatRentals()
+	if len(c.scaling.rentals) > 0 {
 		return
 	}
-	type slot struct {
-		k    machineState
-		free domain.Resources
-		idle domain.Resources // held by tasks that yield
+	plan := scaleOutPlan{there: c.roomToCountOn(machines)}
+	plan.turnoverCredit = c.turnoverCredit(plan.there)
+	for _, work := range c.workToPlace(pending) {
+		w := unplacedWork{pendingWork: work, left: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
+		c.packThere(&plan, &w)
+		c.packPlanned(&plan, &w)
+		c.creditTurnover(&plan, &w)
+		c.planMachines(&plan, &w)
+	}
+	c.rentPlanned(plan.planned)
+}
+
+// repeatRentals asks again for what the cloud left unanswered for too long. The request's name
+// is the same, so that a repeat rents nothing more.
+func (c *Controller) repeatRentals() {
+	f := &c.scaling
+	for _, id := range slices.Sorted(maps.Keys(f.rentals)) {
+		r := f.rentals[id]
+		if c.now-r.sentAt > tuning.CloudTimeout+time.Second {
+			r.sentAt = c.now
+			f.rentals[id] = r
+			c.emit(r.request)
+		}
 	}
-	var slots []slot
+}
+
+// roomToCountOn lists the room on the machines that are there or to come and stay.
+func (c *Controller) roomToCountOn(machines []machineState) []roomThere {
+	var there []roomThere
 	leaving := c.leaving()
-	for _, k := range ms {
-		if k.cordon.State != "" || leaving[k.Name] || k.Status == "failed" || !k.heard && k.Status == "running" && k.tasks > 0 {
+	for i := range machines {
+		m := &machines[i]
+		isLost := !m.heard && m.Status == instanceRunning && m.tasks > 0
+		if m.cordon.State != "" || leaving[m.Name] || m.Status == instanceFailed || isLost {
 			continue
 		}
-		slots = append(slots, slot{k, k.free, c.cache.occupancy[k.Name].preemptible.used})
+		there = append(there, roomThere{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
 	}
-	type plan struct {
-		o    machineKind
-		free domain.Resources
-	}
-	var plans []plan
-	pend = slices.Clone(pend)
-	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
-		if n := c.spareMachines(f.gangClasses[class].spec); n > 0 {
-			pend = append(pend, pendingWork{spec: f.gangClasses[class].spec, tasks: n})
+	return there
+}
+
+// turnoverCredit is how many tasks need no new machine since slots fall free before such a one
+// could start them.
+func (c *Controller) turnoverCredit(there []roomThere) int {
+	busy := 0
+	for i := range there {
+		if m := there[i].machine; m.heard && !c.scaling.reserved[m.Name] {
+			busy += m.tasks
 		}
 	}
-	// Whole machines first: small tasks find room in what is left, and those that
-	// yield in what these leave.
-	rank := func(p pendingWork) int {
-		switch {
-		case preemptible(p.spec):
-			return 2
-		case reservesMachines(p.spec):
-			return 0
+	return int(float64(busy) * tuning.TurnoverCredit)
+}
+
+// workToPlace is the pending work and the machines to be kept ready, in the order in which it
+// is to be placed: what needs whole machines first, since small tasks find room in what that
+// leaves, and preemptible ones in what these leave.
+func (c *Controller) workToPlace(pending []pendingWork) []pendingWork {
+	work := slices.Clone(pending)
+	classes := c.scaling.gangClasses
+	for _, class := range slices.Sorted(maps.Keys(classes)) {
+		if n := c.spareMachines(classes[class].spec); n > 0 {
+			work = append(work, pendingWork{spec: classes[class].spec, tasks: n})
 		}
-		return 1
 	}
-	sort.SliceStable(pend, func(a, b int) bool { return rank(pend[a]) < rank(pend[b]) })
-	// Slots that fall free before a new machine could start a task need no
-	// new machine.
-	busy := 0
-	for _, s := range slots {
-		if s.k.heard && !f.reserved[s.k.Name] {
-			busy += s.k.tasks
-		}
+	slices.SortStableFunc(work, func(a, b pendingWork) int { return a.packingRank() - b.packingRank() })
+	return work
+}
+
+// packingRank orders work by what is to be placed first.
+func (p *pendingWork) packingRank() int {
+	switch {
+	case preemptible(p.spec):
+		return 2
+	case reservesMachines(p.spec):
+		return 0
 	}
-	credit := int(float64(busy) * tuning.TurnoverCredit)
-	for _, p := range pend {
-		left, zones := int64(p.tasks), maps.Clone(p.zones)
-		for s := range slots {
-			if left == 0 {
-				break
-			}
-			if c.allowsMachine(p.spec, slots[s].k.Type, slots[s].k.Zone, slots[s].k.Spot) && (reservesMachines(p.spec) || !f.reserved[slots[s].k.Name]) {
-				n := roomBeside(slots[s].free, slots[s].idle, preemptible(p.spec)).CountFitting(p.spec.Request, zones.left(slots[s].k.Zone, left))
-				slots[s].free = slots[s].free.Plus(p.spec.Request, -n)
-				zones.take(slots[s].k.Zone, n)
-				left -= n
-			}
+	return 1
+}
+
+// packThere places work on machines that are there or boot.
+func (c *Controller) packThere(plan *scaleOutPlan, w *unplacedWork) {
+	mayUseReserved := reservesMachines(w.spec)
+	for i := range plan.there {
+		if w.left == 0 {
+			return
 		}
-		for s := range plans {
-			if left == 0 {
-				break
-			}
-			if c.allowsMachine(p.spec, plans[s].o.machineType, plans[s].o.zone, plans[s].o.spot) {
-				n := plans[s].free.CountFitting(p.spec.Request, zones.left(plans[s].o.zone, left))
-				plans[s].free = plans[s].free.Plus(p.spec.Request, -n)
-				zones.take(plans[s].o.zone, n)
-				left -= n
-			}
+		slot := &plan.there[i]
+		m := slot.machine
+		if !c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
+			continue
+		}
+		n := w.fitting(roomBeside(slot.free, slot.preemptible, preemptible(w.spec)), m.Zone)
+		slot.free = slot.free.Plus(w.spec.Request, -n)
+		w.take(m.Zone, n)
+	}
+}
+
+// packPlanned places work on machines that are to be rented for other work.
+func (c *Controller) packPlanned(plan *scaleOutPlan, w *unplacedWork) {
+	for i := range plan.planned {
+		if w.left == 0 {
+			return
 		}
-		if !reservesMachines(p.spec) && (p.job == nil || !c.isStarving(p.job, c.placementOf(p.job, nil))) {
-			n := min(left, int64(credit))
-			credit -= int(n)
-			left -= n
+		p := &plan.planned[i]
+		if !c.allowsMachine(w.spec, p.kind.machineType, p.kind.zone, p.kind.spot) {
+			continue
 		}
-		for left > 0 && len(plans) < tuning.MaxRentalPlans {
-			o, ok := c.cheapest(p.spec, int(left), zones)
-			if !ok {
-				break
-			}
-			size := c.machineType(o.machineType).Capacity
-			n := max(size.CountFitting(p.spec.Request, zones.left(o.zone, left)), 1)
-			zones.take(o.zone, n)
-			plans = append(plans, plan{o, size.Plus(p.spec.Request, -n)})
-			left -= n
+		n := w.fitting(p.free, p.kind.zone)
+		p.free = p.free.Plus(w.spec.Request, -n)
+		w.take(p.kind.zone, n)
+	}
+}
+
+// creditTurnover leaves work to the slots that fall free soon, unless it needs a whole machine
+// or its job waits for too long.
+func (c *Controller) creditTurnover(plan *scaleOutPlan, w *unplacedWork) {
+	if reservesMachines(w.spec) || w.job != nil && c.isStarving(w.job, c.placementOf(w.job, nil)) {
+		return
+	}
+	n := min(w.left, int64(plan.turnoverCredit))
+	plan.turnoverCredit -= int(n)
+	w.left -= n
+}
+
+// planMachines adds machines to the plan for the work that is left.
+func (c *Controller) planMachines(plan *scaleOutPlan, w *unplacedWork) {
+	for w.left > 0 && len(plan.planned) < tuning.MaxRentalPlans {
+		kind, ok := c.cheapest(w.spec, int(w.left), w.zonesLeft)
+		if !ok {
+			return
 		}
+		capacity := c.machineType(kind.machineType).Capacity
+		n := max(w.fitting(capacity, kind.zone), 1)
+		plan.planned = append(plan.planned, plannedMachine{kind, capacity.Plus(w.spec.Request, -n)})
+		w.take(kind.zone, n)
 	}
+}
+
+// rentPlanned asks the cloud for the planned machines, by kind in the order in which the kinds
+// came into the plan. Of a kind that was short the last time one request tells whether there
+// are any.
+func (c *Controller) rentPlanned(planned []plannedMachine) {
 	count := map[machineKind]int{}
-	var order []machineKind
-	for _, p := range plans {
-		if count[p.o] == 0 {
-			order = append(order, p.o)
+	var kinds []machineKind
+	for _, p := range planned {
+		if count[p.kind] == 0 {
+			kinds = append(kinds, p.kind)
 		}
-		count[p.o]++
+		count[p.kind]++
 	}
-	hires := 0
-	for _, o := range order {
-		for n := count[o]; n > 0 && hires < tuning.MaxRentalsAtOnce; n -= tuning.MaxMachinesPerRental {
-			if n < count[o] && f.pauses[o].failures > 0 {
-				break // was short last time: one request tells
+	requests := 0
+	for _, kind := range kinds {
+		wasShort := c.scaling.pauses[kind].failures > 0
+		for left := count[kind]; left > 0 && requests < tuning.MaxRentalsAtOnce; left -= tuning.MaxMachinesPerRental {
+			if wasShort && left < count[kind] {
+				break
 			}
-			hires++
-			f.rentalCount++
-			e := RentMachines{RentalID: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount), Type: o.machineType, Zone: o.zone, Spot: o.spot,
-				Count: min(n, tuning.MaxMachinesPerRental)}
-			f.rentals[e.RentalID] = rental{e, c.now}
-			c.info("renting", "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", e.Count)
-			c.emit(e)
+			requests++
+			c.rent(kind, min(left, tuning.MaxMachinesPerRental))
 		}
 	}
 }
 
-// leaving are the machines that the cloud takes back soon, or that take no
-// bookings for another reason their owners see.
+// rent asks the cloud for machines of a kind.
+func (c *Controller) rent(kind machineKind, count int) {
+	f := &c.scaling
+	f.rentalCount++
+	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount)
+	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
+	f.rentals[id] = rental{request, c.now}
+	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
+	c.emit(request)
+}
+
+// leaving are the machines that the cloud takes back soon, or that take no bookings for
+// another reason that their owners see.
 func (c *Controller) leaving() map[string]bool {
-	l := map[string]bool{}
+	leaving := map[string]bool{}
 	for name, m := range c.heartbeats.machines {
 		if c.owns(name) && m.preemptionAt >= 0 {
-			l[name] = true
+			leaving[name] = true
 		}
 	}
 	for _, p := range c.peers.byName {
 		if c.now-p.heardAt > 4*tuning.DrawEvery {
 			continue
 		}
-		for _, m := range p.machines {
-			if m.Leaving {
-				l[m.Name] = true
+		for i := range p.machines {
+			if p.machines[i].Leaving {
+				leaving[p.machines[i].Name] = true
 			}
 		}
 	}
-	return l
+	return leaving
 }
 
-// cheapest is the kind with the least price per task of which n are left, in the zones
-// that may take any.
+// cheapest is the kind of machine with the least price per task, of which n are left, in the
+// zones that may take any; false: none may be rented now.
 func (c *Controller) cheapest(sp *domain.JobSpec, n int, zones zoneAllowance) (machineKind, bool) {
-	best, bestP, found := machineKind{}, math.Inf(1), false
+	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
-		fl := &c.cache.machineTypes[i]
-		if !c.machineTypeFits(sp, fl) {
+		machineType := &c.cache.machineTypes[i]
+		if !c.machineTypeFits(sp, machineType) {
 			continue
 		}
-		k := float64(fl.Capacity.CountFitting(sp.Request, int64(max(n, 1))))
-		if k < 1 {
+		tasks := float64(machineType.Capacity.CountFitting(sp.Request, int64(max(n, 1))))
+		if tasks < 1 {
 			continue
 		}
-		for _, z := range fl.Zones {
-			if zones.left(z, 1) < 1 {
+		for _, zone := range machineType.Zones {
+			if zones.left(zone, 1) < 1 {
 				continue
 			}
 			for _, spot := range [2]bool{true, false} {
-				o := machineKind{fl.Name, z, spot}
-				if spot && !sp.Spot || sp.Zone != "" && z != sp.Zone || c.now < c.scaling.pauses[o].until {
+				kind := machineKind{machineType.Name, zone, spot}
+				if !c.mayRent(sp, kind) {
 					continue
 				}
-				if !spot && sp.Spot && preemptible(sp) {
-					continue // idle work takes ordinary machines only while others leave them empty
-				}
-				p := fl.Price / k
-				if spot {
-					p = fl.SpotPrice / k
-				}
-				// Among equals, spread over zones.
-				p *= 1 + 0.001*float64(hash64(z, sp.ID)%16)
-				if p < bestP {
-					best, bestP, found = o, p, true
+				if price := pricePerTask(sp, machineType, kind, tasks); price < bestPrice {
+					best, bestPrice, found = kind, price, true
 				}
 			}
 		}
@@ -266,6 +372,29 @@
 	return best, found
 }
 
+// mayRent tells whether a kind of machine may be rented for a job now. Preemptible work takes
+// ordinary machines only while others leave them empty.
+func (c *Controller) mayRent(sp *domain.JobSpec, kind machineKind) bool {
+	if sp.Zone != "" && kind.zone != sp.Zone || c.now < c.scaling.pauses[kind].until {
+		return false
+	}
+	if kind.spot {
+		return sp.Spot
+	}
+	return !sp.Spot || !preemptible(sp)
+}
+
+// pricePerTask is what a machine of the kind costs per task of a job if it has that many. Among
+// equals it spreads jobs over zones.
+func pricePerTask(sp *domain.JobSpec, machineType *domain.MachineType, kind machineKind, tasks float64) float64 {
+	price := machineType.Price / tasks
+	if kind.spot {
+		price = machineType.SpotPrice / tasks
+	}
+	return price * (1 + 0.001*float64(hash64(kind.zone, sp.ID)%16))
+}
+
+// onRentalAnswered takes in what a request brought.
 func (c *Controller) onRentalAnswered(e RentalAnswered) {
 	f := &c.scaling
 	r, ok := f.rentals[e.RentalID]
@@ -274,22 +403,29 @@
 	}
 	if !e.OK && !e.NoCapacity {
 		// Unknown or refused for now: the same name again, later.
-		r.sentAt = c.now - tuning.CloudTimeout + 500*time.Millisecond
+		r.sentAt = c.now + cloudRetry - (tuning.CloudTimeout + time.Second)
 		f.rentals[e.RentalID] = r
 		return
 	}
 	delete(f.rentals, e.RentalID)
-	o := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
-	p := f.pauses[o]
-	if len(e.Names) < r.request.Count && c.now >= p.until {
-		d := min(tuning.NoCapacityPause<<min(p.failures, 8), tuning.MaxNoCapacityPause)
-		f.pauses[o] = rentalPause{c.now + d, p.failures + 1}
-	} else if len(e.Names) == r.request.Count {
-		delete(f.pauses, o)
+	kind := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
+	f.pauseIfShort(kind, r.request.Count-len(e.Names), c.now)
+	for _, name := range e.Names {
+		f.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: instanceBooting}
+		f.knownSince[name] = c.now
 	}
-	for _, n := range e.Names {
-		f.unlisted[n] = domain.Instance{Name: n, Type: o.machineType, Zone: o.zone, Spot: o.spot, Status: "booting"}
-		f.knownSince[n] = c.now
+	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", r.request.Count, "got", len(e.Names))
+}
+
+// pauseIfShort keeps a kind from being rented for a while, longer each time, when machines of
+// it were missing in an answer, and ends the pause when none were.
+func (f *scaling) pauseIfShort(kind machineKind, missing int, now time.Duration) {
+	pause := f.pauses[kind]
+	switch {
+	case missing > 0 && now >= pause.until:
+		length := min(tuning.NoCapacityPause<<min(pause.failures, 8), tuning.MaxNoCapacityPause)
+		f.pauses[kind] = rentalPause{now + length, pause.failures + 1}
+	case missing == 0:
+		delete(f.pauses, kind)
 	}
-	c.info("rented", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", r.request.Count, "got", len(e.Names))
 }
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -3,61 +3,98 @@
 import (
 	"maps"
 	"slices"
-	"sort"
+	"strings"
 	"time"
 
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 )
 
-// scaling is the leader's care for machines. All of it is rebuilt from the
-// cloud's list and the cache by a new leader.
+// States of an instance as the cloud's list says them.
+const (
+	instanceBooting = "booting"
+	instanceRunning = "running"
+	instanceFailed  = "failed"
+)
+
+const (
+	// forgetInstanceAfter is how long an instance that no list has any more is remembered.
+	forgetInstanceAfter = 5 * time.Minute
+	// unlistedPatience, with twice the list's lag, is when a rented instance that was
+	// never listed is given up.
+	unlistedPatience = 2 * time.Minute
+	// returnRetry is the pause after a return that failed.
+	returnRetry = 2 * time.Second
+)
+
+// scaling is the leader's care for machines: renting, keeping some for gangs, letting some
+// run empty, and returning. A new leader rebuilds all of it from the cloud's list and the cache.
+// Maps without a word on their key are by machine.
 type scaling struct {
-	instances      map[string]domain.Instance
-	listed         bool
-	listing        bool
-	listSentAt     time.Duration
-	nextListAt     time.Duration
-	unlisted       map[string]domain.Instance // rented, not yet listed
-	knownSince     map[string]time.Duration   // when first known here
-	rentalCount    int
-	rentals        map[string]rental
-	pauses         map[machineKind]rentalPause
-	returning      bool
-	nextReturnAt   time.Duration
-	reserved       map[string]bool
-	evicting       map[string]bool
-	ranGangAt      map[string]time.Duration // when a whole job was last seen there
-	resting        map[string]bool          // no new tasks: the cheaper machines suffice
-	idleSince      map[string]time.Duration
-	nextDecisionAt time.Duration
-	nextTypesAt    time.Duration
-	listingTypes   bool
-	nextLogAt      time.Duration
-	unheardSince   map[string]time.Duration
-	zoneDownSince  map[string]time.Duration // since when most of a zone's machines are unheard
-	gangClasses    map[string]gangClass
-	gangTaskRate   map[string]float64 // tasks a second that came lately, by class
+	// What the cloud says.
+
+	instances    map[string]domain.Instance // the newest list
+	unlisted     map[string]domain.Instance // rented, and not yet in a list
+	knownSince   map[string]time.Duration   // when an instance was rented, or first listed or heard
+	listed       bool                       // a list has come since this controller became leader
+	listing      bool                       // a list is under way
+	nextList     steady.Gate
+	listingTypes bool          // a list of machine types is under way
+	nextTypesAt  time.Duration // no other list of machine types before
+
+	// Renting and returning.
+
+	rentalCount int                         // rentals asked for, over all terms as a leader; in their names
+	rentals     map[string]rental           // requests without a final answer, by name
+	pauses      map[machineKind]rentalPause // kinds of which the cloud had too few
+	returning   bool                        // a return is under way
+	nextReturn  steady.Gate
+
+	// What the leader decides.
+
+	nextDecision steady.Gate
+	reserved     map[string]bool // kept for jobs that need a whole machine
+	evicting     map[string]bool // of the reserved: to be emptied of other work now
+	resting      map[string]bool // no new tasks, since the cheaper machines suffice
+	nextLog      steady.Gate     // for the debug line about all machines
+
+	// What the decisions rest on.
+
+	ranGangAt     map[string]time.Duration // when a task of a job that reserves machines was last seen there
+	idleSince     map[string]time.Duration // heard and without tasks
+	unheardSince  map[string]time.Duration // running, though no controller hears it
+	zoneDownSince map[string]time.Duration // most of the zone's machines are unheard, by zone
+	gangClasses   map[string]gangClass     // classes of jobs that reserve machines, by name
+	gangTaskRate  map[string]float64       // their tasks that came lately, per second, by class
 }
 
+// gangClass is a class of jobs that reserve machines.
 type gangClass struct {
-	spec   *domain.JobSpec
-	seenAt time.Duration
+	spec   *domain.JobSpec // of its job seen last
+	seenAt time.Duration   // when one was last open
 }
 
 func (f *scaling) init() { f.reset(0) }
 
+// reset forgets everything but the count of rentals, whose names must stay unique.
 func (f *scaling) reset(time.Duration) {
-	n := f.rentalCount
 	*f = scaling{
-		instances: map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{}, rentalCount: n,
-		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{}, reserved: map[string]bool{}, evicting: map[string]bool{}, unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{}, ranGangAt: map[string]time.Duration{}, resting: map[string]bool{},
-		idleSince: map[string]time.Duration{}, gangClasses: map[string]gangClass{},
+		rentalCount: f.rentalCount,
+		instances:   map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{},
+		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{},
+		reserved: map[string]bool{}, evicting: map[string]bool{}, resting: map[string]bool{},
+		ranGangAt: map[string]time.Duration{}, idleSince: map[string]time.Duration{},
+		unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{},
+		gangClasses: map[string]gangClass{},
 	}
 }
 
+// scale does the leader's care for machines: it keeps the cloud's lists fresh and decides
+// once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
+// in which each decision uses those before.
 func (c *Controller) scale() {
 	f := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
@@ -70,47 +107,54 @@
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !f.listing && c.now >= f.nextListAt {
-		f.listing, f.listSentAt = true, c.now
+	if !f.listing && f.nextList.IsOpen(c.now) {
+		f.listing = true
 		c.emit(ListInstances{})
 	}
-	if c.now < f.nextDecisionAt {
+	if !f.nextDecision.IsOpen(c.now) {
 		return
 	}
-	f.nextDecisionAt = c.now + max(tuning.ScalingInterval, 2*c.pace())
+	f.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
 	c.planScaleIn()
-	if f.listed {
-		ms := c.machines()
-		pend := c.pendingWork(ms)
-		c.planCordons(ms, pend)
-		c.planReservations(ms, pend)
-		c.planResting(ms, pend)
-		c.planScaleOut(ms, pend)
+	if !f.listed {
+		return
 	}
+	machines := c.machines()
+	pending := c.pendingWork(machines)
+	c.planCordons(machines, pending)
+	c.planReservations(machines, pending)
+	c.planResting(machines, pending)
+	c.planScaleOut(machines, pending)
 }
 
+// onInstancesListed takes the cloud's list of this deployment's instances.
 func (c *Controller) onInstancesListed(e InstancesListed) {
 	f := &c.scaling
 	f.listing = false
-	f.nextListAt = c.now + tuning.InstanceListInterval
+	f.nextList.Close(c.now + tuning.InstanceListInterval)
 	if !e.OK {
 		return
 	}
 	f.listed = true
 	f.instances = map[string]domain.Instance{}
-	for _, i := range e.Instances {
-		f.instances[i.Name] = i
-		delete(f.unlisted, i.Name)
-		if _, ok := f.knownSince[i.Name]; !ok {
-			f.knownSince[i.Name] = c.now - time.Duration(i.HeldSeconds*float64(time.Second))
+	for _, instance := range e.Instances {
+		f.instances[instance.Name] = instance
+		delete(f.unlisted, instance.Name)
+		if _, known := f.knownSince[instance.Name]; !known {
+			f.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
 		}
 	}
-	for n := range f.knownSince {
-		_, l := f.instances[n]
-		_, b := f.unlisted[n]
-		if !l && !b && c.now-f.knownSince[n] > 5*time.Minute {
-			delete(f.knownSince, n)
-			delete(f.idleSince, n)
+	f.forgetInstances(c.now)
+}
+
+// forgetInstances forgets what is in no list any more and was known long ago.
+func (f *scaling) forgetInstances(now time.Duration) {
+	for name, since := range f.knownSince {
+		_, listed := f.instances[name]
+		_, unlisted := f.unlisted[name]
+		if !listed && !unlisted && now-since > forgetInstanceAfter {
+			delete(f.knownSince, name)
+			delete(f.idleSince, name)
 		}
 	}
 }
@@ -118,75 +162,83 @@
 // machineState is a machine that the leader counts on or has to care for.
 type machineState struct {
 	domain.Instance
-	heard  bool
-	cordon domain.Cordon
-	free   domain.Resources
-	tasks  int
+	heard  bool             // by its owner, lately
+	cordon domain.Cordon    // the committed one
+	free   domain.Resources // as committed
+	tasks  int              // booked there
 }
 
-// machines joins list, own rentals and what the nodes hear.
+// machines joins the cloud's list, own rentals and what the controllers hear, ordered by
+// name. Those that are gone, or of a type not known, are left out.
 func (c *Controller) machines() []machineState {
-	f := &c.scaling
 	all := map[string]*machineState{}
-	for n, i := range f.instances {
-		all[n] = &machineState{Instance: i}
+	for name, instance := range c.scaling.instances {
+		all[name] = &machineState{Instance: instance}
 	}
-	for n, i := range f.unlisted {
-		if c.now-f.knownSince[n] > 2*time.Minute+2*c.cfg.ListLag && all[n] == nil {
-			delete(f.unlisted, n) // never listed: gone again
+	c.addUnlisted(all)
+	c.addHeard(all)
+	var machines []machineState
+	for name, m := range all {
+		m.cordon = c.cache.cordons[name]
+		if m.cordon.State == domain.CordonGone {
 			continue
 		}
-		if all[n] == nil {
-			all[n] = &machineState{Instance: i}
+		machineType := c.machineType(m.Type)
+		if machineType == nil {
+			continue
 		}
+		m.free = c.freeOn(name, machineType.Capacity, nil)
+		m.tasks = len(c.cache.bookedOn[name])
+		machines = append(machines, *m)
 	}
-	for _, i := range c.inventory() {
-		k := all[i.name]
-		if k == nil {
-			k = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: "running"}}
-			all[i.name] = k
-		}
-		k.heard = true
-		if _, ok := f.knownSince[i.name]; !ok {
-			f.knownSince[i.name] = c.now
+	slices.SortFunc(machines, func(a, b machineState) int { return strings.Compare(a.Name, b.Name) })
+	return machines
+}
+
+// addUnlisted adds the rented instances that no list has yet, and forgets those that no list
+// ever had: they are gone again.
+func (c *Controller) addUnlisted(all map[string]*machineState) {
+	f := &c.scaling
+	for name, instance := range f.unlisted {
+		switch {
+		case all[name] != nil:
+		case c.now-f.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
+			delete(f.unlisted, name)
+		default:
+			all[name] = &machineState{Instance: instance}
 		}
 	}
-	var l []machineState
-	for n, k := range all {
-		k.cordon = c.cache.cordons[n]
-		if k.cordon.State == domain.CordonGone {
-			continue
+}
+
+// addHeard adds the machines that any controller hears, and notes which these are.
+func (c *Controller) addHeard(all map[string]*machineState) {
+	for _, i := range c.inventory() {
+		m := all[i.name]
+		if m == nil {
+			m = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: instanceRunning}}
+			all[i.name] = m
 		}
-		fl := c.machineType(k.Type)
-		if fl == nil {
-			continue
+		m.heard = true
+		if _, known := c.scaling.knownSince[i.name]; !known {
+			c.scaling.knownSince[i.name] = c.now
 		}
-		k.free = c.freeOn(n, fl.Capacity, nil)
-		k.tasks = len(c.cache.bookedOn[n])
-		l = append(l, *k)
 	}
-	sort.Slice(l, func(a, b int) bool { return l[a].Name < l[b].Name })
-	return l
 }
 
-// planScaleIn returns drained machines; only after the cloud's 200 a machine
-// is marked gone, which proves its tasks off.
+// planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
+// cordoned as gone, which proves its tasks off.
 func (c *Controller) planScaleIn() {
 	f := &c.scaling
-	if f.returning || c.now < f.nextReturnAt {
+	if f.returning || !f.nextReturn.IsOpen(c.now) {
 		return
 	}
 	var names []string
-	for _, n := range slices.Sorted(maps.Keys(c.cache.cordons)) {
-		m := c.cache.cordons[n]
-		if _, gone := c.cordons.wanted[n]; m.State != domain.CordonDrain || gone || c.cache.revision < c.cache.modRevisions[codec.PrefixCordons+c.cordonPageOf(n)] {
-			continue
-		}
-		if (m.Reason == domain.DrainIdle || m.Reason == domain.DrainFaulty) && len(c.cache.bookedOn[n]) > 0 {
-			continue
+	for _, name := range slices.Sorted(maps.Keys(c.cache.cordons)) {
+		if len(names) == tuning.MaxReturnsAtOnce {
+			break
 		}
-		if len(names) < tuning.MaxReturnsAtOnce {
-			names = append(names, n)
+		if c.mayReturn(name) {
+			names = append(names, name)
 		}
 	}
 	if len(names) > 0 {
@@ -195,88 +247,167 @@
 	}
 }
 
+// mayReturn tells whether a machine may be returned now: it drains, by a cordon that the cache
+// has in full, and isn't returned already. Where nothing is wrong with it but that it was idle
+// or its tasks failed, those still booked there end first.
+func (c *Controller) mayReturn(name string) bool {
+	cordon := c.cache.cordons[name]
+	if cordon.State != domain.CordonDrain {
+		return false
+	}
+	if _, changes := c.cordons.wanted[name]; changes {
+		return false
+	}
+	if c.cache.revision < c.cache.modRevisions[codec.PrefixCordons+c.cordonPageOf(name)] {
+		return false
+	}
+	waitsForTasks := cordon.Reason == domain.DrainIdle || cordon.Reason == domain.DrainFaulty
+	return !waitsForTasks || len(c.cache.bookedOn[name]) == 0
+}
+
+// onReturnAnswered cordons as gone what the cloud took back.
 func (c *Controller) onReturnAnswered(e ReturnAnswered) {
 	f := &c.scaling
 	f.returning = false
 	if !e.OK {
-		f.nextReturnAt = c.now + 2*time.Second
+		f.nextReturn.Close(c.now + returnRetry)
 		return
 	}
-	for _, n := range e.Names {
-		c.cordon(n, domain.Cordon{State: domain.CordonGone})
+	for _, name := range e.Names {
+		c.cordon(name, domain.Cordon{State: domain.CordonGone})
 	}
-	c.info("machines returned", "names", e.Names)
+	c.info("machines returned", "machines", e.Names)
 }
 
-// planCordons drains what is failed, stuck or idle for long.
-func (c *Controller) planCordons(ms []machineState, pend []pendingWork) {
-	f := &c.scaling
-	fresh, leaving := c.peersFresh(), c.leaving()
-	// A zone of which most machines are unheard is cut off for now, and its
-	// machines get their time anew when they can be heard again.
-	up, down, cut := map[string]int{}, map[string]int{}, map[string]bool{}
-	for _, k := range ms {
-		if k.heard {
-			up[k.Zone]++
-		} else if k.Status == "running" {
-			down[k.Zone]++
+// unheardReview is what tells whether a machine that nobody hears is at fault itself.
+type unheardReview struct {
+	peersFresh bool            // every controller is heard, so that one of them should hear it
+	leaving    map[string]bool // machines that the cloud takes back soon
+	cutOff     map[string]bool // zones that are cut off
+}
+
+// planCordons drains machines that failed, are stuck or were idle for long.
+func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
+	review := unheardReview{c.peersFresh(), c.leaving(), c.zonesCutOff(machines)}
+	for i := range machines {
+		m := &machines[i]
+		if m.cordon.State != "" {
+			continue
+		}
+		c.scaling.noteIdle(m, c.now)
+		c.scaling.noteUnheard(m, review.isUnheard(m), c.now)
+		if reason := c.whyDrain(m, pending); reason != "" {
+			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
 		}
 	}
-	for _, z := range c.cfg.Zones {
-		if down[z] <= up[z] || down[z] <= tuning.SilentFew {
-			delete(f.zoneDownSince, z)
-		} else if since, ok := f.zoneDownSince[z]; !ok {
-			f.zoneDownSince[z], cut[z] = c.now, true
-		} else {
-			cut[z] = c.now-since < tuning.UnheardCut
+}
+
+// zonesCutOff are the zones of which most machines are unheard: each is cut off for now, and
+// its machines get their time anew when they can be heard again.
+func (c *Controller) zonesCutOff(machines []machineState) map[string]bool {
+	heard, unheard, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
+	for i := range machines {
+		m := &machines[i]
+		switch {
+		case m.heard:
+			heard[m.Zone]++
+		case m.Status == instanceRunning:
+			unheard[m.Zone]++
 		}
 	}
-	for _, k := range ms {
-		fl := c.machineType(k.Type)
-		age := c.now - f.knownSince[k.Name]
-		if k.cordon.State != "" {
+	f := &c.scaling
+	for _, zone := range c.cfg.Zones {
+		if unheard[zone] <= heard[zone] || unheard[zone] <= tuning.SilentFew {
+			delete(f.zoneDownSince, zone)
 			continue
 		}
-		if k.tasks > 0 || !k.heard {
-			delete(f.idleSince, k.Name)
-		} else if _, ok := f.idleSince[k.Name]; !ok {
-			f.idleSince[k.Name] = c.now
-		}
-		// A running machine that nobody hears, though every node is heard.
-		unheard := fresh && k.Status == "running" && !k.heard && k.tasks == 0 && !leaving[k.Name] && !cut[k.Zone]
-		if !unheard {
-			delete(f.unheardSince, k.Name)
-		} else if _, ok := f.unheardSince[k.Name]; !ok {
-			f.unheardSince[k.Name] = c.now
-		}
-		switch {
-		case k.Status == "failed":
-			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed})
-		case k.Status == "booting" && !k.heard && age > time.Duration(tuning.BootPatience*fl.BootSeconds*float64(time.Second)):
-			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainStuck})
-		case unheard && c.now-f.unheardSince[k.Name] > tuning.UnheardPatience:
-			c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainStuck})
-		case k.heard && k.tasks == 0 && age > tuning.MinHeld:
-			keep := tuning.IdleKeep
-			if k.Spot {
-				keep = tuning.IdleKeepSpot
-			}
-			if f.resting[k.Name] && c.isLargeFleet() {
-				keep = tuning.IdleKeepResting // beyond the headroom, which grows with the fleet
-			}
-			if f.reserved[k.Name] {
-				keep = tuning.IdleKeepReserved
-			}
-			if since, ok := f.idleSince[k.Name]; ok && c.now-since > keep && (f.resting[k.Name] || !c.wanted(k, pend)) {
-				c.cordon(k.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
-			}
+		since, known := f.zoneDownSince[zone]
+		if !known {
+			since = c.now
+			f.zoneDownSince[zone] = since
 		}
+		cutOff[zone] = c.now-since < tuning.UnheardCut
+	}
+	return cutOff
+}
+
+// noteIdle keeps since when a machine is heard and has no tasks.
+func (f *scaling) noteIdle(m *machineState, now time.Duration) {
+	if m.tasks > 0 || !m.heard {
+		delete(f.idleSince, m.Name)
+	} else if _, known := f.idleSince[m.Name]; !known {
+		f.idleSince[m.Name] = now
+	}
+}
+
+// isUnheard tells whether nobody hears a running machine, though every controller is heard and
+// nothing else explains it.
+func (r *unheardReview) isUnheard(m *machineState) bool {
+	return r.peersFresh && m.Status == instanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
+}
+
+// noteUnheard keeps since when a machine is unheard.
+func (f *scaling) noteUnheard(m *machineState, isUnheard bool, now time.Duration) {
+	if !isUnheard {
+		delete(f.unheardSince, m.Name)
+	} else if _, known := f.unheardSince[m.Name]; !known {
+		f.unheardSince[m.Name] = now
+	}
+}
+
+// whyDrain is the reason to drain a machine; "": none.
+func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
+	switch {
+	case m.Status == instanceFailed:
+		return domain.DrainFailed
+	case c.isStuck(m):
+		return domain.DrainStuck
+	case c.isIdleTooLong(m) && (c.scaling.resting[m.Name] || !c.isWanted(m, pending)):
+		return domain.DrainIdle
+	}
+	return ""
+}
+
+// isStuck tells whether a machine boots for too long, or is unheard for too long.
+func (c *Controller) isStuck(m *machineState) bool {
+	f := &c.scaling
+	bootPatience := time.Duration(tuning.BootPatience * c.machineType(m.Type).BootSeconds * float64(time.Second))
+	if m.Status == instanceBooting && !m.heard && c.now-f.knownSince[m.Name] > bootPatience {
+		return true
+	}
+	since, unheard := f.unheardSince[m.Name]
+	return unheard && c.now-since > tuning.UnheardPatience
+}
+
+// isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
+// held for less than the least time that is charged isn't.
+func (c *Controller) isIdleTooLong(m *machineState) bool {
+	f := &c.scaling
+	if !m.heard || m.tasks > 0 || c.now-f.knownSince[m.Name] <= tuning.MinHeld {
+		return false
+	}
+	since, idle := f.idleSince[m.Name]
+	return idle && c.now-since > c.idleKeep(m)
+}
+
+// idleKeep is how long an idle machine is kept.
+func (c *Controller) idleKeep(m *machineState) time.Duration {
+	switch {
+	case c.scaling.reserved[m.Name]:
+		return tuning.IdleKeepReserved
+	case c.scaling.resting[m.Name] && c.isLargeFleet():
+		return tuning.IdleKeepResting // beyond the headroom, which grows with the fleet
+	case m.Spot:
+		return tuning.IdleKeepSpot
 	}
+	return tuning.IdleKeep
 }
 
-func (c *Controller) wanted(k machineState, pend []pendingWork) bool {
-	for _, p := range pend {
-		if p.zones.left(k.Zone, int64(p.tasks)) > 0 && c.allowsMachine(p.spec, k.Type, k.Zone, k.Spot) && k.free.Fits(p.spec.Request) {
+// isWanted tells whether waiting work could run on a machine.
+func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
+	for i := range pending {
+		work := &pending[i]
+		if work.zones.left(m.Zone, int64(work.tasks)) > 0 && c.allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/scheduler/scaling_test.go
@@ -0,0 +1,114 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
+)
+
+// TestWhyDrain: a machine is drained for what is wrong with it, and for idleness only when it
+// was idle for long, is no longer charged for anyway, and no waiting work could run on it.
+func TestWhyDrain(t *testing.T) {
+	const long = time.Hour
+	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}
+	idle := func(f *scaling) { f.idleSince["n"] = 0 }
+	for _, test := range []struct {
+		what    string
+		machine machineState
+		change  func(*scaling)
+		pending []pendingWork
+		reason  string
+	}{
+		{"failed", machineState{Instance: domain.Instance{Status: "failed"}}, nil, nil, domain.DrainFailed},
+		{"boots for too long", machineState{Instance: domain.Instance{Status: "booting"}}, nil, nil, domain.DrainStuck},
+		{"boots, and is heard", machineState{Instance: domain.Instance{Status: "booting"}, heard: true}, nil, nil, ""},
+		{"unheard for long", machineState{Instance: domain.Instance{Status: "running"}}, func(f *scaling) { f.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
+		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: "running"}}, nil, nil, ""},
+		{"idle", machineState{Instance: domain.Instance{Status: "running"}, heard: true}, idle, nil, domain.DrainIdle},
+		{"idle for a moment", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
+			func(f *scaling) { f.idleSince["n"] = long }, nil, ""},
+		{"idle, and just rented", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
+			func(f *scaling) { idle(f); f.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
+		{"idle, and wanted", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
+			idle, []pendingWork{{spec: spec, tasks: 1}}, ""},
+		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
+			func(f *scaling) { idle(f); f.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
+		{"busy", machineState{Instance: domain.Instance{Status: "running"}, heard: true, tasks: 1}, nil, nil, ""},
+	} {
+		c := acting()
+		c.scaling.init()
+		c.now = long
+		c.scaling.knownSince["n"] = 0
+		if test.change != nil {
+			test.change(&c.scaling)
+		}
+		m := test.machine
+		m.Name, m.Type, m.Zone = "n", "box", "a"
+		if got := c.whyDrain(&m, test.pending); got != test.reason {
+			t.Errorf("%s: drained for %q, not %q", test.what, got, test.reason)
+		}
+	}
+}
+
+// TestMayReturn: a machine is returned once its cordon is committed, and an idle one only
+// without bookings.
+func TestMayReturn(t *testing.T) {
+	id := domain.TaskID{Job: jobName(1), Index: 0}
+	for _, test := range []struct {
+		what   string
+		cordon domain.Cordon
+		change func(*Controller)
+		may    bool
+	}{
+		{"in use", domain.Cordon{}, nil, false},
+		{"gone", domain.Cordon{State: domain.CordonGone}, nil, false},
+		{"idle", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}, nil, true},
+		{"idle, returned just now", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle},
+			func(c *Controller) { c.cordons.wanted["n"] = domain.Cordon{State: domain.CordonGone} }, false},
+		{"idle, with a booking", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle},
+			func(c *Controller) { c.cache.bookedOn["n"] = map[domain.TaskID]bool{id: true} }, false},
+		{"lost, with a booking", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost},
+			func(c *Controller) { c.cache.bookedOn["n"] = map[domain.TaskID]bool{id: true} }, true},
+	} {
+		c := acting()
+		c.cache.cordons["n"] = test.cordon
+		if test.change != nil {
+			test.change(c)
+		}
+		if got := c.mayReturn("n"); got != test.may {
+			t.Errorf("%s: may be returned: %v", test.what, got)
+		}
+	}
+}
+
+// TestPackThereAndPlanned: work goes first to machines that are there, then to those planned
+// for other work, and new machines are planned for the rest alone.
+func TestPackThereAndPlanned(t *testing.T) {
+	c := acting()
+	c.scaling.init()
+	c.cache.machineTypes[0].Price = 1
+	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
+	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: "running"}, heard: true, free: domain.Resources{CPU: 8000}}
+	plan := scaleOutPlan{there: c.roomToCountOn([]machineState{there})}
+	w := unplacedWork{pendingWork: pendingWork{spec: spec}, left: 7}
+	c.packThere(&plan, &w)
+	if w.left != 5 || plan.there[0].free.CPU != 0 {
+		t.Errorf("%d of 7 tasks are left after a machine with room for two", w.left)
+	}
+	c.planMachines(&plan, &w)
+	if w.left != 0 || len(plan.planned) != 2 {
+		t.Errorf("%d machines are planned for 5 tasks of which 4 fit on one, %d tasks are left", len(plan.planned), w.left)
+	}
+	w.left = 4
+	c.packPlanned(&plan, &w)
+	if w.left != 1 {
+		t.Errorf("%d of 4 tasks are left after planned machines with room for three", w.left)
+	}
+	c.scaling.reserved["n"] = true
+	plan, w.left = scaleOutPlan{there: c.roomToCountOn([]machineState{there})}, 1
+	if c.packThere(&plan, &w); w.left != 1 {
+		t.Error("a machine kept for other jobs counts as room")
+	}
+}
