--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -72,7 +72,9 @@
 // moment.
 func (c *Controller) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
-	small := domain.Resources{CPU: capacity.CPU / smallTaskShare, GPU: capacity.GPU / smallTaskShare, Memory: capacity.Memory / smallTaskShare}
+	small := domain.Resources{
+		CPU: capacity.CPU / smallTaskShare, GPU: capacity.GPU / smallTaskShare, Memory: capacity.Memory / smallTaskShare,
+	}
 	return c.freeOn(m.Name, capacity, nil).Fits(small)
 }
 
@@ -107,7 +109,8 @@
 			continue
 		}
 		c.debug("command", "kind", o.Kind, "task", o.Task, "machine", m.Name, "attempt", o.Attempt, "reason", o.Reason,
-			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision, "confirmed_s", (c.now - c.membership.fenceConfirmedAt).Seconds())
+			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
+			"confirmed_s", (c.now - c.membership.fenceConfirmedAt).Seconds())
 	}
 }
 
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -61,8 +61,8 @@
 		queues:     newQueues(),
 		planner:    newPlanner(),
 		cordons:    newCordons(),
+		scaling:    newScaling(0),
 	}
-	c.scaling.init()
 	c.learner.init(cfg.Node)
 	return c
 }
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -19,7 +19,7 @@
 	wanted      map[string]domain.Cordon // by machine
 	writing     bool                     // a commit of cordons is under way
 	nextWrite   steady.Gate
-	lastWriteAt time.Duration // when the gate last let a large fleet's cordons pass (isTimeToWrite)
+	lastWriteAt time.Duration // when the cordons of a large fleet were last let pass; others don't keep it
 }
 
 func newCordons() cordons { return cordons{wanted: map[string]domain.Cordon{}} }
@@ -52,7 +52,7 @@
 
 // writeCordons writes the wanted cordons, many pages in one commit.
 func (c *Controller) writeCordons() {
-	if !c.mayWriteCordons() || !c.isTimeToWriteCordons() {
+	if !c.cordons.isDue(c.now) || !c.mayWriteCordons() || !c.isTimeToWriteCordons() {
 		return
 	}
 	if changed := c.changedCordonPages(); len(changed.machines) > 0 {
@@ -60,14 +60,17 @@
 	}
 }
 
-// mayWriteCordons tells whether there is anything to write and a commit may be sent. Task
-// commits spend the changes as soon as there are any: cordons may go into debt, or machines
-// taken away would be neither returned nor replaced.
+// isDue tells whether there is anything to write, no other write is under way, and none was
+// just before.
+func (cs *cordons) isDue(now time.Duration) bool {
+	return !cs.writing && len(cs.wanted) > 0 && cs.nextWrite.IsOpen(now)
+}
+
+// mayWriteCordons tells whether a commit of cordons may be sent. Task commits spend the changes
+// as soon as there are any: cordons may go into debt, or machines taken away would be neither
+// returned nor replaced.
 func (c *Controller) mayWriteCordons() bool {
-	if c.cordons.writing || len(c.cordons.wanted) == 0 || !c.cordons.nextWrite.IsOpen(c.now) || !c.mayAct() {
-		return false
-	}
-	return c.cfg.WriteRate <= 0 || c.commits.tokens > -c.cfg.WriteRate*tuning.CordonDebt
+	return c.mayAct() && (c.cfg.WriteRate <= 0 || c.commits.tokens > -c.cfg.WriteRate*tuning.CordonDebt)
 }
 
 // isTimeToWriteCordons closes the gate for a while and tells whether to write now. In a
@@ -87,8 +90,8 @@
 }
 
 // hasUrgent tells whether a machine is to be drained for another reason than being idle.
-func (q *cordons) hasUrgent() bool {
-	for _, cordon := range q.wanted {
+func (cs *cordons) hasUrgent() bool {
+	for _, cordon := range cs.wanted {
 		if cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle {
 			return true
 		}
@@ -168,14 +171,20 @@
 			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
 			return
 		}
-		for _, machine := range changed.machines {
-			if c.cache.cordons[machine].State == c.cordons.wanted[machine].State {
-				delete(c.cordons.wanted, machine)
-			}
-		}
+		c.cordons.settle(changed.machines, c.cache.cordons)
 	})
 }
 
+// settle forgets the wanted cordons of machines that are written as wanted. Another one may
+// have been wanted meanwhile.
+func (cs *cordons) settle(machines []string, written map[string]domain.Cordon) {
+	for _, machine := range machines {
+		if written[machine].State == cs.wanted[machine].State {
+			delete(cs.wanted, machine)
+		}
+	}
+}
+
 // dropDraining drops draining machines from a page written under larger limits until it fits
 // again, idle ones first: such a machine takes bookings once more, until it is cordoned anew.
 func (c *Controller) dropDraining(p *codec.CordonPage) {
--- /dev/null
+++ b/internal/scheduler/cordons_test.go
@@ -0,0 +1,93 @@
+package scheduler
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
+)
+
+// TestCordonIsWantedOnce: a wanted cordon is replaced by "gone" alone, and a written one
+// neither wanted again nor taken back.
+func TestCordonIsWantedOnce(t *testing.T) {
+	drain := func(reason string) domain.Cordon {
+		return domain.Cordon{State: domain.CordonDrain, Reason: reason}
+	}
+	gone := domain.Cordon{State: domain.CordonGone}
+	for _, test := range []struct {
+		what                 string
+		written, before, now domain.Cordon
+		wanted               domain.Cordon
+	}{
+		{"the first", domain.Cordon{}, domain.Cordon{}, drain(domain.DrainIdle), drain(domain.DrainIdle)},
+		{"another reason", domain.Cordon{}, drain(domain.DrainIdle), drain(domain.DrainLost), drain(domain.DrainIdle)},
+		{"gone before it drains", domain.Cordon{}, drain(domain.DrainIdle), gone, gone},
+		{"gone once drained", drain(domain.DrainIdle), domain.Cordon{}, gone, gone},
+		{"drains already", drain(domain.DrainIdle), domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
+		{"gone already", gone, domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
+	} {
+		c := acting()
+		if test.written.State != "" {
+			c.cache.cordons["n"] = test.written
+		}
+		if test.before.State != "" {
+			c.cordons.wanted["n"] = test.before
+		}
+		c.cordon("n", test.now)
+		if got := c.cordons.wanted["n"]; got != test.wanted {
+			t.Errorf("%s: wanted is %v, not %v", test.what, got, test.wanted)
+		}
+	}
+}
+
+// TestCordonPageTakesWhatFits: a page forgets the machines gone longest to take another
+// cordon, but none with bookings left to release, and then takes the cordon not at all.
+func TestCordonPageTakesWhatFits(t *testing.T) {
+	c := acting()
+	long := strings.Repeat("n", 100)
+	drain := domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
+	page := codec.CordonPage{Draining: map[string]string{}, Gone: []string{long + "1", long + "2"}}
+	c.cfg.ValueLimit = cordonPageSize(&page)
+	if !c.addCordon(&page, "n-3", drain) || len(page.Gone) != 1 || page.Gone[0] != long+"2" {
+		t.Errorf("the machine gone longest was not forgotten: %v", page)
+	}
+	c.cache.bookedOn[long+"2"] = map[domain.TaskID]bool{{Job: jobName(1)}: true}
+	if c.addCordon(&page, long+"4", drain) {
+		t.Error("a cordon was added to a page without room for it")
+	}
+	if _, there := page.Draining[long+"4"]; there || len(page.Gone) != 1 || page.Draining["n-3"] != domain.DrainIdle {
+		t.Errorf("the page has changed: %v", page)
+	}
+	c.cfg.ValueLimit = tuning.PackSlack + 1
+	c.cache.bookedOn = map[string]map[domain.TaskID]bool{}
+	if c.dropDraining(&page); len(page.Draining) != 0 {
+		t.Errorf("the page is larger than a value: %v", page)
+	}
+}
+
+// TestIdleCordonsWait: in a large fleet cordons of idle machines wait for others, and any
+// are written no more often than at an interval.
+func TestIdleCordonsWait(t *testing.T) {
+	c := acting()
+	for i := range 4000 {
+		c.addMachine(jobName(i))
+	}
+	if !c.isLargeFleet() {
+		t.Fatal("the fleet is not large")
+	}
+	c.cordons.lastWriteAt = c.now
+	c.cordons.wanted["n"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
+	if !c.cordons.isDue(c.now) || c.isTimeToWriteCordons() {
+		t.Error("idle machines don't wait")
+	}
+	if c.cordons.isDue(c.now + tuning.CordonInterval - time.Millisecond) {
+		t.Error("due within the interval")
+	}
+	c.cordons.wanted["m"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed}
+	if !c.isTimeToWriteCordons() {
+		t.Error("a failed machine waits")
+	}
+}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -78,7 +78,10 @@
 	c.planner.dirty = true
 	c.placeTasks()
 	c.planCommit()
-	h := &pendingHeartbeat{m.Name, e.RequestID, r.Sequence, r.AgentEpoch, c.now + tuning.HeartbeatHold}
+	h := &pendingHeartbeat{
+		machine: m.Name, requestID: e.RequestID, sequence: r.Sequence, agentEpoch: r.AgentEpoch,
+		answerBy: c.now + tuning.HeartbeatHold,
+	}
 	if c.worthDelaying(m) {
 		c.heartbeats.pending[m.Name] = h
 		return
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 	"strings"
+	"time"
 
 	"brassglade/internal/tuning"
 
@@ -37,19 +38,19 @@
 // jobs wait than are idle, those that will be empty soonest, and where all that runs there
 // has lower priority, they are emptied.
 func (c *Controller) planReservations(machines []machineState, pending []pendingWork) {
-	f := &c.scaling
-	before := f.reserved
-	f.reserved, f.evicting = map[string]bool{}, map[string]bool{}
-	for _, class := range slices.Sorted(maps.Keys(f.gangClasses)) {
-		known := f.gangClasses[class]
+	s := &c.scaling
+	before := s.reserved
+	s.reserved, s.evicting = map[string]bool{}, map[string]bool{}
+	for _, class := range slices.Sorted(maps.Keys(s.gangClasses)) {
+		known := s.gangClasses[class]
 		if c.now-known.seenAt > tuning.GangClassMemory {
-			delete(f.gangClasses, class)
+			delete(s.gangClasses, class)
 			continue
 		}
 		demand := c.classDemand(known.spec, pending)
 		candidates := c.reservationCandidates(known.spec, machines, before)
-		idle := c.keepAfterGang(candidates)
-		c.reserve(demand, candidates, idle)
+		idle := s.keepAfterGang(candidates, c.now)
+		s.reserve(demand, candidates, idle)
 	}
 }
 
@@ -118,13 +119,12 @@
 
 // keepAfterGang keeps the idle candidates where a job that needs whole machines ran lately:
 // they have the image, and the next such job is likely soon. It returns how many these are.
-func (c *Controller) keepAfterGang(candidates []reservationCandidate) int {
-	f := &c.scaling
+func (s *scaling) keepAfterGang(candidates []reservationCandidate, now time.Duration) int {
 	kept := 0
 	for i := range candidates {
 		m := candidates[i].machine
-		if ranAt, ran := f.ranGangAt[m.Name]; ran && m.tasks == 0 && c.now-ranAt < tuning.KeepReservedAfterGang {
-			f.reserved[m.Name] = true
+		if ranAt, ran := s.ranGangAt[m.Name]; ran && m.tasks == 0 && now-ranAt < tuning.KeepReservedAfterGang {
+			s.reserved[m.Name] = true
 			kept++
 		}
 	}
@@ -133,26 +133,25 @@
 
 // reserve keeps as many of the candidates as the class needs, of which idle ones are kept
 // already. It empties those with work of lower priority if fewer are idle than tasks wait.
-func (c *Controller) reserve(demand classDemand, candidates []reservationCandidate, idle int) {
-	f := &c.scaling
+func (s *scaling) reserve(demand classDemand, candidates []reservationCandidate, idle int) {
 	for i := range candidates {
 		candidate := &candidates[i]
 		m := candidate.machine
-		if f.reserved[m.Name] {
+		if s.reserved[m.Name] {
 			continue
 		}
-		if len(f.reserved) >= demand.needed {
+		if len(s.reserved) >= demand.needed {
 			return
 		}
 		if m.tasks > 0 && idle >= demand.waiting && !candidate.isLowerPriority {
 			return
 		}
-		f.reserved[m.Name] = true
+		s.reserved[m.Name] = true
 		switch {
 		case m.tasks == 0:
 			idle++
 		case candidate.isLowerPriority && idle < demand.waiting:
-			f.evicting[m.Name] = true
+			s.evicting[m.Name] = true
 			idle++
 		}
 	}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -146,7 +146,7 @@
 		return
 	}
 	plan := scaleOutPlan{there: c.roomToCountOn(machines)}
-	plan.turnoverCredit = c.turnoverCredit(plan.there)
+	plan.turnoverCredit = c.scaling.turnoverCredit(plan.there)
 	for _, work := range c.workToPlace(pending) {
 		w := unplacedWork{pendingWork: work, left: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
 		c.packThere(&plan, &w)
@@ -160,12 +160,12 @@
 // repeatRentals asks again for what the cloud left unanswered for too long. The request's name
 // is the same, so that a repeat rents nothing more.
 func (c *Controller) repeatRentals() {
-	f := &c.scaling
-	for _, id := range slices.Sorted(maps.Keys(f.rentals)) {
-		r := f.rentals[id]
+	s := &c.scaling
+	for _, id := range slices.Sorted(maps.Keys(s.rentals)) {
+		r := s.rentals[id]
 		if c.now-r.sentAt > tuning.CloudTimeout+time.Second {
 			r.sentAt = c.now
-			f.rentals[id] = r
+			s.rentals[id] = r
 			c.emit(r.request)
 		}
 	}
@@ -188,10 +188,10 @@
 
 // turnoverCredit is how many tasks need no new machine since slots fall free before such a one
 // could start them.
-func (c *Controller) turnoverCredit(there []roomThere) int {
+func (s *scaling) turnoverCredit(there []roomThere) int {
 	busy := 0
 	for i := range there {
-		if m := there[i].machine; m.heard && !c.scaling.reserved[m.Name] {
+		if m := there[i].machine; m.heard && !s.reserved[m.Name] {
 			busy += m.tasks
 		}
 	}
@@ -310,11 +310,11 @@
 
 // rent asks the cloud for machines of a kind.
 func (c *Controller) rent(kind machineKind, count int) {
-	f := &c.scaling
-	f.rentalCount++
-	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount)
+	s := &c.scaling
+	s.rentalCount++
+	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, s.rentalCount)
 	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
-	f.rentals[id] = rental{request, c.now}
+	s.rentals[id] = rental{request, c.now}
 	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
 	c.emit(request)
 }
@@ -360,7 +360,7 @@
 			}
 			for _, spot := range [2]bool{true, false} {
 				kind := machineKind{machineType.Name, zone, spot}
-				if !c.mayRent(sp, kind) {
+				if !c.scaling.mayRent(sp, kind, c.now) {
 					continue
 				}
 				if price := pricePerTask(sp, machineType, kind, tasks); price < bestPrice {
@@ -374,8 +374,8 @@
 
 // mayRent tells whether a kind of machine may be rented for a job now. Preemptible work takes
 // ordinary machines only while others leave them empty.
-func (c *Controller) mayRent(sp *domain.JobSpec, kind machineKind) bool {
-	if sp.Zone != "" && kind.zone != sp.Zone || c.now < c.scaling.pauses[kind].until {
+func (s *scaling) mayRent(sp *domain.JobSpec, kind machineKind, now time.Duration) bool {
+	if sp.Zone != "" && kind.zone != sp.Zone || now < s.pauses[kind].until {
 		return false
 	}
 	if kind.spot {
@@ -396,36 +396,36 @@
 
 // onRentalAnswered takes in what a request brought.
 func (c *Controller) onRentalAnswered(e RentalAnswered) {
-	f := &c.scaling
-	r, ok := f.rentals[e.RentalID]
+	s := &c.scaling
+	r, ok := s.rentals[e.RentalID]
 	if !ok {
 		return // an earlier leadership's; the list will show what came of it
 	}
 	if !e.OK && !e.NoCapacity {
 		// Unknown or refused for now: the same name again, later.
 		r.sentAt = c.now + cloudRetry - (tuning.CloudTimeout + time.Second)
-		f.rentals[e.RentalID] = r
+		s.rentals[e.RentalID] = r
 		return
 	}
-	delete(f.rentals, e.RentalID)
+	delete(s.rentals, e.RentalID)
 	kind := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
-	f.pauseIfShort(kind, r.request.Count-len(e.Names), c.now)
+	s.pauseIfShort(kind, r.request.Count-len(e.Names), c.now)
 	for _, name := range e.Names {
-		f.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: instanceBooting}
-		f.knownSince[name] = c.now
+		s.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: instanceBooting}
+		s.knownSince[name] = c.now
 	}
 	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", r.request.Count, "got", len(e.Names))
 }
 
 // pauseIfShort keeps a kind from being rented for a while, longer each time, when machines of
 // it were missing in an answer, and ends the pause when none were.
-func (f *scaling) pauseIfShort(kind machineKind, missing int, now time.Duration) {
-	pause := f.pauses[kind]
+func (s *scaling) pauseIfShort(kind machineKind, missing int, now time.Duration) {
+	pause := s.pauses[kind]
 	switch {
 	case missing > 0 && now >= pause.until:
 		length := min(tuning.NoCapacityPause<<min(pause.failures, 8), tuning.MaxNoCapacityPause)
-		f.pauses[kind] = rentalPause{now + length, pause.failures + 1}
+		s.pauses[kind] = rentalPause{now + length, pause.failures + 1}
 	case missing == 0:
-		delete(f.pauses, kind)
+		delete(s.pauses, kind)
 	}
 }
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -77,12 +77,11 @@
 	seenAt time.Duration   // when one was last open
 }
 
-func (f *scaling) init() { f.reset(0) }
-
-// reset forgets everything but the count of rentals, whose names must stay unique.
-func (f *scaling) reset(time.Duration) {
-	*f = scaling{
-		rentalCount: f.rentalCount,
+// newScaling is the state of a leader that has just begun, after the given count of rentals in
+// earlier terms, since the names of rentals must stay unique.
+func newScaling(rentalCount int) scaling {
+	return scaling{
+		rentalCount: rentalCount,
 		instances:   map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{},
 		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{},
 		reserved: map[string]bool{}, evicting: map[string]bool{}, resting: map[string]bool{},
@@ -96,27 +95,27 @@
 // once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
 // in which each decision uses those before.
 func (c *Controller) scale() {
-	f := &c.scaling
+	s := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !f.listingTypes && c.now >= f.nextTypesAt {
-		f.listingTypes = true
+	if !s.listingTypes && c.now >= s.nextTypesAt {
+		s.listingTypes = true
 		c.emit(ListMachineTypes{})
 	}
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !f.listing && f.nextList.IsOpen(c.now) {
-		f.listing = true
+	if !s.listing && s.nextList.IsOpen(c.now) {
+		s.listing = true
 		c.emit(ListInstances{})
 	}
-	if !f.nextDecision.IsOpen(c.now) {
+	if !s.nextDecision.IsOpen(c.now) {
 		return
 	}
-	f.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
+	s.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
 	c.planScaleIn()
-	if !f.listed {
+	if !s.listed {
 		return
 	}
 	machines := c.machines()
@@ -129,32 +128,32 @@
 
 // onInstancesListed takes the cloud's list of this deployment's instances.
 func (c *Controller) onInstancesListed(e InstancesListed) {
-	f := &c.scaling
-	f.listing = false
-	f.nextList.Close(c.now + tuning.InstanceListInterval)
+	s := &c.scaling
+	s.listing = false
+	s.nextList.Close(c.now + tuning.InstanceListInterval)
 	if !e.OK {
 		return
 	}
-	f.listed = true
-	f.instances = map[string]domain.Instance{}
+	s.listed = true
+	s.instances = map[string]domain.Instance{}
 	for _, instance := range e.Instances {
-		f.instances[instance.Name] = instance
-		delete(f.unlisted, instance.Name)
-		if _, known := f.knownSince[instance.Name]; !known {
-			f.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
+		s.instances[instance.Name] = instance
+		delete(s.unlisted, instance.Name)
+		if _, known := s.knownSince[instance.Name]; !known {
+			s.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
 		}
 	}
-	f.forgetInstances(c.now)
+	s.forgetInstances(c.now)
 }
 
 // forgetInstances forgets what is in no list any more and was known long ago.
-func (f *scaling) forgetInstances(now time.Duration) {
-	for name, since := range f.knownSince {
-		_, listed := f.instances[name]
-		_, unlisted := f.unlisted[name]
+func (s *scaling) forgetInstances(now time.Duration) {
+	for name, since := range s.knownSince {
+		_, listed := s.instances[name]
+		_, unlisted := s.unlisted[name]
 		if !listed && !unlisted && now-since > forgetInstanceAfter {
-			delete(f.knownSince, name)
-			delete(f.idleSince, name)
+			delete(s.knownSince, name)
+			delete(s.idleSince, name)
 		}
 	}
 }
@@ -198,12 +197,12 @@
 // addUnlisted adds the rented instances that no list has yet, and forgets those that no list
 // ever had: they are gone again.
 func (c *Controller) addUnlisted(all map[string]*machineState) {
-	f := &c.scaling
-	for name, instance := range f.unlisted {
+	s := &c.scaling
+	for name, instance := range s.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-f.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
-			delete(f.unlisted, name)
+		case c.now-s.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
+			delete(s.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
 		}
@@ -228,8 +227,8 @@
 // planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
 // cordoned as gone, which proves its tasks off.
 func (c *Controller) planScaleIn() {
-	f := &c.scaling
-	if f.returning || !f.nextReturn.IsOpen(c.now) {
+	s := &c.scaling
+	if s.returning || !s.nextReturn.IsOpen(c.now) {
 		return
 	}
 	var names []string
@@ -242,7 +241,7 @@
 		}
 	}
 	if len(names) > 0 {
-		f.returning = true
+		s.returning = true
 		c.emit(ReturnMachines{Names: names})
 	}
 }
@@ -267,10 +266,10 @@
 
 // onReturnAnswered cordons as gone what the cloud took back.
 func (c *Controller) onReturnAnswered(e ReturnAnswered) {
-	f := &c.scaling
-	f.returning = false
+	s := &c.scaling
+	s.returning = false
 	if !e.OK {
-		f.nextReturn.Close(c.now + returnRetry)
+		s.nextReturn.Close(c.now + returnRetry)
 		return
 	}
 	for _, name := range e.Names {
@@ -294,8 +293,8 @@
 		if m.cordon.State != "" {
 			continue
 		}
-		c.scaling.noteIdle(m, c.now)
-		c.scaling.noteUnheard(m, review.isUnheard(m), c.now)
+		noteSince(c.scaling.idleSince, m.Name, m.heard && m.tasks == 0, c.now)
+		noteSince(c.scaling.unheardSince, m.Name, review.isUnheard(m), c.now)
 		if reason := c.whyDrain(m, pending); reason != "" {
 			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
 		}
@@ -315,28 +314,21 @@
 			unheard[m.Zone]++
 		}
 	}
-	f := &c.scaling
+	downSince := c.scaling.zoneDownSince
 	for _, zone := range c.cfg.Zones {
-		if unheard[zone] <= heard[zone] || unheard[zone] <= tuning.SilentFew {
-			delete(f.zoneDownSince, zone)
-			continue
-		}
-		since, known := f.zoneDownSince[zone]
-		if !known {
-			since = c.now
-			f.zoneDownSince[zone] = since
-		}
-		cutOff[zone] = c.now-since < tuning.UnheardCut
+		isDown := unheard[zone] > heard[zone] && unheard[zone] > tuning.SilentFew
+		noteSince(downSince, zone, isDown, c.now)
+		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.UnheardCut
 	}
 	return cutOff
 }
 
-// noteIdle keeps since when a machine is heard and has no tasks.
-func (f *scaling) noteIdle(m *machineState, now time.Duration) {
-	if m.tasks > 0 || !m.heard {
-		delete(f.idleSince, m.Name)
-	} else if _, known := f.idleSince[m.Name]; !known {
-		f.idleSince[m.Name] = now
+// noteSince keeps since when something has held for a machine or zone without a break.
+func noteSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
+	if !holds {
+		delete(since, name)
+	} else if _, known := since[name]; !known {
+		since[name] = now
 	}
 }
 
@@ -346,15 +338,6 @@
 	return r.peersFresh && m.Status == instanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
-// noteUnheard keeps since when a machine is unheard.
-func (f *scaling) noteUnheard(m *machineState, isUnheard bool, now time.Duration) {
-	if !isUnheard {
-		delete(f.unheardSince, m.Name)
-	} else if _, known := f.unheardSince[m.Name]; !known {
-		f.unheardSince[m.Name] = now
-	}
-}
-
 // whyDrain is the reason to drain a machine; "": none.
 func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
 	switch {
@@ -370,23 +353,23 @@
 
 // isStuck tells whether a machine boots for too long, or is unheard for too long.
 func (c *Controller) isStuck(m *machineState) bool {
-	f := &c.scaling
+	s := &c.scaling
 	bootPatience := time.Duration(tuning.BootPatience * c.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == instanceBooting && !m.heard && c.now-f.knownSince[m.Name] > bootPatience {
+	if m.Status == instanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
 		return true
 	}
-	since, unheard := f.unheardSince[m.Name]
+	since, unheard := s.unheardSince[m.Name]
 	return unheard && c.now-since > tuning.UnheardPatience
 }
 
 // isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
 // held for less than the least time that is charged isn't.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
-	f := &c.scaling
-	if !m.heard || m.tasks > 0 || c.now-f.knownSince[m.Name] <= tuning.MinHeld {
+	s := &c.scaling
+	if !m.heard || m.tasks > 0 || c.now-s.knownSince[m.Name] <= tuning.MinHeld {
 		return false
 	}
-	since, idle := f.idleSince[m.Name]
+	since, idle := s.idleSince[m.Name]
 	return idle && c.now-since > c.idleKeep(m)
 }
 
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -13,7 +13,7 @@
 func TestWhyDrain(t *testing.T) {
 	const long = time.Hour
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}
-	idle := func(f *scaling) { f.idleSince["n"] = 0 }
+	idle := func(s *scaling) { s.idleSince["n"] = 0 }
 	for _, test := range []struct {
 		what    string
 		machine machineState
@@ -24,21 +24,20 @@
 		{"failed", machineState{Instance: domain.Instance{Status: "failed"}}, nil, nil, domain.DrainFailed},
 		{"boots for too long", machineState{Instance: domain.Instance{Status: "booting"}}, nil, nil, domain.DrainStuck},
 		{"boots, and is heard", machineState{Instance: domain.Instance{Status: "booting"}, heard: true}, nil, nil, ""},
-		{"unheard for long", machineState{Instance: domain.Instance{Status: "running"}}, func(f *scaling) { f.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
+		{"unheard for long", machineState{Instance: domain.Instance{Status: "running"}}, func(s *scaling) { s.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
 		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: "running"}}, nil, nil, ""},
 		{"idle", machineState{Instance: domain.Instance{Status: "running"}, heard: true}, idle, nil, domain.DrainIdle},
 		{"idle for a moment", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
-			func(f *scaling) { f.idleSince["n"] = long }, nil, ""},
+			func(s *scaling) { s.idleSince["n"] = long }, nil, ""},
 		{"idle, and just rented", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
-			func(f *scaling) { idle(f); f.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
+			func(s *scaling) { idle(s); s.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
 		{"idle, and wanted", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
 			idle, []pendingWork{{spec: spec, tasks: 1}}, ""},
 		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
-			func(f *scaling) { idle(f); f.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
+			func(s *scaling) { idle(s); s.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
 		{"busy", machineState{Instance: domain.Instance{Status: "running"}, heard: true, tasks: 1}, nil, nil, ""},
 	} {
 		c := acting()
-		c.scaling.init()
 		c.now = long
 		c.scaling.knownSince["n"] = 0
 		if test.change != nil {
@@ -87,7 +86,6 @@
 // for other work, and new machines are planned for the rest alone.
 func TestPackThereAndPlanned(t *testing.T) {
 	c := acting()
-	c.scaling.init()
 	c.cache.machineTypes[0].Price = 1
 	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
 	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: "running"}, heard: true, free: domain.Resources{CPU: 8000}}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -232,7 +232,7 @@
 		}
 	}
 	if old == nil || old.Leader != v.Leader {
-		c.scaling.reset(c.now)
+		c.scaling = newScaling(c.scaling.rentalCount)
 	}
 	args := []any{"epoch", v.Epoch, "leader", v.Leader, "serving", v.Serving, "overrides", len(v.OwnerOverrides)}
 	if v.Zoned {
