--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -267,8 +267,8 @@
 	return sp.Shape == domain.Gang && sp.TaskCount > 1
 }
 
-// gangIntact: a gang's task is on only while all tasks of its attempt are booked; otherwise
-// the rest is stopped, and a new attempt starts all.
+// gangIntact tells whether all tasks of t's attempt are booked, or done. A gang's task is on
+// only while they are; otherwise the rest is stopped, and a new attempt starts all.
 func (c *Controller) gangIntact(j *Job, t domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -56,7 +56,7 @@
 // its fence; everyone else names the owner (421) or says 503.
 func (c *Controller) onHeartbeat(e HeartbeatReceived) {
 	r := e.Heartbeat
-	if refusal := c.refusalByOwnership(&r); refusal != heartbeatAccepted {
+	if refusal := c.refusalByController(&r); refusal != heartbeatAccepted {
 		c.refuseHeartbeat(e.RequestID, &r, refusal)
 		return
 	}
@@ -89,8 +89,8 @@
 	c.answerHeartbeat(h)
 }
 
-// refusalByOwnership tells why this controller may not answer the machine, whatever it reports.
-func (c *Controller) refusalByOwnership(r *domain.Heartbeat) heartbeatRefusal {
+// refusalByController tells why this controller may not answer the machine, whatever it reports.
+func (c *Controller) refusalByController(r *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case !c.mayAct():
 		return controllerMayNotAct
@@ -340,7 +340,7 @@
 }
 
 // abandonExpiredEpoch gives up the agent epochs of a machine with bookings whose lease can't
-// have been renewed: its agent has stopped all tasks by now, or does so before it acts again.
+// have been renewed: an agent stops its tasks when its lease ends.
 func (c *Controller) abandonExpiredEpoch(m *Machine) {
 	if len(c.cache.bookedOn[m.Name]) == 0 || !c.leaseExpired(m) {
 		return
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -60,7 +60,7 @@
 	newest := func() *domain.Heartbeat {
 		return &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 2, FencingToken: 1, PreemptionNotice: -1}
 	}
-	if got := c.refusalByOwnership(newest()); got != heartbeatAccepted {
+	if got := c.refusalByController(newest()); got != heartbeatAccepted {
 		t.Errorf("refused for reason %d", got)
 	}
 	if got := c.refusalByMachine(m, newest()); got != heartbeatAccepted {
@@ -73,7 +73,7 @@
 	}
 	later := newest()
 	later.FencingToken = c.cache.view.Epoch + 1
-	if got := c.refusalByOwnership(later); got != newerViewSeen {
+	if got := c.refusalByController(later); got != newerViewSeen {
 		t.Errorf("a token of a later view is refused for reason %d", got)
 	}
 	m.abandonedEpoch = 1
@@ -86,7 +86,7 @@
 		t.Errorf("a returned machine is refused for reason %d", got)
 	}
 	c.now += time.Hour
-	if got := c.refusalByOwnership(newest()); got != controllerMayNotAct {
+	if got := c.refusalByController(newest()); got != controllerMayNotAct {
 		t.Errorf("without confirmation it is refused for reason %d", got)
 	}
 }
