--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -61,9 +61,9 @@
 		queues:     newQueues(),
 		planner:    newPlanner(),
 		cordons:    newCordons(),
+		scaling:    newScaling(0),
 		learner:    newLearner(),
 	}
-	c.scaling.init()
 	return c
 }
 
