--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -1,36 +1,47 @@
 package scheduler
 
 import (
+	"strings"
 	"time"
 
+	"brassglade/internal/tuning"
+
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 )
 
-// commits is the writing side towards the state service: what is under way, and how
-// many changes a second this controller may still make.
+// commits is the writing side towards the key-value store: which transactions are in
+// flight, which one is in doubt, what is left out of the next, and how many changes a
+// second this controller may still make.
+//
+// Of task commits, those that move tasks between states, one at most is in flight. It is
+// drafted (draft.go), filled by the stages of a plan (plan.go) and sent and settled here.
 type commits struct {
-	nextID          uint64
-	pending         map[uint64]*pendingCommit
-	taskCommit      *pendingCommit           // the one commit of tasks in flight
-	blockedUntil    time.Duration            // no commit of tasks before
-	minRevision     uint64                   // the cache must reach this revision before the next one
-	inDoubt         inDoubtCommit            // a commit of tasks whose outcome is unknown
-	rate            float64                  // changes a second for commits of tasks, at present
-	tokens          float64                  // changes that may be made now
-	tokensAt        time.Duration            // when tokens were last counted
-	leaderRate      bool                     // rate is that of a leader
-	lastChanges     int                      // changes of the last commit of tasks
-	machines        map[string]bool          // that the commit in flight concerns
-	avoidUntil      map[string]time.Duration // keys left out of commits until then
-	oversizedInPlan map[string]bool          // answers of isOversized in the present plan
-	fullValues      map[string]bool          // values that had no room for a booking
+	nextID          uint64                    // numbers commits and reads, each id is used once
+	pending         map[uint64]*pendingCommit // by id
+	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
+	blockedUntil    time.Duration             // no task commit before
+	minRevision     uint64                    // the cache must reach this revision before the next task commit
+	inDoubt         inDoubtCommit             // a task commit whose outcome is unknown
+	rate            float64                   // changes a second for task commits, at present
+	tokens          float64                   // changes that may be made now; below zero after urgent ones
+	tokensAt        time.Duration             // when tokens were last counted
+	leaderRate      bool                      // rate is that of a leader
+	lastChanges     int                       // changes of the last task commit
+	machines        map[string]bool           // that the task commit in flight concerns
+	avoidUntil      map[string]time.Duration  // keys left out of task commits until then
+	oversizedInPlan map[string]bool           // answers of isOversized in the present plan
+	fullValues      map[string]bool           // values that had no room for a booking
 }
 
 func newCommits(rate float64) commits {
 	return commits{
-		pending: map[uint64]*pendingCommit{}, avoidUntil: map[string]time.Duration{},
-		oversizedInPlan: map[string]bool{}, fullValues: map[string]bool{}, rate: rate, tokens: rate,
+		pending:         map[uint64]*pendingCommit{},
+		avoidUntil:      map[string]time.Duration{},
+		oversizedInPlan: map[string]bool{},
+		fullValues:      map[string]bool{},
+		rate:            rate,
+		tokens:          rate,
 	}
 }
 
@@ -41,38 +52,221 @@
 	onAnswer    func(domain.CommitResult, CommitAnswered)
 }
 
-func (c *Controller) commit(lane int, t domain.Transaction, done func(domain.CommitResult, CommitAnswered)) *pendingCommit {
+// commit sends a transaction; onAnswer is called once with what became of it.
+func (c *Controller) commit(lane int, t domain.Transaction, onAnswer func(domain.CommitResult, CommitAnswered)) *pendingCommit {
 	c.commits.nextID++
 	c.commits.tokens -= float64(len(t.Puts))
-	p := &pendingCommit{id: c.commits.nextID, transaction: t, onAnswer: done}
+	p := &pendingCommit{id: c.commits.nextID, transaction: t, onAnswer: onAnswer}
 	c.commits.pending[p.id] = p
 	c.emit(Commit{ID: p.id, Lane: lane, Transaction: t})
 	return p
 }
 
+// onCommit settles the commit that an answer belongs to. Answers of commits that an
+// earlier incarnation sent, or that were answered already, are passed over.
 func (c *Controller) onCommit(e CommitAnswered) {
 	p := c.commits.pending[e.ID]
 	if p == nil {
 		return
 	}
 	delete(c.commits.pending, e.ID)
-	if e.Result == domain.Committed {
-		for _, a := range p.transaction.Puts {
-			// The view is taken from the watch alone, so that whoever sees
-			// epoch e has seen all commits of earlier epochs.
-			if a.Key != codec.KeyView || !c.guard(GuardView) {
-				c.apply(domain.KeyValue{Key: a.Key, Value: a.Value, ModRevision: e.Revision})
-			}
-		}
-	}
-	// Nothing was written, and the state service charges nothing for it. A leader
-	// whose large commits were refused among others' small ones had spent its
-	// second's worth each time all the same.
-	if e.Result == domain.Refused {
+	switch e.Result {
+	case domain.Committed:
+		c.applyCommitted(p.transaction, e.Revision)
+	case domain.Refused:
 		if e.Malformed {
 			c.recordRefusal(p.transaction)
 		}
-		c.commits.tokens = min(c.cfg.WriteRate*c.weight(), c.commits.tokens+float64(len(p.transaction.Puts)))
+		c.commits.refund(len(p.transaction.Puts), c.fullWriteRate())
 	}
 	p.onAnswer(e.Result, e)
 }
+
+// applyCommitted takes what this controller wrote into the cache ahead of the watch.
+func (c *Controller) applyCommitted(t domain.Transaction, revision uint64) {
+	for _, put := range t.Puts {
+		// The view is taken from the watch alone, so that whoever sees
+		// epoch e has seen all commits of earlier epochs.
+		if put.Key == codec.KeyView && c.guard(GuardView) {
+			continue
+		}
+		c.apply(domain.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision})
+	}
+}
+
+// --- credit ---
+
+// fullWriteRate is how many changes a second this controller may make when none of its
+// commits was refused lately; 0: no bound.
+func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.weight() }
+
+// refill counts the changes that may be made by now. The rate grows back to the full one
+// by a part of it each second, and takes it at once when the controller becomes the leader
+// or stops being it.
+func (t *commits) refill(now time.Duration, full float64, leader bool) {
+	seconds := (now - t.tokensAt).Seconds()
+	if t.leaderRate != leader {
+		t.leaderRate = leader
+		t.rate = full
+	}
+	t.rate = min(full, t.rate+seconds*tuning.RateRegain*full)
+	t.tokens = min(t.rate, t.tokens+seconds*t.rate)
+	t.tokensAt = now
+}
+
+// refund gives the changes of a refused commit back: nothing was written, and the state
+// service charges nothing for it. A leader whose large commits were refused among others'
+// small ones had spent its second's worth each time all the same.
+func (t *commits) refund(changes int, full float64) {
+	t.tokens = min(full, t.tokens+float64(changes))
+}
+
+// hasCredit tells whether a task commit as large as the last one may go out, or one of
+// tuning.TaskCredit seconds' worth of changes if that is less.
+func (t *commits) hasCredit(writeRate float64) bool {
+	return writeRate <= 0 || t.tokens >= min(float64(t.lastChanges), tuning.TaskCredit*writeRate)
+}
+
+// slowDown lowers the rate after a refusal, to no less than fair. All controllers together
+// want more than the store takes, and it refuses users' submissions as well: each goes back
+// towards its part.
+func (t *commits) slowDown(fair float64) {
+	t.rate = max(min(fair, t.rate), t.rate*tuning.RateCut)
+}
+
+// --- avoided keys ---
+
+// isAvoiding tells whether a key is left out of task commits.
+func (t *commits) isAvoiding(key string, now time.Duration) bool {
+	until, ok := t.avoidUntil[key]
+	return ok && now < until
+}
+
+// isAvoided tells whether the value of task i of a job lost a conflict just now.
+func (c *Controller) isAvoided(j *Job, i int) bool {
+	if len(c.commits.avoidUntil) == 0 {
+		return false
+	}
+	key := keyOf(j, i)
+	if c.commits.isAvoiding(key, c.now) {
+		c.planner.dirty = true
+		return true
+	}
+	delete(c.commits.avoidUntil, key)
+	return false
+}
+
+// avoidContested leaves values that lost a conflict out for a little, of random length:
+// one contested value must not keep failing all else that this controller has to write.
+func (c *Controller) avoidContested(failed []string) {
+	for _, key := range failed {
+		if isTeamKey(key) || isPackKey(key) || isCellKey(key) {
+			c.commits.avoidUntil[key] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
+		}
+	}
+}
+
+// --- the one task commit in flight ---
+
+// canCommitTasks tells whether a task commit could go out now.
+func (c *Controller) canCommitTasks() bool {
+	t := &c.commits
+	return t.taskCommit == nil && c.mayAct() && c.now >= t.blockedUntil && c.cache.revision >= t.minRevision && t.hasCredit(c.cfg.WriteRate)
+}
+
+// sendPlan commits a draft and settles what comes of it. From now on no start of an
+// attempt that it releases may go out: the commit may be carried out late.
+func (c *Controller) sendPlan(d *draft) {
+	t := d.transaction()
+	for _, attempt := range d.releases {
+		c.planner.pendingReleases[attempt] = true
+	}
+	c.commits.machines = d.machines
+	c.debug("task commit", "epoch", c.cache.view.Epoch, "read_at", c.cache.revision,
+		"headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares),
+		"tasks", len(d.changed), "released", len(d.releases),
+		"conditions", len(t.Conditions), "bytes", transactionBytes(t))
+	c.commits.taskCommit = c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) { c.settlePlan(d, t, r, e) })
+}
+
+// settlePlan takes the outcome of the task commit that was in flight.
+func (c *Controller) settlePlan(d *draft, t domain.Transaction, r domain.CommitResult, e CommitAnswered) {
+	c.commits.taskCommit = nil
+	c.planner.dirty = true
+	for name := range d.machines {
+		c.heartbeats.touched[name] = true
+	}
+	switch r {
+	case domain.Committed:
+		c.debug("task committed", "revision", e.Revision)
+		for _, f := range d.onCommit {
+			f()
+		}
+	case domain.Conflict:
+		c.debug("task commit conflict", "failed", e.Failed)
+		c.commits.minRevision = max(c.commits.minRevision, e.Revision)
+		c.avoidContested(e.Failed)
+	default:
+		c.debug("task commit not confirmed", "result", int(r))
+		c.backOff(r)
+		if r == domain.InDoubt {
+			c.commits.markInDoubt(t, c.cache.modRevisions)
+		} else if e.Malformed {
+			c.commits.inDoubt = inDoubtCommit{} // it may be the value in doubt that is too large by now
+		}
+	}
+}
+
+// backOff waits a little, of random length, after a task commit that was refused or got
+// no answer.
+func (c *Controller) backOff(r domain.CommitResult) {
+	if r == domain.Refused && c.membership.stateReachable {
+		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
+	}
+	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
+}
+
+// --- keys and sizes ---
+
+func isPackKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixPack) }
+func isCellKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTask) }
+func isHeaderKey(key string) bool { return strings.HasPrefix(key, codec.PrefixJob) }
+func isTeamKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTeam) }
+
+// valueBytes is what a value may take in a transaction that changes it.
+func (c *Controller) valueBytes(key string) int {
+	return min(c.valueBound(), c.cache.valueSizes[key]+tuning.ValueGrow)
+}
+
+// transactionBytes is what a transaction's values take.
+func transactionBytes(t domain.Transaction) int {
+	n := 0
+	for _, put := range t.Puts {
+		n += len(put.Value)
+	}
+	return n
+}
+
+// tooLarge tells whether a transaction has a value that outgrew its bound in this
+// draft: estimates are for what is usual.
+func (c *Controller) tooLarge(t domain.Transaction) bool {
+	for _, put := range t.Puts {
+		if len(put.Value) > c.cfg.ValueLimit && !c.cache.oversized[put.Key] {
+			return true
+		}
+	}
+	return false
+}
+
+// isOversizedInPlan asks isOversized once a plan.
+func (c *Controller) isOversizedInPlan(key string) bool {
+	if !c.cache.oversized[key] {
+		return false
+	}
+	oversized, known := c.commits.oversizedInPlan[key]
+	if !known {
+		oversized = c.isOversized(key)
+		c.commits.oversizedInPlan[key] = oversized
+	}
+	return oversized
+}
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -72,15 +72,7 @@
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0:0]
 	c.Work.Events++
-	dt := (c.now - c.commits.tokensAt).Seconds()
-	most := c.cfg.WriteRate * c.weight()
-	if c.commits.leaderRate != c.isLeader() {
-		c.commits.leaderRate = !c.commits.leaderRate
-		c.commits.rate = most
-	}
-	c.commits.rate = min(most, c.commits.rate+dt*tuning.RateRegain*most)
-	c.commits.tokens = min(c.commits.rate, c.commits.tokens+dt*c.commits.rate)
-	c.commits.tokensAt = c.now
+	c.commits.refill(c.now, c.fullWriteRate(), c.isLeader())
 	switch e := ev.(type) {
 	case Tick:
 	case SnapshotLoaded:
--- /dev/null
+++ b/internal/scheduler/in_doubt.go
@@ -0,0 +1,102 @@
+package scheduler
+
+import (
+	"strings"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+)
+
+// A task commit without an answer may be carried out late, after newer ones of this
+// controller. Until that is settled every task commit writes one of its values again, under
+// the condition that it hasn't changed; so of all these commits one at most is ever carried
+// out, and no two of them can together book more than this controller's share of a team's
+// limit, or more than a machine holds.
+
+// inDoubtCommit is the value by which later task commits exclude one whose outcome is
+// unknown.
+type inDoubtCommit struct {
+	key         string // "": no commit is in doubt
+	modRevision uint64 // that the commit found
+}
+
+// isSettled tells whether the value changed since: the commit was carried out, or never
+// will be.
+func (v inDoubtCommit) isSettled(modRevisions map[string]uint64) bool {
+	return modRevisions[v.key] != v.modRevision
+}
+
+// markInDoubt remembers a commit without an answer, given the revisions of the cache's
+// values.
+func (t *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
+	if t.inDoubt.key != "" {
+		return // this one, too, excludes the first
+	}
+	found := map[string]uint64{}
+	for _, condition := range lost.Conditions {
+		if found[condition.Key] = condition.ModRevision; modRevisions[condition.Key] != condition.ModRevision {
+			return // carried out, or never to be
+		}
+	}
+	for _, put := range lost.Puts {
+		if exclusionRank(put.Key) < unfitToExclude && (t.inDoubt.key == "" || exclusionRank(put.Key) < exclusionRank(t.inDoubt.key)) {
+			t.inDoubt = inDoubtCommit{put.Key, found[put.Key]}
+		}
+	}
+}
+
+// unfitToExclude is the rank of values that can't be written again as they are.
+const unfitToExclude = 4
+
+// exclusionRank orders values by how well they serve to exclude a commit, the best first:
+// packs, then cells and headers, then teams' shares, which all controllers change.
+func exclusionRank(key string) int {
+	switch {
+	case isPackKey(key):
+		return 1
+	case isCellKey(key), isHeaderKey(key):
+		return 2
+	case isTeamKey(key):
+		return 3
+	}
+	return unfitToExclude
+}
+
+// excludeInDoubt puts the value in doubt into a new draft as it is.
+func (d *draft) excludeInDoubt() {
+	c := d.c
+	key := c.commits.inDoubt.key
+	if key == "" {
+		return
+	}
+	if c.commits.inDoubt.isSettled(c.cache.modRevisions) {
+		c.commits.inDoubt = inDoubtCommit{}
+		return
+	}
+	switch {
+	case isPackKey(key):
+		d.addValue(key)
+	case isTeamKey(key):
+		d.keepShare(key[len(codec.PrefixTeam):])
+	case isHeaderKey(key):
+		if j := c.cache.jobs[key[len(codec.PrefixJob):]]; j != nil {
+			d.header(j)
+		}
+	default:
+		d.keepCell(key)
+	}
+}
+
+// keepCell writes the value of a chunk or cell as it is, unless its job has no use for it
+// any more.
+func (d *draft) keepCell(key string) {
+	path := strings.Split(key[len(codec.PrefixTask):], "/")
+	j := d.c.cache.jobs[path[0]]
+	if j == nil || j.Header.Spec == nil {
+		return
+	}
+	if i, ok := j.firstTaskOf(path[1:]); ok && keyOf(j, i) == key {
+		d.copyCell(j, i)
+		d.addValue(key)
+	}
+}
--- /dev/null
+++ b/internal/scheduler/machine_room.go
@@ -0,0 +1,40 @@
+package scheduler
+
+import (
+	"time"
+
+	"brassglade/internal/domain"
+)
+
+// freeOn is the room on a machine of a size as committed, less what the draft (nil: none)
+// books.
+func (c *Controller) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
+	free := size.Plus(c.cache.occupancy[name].used, -1)
+	if d != nil {
+		free = free.Plus(d.usedOn[name], -1)
+	}
+	return free
+}
+
+// machineType is the cloud's type of a name; nil: it has none such, or was not asked yet.
+func (c *Controller) machineType(name string) *domain.MachineType {
+	for i := range c.cache.machineTypes {
+		if c.cache.machineTypes[i].Name == name {
+			return &c.cache.machineTypes[i]
+		}
+	}
+	return nil
+}
+
+// isBookable tells whether the machine takes new bookings: its agent is there and stays, it
+// isn't cordoned, and it didn't refuse or fail a task just now.
+func (c *Controller) isBookable(m *Machine) bool {
+	hasLiveAgent := m.heardOnce && m.agentEpoch > m.abandonedEpoch && c.now-m.heardAt < 2*c.cfg.HeartbeatInterval+time.Second
+	stays := m.preemptionAt < 0 && c.cache.cordons[m.Name].State == ""
+	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.machineType(m.Type) != nil
+}
+
+// allowsMachine tells whether the machine may take a task of the job, room aside.
+func (c *Controller) allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
+	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
+}
--- /dev/null
+++ b/internal/scheduler/plan_bookings.go
@@ -0,0 +1,163 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"brassglade/internal/domain"
+)
+
+// maxBookingRounds bounds how many tasks one plan books on a machine.
+const maxBookingRounds = 64
+
+// bookingCandidate is the head of a machine's queue, with room for it there.
+type bookingCandidate struct {
+	machine         *Machine
+	task            domain.TaskID
+	job             *Job
+	withinGuarantee bool // its team is owed it
+}
+
+// compareBookingCandidates orders heads of queues: what teams are owed first, then by
+// priority, then first come, first served.
+func compareBookingCandidates(a, b bookingCandidate) int {
+	return cmp.Or(
+		trueFirst(a.withinGuarantee, b.withinGuarantee),
+		cmp.Compare(b.job.priority, a.job.priority),
+		cmp.Compare(a.job.Header.AcceptOrder, b.job.Header.AcceptOrder),
+	)
+}
+
+// planBookings starts heads of queues where there is room, one a machine in each round.
+func (c *Controller) planBookings(d *draft) {
+	if !c.guard(GuardBook) {
+		return
+	}
+	claims := c.claims(d)
+	machines := c.machinesToBook()
+	for range maxBookingRounds {
+		var candidates []bookingCandidate
+		for _, m := range machines {
+			if head, ok := c.headOfQueue(d, m, claims); ok {
+				candidates = append(candidates, head)
+			}
+		}
+		if len(candidates) == 0 {
+			return
+		}
+		slices.SortStableFunc(candidates, compareBookingCandidates)
+		if !c.bookCandidates(d, candidates, claims) {
+			return
+		}
+	}
+}
+
+// machinesToBook are this controller's machines with a queue that take bookings and aren't
+// reserved for jobs placed by the leader.
+func (c *Controller) machinesToBook() []*Machine {
+	var machines []*Machine
+	for _, name := range c.machineNames() {
+		m := c.heartbeats.machines[name]
+		if len(m.queue) > 0 && c.owns(name) && c.isBookable(m) && !c.isReserved(name) {
+			machines = append(machines, m)
+		}
+	}
+	return machines
+}
+
+// headOfQueue is the first task in a machine's queue that could start now; false: none, or
+// the first one has no room yet and is waited for.
+func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
+	free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, d)
+	for _, id := range c.queueByPriority(m) {
+		j := c.cache.jobs[id.Job]
+		if !c.waitsOn(d, m, j, id) || c.isHeldBack(j, id) {
+			continue
+		}
+		if m.failedHere(j) {
+			c.dequeue(id)
+			c.planner.dirty = true
+			continue
+		}
+		if c.isAvoided(j, id.Index) {
+			continue
+		}
+		sp := j.Header.Spec
+		if !c.quotaAllows(sp, d, claims) {
+			continue // waits for its team without blocking others
+		}
+		if !free.Fits(sp.Request) {
+			return bookingCandidate{}, false // first come, first served
+		}
+		return bookingCandidate{m, id, j, c.withinGuarantee(sp, d)}, true
+	}
+	return bookingCandidate{}, false
+}
+
+// waitsOn tells whether a task in a machine's queue is still to be started there: the queue
+// may be older than the cache.
+func (c *Controller) waitsOn(d *draft, m *Machine, j *Job, id domain.TaskID) bool {
+	if c.queues.machineOf[id] != m.Name || j == nil || j.phase != phaseOpen || d.changed[id] {
+		return false
+	}
+	t := j.task(id.Index)
+	return t.State == domain.Queued && c.taskShard(j, t) == c.cfg.Node
+}
+
+// isHeldBack tells whether a task doesn't start now: its job pauses after an error, or it
+// is about to be handed over.
+func (c *Controller) isHeldBack(j *Job, id domain.TaskID) bool {
+	return int64(c.now) < j.pausedUntil || c.planner.taskHandovers[id] != "" || c.planner.jobHandovers[id.Job] != ""
+}
+
+// bookCandidates books those that the draft and their teams' limits take, and tells whether
+// another round may book more: false if none was booked, or the draft is full.
+func (c *Controller) bookCandidates(d *draft, candidates []bookingCandidate, claims map[string]quotaClaim) bool {
+	anyBooked := false
+	for _, x := range candidates {
+		j, m := x.job, x.machine
+		if !c.quotaAllows(j.Header.Spec, d, claims) {
+			continue
+		}
+		if !d.hasRoomFor(j, x.task.Index, false, true) {
+			c.planner.dirty = true
+			if d.isNearlyFull() {
+				return false
+			}
+			continue // its pack is full; others may still go in
+		}
+		attempt := j.task(x.task.Index).Attempt + 1
+		d.book(j, x.task.Index, m.Name, m.Zone, m.agentEpoch, attempt)
+		d.recordBooking(x.task, m.Name, m.Zone, attempt, PassQueue)
+		anyBooked = true
+	}
+	return anyBooked
+}
+
+// isNearlyFull tells whether the draft takes hardly any further bookings, and trying them
+// all isn't worth the time.
+func (d *draft) isNearlyFull() bool {
+	most := d.c.cfg.TransactionLimit
+	return d.changes() >= most-2 && most > smallTransaction || !d.takesConditions(3)
+}
+
+// queueByPriority is a machine's queue, first come, first served among tasks of the same
+// priority. A small urgent task that fits must not wait behind a large one that
+// doesn't: on a day of pipelines their last jobs waited 30 s so.
+func (c *Controller) queueByPriority(m *Machine) []domain.TaskID {
+	for i := 1; i < len(m.queue); i++ {
+		if c.priorityOf(m.queue[i]) > c.priorityOf(m.queue[i-1]) {
+			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return c.priorityOf(b) - c.priorityOf(a) })
+			break
+		}
+	}
+	return m.queue
+}
+
+// priorityOf is the priority of a task's job; 0: the cache doesn't have it any more.
+func (c *Controller) priorityOf(id domain.TaskID) int {
+	if j := c.cache.jobs[id.Job]; j != nil {
+		return j.priority
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/scheduler/plan_releases.go
@@ -0,0 +1,211 @@
+package scheduler
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"brassglade/internal/domain"
+)
+
+// provenRelease is a booking whose attempt is proven off its machine.
+type provenRelease struct {
+	machine  *Machine
+	task     domain.TaskID
+	report   domain.TaskReport // the machine's last one of the task
+	reported bool              // of this very attempt
+	done     bool
+}
+
+// planReleases commits outcomes and releases of this controller's machines.
+func (c *Controller) planReleases(d *draft) {
+	releases, byValue := c.provenReleases()
+	if c.takeLargestReleasesTurn(d, len(byValue)) {
+		slices.SortStableFunc(releases, func(a, b provenRelease) int {
+			return cmp.Compare(byValue[c.valueOf(b.task)], byValue[c.valueOf(a.task)])
+		})
+	}
+	full := false
+	for _, r := range releases {
+		j := c.cache.jobs[r.task.Job]
+		done := r.done || c.gangDone(j, d) // a mate's end may stand in this very draft
+		if d.hasRoomFor(j, r.task.Index, done, false) {
+			c.release(d, j, r, done)
+			continue // others may change values that are in already
+		}
+		c.planner.dirty = true
+		if !full {
+			full, c.planner.releasesFrom = true, r.machine.Name
+		}
+	}
+	c.planCancelledJobs(d)
+}
+
+// provenReleases are the bookings on this controller's machines that are over, machine by
+// machine, and how many there are of each value. They begin where the last full draft
+// stopped, so that none is always left out.
+func (c *Controller) provenReleases() (releases []provenRelease, byValue map[string]int) {
+	byValue = map[string]int{}
+	names := c.machineNames()
+	k, _ := slices.BinarySearch(names, c.planner.releasesFrom)
+	for _, name := range slices.Concat(names[k:], names[:k]) {
+		if len(c.cache.bookedOn[name]) == 0 || !c.owns(name) {
+			continue
+		}
+		m := c.heartbeats.machines[name]
+		for _, id := range c.provenOffTasks(m) {
+			j := c.cache.jobs[id.Job]
+			r := c.provenRelease(m, j, id)
+			if !r.reported && c.willSendStartAgain(m, j, id) || c.isAvoided(j, id.Index) {
+				continue
+			}
+			byValue[keyOf(j, id.Index)]++
+			releases = append(releases, r)
+		}
+	}
+	return releases, byValue
+}
+
+// provenOffTasks are the tasks booked on a machine that are proven off it, in order.
+func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
+	var ids []domain.TaskID
+	for id := range c.cache.bookedOn[m.Name] {
+		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.provenOff(m, id, j.task(id.Index)) {
+			ids = append(ids, id)
+		}
+	}
+	return inOrder(ids)
+}
+
+// provenRelease is the release of a task that is proven off its machine, with what the
+// machine said of it.
+func (c *Controller) provenRelease(m *Machine, j *Job, id domain.TaskID) provenRelease {
+	t := j.task(id.Index)
+	report, known := m.reported[id]
+	reported := known && report.Attempt == t.Attempt && m.agentEpoch == t.AgentEpoch
+	ended := reported && report.State == domain.ReportedEnded
+	return provenRelease{
+		machine:  m,
+		task:     id,
+		report:   report,
+		reported: reported,
+		done:     ended && report.Cause == domain.CauseDone || c.gangDone(j, nil),
+	}
+}
+
+// willSendStartAgain tells whether the start of a booking that the machine doesn't know of
+// was lost on the way and is simply sent again: the agent that it is for is there, no commit
+// releases it, and it hasn't lost its sense.
+func (c *Controller) willSendStartAgain(m *Machine, j *Job, id domain.TaskID) bool {
+	t := j.task(id.Index)
+	isForThisAgent := m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch
+	return isForThisAgent && !c.planner.pendingReleases[attemptID{id, t.Attempt}] && c.isStillWanted(m, j, id)
+}
+
+// isStillWanted tells whether a booking hasn't lost its sense: its job is open and neither
+// its gang was stopped or broken nor its machine is about to go, to be emptied, or to make
+// room for a task that waits there.
+func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
+	t := j.task(id.Index)
+	h := j.Header
+	switch {
+	case h.State != domain.StateOpen,
+		h.StopThrough != 0 && h.StopThrough >= t.Attempt,
+		!c.gangIntact(j, t):
+		return false
+	case m.preemptionAt >= 0,
+		c.cache.cordons[m.Name].State != "",
+		c.isEvicting(m.Name) && !reservesMachines(h.Spec):
+		return false
+	}
+	return !c.planner.preempted[attemptID{id, t.Attempt}]
+}
+
+// takeLargestReleasesTurn tells whether those values go first that have most to change.
+// Where more wait for a change than go into one commit, a backlog with many values takes
+// all changes a second for two or three releases each otherwise. In turns with the order of
+// machines, so that none is left out.
+func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
+	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
+	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
+}
+
+// valueOf is the key of the value that holds a task.
+func (c *Controller) valueOf(id domain.TaskID) string {
+	return keyOf(c.cache.jobs[id.Job], id.Index)
+}
+
+// release puts a release into the draft. A task of a job that was cancelled meanwhile isn't
+// finished any more.
+func (c *Controller) release(d *draft, j *Job, r provenRelease, done bool) {
+	attempt := j.task(r.task.Index).Attempt
+	d.release(j, r.task.Index, done && j.Header.State == domain.StateOpen)
+	if r.reported && r.report.State == domain.ReportedEnded {
+		c.recordTaskEnd(d, r.machine, j, r.task, r.report)
+		return
+	}
+	d.onCommit = append(d.onCommit, func() {
+		c.debug("task released", "task", r.task, "machine", r.machine.Name, "attempt", attempt)
+	})
+}
+
+// gangDone tells whether one of a gang's tasks is done, and hence all are.
+func (c *Controller) gangDone(j *Job, d *draft) bool {
+	return j.Header.Spec.Shape == domain.Gang && c.placementOf(j, d).done > 0
+}
+
+// planCancelledJobs takes away the tasks of cancelled jobs whose last booking is gone: they
+// need no further care.
+func (c *Controller) planCancelledJobs(d *draft) {
+	for _, id := range slices.Sorted(maps.Keys(c.cache.awaitingRelease)) {
+		j := c.cache.awaitingRelease[id]
+		if j.counts.booked > 0 || c.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
+			continue
+		}
+		if c.isTurnOf(d, j) && d.takesEndOf(j) {
+			d.endCancelled(j)
+		}
+	}
+}
+
+// isTurnOf tells whether the draft is for the value that holds the job's tasks.
+func (c *Controller) isTurnOf(d *draft, j *Job) bool {
+	if !c.isForeign(j) {
+		return d.foreignKey == ""
+	}
+	key := keyOf(j, 0)
+	if d.foreignKey != key {
+		c.planner.foreignValues[key] = true
+		return false
+	}
+	return true
+}
+
+// takesEndOf tells whether the draft has room for the end of a cancelled job and doesn't
+// change its tasks otherwise. Of a job with many values it needs room for half a transaction.
+func (d *draft) takesEndOf(j *Job) bool {
+	most := d.c.cfg.TransactionLimit
+	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.cells(), most/2) <= most && d.takesConditions(8)
+}
+
+// endCancelled writes that a cancelled job is over, and drops its tasks from as many values
+// as there are changes left for.
+func (d *draft) endCancelled(j *Job) {
+	c := d.c
+	h := d.header(j)
+	d.finished[j.ID] = true
+	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.cellEnd(i) {
+		key := keyOf(j, i)
+		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.isOversizedInPlan(key) {
+			continue
+		}
+		d.keys[key] = true
+		d.bytes += c.valueBound()
+		d.addCondition(key)
+	}
+	if key := keyOf(j, 0); c.cache.oversized[key] {
+		d.addCondition(key)
+	}
+	h.State = domain.StateCancelled
+	h.Released, h.Spec, h.SplitChunks, h.CellSize = true, nil, nil, 0
+}
--- /dev/null
+++ b/internal/scheduler/task_ends.go
@@ -0,0 +1,65 @@
+package scheduler
+
+import (
+	"time"
+
+	"brassglade/internal/tuning"
+
+	"brassglade/internal/domain"
+)
+
+// recordTaskEnd learns from a task's end on a machine once it is committed.
+func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id domain.TaskID, report domain.TaskReport) {
+	sp := j.Header.Spec // the committed header has none if the job is over
+	startedAt, ran := m.runningSince[attemptID{id, report.Attempt}]
+	d.onCommit = append(d.onCommit, func() {
+		c.debug("task ended", "task", id, "machine", m.Name, "attempt", report.Attempt, "cause", report.Cause, "saved", report.Saved)
+		switch report.Cause {
+		case domain.CauseDone:
+			clear(m.failures)
+			j.failures, j.pausedUntil = 0, 0
+			if ran {
+				c.recordRunTime(m, sp, (c.now - startedAt).Seconds())
+			}
+		case domain.CauseError:
+			c.recordTaskError(m, j)
+		case domain.CauseNoRoom, domain.CauseBusy:
+			m.noBookingsUntil = c.now + tuning.RefusedPause
+		case domain.CauseUnknown:
+			j.failures++
+			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.MaxErrorPause))
+		}
+		c.recordFinish(m)
+	})
+}
+
+// recordTaskError counts an error against the machine and the job, since it doesn't show
+// whose fault it is.
+func (c *Controller) recordTaskError(m *Machine, j *Job) {
+	m.countFailure(j.ID, c.now)
+	// Until it shows whose fault it is, the machine is given less to fail.
+	m.noBookingsUntil = c.now + min(time.Duration(m.failureSum())*tuning.RefusedPause, tuning.MaxErrorRowPause)
+	if int64(c.now) >= j.pausedUntil { // its tasks that fail together count as one try
+		j.failures++
+	}
+	j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.MaxErrorPause))
+}
+
+// countFailure counts an error of a job's task on the machine.
+func (m *Machine) countFailure(job string, now time.Duration) {
+	failures, known := m.failures[job]
+	if !known {
+		failures.firstAt = now
+	}
+	failures.count++
+	m.failures[job] = failures
+}
+
+// failureSum is how many tasks failed on the machine since one was last done there.
+func (m *Machine) failureSum() int {
+	sum := 0
+	for _, failures := range m.failures {
+		sum += failures.count
+	}
+	return sum
+}
