--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -1,9 +1,9 @@
 package scheduler
 
 import (
+	"cmp"
 	"maps"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -12,113 +12,249 @@
 	"brassglade/internal/domain"
 )
 
-// planGangs books the jobs that the leader places whole: gangs at once or not
-// at all, the others task by task within their zone rules.
+// planGangs books the jobs that the leader places: gangs at once or not at all, the others
+// task by task within their zone rules. It walks them twice: first those whose image is on
+// a machine with room, since a fetch takes a good part of a run and holds the team's limit
+// as long; then all.
 func (c *Controller) planGangs(d *draft) {
 	if !c.isLeader() {
 		return
 	}
-	js := c.waitingJobs(reservesMachines)
-	if len(js) == 0 {
+	jobs := c.waitingJobs(reservesMachines)
+	if len(jobs) == 0 {
 		return
 	}
-	sort.SliceStable(js, func(a, b int) bool {
-		x, y := js[a], js[b]
-		if ox, oy := c.withinGuarantee(x.Header.Spec, d), c.withinGuarantee(y.Header.Spec, d); ox != oy {
-			return ox
+	c.sortByGuarantee(jobs, d)
+	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
+	if !slices.ContainsFunc(jobs, c.holdsOthersBack) { // else strictly in order
+		if !c.newGangPass(d, PassCached, machines, claims).book(jobs) {
+			return
 		}
-		return x.priority > y.priority
+	}
+	c.newGangPass(d, PassAny, machines, claims).book(jobs)
+}
+
+// sortByGuarantee orders jobs: what teams are owed first, then by priority.
+func (c *Controller) sortByGuarantee(jobs []*Job, d *draft) {
+	slices.SortStableFunc(jobs, func(a, b *Job) int {
+		return cmp.Or(
+			trueFirst(c.withinGuarantee(a.Header.Spec, d), c.withinGuarantee(b.Header.Spec, d)),
+			cmp.Compare(b.priority, a.priority),
+		)
 	})
-	ms, claims := c.machinesWithRoom(js, d), c.claims(d)
-	// First those whose image is on a machine with room: a fetch takes a good
-	// part of a run, and holds the team's limit as long. Of jobs alike, none is
-	// tried once one found no place: at size most of those waiting are alike.
-	type kind struct {
-		team, zone, types string
-		need              domain.Resources
-		n                 int
-		spot, one, spread bool
+}
+
+// holdsOthersBack tells whether a job of several tasks has waited for so long that smaller
+// ones that came later must not take each machine as it falls free; but not for ever, it may
+// not be possible.
+func (c *Controller) holdsOthersBack(j *Job) bool {
+	age := c.now - time.Duration(j.readyAt)
+	return j.Header.Spec.TaskCount > 1 && age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+}
+
+// gangPass is one walk over the jobs that the leader places.
+type gangPass struct {
+	c            *Controller
+	draft        *draft
+	pass         PlanningPass
+	machines     []inventoryMachine // with room for some job, in the inventory's order
+	claims       map[string]quotaClaim
+	placeless    map[gangKind]bool // kinds of gangs that found no place
+	waitingTeams map[string]bool   // whose limit must come free for a gang that holds others back
+}
+
+func (c *Controller) newGangPass(d *draft, pass PlanningPass, machines []inventoryMachine, claims map[string]quotaClaim) *gangPass {
+	return &gangPass{
+		c: c, draft: d, pass: pass, machines: machines, claims: claims,
+		placeless: map[gangKind]bool{}, waitingTeams: map[string]bool{},
 	}
-	blocked := false
-	for _, j := range js {
-		age := c.now - time.Duration(j.readyAt)
-		blocked = blocked || j.Header.Spec.TaskCount > 1 && age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+}
+
+// gangKind is what a job's place depends on. Of jobs alike, none is tried once one found no
+// place: at size most of those waiting are alike.
+type gangKind struct {
+	team, zone            string
+	machineTypes          string // joined by commas
+	request               domain.Resources
+	tasks                 int
+	spot, oneZone, spread bool
+}
+
+func gangKindOf(sp *domain.JobSpec) gangKind {
+	return gangKind{
+		team: sp.Team, zone: sp.Zone, machineTypes: strings.Join(sp.MachineTypes, ","), request: sp.Request,
+		tasks: sp.TaskCount, spot: sp.Spot, oneZone: sp.OneZone, spread: sp.Spread,
 	}
-	for _, pass := range [2]PlanningPass{PassCached, PassAny} {
-		cached := pass == PassCached
-		if cached && blocked {
-			continue // strictly in order
+}
+
+// book walks the jobs; false: the draft is full, or the machines have to come free for a
+// gang that holds others back.
+func (p *gangPass) book(jobs []*Job) bool {
+	for _, j := range jobs {
+		sp := j.Header.Spec
+		kind := gangKindOf(sp)
+		if p.placeless[kind] || p.waitingTeams[sp.Team] || p.pass == PassCached && !p.isCachedSomewhere(sp) {
+			continue
 		}
-		failed, waits := map[kind]bool{}, map[string]bool{}
-		for _, j := range js {
-			sp := j.Header.Spec
-			k := kind{sp.Team, sp.Zone, strings.Join(sp.MachineTypes, ","), sp.Request, sp.TaskCount, sp.Spot, sp.OneZone, sp.Spread}
-			if failed[k] || waits[sp.Team] || cached && !c.cachedSomewhere(d, sp, ms) {
-				continue
-			}
-			before := len(d.changed)
-			if !c.bookByLeader(d, j, ms, claims, pass) {
-				return
-			}
-			if len(d.changed) == before && sp.Shape == domain.Gang && c.placementOf(j, d).queued == sp.TaskCount {
-				failed[k] = true
-				// A large gang needs several machines at once, and smaller ones that
-				// came later would take each as it falls free: for a while they wait.
-				age := c.now - time.Duration(j.readyAt)
-				if !cached && sp.TaskCount > 1 && age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock {
-					if withinLimit(d.teamUsed(sp.Team).Plus(sp.Request, int64(sp.TaskCount)), c.cfg.Teams[sp.Team].Limit) {
-						return
-					}
-					waits[sp.Team] = true // it is its team's limit that must come free
-				}
-			}
+		before := len(p.draft.changed)
+		if !p.c.bookByLeader(p.draft, j, p.machines, p.claims, p.pass) {
+			return false
+		}
+		if len(p.draft.changed) > before || !p.foundNoPlace(j) {
+			continue
+		}
+		p.placeless[kind] = true
+		if p.pass == PassCached || !p.c.holdsOthersBack(j) {
+			continue
+		}
+		if p.teamAllows(sp) {
+			return false
+		}
+		p.waitingTeams[sp.Team] = true
+	}
+	return true
+}
+
+// foundNoPlace tells whether all of a gang still waits, and is not booked in this draft.
+func (p *gangPass) foundNoPlace(j *Job) bool {
+	sp := j.Header.Spec
+	return sp.Shape == domain.Gang && p.c.placementOf(j, p.draft).queued == sp.TaskCount
+}
+
+// teamAllows tells whether a team's limit has room for all of a gang, so that machines are
+// all it waits for.
+func (p *gangPass) teamAllows(sp *domain.JobSpec) bool {
+	return withinLimit(p.draft.teamUsed(sp.Team).Plus(sp.Request, int64(sp.TaskCount)), p.c.cfg.Teams[sp.Team].Limit)
+}
+
+// isCachedSomewhere tells whether a machine with room for a task of the job has its image.
+func (p *gangPass) isCachedSomewhere(sp *domain.JobSpec) bool {
+	for i := range p.machines {
+		m := &p.machines[i]
+		if m.hasImage(sp.Image) && p.c.fitsOn(sp, m, domain.Resources{}, p.draft) {
+			return true
 		}
 	}
+	return false
 }
 
 // machinesWithRoom is the part of the inventory that has room for a task of any of
 // the jobs.
-func (c *Controller) machinesWithRoom(js []*Job, d *draft) []inventoryMachine {
-	var needs []domain.Resources
-	for _, j := range js {
-		if !slices.Contains(needs, j.Header.Spec.Request) {
-			needs = append(needs, j.Header.Spec.Request)
+func (c *Controller) machinesWithRoom(jobs []*Job, d *draft) []inventoryMachine {
+	var requests []domain.Resources
+	for _, j := range jobs {
+		if !slices.Contains(requests, j.Header.Spec.Request) {
+			requests = append(requests, j.Header.Spec.Request)
 		}
 	}
-	var l []inventoryMachine
+	var machines []inventoryMachine
 	for _, m := range c.inventory() {
 		f := c.machineType(m.machineType)
 		if f == nil || c.cache.cordons[m.name].State != "" {
 			continue
 		}
 		free := c.freeOn(m.name, f.Capacity, d)
-		for _, n := range needs {
-			if free.Fits(n) {
-				l = append(l, m)
-				break
-			}
+		if fitsAny(free, requests) {
+			machines = append(machines, m)
 		}
 	}
-	return l
+	return machines
 }
 
-func (c *Controller) cachedSomewhere(d *draft, sp *domain.JobSpec, ms []inventoryMachine) bool {
-	for _, m := range ms {
-		if f := c.machineType(m.machineType); f != nil && m.hasImage(sp.Image) && c.allowsMachine(sp, m.machineType, m.zone, m.spot) &&
-			c.freeOn(m.name, f.Capacity, d).Fits(sp.Request) {
+// fitsAny tells whether one of the requests fits.
+func fitsAny(free domain.Resources, requests []domain.Resources) bool {
+	for _, request := range requests {
+		if free.Fits(request) {
 			return true
 		}
 	}
 	return false
 }
 
+// bookByLeader adds a job's bookings to the draft; false: the draft is full.
+func (c *Controller) bookByLeader(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim, pass PlanningPass) bool {
+	sp := j.Header.Spec
+	if c.isAvoided(j, 0) {
+		return true
+	}
+	if c.gangDone(j, d) {
+		return c.finishGang(d, j)
+	}
+	placed := c.placementOf(j, d)
+	if sp.Shape == domain.Gang && placed.queued < sp.TaskCount {
+		return true // booked in this draft, or some of the old attempt are not proven off yet
+	}
+	p := &picker{c, d, j, placed, c.bindingZones(j, d), machines, claims}
+	picks := p.choose()
+	if sp.Shape == domain.Gang {
+		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
+	}
+	for _, x := range picks {
+		if !d.hasRoomFor(j, x.task, false, true) {
+			c.planner.dirty = true
+			return false
+		}
+		d.bookPick(j, x, j.task(x.task).Attempt+1, pass)
+	}
+	return true
+}
+
+// bookGang books all tasks of a gang under one attempt; false: they don't go into what
+// is left of the draft, and wait for an emptier one.
+func (c *Controller) bookGang(d *draft, j *Job, picks []pick, pass PlanningPass) bool {
+	if !d.takesGang(j) {
+		c.planner.dirty = true
+		return false
+	}
+	attempt := j.Header.StopThrough
+	for i := range j.Tasks {
+		attempt = max(attempt, j.Tasks[i].Attempt)
+	}
+	for _, x := range picks {
+		d.hasRoomFor(j, x.task, false, true) // a value that is too large is left with this change
+		d.bookPick(j, x, attempt+1, pass)
+	}
+	return true
+}
+
+// takesGang tells whether the draft has room for all values of a gang, at their largest,
+// and for conditions on them, its header, its team's share and the cordons of its machines.
+func (d *draft) takesGang(j *Job) bool {
+	cells, cfg := j.cells(), &d.c.cfg
+	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Nodes))
+	return d.changes()+cells+1 <= d.maxChanges && d.bytes+cells*cfg.ValueLimit <= tuning.TxnBytes &&
+		d.takesConditions(cells+2+cordonPages)
+}
+
+// finishGang finishes the queued tasks of a gang of which one is done, as earlier versions
+// could leave them; false: the draft is full.
+func (c *Controller) finishGang(d *draft, j *Job) bool {
+	for i := 0; i < j.Header.TaskCount; i++ {
+		if d.peek(j, i).State != domain.Queued {
+			continue
+		}
+		if !d.hasRoomFor(j, i, true, false) {
+			c.planner.dirty = true
+			return false
+		}
+		d.finish(j, i)
+	}
+	return true
+}
+
+// bookPick books a task where it was picked to go.
+func (d *draft) bookPick(j *Job, x pick, attempt uint64, pass PlanningPass) {
+	d.book(j, x.task, x.machine.name, x.machine.zone, x.machine.agentEpoch, attempt)
+	d.recordBooking(domain.TaskID{Job: j.ID, Index: x.task}, x.machine.name, x.machine.zone, attempt, pass)
+}
+
 // pick is a task put on a machine.
 type pick struct {
 	task    int
-	machine inventoryMachine
+	machine *inventoryMachine
 }
 
-// picker chooses machines for the queued tasks of one job that is placed whole.
+// picker chooses machines for the queued tasks of one job that the leader places.
 type picker struct {
 	c        *Controller
 	draft    *draft
@@ -146,44 +282,24 @@
 
 // chooseIn picks machines of one zone, or of any where none is named.
 func (p *picker) chooseIn(zone string) []pick {
-	c, d, j, sp := p.c, p.draft, p.job, p.job.Header.Spec
-	var picks []pick
-	used, byZone, spread := map[string]domain.Resources{}, maps.Clone(p.zones), spreadOverZones(sp)
-	fits := func(m inventoryMachine) bool {
-		if zone != "" && m.zone != zone || spread && byZone[m.zone] >= mostPerZone(sp) {
-			return false
-		}
-		f := c.machineType(m.machineType)
-		return f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) &&
-			c.freeOn(m.name, f.Capacity, d).Plus(used[m.name], -1).Fits(sp.Request)
-	}
-	var room []inventoryMachine
-	for _, m := range p.machines {
-		if fits(m) {
-			room = append(room, m)
-		}
-	}
-	slices.SortStableFunc(room, func(a, b inventoryMachine) int { return c.comparePlaces(sp, &a, &b) })
-	team, most := d.teamUsed(sp.Team), p.most()
-	for i := 0; i < sp.TaskCount && len(picks) < most; i++ {
+	d, j, sp := p.draft, p.job, p.job.Header.Spec
+	chosen := &placesInZone{picker: p, zone: zone, used: map[string]domain.Resources{}, byZone: maps.Clone(p.zones)}
+	room := chosen.machinesWithRoom()
+	used, most := d.teamUsed(sp.Team), p.most()
+	for i := 0; i < sp.TaskCount && len(chosen.picks) < most; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
-		if team = team.Plus(sp.Request, 1); !c.quotaAllowsPlaced(sp, team, p.claims) {
+		if used = used.Plus(sp.Request, 1); !p.c.quotaAllowsPlaced(sp, used, p.claims) {
 			break
 		}
-		k := slices.IndexFunc(room, fits)
+		k := slices.IndexFunc(room, chosen.takes)
 		if k < 0 {
 			break
 		}
-		m := room[k]
-		picks = append(picks, pick{i, m})
-		used[m.name] = used[m.name].Plus(sp.Request, 1)
-		if spread {
-			byZone[m.zone]++
-		}
+		chosen.add(i, room[k])
 	}
-	return picks
+	return chosen.picks
 }
 
 // most is how many further tasks of the job this plan may book.
@@ -198,72 +314,43 @@
 	return max(0, tuning.TasksAtOnce-max(0, inDraft))
 }
 
-// bookByLeader adds a job's bookings to the draft; false: the draft is full.
-func (c *Controller) bookByLeader(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim, pass PlanningPass) bool {
-	sp := j.Header.Spec
-	if c.isAvoided(j, 0) {
-		return true
-	}
-	if c.gangDone(j, d) {
-		return c.finishGang(d, j)
-	}
-	at := c.placementOf(j, d)
-	if sp.Shape == domain.Gang && at.queued < sp.TaskCount {
-		return true // booked in this draft, or some of the old attempt are not proven off yet
-	}
-	p := &picker{c, d, j, at, c.bindingZones(j, d), machines, claims}
-	picks := p.choose()
-	if sp.Shape == domain.Gang {
-		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
-	}
-	for _, x := range picks {
-		if !d.hasRoomFor(j, x.task, false, true) {
-			c.planner.dirty = true
-			return false
-		}
-		d.bookPick(j, x, j.task(x.task).Attempt+1, pass)
-	}
-	return true
+// placesInZone are a job's tasks put on machines of one zone, or of any, so far.
+type placesInZone struct {
+	*picker
+	zone   string // "": any
+	picks  []pick
+	used   map[string]domain.Resources // by machine
+	byZone map[string]int              // the job's tasks, booked ones and these
 }
 
-// bookGang books all tasks of a gang under one attempt; false: they don't go into what
-// is left of the draft, and wait for an emptier one.
-func (c *Controller) bookGang(d *draft, j *Job, picks []pick, pass PlanningPass) bool {
-	sp, attempt := j.Header.Spec, j.Header.StopThrough
-	for i := range j.Tasks {
-		attempt = max(attempt, j.Tasks[i].Attempt)
-	}
-	cells := j.cells()
-	if d.changes()+cells+1 > d.maxChanges || d.bytes+cells*c.cfg.ValueLimit > tuning.TxnBytes ||
-		len(d.conditions)+cells+2+min(sp.TaskCount, len(c.cfg.Nodes)) > 4*c.cfg.TransactionLimit {
-		c.planner.dirty = true
+// takes tells whether one more task of the job may go to a machine.
+func (x *placesInZone) takes(m *inventoryMachine) bool {
+	sp := x.job.Header.Spec
+	if x.zone != "" && m.zone != x.zone || spreadOverZones(sp) && x.byZone[m.zone] >= mostPerZone(sp) {
 		return false
 	}
-	for _, x := range picks {
-		d.hasRoomFor(j, x.task, false, true) // a value that is too large is left with this change
-		d.bookPick(j, x, attempt+1, pass)
-	}
-	return true
+	return x.c.fitsOn(sp, m, x.used[m.name], x.draft)
 }
 
-// finishGang finishes the queued tasks of a gang of which one is done, as earlier versions
-// could leave them; false: the draft is full.
-func (c *Controller) finishGang(d *draft, j *Job) bool {
-	for i := 0; i < j.Header.TaskCount; i++ {
-		if d.peek(j, i).State != domain.Queued {
-			continue
-		}
-		if !d.hasRoomFor(j, i, true, false) {
-			c.planner.dirty = true
-			return false
+// machinesWithRoom are the machines that take a task, best first.
+func (x *placesInZone) machinesWithRoom() []*inventoryMachine {
+	var room []*inventoryMachine
+	for i := range x.machines {
+		if m := &x.machines[i]; x.takes(m) {
+			room = append(room, m)
 		}
-		d.finish(j, i)
 	}
-	return true
+	sp := x.job.Header.Spec
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return x.c.comparePlaces(sp, a, b) })
+	return room
 }
 
-// bookPick books a task where it was picked to go.
-func (d *draft) bookPick(j *Job, x pick, attempt uint64, pass PlanningPass) {
-	d.book(j, x.task, x.machine.name, x.machine.zone, x.machine.agentEpoch, attempt)
-	d.recordBooking(domain.TaskID{Job: j.ID, Index: x.task}, x.machine.name, x.machine.zone, attempt, pass)
+// add puts a task on a machine.
+func (x *placesInZone) add(task int, m *inventoryMachine) {
+	sp := x.job.Header.Spec
+	x.picks = append(x.picks, pick{task, m})
+	x.used[m.name] = x.used[m.name].Plus(sp.Request, 1)
+	if spreadOverZones(sp) {
+		x.byZone[m.zone]++
+	}
 }
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -15,9 +15,9 @@
 	return sp.Shape != domain.Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJobTasks
 }
 
-// reservesMachines tells whether the leader keeps machines for jobs like this one. It
+// reservesMachines tells whether the leader reserves machines for jobs like this one. It
 // doesn't for large arrays, which take the room that other jobs leave: for thousands of
-// waiting tasks it would keep all machines that fit, and parts place nothing on those.
+// waiting tasks it would reserve all machines that fit, and shards place nothing on those.
 func reservesMachines(sp *domain.JobSpec) bool { return placedByLeader(sp) && !largeArray(sp) }
 
 // planLargeArrays books tasks of large arrays, by priority and then first come,
@@ -63,11 +63,8 @@
 	if len(owners) == 0 {
 		return true
 	}
-	left := tuning.LargeAtOnce
-	if j.isDoubtful() {
-		left = 1 - c.placementOf(j, d).booked
-	}
-	rooms := map[string][]inventoryMachine{} // by owner
+	left := c.largeArrayTasksAtOnce(d, j)
+	rooms := map[string][]*inventoryMachine{} // by owner
 	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.cellEnd(from) {
 		if !j.anyQueued(from) {
 			continue
@@ -77,16 +74,24 @@
 		if !known {
 			room = c.roomOf(d, j.Header.Spec, machines, owner)
 		}
-		n, rest, ok := c.bookCell(d, j, from, left, room, claims)
-		left -= n
-		rooms[owner] = rest
-		if !ok {
+		booking := c.bookCell(d, j, from, left, room, claims)
+		left -= booking.tasks
+		rooms[owner] = booking.room
+		if booking.draftFull {
 			return false
 		}
 	}
 	return true
 }
 
+// largeArrayTasksAtOnce is how many tasks of a large array one plan may book.
+func (c *Controller) largeArrayTasksAtOnce(d *draft, j *Job) int {
+	if j.isDoubtful() {
+		return 1 - c.placementOf(j, d).booked
+	}
+	return tuning.LargeAtOnce
+}
+
 // anyQueued tells whether a task of the cell that begins with task from is queued.
 func (j *Job) anyQueued(from int) bool {
 	for i, end := from, j.cellEnd(from); i < end; i++ {
@@ -113,55 +118,61 @@
 }
 
 // roomOf lists an owner's machines with room for a task of the job, best first.
-func (c *Controller) roomOf(d *draft, sp *domain.JobSpec, machines []inventoryMachine, owner string) []inventoryMachine {
-	var room []inventoryMachine
-	for _, m := range machines {
-		f := c.machineType(m.machineType)
-		if m.owner == owner && f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) && c.freeOn(m.name, f.Capacity, d).Fits(sp.Request) {
+func (c *Controller) roomOf(d *draft, sp *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
+	var room []*inventoryMachine
+	for i := range machines {
+		if m := &machines[i]; m.owner == owner && c.fitsOn(sp, m, domain.Resources{}, d) {
 			room = append(room, m)
 		}
 	}
-	slices.SortStableFunc(room, func(a, b inventoryMachine) int { return c.comparePlaces(sp, &a, &b) })
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return c.comparePlaces(sp, a, b) })
 	return room
 }
 
-// bookCell books up to most queued tasks of the cell that begins with task from, and
-// tells how many, and which machines still have room; false: the draft is full.
-func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []inventoryMachine, claims map[string]quotaClaim) (int, []inventoryMachine, bool) {
-	sp, booked := j.Header.Spec, 0
+// cellBooking is what became of the queued tasks of a cell.
+type cellBooking struct {
+	tasks     int                 // booked
+	room      []*inventoryMachine // machines that still have room
+	draftFull bool
+}
+
+// bookCell books up to most queued tasks of the cell that begins with task from.
+func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []*inventoryMachine, claims map[string]quotaClaim) cellBooking {
+	sp, booking := j.Header.Spec, cellBooking{room: room}
 	end := j.cellEnd(from)
-	for i := from; i < end && booked < most && len(room) > 0; i++ {
+	for i := from; i < end && booking.tasks < most && len(booking.room) > 0; i++ {
 		id := domain.TaskID{Job: j.ID, Index: i}
 		if j.task(i).State != domain.Queued || d.changed[id] {
 			continue
 		}
 		if !c.quotaAllowsPlaced(sp, d.teamUsed(sp.Team).Plus(sp.Request, 1), claims) {
-			return booked, room, true
+			break
 		}
 		if !d.hasRoomFor(j, i, false, true) {
 			c.planner.dirty = true
-			return booked, room, d.changes() < d.maxChanges
+			booking.draftFull = d.changes() >= d.maxChanges // else this value alone is full
+			break
 		}
-		m, attempt := room[0], j.task(i).Attempt+1
+		m, attempt := booking.room[0], j.task(i).Attempt+1
 		d.book(j, i, m.name, m.zone, m.agentEpoch, attempt)
 		d.recordBooking(id, m.name, m.zone, attempt, PassLargeArray)
-		booked++
+		booking.tasks++
 		if !c.freeOn(m.name, c.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
-			room = room[1:]
+			booking.room = booking.room[1:]
 		}
 	}
-	return booked, room, true
+	return booking
 }
 
-// quotaAllowsPlaced tells whether a team's use, with a task of a job placed whole in it,
-// stays within its limit and leaves a starving job its part.
+// quotaAllowsPlaced tells whether a team's use, with a task of a job that the leader places
+// in it, stays within its limit and leaves a starving job its part.
 func (c *Controller) quotaAllowsPlaced(sp *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
-	lim := c.cfg.Teams[sp.Team].Limit
-	return withinLimit(used, lim) && (!claims[sp.Team].aheadOfGangs || claims[sp.Team].leavesFirst(sp.ID, used, lim))
+	claim, limit := claims[sp.Team], c.cfg.Teams[sp.Team].Limit
+	return withinLimit(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(sp.ID, used, limit))
 }
 
-// comparePlaces orders machines for a task of a job placed whole: first those that
-// have its image, then those kept for such jobs, spot machines, and the fullest.
+// comparePlaces orders machines for a task of a job that the leader places: first those
+// that have its image, then those reserved for such jobs, spot machines, and the fullest.
 func (c *Controller) comparePlaces(sp *domain.JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
 		trueFirst(a.hasImage(sp.Image), b.hasImage(sp.Image)),
--- a/internal/scheduler/machine_room.go
+++ b/internal/scheduler/machine_room.go
@@ -38,3 +38,11 @@
 func (c *Controller) allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
 	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
 }
+
+// fitsOn tells whether a machine may take one more task of a job and has room for it
+// beside the draft's bookings and others that are only chosen so far.
+func (c *Controller) fitsOn(sp *domain.JobSpec, m *inventoryMachine, chosen domain.Resources, d *draft) bool {
+	f := c.machineType(m.machineType)
+	return f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) &&
+		c.freeOn(m.name, f.Capacity, d).Plus(chosen, -1).Fits(sp.Request)
+}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -11,10 +11,10 @@
 //     A release is drafted only for what is proven off its machine (provenOff).
 //   - What the draft holds counts in place of the committed record: one plan may look at
 //     a job several times, and its commit is carried out as a whole or not at all.
-//   - A commit of this node whose outcome is unknown doesn't count. The draft and that
-//     commit exclude each other (markInDoubt): if it was carried out, this one won't be.
+//   - A commit of this controller that is in doubt doesn't count. The draft and that commit
+//     exclude each other (in_doubt.go): if it was carried out, this one won't be.
 //   - Another leader's commits count once they are in the cache. Those that aren't were
-//     conditional on an older view, and all such come before this node's view.
+//     conditional on an older view, and all such come before this controller's view.
 
 // placement counts a job's tasks by state.
 type placement struct {
@@ -31,15 +31,15 @@
 	return p
 }
 
-// count adds k tasks of a state.
-func (p *placement) count(s domain.TaskState, k int) {
-	switch s {
+// count adds n tasks of a state; n < 0: takes them away.
+func (p *placement) count(state domain.TaskState, n int) {
+	switch state {
 	case domain.Queued:
-		p.queued += k
+		p.queued += n
 	case domain.Booked:
-		p.booked += k
+		p.booked += n
 	case domain.Done:
-		p.done += k
+		p.done += n
 	}
 }
 
@@ -47,26 +47,28 @@
 // without any is not listed.
 func (c *Controller) bookedZones(j *Job, d *draft) map[string]int {
 	zones := map[string]int{}
-	count := func(t *domain.Task, k int) {
-		if t.State != domain.Booked {
-			return
-		}
-		if zones[t.Zone] += k; zones[t.Zone] == 0 {
-			delete(zones, t.Zone)
-		}
-	}
 	for i := range j.Tasks {
-		count(&j.Tasks[i], 1)
+		countZone(zones, &j.Tasks[i], 1)
 	}
 	d.eachCopied(j, func(committed, drafted *domain.Task) {
-		count(committed, -1)
-		count(drafted, 1)
+		countZone(zones, committed, -1)
+		countZone(zones, drafted, 1)
 	})
 	return zones
 }
 
-// eachCopied calls f for each task of which the draft has a copy.
-func (d *draft) eachCopied(j *Job, f func(committed, drafted *domain.Task)) {
+// countZone adds a task n times to its zone if it is booked.
+func countZone(zones map[string]int, t *domain.Task, n int) {
+	if t.State != domain.Booked {
+		return
+	}
+	if zones[t.Zone] += n; zones[t.Zone] == 0 {
+		delete(zones, t.Zone)
+	}
+}
+
+// eachCopied calls visit for each task of the job that the draft (nil: none) has a copy of.
+func (d *draft) eachCopied(j *Job, visit func(committed, drafted *domain.Task)) {
 	if d == nil || !d.c.guard(GuardDraft) {
 		return
 	}
@@ -74,7 +76,7 @@
 		cell := d.cells[cellRef{j.ID, from}]
 		for i := range cell {
 			committed := j.task(from + i)
-			f(&committed, &cell[i])
+			visit(&committed, &cell[i])
 		}
 	}
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -24,7 +24,7 @@
 
 // zoneAllowance is how many further tasks of a job may go to each zone; nil: any number
 // to any. Room in a zone that the job can't use is no room for it: counted as such, it
-// kept the leader from renting where the job could have run, for ever.
+// kept the leader from scaling out where the job could have run, for ever.
 type zoneAllowance map[string]int64
 
 // left is how many of n tasks the zone may take.
@@ -66,35 +66,50 @@
 
 // chooseZone is the zone to gather room in for n tasks that must be together: one that has
 // it already, else of those where machines can be rented now, or of all if there are none,
-// the one with most room, and of these the cheapest.
+// the one with most room, and of these the cheapest. False: there are no choices.
 func (c *Controller) chooseZone(sp *domain.JobSpec, n int64, machines []machineState, choices []string) (string, bool) {
 	if len(choices) == 0 {
 		return "", false
 	}
-	room, open := map[string]int64{}, zoneAllowance{}
-	for i := range machines {
-		k := &machines[i]
-		if k.cordon.State == "" && c.allowsMachine(sp, k.Type, k.Zone, k.Spot) {
-			room[k.Zone] += k.free.CountFitting(sp.Request, n)
-		}
-	}
-	for _, zone := range choices {
-		open[zone] = n
-	}
-	cheapest, _ := c.cheapest(sp, int(n), open)
-	better := func(a, b string) int {
+	room := c.roomByZone(sp, n, machines)
+	cheapest := c.cheapestZone(sp, n, choices)
+	compare := func(a, b string) int {
 		roomA, roomB := min(room[a], n), min(room[b], n)
 		return cmp.Or(
-			trueFirst(roomA == n || c.rentable(sp, n, a), roomB == n || c.rentable(sp, n, b)),
+			trueFirst(roomA == n || c.isRentable(sp, n, a), roomB == n || c.isRentable(sp, n, b)),
 			cmp.Compare(roomB, roomA),
-			trueFirst(a == cheapest.zone, b == cheapest.zone),
+			trueFirst(a == cheapest, b == cheapest),
 		)
 	}
-	return slices.MinFunc(choices, better), true
+	return slices.MinFunc(choices, compare), true
+}
+
+// roomByZone is how many tasks of the job the machines that are there have room for, each
+// of them counted for n at most.
+func (c *Controller) roomByZone(sp *domain.JobSpec, n int64, machines []machineState) map[string]int64 {
+	room := map[string]int64{}
+	for i := range machines {
+		m := &machines[i]
+		if m.cordon.State == "" && c.allowsMachine(sp, m.Type, m.Zone, m.Spot) {
+			room[m.Zone] += m.free.CountFitting(sp.Request, n)
+		}
+	}
+	return room
+}
+
+// cheapestZone is the zone of the cheapest machines for n tasks of the job; "": none can be
+// rented now.
+func (c *Controller) cheapestZone(sp *domain.JobSpec, n int64, zones []string) string {
+	allowed := zoneAllowance{}
+	for _, zone := range zones {
+		allowed[zone] = n
+	}
+	kind, _ := c.cheapest(sp, int(n), allowed)
+	return kind.zone
 }
 
-// rentable tells whether a machine for the job's tasks may be asked for in the zone now.
-func (c *Controller) rentable(sp *domain.JobSpec, n int64, zone string) bool {
+// isRentable tells whether a machine for the job's tasks may be asked for in the zone now.
+func (c *Controller) isRentable(sp *domain.JobSpec, n int64, zone string) bool {
 	_, ok := c.cheapest(sp, int(n), zoneAllowance{zone: n})
 	return ok
 }
