--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -103,42 +103,42 @@
 // refill counts the changes that may be made by now. The rate grows back to the full one
 // by a part of it each second, and takes it at once when the controller becomes the leader
 // or stops being it.
-func (t *commits) refill(now time.Duration, full float64, leader bool) {
-	seconds := (now - t.tokensAt).Seconds()
-	if t.leaderRate != leader {
-		t.leaderRate = leader
-		t.rate = full
+func (s *commits) refill(now time.Duration, full float64, leader bool) {
+	seconds := (now - s.tokensAt).Seconds()
+	if s.leaderRate != leader {
+		s.leaderRate = leader
+		s.rate = full
 	}
-	t.rate = min(full, t.rate+seconds*tuning.RateRegain*full)
-	t.tokens = min(t.rate, t.tokens+seconds*t.rate)
-	t.tokensAt = now
+	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
+	s.tokens = min(s.rate, s.tokens+seconds*s.rate)
+	s.tokensAt = now
 }
 
 // refund gives the changes of a refused commit back: nothing was written, and the state
 // service charges nothing for it. A leader whose large commits were refused among others'
 // small ones had spent its second's worth each time all the same.
-func (t *commits) refund(changes int, full float64) {
-	t.tokens = min(full, t.tokens+float64(changes))
+func (s *commits) refund(changes int, full float64) {
+	s.tokens = min(full, s.tokens+float64(changes))
 }
 
 // hasCredit tells whether a task commit as large as the last one may go out, or one of
 // tuning.TaskCredit seconds' worth of changes if that is less.
-func (t *commits) hasCredit(writeRate float64) bool {
-	return writeRate <= 0 || t.tokens >= min(float64(t.lastChanges), tuning.TaskCredit*writeRate)
+func (s *commits) hasCredit(writeRate float64) bool {
+	return writeRate <= 0 || s.tokens >= min(float64(s.lastChanges), tuning.TaskCredit*writeRate)
 }
 
 // slowDown lowers the rate after a refusal, to no less than fair. All controllers together
 // want more than the store takes, and it refuses users' submissions as well: each goes back
 // towards its part.
-func (t *commits) slowDown(fair float64) {
-	t.rate = max(min(fair, t.rate), t.rate*tuning.RateCut)
+func (s *commits) slowDown(fair float64) {
+	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
 }
 
 // --- avoided keys ---
 
 // isAvoiding tells whether a key is left out of task commits.
-func (t *commits) isAvoiding(key string, now time.Duration) bool {
-	until, ok := t.avoidUntil[key]
+func (s *commits) isAvoiding(key string, now time.Duration) bool {
+	until, ok := s.avoidUntil[key]
 	return ok && now < until
 }
 
@@ -170,8 +170,8 @@
 
 // canCommitTasks tells whether a task commit could go out now.
 func (c *Controller) canCommitTasks() bool {
-	t := &c.commits
-	return t.taskCommit == nil && c.mayAct() && c.now >= t.blockedUntil && c.cache.revision >= t.minRevision && t.hasCredit(c.cfg.WriteRate)
+	s := &c.commits
+	return s.taskCommit == nil && c.mayAct() && c.now >= s.blockedUntil && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
 // sendPlan commits a draft and settles what comes of it. From now on no start of an
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -198,13 +198,7 @@
 func (d *draft) hasRoomFor(j *Job, i int, header, grows bool) bool {
 	source := keyOf(j, i)
 	change := taskChange{job: j, source: source, key: source, header: header, grows: grows}
-	refusal := d.refuseByTurn(&change)
-	if refusal == notRefused {
-		refusal = d.refuseBySize(&change)
-	}
-	if refusal == notRefused {
-		refusal = d.refuseByBudget(&change)
-	}
+	refusal := d.refuse(&change)
 	switch refusal {
 	case refusedForeignValue:
 		d.c.planner.foreignValues[change.key] = true
@@ -220,6 +214,18 @@
 	return refusal == notRefused
 }
 
+// refuse is the first reason that speaks against a change, which it leads to another value
+// where the task's job has to leave its own.
+func (d *draft) refuse(x *taskChange) roomRefusal {
+	if refusal := d.refuseByTurn(x); refusal != notRefused {
+		return refusal
+	}
+	if refusal := d.refuseBySize(x); refusal != notRefused {
+		return refusal
+	}
+	return d.refuseByBudget(x)
+}
+
 // refuseByTurn keeps own values and one of another shard apart (planCommit says why).
 func (d *draft) refuseByTurn(x *taskChange) roomRefusal {
 	foreign := d.c.isForeign(x.job)
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -153,7 +153,7 @@
 // handOver gives a queued task to another shard.
 func (d *draft) handOver(j *Job, i int, to string) {
 	t := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID))
+	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled, or handed over whole
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	t.Shard = to
 }
--- /dev/null
+++ b/internal/scheduler/draft_test.go
@@ -0,0 +1,78 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
+)
+
+// TestRoomRefusals: a draft says why it takes no change of a task, and what another commit
+// has to do before is remembered for that one.
+func TestRoomRefusals(t *testing.T) {
+	const pack = codec.PrefixPack + "c-0/0"
+	for name, x := range map[string]struct {
+		prepare func(c *Controller, d *draft)
+		want    roomRefusal
+		full    bool // the value is to be relieved
+		dirty   bool // planned again
+	}{
+		"empty draft":   {func(*Controller, *draft) {}, notRefused, false, false},
+		"no change":     {func(_ *Controller, d *draft) { d.maxChanges = 1 }, refusedFullDraft, false, false},
+		"no bytes":      {func(_ *Controller, d *draft) { d.maxBytes = d.bytes }, refusedFullDraft, false, false},
+		"foreign draft": {func(_ *Controller, d *draft) { d.foreignKey = codec.PrefixPack + "c-1/0" }, refusedOwnValue, false, false},
+		"no conditions": {func(_ *Controller, d *draft) {
+			for i := range 13 {
+				d.addCondition(fmt.Sprint("key ", i))
+			}
+		}, refusedForConditions, false, false},
+		"full value": {func(c *Controller, _ *draft) {
+			c.cache.valueSizes[pack] = c.cfg.ValueLimit - tuning.PackSlack
+		}, refusedFullValue, true, false},
+		"full by the draft": {func(c *Controller, d *draft) {
+			d.growth[pack] = c.cfg.ValueLimit - tuning.PackSlack
+		}, refusedFullValue, true, false},
+		"oversized, no other pack takes the job": {func(c *Controller, _ *draft) {
+			c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
+			j := c.cache.jobs[jobName(1)]
+			j.Tasks = make([]domain.Task, 400)
+			for i := range j.Tasks {
+				j.Tasks[i] = domain.Task{State: domain.Booked, Attempt: uint64(i), Machine: fmt.Sprintf("n-%06d", 7*i), AgentEpoch: uint64(i)}
+			}
+		}, refusedOversized, false, true},
+	} {
+		c := acting()
+		c.apply(openJob(t, 1, 400, 1, 1000))
+		j, d := c.cache.jobs[jobName(1)], c.newDraft()
+		x.prepare(c, d)
+		c.planner.dirty = false
+		if got := d.refuse(&taskChange{job: j, source: pack, key: pack, grows: true}); got != x.want {
+			t.Errorf("%s: refused by %d, want %d", name, got, x.want)
+		}
+		if got := d.hasRoomFor(j, 0, false, true); got != (x.want == notRefused) {
+			t.Errorf("%s: room %v", name, got)
+		}
+		if full := c.commits.fullValues[pack]; full != x.full || c.planner.dirty != x.dirty {
+			t.Errorf("%s: full %v, planned again %v", name, full, c.planner.dirty)
+		}
+	}
+}
+
+// TestOversizedPackIsLeft: a small job leaves a pack that is too large to be written with its
+// next change, and its header names the new one.
+func TestOversizedPackIsLeft(t *testing.T) {
+	const pack = codec.PrefixPack + "c-0/0"
+	c := acting()
+	c.apply(openJob(t, 1, 2, 1, 1000))
+	c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
+	j, d := c.cache.jobs[jobName(1)], c.newDraft()
+	if !d.hasRoomFor(j, 0, false, true) {
+		t.Fatal("no room")
+	}
+	d.book(j, 0, "n-000001", "a", 1, 1)
+	if d.headers[j.ID] == nil || d.headers[j.ID].Pack != "c-0/1" || d.keys[pack] || !d.conditions[pack] {
+		t.Errorf("headers %v, values %v, conditions %v", d.headers, d.keys, d.conditions)
+	}
+}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -211,7 +211,7 @@
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
 	for _, x := range picks {
-		d.hasRoomFor(j, x.task, false, true) // a value that is too large is left with this change
+		d.hasRoomFor(j, x.task, false, true) // there is; asked since a job leaves a pack that is too large so
 		d.bookPick(j, x, attempt+1, pass)
 	}
 	return true
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -28,8 +28,8 @@
 
 // markInDoubt remembers a commit without an answer, given the revisions of the cache's
 // values.
-func (t *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
-	if t.inDoubt.key != "" {
+func (s *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
+	if s.inDoubt.key != "" {
 		return // this one, too, excludes the first
 	}
 	found := map[string]uint64{}
@@ -39,8 +39,8 @@
 		}
 	}
 	for _, put := range lost.Puts {
-		if exclusionRank(put.Key) < unfitToExclude && (t.inDoubt.key == "" || exclusionRank(put.Key) < exclusionRank(t.inDoubt.key)) {
-			t.inDoubt = inDoubtCommit{put.Key, found[put.Key]}
+		if exclusionRank(put.Key) < unfitToExclude && (s.inDoubt.key == "" || exclusionRank(put.Key) < exclusionRank(s.inDoubt.key)) {
+			s.inDoubt = inDoubtCommit{put.Key, found[put.Key]}
 		}
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -8,7 +8,7 @@
 	"brassglade/internal/domain"
 )
 
-// twoZones is an acting leader with a machine for four tasks in each zone, both with the
+// twoZones is a leader that may act, with a machine for four tasks in each zone, both with the
 // image, and one open job of n tasks.
 func twoZones(t *testing.T, change func(*codec.JobHeader)) (*Controller, *Job) {
 	t.Helper()
@@ -154,7 +154,7 @@
 }
 
 // gangLosesItsLastTask drafts the releases of a gang's two tasks: the first is done, the
-// second's machine began a new session.
+// second's machine began a new agent epoch.
 func gangLosesItsLastTask(c *Controller, j *Job) *draft {
 	for i, name := range []string{"n-000000", "n-000001"} {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,8 +1,7 @@
 package scheduler
 
 import (
-	"time"
-
+	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
@@ -10,8 +9,8 @@
 
 // planner is what lasts from one plan to the next.
 type planner struct {
-	dirty               bool // something changed since the last plan
-	nextPlanAt          time.Duration
+	dirty               bool                     // something changed since the last plan
+	nextPlan            steady.Gate              // a pace after the last one
 	largeArraysTurn     bool                     // large arrays went first in the last plan
 	largestReleasesTurn bool                     // the next releases go by how much their values have to change
 	reserveLongestTexts bool                     // the next draft keeps room for the longest texts
@@ -48,12 +47,14 @@
 // A commit is for one of three things, in turns: a value that has to be split, one value of
 // another shard, or all that this controller's own values need. Own values and one of
 // another shard never go together: any change of the other shard's fails the whole commit,
-// and with several of them in each a controller can lose every time, for minutes.
+// and with several of them in each a controller can lose every time, for minutes. A draft
+// that repeats a value in doubt (in_doubt.go) isn't empty: own values wait until it is
+// through.
 func (c *Controller) planCommit() {
-	if !c.planner.dirty || c.now < c.planner.nextPlanAt || !c.canCommitTasks() {
+	if !c.planner.dirty || !c.planner.nextPlan.IsOpen(c.now) || !c.canCommitTasks() {
 		return
 	}
-	c.planner.nextPlanAt = c.now + c.pace()
+	c.planner.nextPlan.Close(c.now + c.pace())
 	c.planner.dirty = false
 	clear(c.commits.oversizedInPlan)
 	d := c.newDraft() // forgets the commit in doubt if that is settled by now
@@ -78,7 +79,8 @@
 	}
 	if c.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
 		// The same again, at once, with room for the longest texts.
-		c.planner.reserveLongestTexts, c.planner.dirty, c.planner.nextPlanAt = true, true, c.now
+		c.planner.reserveLongestTexts, c.planner.dirty = true, true
+		c.planner.nextPlan.Close(c.now)
 		return
 	}
 	c.planner.reserveLongestTexts = false
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -99,12 +99,13 @@
 func (c *Controller) willSendStartAgain(m *Machine, j *Job, id domain.TaskID) bool {
 	t := j.task(id.Index)
 	isForThisAgent := m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch
-	return isForThisAgent && !c.planner.pendingReleases[attemptID{id, t.Attempt}] && c.isStillWanted(m, j, id)
+	return isForThisAgent && c.cache.cordons[m.Name].State == "" &&
+		!c.planner.pendingReleases[attemptID{id, t.Attempt}] && c.isStillWanted(m, j, id)
 }
 
 // isStillWanted tells whether a booking hasn't lost its sense: its job is open and neither
-// its gang was stopped or broken nor its machine is about to go, to be emptied, or to make
-// room for a task that waits there.
+// its gang was stopped or broken nor its machine is about to be taken away, to be emptied,
+// or to make room for a task that waits there.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
 	t := j.task(id.Index)
 	h := j.Header
@@ -114,11 +115,11 @@
 		!c.gangIntact(j, t):
 		return false
 	case m.preemptionAt >= 0,
-		c.cache.cordons[m.Name].State != "",
-		c.isEvicting(m.Name) && !reservesMachines(h.Spec):
+		c.isEvicting(m.Name) && !reservesMachines(h.Spec),
+		c.planner.preempted[attemptID{id, t.Attempt}]:
 		return false
 	}
-	return !c.planner.preempted[attemptID{id, t.Attempt}]
+	return true
 }
 
 // takeLargestReleasesTurn tells whether those values go first that have most to change.
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -10,12 +10,12 @@
 	"brassglade/internal/domain"
 )
 
-// stocked is an acting node of five with idle machines and a job of many tasks in
-// their queues, in the smallest transactions in use.
+// stocked is a controller of five that may act, with idle machines and a job of many tasks
+// in their queues, in the smallest transactions in use.
 func stocked(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := acting()
-	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // homes of marks
+	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
 		m := c.addMachine(fmt.Sprintf("n-%06d", i))
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestRestByPart: in a wide fleet each part keeps the room that its own jobs need.
-// By the sum over all, the part with a backlog rested the machines it wanted.
-func TestRestByPart(t *testing.T) {
+// TestRestingByShard: in a wide fleet each shard keeps the room that its own jobs need.
+// By the sum over all, the shard with a backlog rested the machines it wanted.
+func TestRestingByShard(t *testing.T) {
 	c := wideCore()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
@@ -99,11 +99,11 @@
 		}
 	}
 	if awake["c-0"] < 300 {
-		t.Errorf("%v machines are awake by part; c-0 wants 300", awake)
+		t.Errorf("%v machines are awake by shard; c-0 wants 300", awake)
 	}
 }
 
-// planned returns the task commit that the core wants now.
+// planned returns the task commit that the controller wants now; empty: none.
 func planned(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
@@ -117,41 +117,40 @@
 	return Commit{}
 }
 
-// exclude tells whether two transactions change a value that both found unchanged:
+// excludeEachOther tells whether two transactions change a value that both found unchanged:
 // whichever is carried out first, the other never is.
-func exclude(a, b domain.Transaction) bool {
+func excludeEachOther(a, b domain.Transaction) bool {
 	had := map[string]uint64{}
 	for _, k := range a.Conditions {
 		had[k.Key] = k.ModRevision
 	}
 	for _, k := range b.Conditions {
-		stamp, both := had[k.Key]
+		revision, both := had[k.Key]
 		writes := func(t domain.Transaction) bool {
 			return slices.ContainsFunc(t.Puts, func(p domain.Put) bool { return p.Key == k.Key })
 		}
-		if both && stamp == k.ModRevision && writes(a) && writes(b) {
+		if both && revision == k.ModRevision && writes(a) && writes(b) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestUncertainCommitsExcludeEachOther: a commit without an answer may be carried out
-// after newer ones of this node. Two that change different values, each within the
-// node's share of a team's limit, together broke the limit, so the later ones write a
+// TestCommitsInDoubtExcludeEachOther: a commit without an answer may be carried out
+// after newer ones of this controller. Two that change different values, each within the
+// controller's share of a team's limit, together broke the limit, so the later ones write a
 // value of the first again. The team's key is left out of them, since it lost a
 // conflict just now and the share has room.
-func TestUncertainCommitsExcludeEachOther(t *testing.T) {
+func TestCommitsInDoubtExcludeEachOther(t *testing.T) {
 	for kind, spec := range map[string]struct {
-		pack  string
-		chunk int
-		in    bool
-	}{"pack": {pack: "c-0/1"}, "chunk": {chunk: 40}, "header": {in: true}, "team": {pack: "c-0/1"}} {
+		pack   string
+		inline bool
+	}{"pack": {pack: "c-0/1"}, "chunk": {}, "header": {inline: true}, "team": {pack: "c-0/1"}} {
 		c := acting()
 		c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
 		c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
 		c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
-		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.in, Shard: "c-0", AcceptOrder: 1,
+		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.inline, Shard: "c-0", AcceptOrder: 1,
 			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
 		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(h)})
 		c.apply(openJob(t, 1, 4, 1, 1000))
@@ -174,12 +173,12 @@
 			c.enqueue(domain.TaskID{Job: jobName(1), Index: i}, m)
 		}
 		second := planned(t, c)
-		if len(second.Transaction.Puts) == 0 || !exclude(first.Transaction, second.Transaction) {
+		if len(second.Transaction.Puts) == 0 || !excludeEachOther(first.Transaction, second.Transaction) {
 			t.Errorf("%s: both %v and %v may be carried out", kind, first.Transaction, second.Transaction)
 		}
 		c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
 		third := planned(t, c)
-		if !exclude(first.Transaction, third.Transaction) || !exclude(second.Transaction, third.Transaction) {
+		if !excludeEachOther(first.Transaction, third.Transaction) || !excludeEachOther(second.Transaction, third.Transaction) {
 			t.Errorf("%s: the third, %v, excludes not all before it", kind, third.Transaction)
 		}
 		c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
@@ -189,10 +188,10 @@
 	}
 }
 
-// TestLargeArraysHoldNoMachines: the leader keeps machines for gangs that wait, not for
+// TestLargeArraysReserveNoMachines: the leader reserves machines for gangs that wait, not for
 // an array of thousands of tasks, which would keep all of them from other jobs.
-func TestLargeArraysHoldNoMachines(t *testing.T) {
-	for shape, held := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
+func TestLargeArraysReserveNoMachines(t *testing.T) {
+	for shape, reserved := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
 		c := stocked(t, 10)
 		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
 			Spec: &domain.JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 5}}
@@ -205,8 +204,8 @@
 			t.Fatalf("%s: %d jobs want machines", shape, len(pending))
 		}
 		c.planReservations(c.machines(), pending)
-		if got := len(c.scaling.reserved) > 0; got != held {
-			t.Errorf("%s: %d machines are held", shape, len(c.scaling.reserved))
+		if got := len(c.scaling.reserved) > 0; got != reserved {
+			t.Errorf("%s: %d machines are reserved", shape, len(c.scaling.reserved))
 		}
 	}
 }
