--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -142,7 +142,8 @@
 	return ok && now < until
 }
 
-// isAvoided tells whether the value of task i of a job lost a conflict just now.
+// isAvoided tells whether the value of task i of a job lost a conflict just now. What is
+// left out for that is planned again.
 func (c *Controller) isAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -191,6 +191,14 @@
 	leaveTo string // pack to which the job goes with this change; "": it stays
 }
 
+// hasRoomToGrow tells whether a change of task i that may make its value longer, as a
+// booking or a handover does, may still go in.
+func (d *draft) hasRoomToGrow(j *Job, i int) bool { return d.hasRoomFor(j, i, false, true) }
+
+// hasRoomToEnd tells whether the release or the end of task i may still go in. done: it ends
+// well, which the job's header may have to say.
+func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool { return d.hasRoomFor(j, i, done, false) }
+
 // hasRoomFor tells whether the change of one more task of j may still go in: one value, one
 // header and one team at most. header: the job's header changes, too. grows: the value may
 // get longer. What can't be changed for a reason that another commit takes away is remembered
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -190,7 +190,7 @@
 		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
 	}
 	for _, x := range picks {
-		if !d.hasRoomFor(j, x.task, false, true) {
+		if !d.hasRoomToGrow(j, x.task) {
 			c.planner.dirty = true
 			return false
 		}
@@ -211,7 +211,7 @@
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
 	for _, x := range picks {
-		d.hasRoomFor(j, x.task, false, true) // there is; asked since a job leaves a pack that is too large so
+		d.hasRoomToGrow(j, x.task) // there is; asked since a job leaves a pack that is too large so
 		d.bookPick(j, x, attempt+1, pass)
 	}
 	return true
@@ -233,7 +233,7 @@
 		if d.peek(j, i).State != domain.Queued {
 			continue
 		}
-		if !d.hasRoomFor(j, i, true, false) {
+		if !d.hasRoomToEnd(j, i, true) {
 			c.planner.dirty = true
 			return false
 		}
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -141,21 +141,19 @@
 	sp, booking := j.Header.Spec, cellBooking{room: room}
 	end := j.cellEnd(from)
 	for i := from; i < end && booking.tasks < most && len(booking.room) > 0; i++ {
-		id := domain.TaskID{Job: j.ID, Index: i}
-		if j.task(i).State != domain.Queued || d.changed[id] {
+		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
 		if !c.quotaAllowsPlaced(sp, d.teamUsed(sp.Team).Plus(sp.Request, 1), claims) {
 			break
 		}
-		if !d.hasRoomFor(j, i, false, true) {
+		if !d.hasRoomToGrow(j, i) {
 			c.planner.dirty = true
 			booking.draftFull = d.changes() >= d.maxChanges // else this value alone is full
 			break
 		}
-		m, attempt := booking.room[0], j.task(i).Attempt+1
-		d.book(j, i, m.name, m.zone, m.agentEpoch, attempt)
-		d.recordBooking(id, m.name, m.zone, attempt, PassLargeArray)
+		m := booking.room[0]
+		d.bookPick(j, pick{i, m}, j.task(i).Attempt+1, PassLargeArray)
 		booking.tasks++
 		if !c.freeOn(m.name, c.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
 			booking.room = booking.room[1:]
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -129,7 +129,8 @@
 
 // planStages are the steps of a plan of own values. A transaction takes few changes and
 // bytes, and each stage leaves some to those after it: finishes alone, of many jobs, would
-// fill one after the other.
+// fill one after the other. Stages that book ask what teams' limits are claimed for (claims)
+// anew, each with what those before it drafted.
 var planStages = [...]planStage{
 	// Gangs on machines that go away have seconds left to save their progress.
 	{(*draft).allowAll, (*Controller).planGangStops},
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -119,7 +119,7 @@
 		if !c.quotaAllows(j.Header.Spec, d, claims) {
 			continue
 		}
-		if !d.hasRoomFor(j, x.task.Index, false, true) {
+		if !d.hasRoomToGrow(j, x.task.Index) {
 			c.planner.dirty = true
 			if d.isNearlyFull() {
 				return false
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -51,7 +51,7 @@
 		if !c.canHandOverTask(d, j, id, to) || c.isAvoided(j, id.Index) {
 			continue
 		}
-		if !d.hasRoomFor(j, id.Index, false, true) {
+		if !d.hasRoomToGrow(j, id.Index) {
 			c.planner.dirty = true
 			return
 		}
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -29,7 +29,7 @@
 	for _, r := range releases {
 		j := c.cache.jobs[r.task.Job]
 		done := r.done || c.gangDone(j, d) // a mate's end may stand in this very draft
-		if d.hasRoomFor(j, r.task.Index, done, false) {
+		if d.hasRoomToEnd(j, r.task.Index, done) {
 			c.release(d, j, r, done)
 			continue // others may change values that are in already
 		}
@@ -55,8 +55,11 @@
 		m := c.heartbeats.machines[name]
 		for _, id := range c.provenOffTasks(m) {
 			j := c.cache.jobs[id.Job]
-			r := c.provenRelease(m, j, id)
-			if !r.reported && c.willSendStartAgain(m, j, id) || c.isAvoided(j, id.Index) {
+			r := c.releaseOf(m, j, id)
+			if !r.reported && c.willSendStartAgain(m, j, id) {
+				continue
+			}
+			if c.isAvoided(j, id.Index) {
 				continue
 			}
 			byValue[keyOf(j, id.Index)]++
@@ -77,9 +80,9 @@
 	return inOrder(ids)
 }
 
-// provenRelease is the release of a task that is proven off its machine, with what the
+// releaseOf is the release of a task that is proven off its machine, with what the
 // machine said of it.
-func (c *Controller) provenRelease(m *Machine, j *Job, id domain.TaskID) provenRelease {
+func (c *Controller) releaseOf(m *Machine, j *Job, id domain.TaskID) provenRelease {
 	t := j.task(id.Index)
 	report, known := m.reported[id]
 	reported := known && report.Attempt == t.Attempt && m.agentEpoch == t.AgentEpoch
