--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -53,38 +53,38 @@
 }
 
 // commit sends a transaction; onAnswer is called once with what became of it.
-func (c *Controller) commit(lane int, t domain.Transaction, onAnswer func(domain.CommitResult, CommitAnswered)) *pendingCommit {
+func (c *Controller) commit(lane int, transaction domain.Transaction, onAnswer func(domain.CommitResult, CommitAnswered)) *pendingCommit {
 	c.commits.nextID++
-	c.commits.tokens -= float64(len(t.Puts))
-	p := &pendingCommit{id: c.commits.nextID, transaction: t, onAnswer: onAnswer}
-	c.commits.pending[p.id] = p
-	c.emit(Commit{ID: p.id, Lane: lane, Transaction: t})
-	return p
+	c.commits.tokens -= float64(len(transaction.Puts))
+	pending := &pendingCommit{id: c.commits.nextID, transaction: transaction, onAnswer: onAnswer}
+	c.commits.pending[pending.id] = pending
+	c.emit(Commit{ID: pending.id, Lane: lane, Transaction: transaction})
+	return pending
 }
 
 // onCommit settles the commit that an answer belongs to. Answers of commits that an
 // earlier incarnation sent, or that were answered already, are passed over.
-func (c *Controller) onCommit(e CommitAnswered) {
-	p := c.commits.pending[e.ID]
-	if p == nil {
+func (c *Controller) onCommit(answer CommitAnswered) {
+	pending := c.commits.pending[answer.ID]
+	if pending == nil {
 		return
 	}
-	delete(c.commits.pending, e.ID)
-	switch e.Result {
+	delete(c.commits.pending, answer.ID)
+	switch answer.Result {
 	case domain.Committed:
-		c.applyCommitted(p.transaction, e.Revision)
+		c.applyCommitted(pending.transaction, answer.Revision)
 	case domain.Refused:
-		if e.Malformed {
-			c.recordRefusal(p.transaction)
+		if answer.Malformed {
+			c.recordRefusal(pending.transaction)
 		}
-		c.commits.refund(len(p.transaction.Puts), c.fullWriteRate())
+		c.commits.refund(len(pending.transaction.Puts), c.fullWriteRate())
 	}
-	p.onAnswer(e.Result, e)
+	pending.onAnswer(answer.Result, answer)
 }
 
 // applyCommitted takes what this controller wrote into the cache ahead of the watch.
-func (c *Controller) applyCommitted(t domain.Transaction, revision uint64) {
-	for _, put := range t.Puts {
+func (c *Controller) applyCommitted(transaction domain.Transaction, revision uint64) {
+	for _, put := range transaction.Puts {
 		// The view is taken from the watch alone, so that whoever sees
 		// epoch e has seen all commits of earlier epochs.
 		if put.Key == codec.KeyView && c.guard(GuardView) {
@@ -178,7 +178,7 @@
 // sendPlan commits a draft and settles what comes of it. From now on no start of an
 // attempt that it releases may go out: the commit may be carried out late.
 func (c *Controller) sendPlan(d *draft) {
-	t := d.transaction()
+	transaction := d.transaction()
 	for _, attempt := range d.releases {
 		c.planner.pendingReleases[attempt] = true
 	}
@@ -186,33 +186,35 @@
 	c.debug("task commit", "epoch", c.cache.view.Epoch, "read_at", c.cache.revision,
 		"headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares),
 		"tasks", len(d.changed), "released", len(d.releases),
-		"conditions", len(t.Conditions), "bytes", transactionBytes(t))
-	c.commits.taskCommit = c.commit(LaneTask, t, func(r domain.CommitResult, e CommitAnswered) { c.settlePlan(d, t, r, e) })
+		"conditions", len(transaction.Conditions), "bytes", transactionBytes(transaction))
+	c.commits.taskCommit = c.commit(LaneTask, transaction, func(result domain.CommitResult, answer CommitAnswered) {
+		c.settlePlan(d, transaction, result, answer)
+	})
 }
 
 // settlePlan takes the outcome of the task commit that was in flight.
-func (c *Controller) settlePlan(d *draft, t domain.Transaction, r domain.CommitResult, e CommitAnswered) {
+func (c *Controller) settlePlan(d *draft, transaction domain.Transaction, result domain.CommitResult, answer CommitAnswered) {
 	c.commits.taskCommit = nil
 	c.planner.dirty = true
 	for name := range d.machines {
 		c.heartbeats.touched[name] = true
 	}
-	switch r {
+	switch result {
 	case domain.Committed:
-		c.debug("task committed", "revision", e.Revision)
-		for _, f := range d.onCommit {
-			f()
+		c.debug("task committed", "revision", answer.Revision)
+		for _, then := range d.onCommit {
+			then()
 		}
 	case domain.Conflict:
-		c.debug("task commit conflict", "failed", e.Failed)
-		c.commits.minRevision = max(c.commits.minRevision, e.Revision)
-		c.avoidContested(e.Failed)
+		c.debug("task commit conflict", "failed", answer.Failed)
+		c.commits.minRevision = max(c.commits.minRevision, answer.Revision)
+		c.avoidContested(answer.Failed)
 	default:
-		c.debug("task commit not confirmed", "result", int(r))
-		c.backOff(r)
-		if r == domain.InDoubt {
-			c.commits.markInDoubt(t, c.cache.modRevisions)
-		} else if e.Malformed {
+		c.debug("task commit not confirmed", "result", int(result))
+		c.backOff(result)
+		if result == domain.InDoubt {
+			c.commits.markInDoubt(transaction, c.cache.modRevisions)
+		} else if answer.Malformed {
 			c.commits.inDoubt = inDoubtCommit{} // it may be the value in doubt that is too large by now
 		}
 	}
@@ -220,8 +222,8 @@
 
 // backOff waits a little, of random length, after a task commit that was refused or got
 // no answer.
-func (c *Controller) backOff(r domain.CommitResult) {
-	if r == domain.Refused && c.membership.stateReachable {
+func (c *Controller) backOff(result domain.CommitResult) {
+	if result == domain.Refused && c.membership.stateReachable {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
 	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -224,21 +224,21 @@
 
 // refuse is the first reason that speaks against a change, which it leads to another value
 // where the task's job has to leave its own.
-func (d *draft) refuse(x *taskChange) roomRefusal {
-	if refusal := d.refuseByTurn(x); refusal != notRefused {
+func (d *draft) refuse(change *taskChange) roomRefusal {
+	if refusal := d.refuseByTurn(change); refusal != notRefused {
 		return refusal
 	}
-	if refusal := d.refuseBySize(x); refusal != notRefused {
+	if refusal := d.refuseBySize(change); refusal != notRefused {
 		return refusal
 	}
-	return d.refuseByBudget(x)
+	return d.refuseByBudget(change)
 }
 
 // refuseByTurn keeps own values and one of another shard apart (planCommit says why).
-func (d *draft) refuseByTurn(x *taskChange) roomRefusal {
-	foreign := d.c.isForeign(x.job)
+func (d *draft) refuseByTurn(change *taskChange) roomRefusal {
+	foreign := d.c.isForeign(change.job)
 	switch {
-	case foreign && x.key != d.foreignKey:
+	case foreign && change.key != d.foreignKey:
 		return refusedForeignValue
 	case !foreign && d.foreignKey != "":
 		return refusedOwnValue
@@ -248,23 +248,23 @@
 
 // refuseBySize refuses what would make a value too large to be written. A pack's job leaves
 // a value that is so already with this change; a chunk is split first.
-func (d *draft) refuseBySize(x *taskChange) roomRefusal {
-	h := x.job.Header
+func (d *draft) refuseBySize(change *taskChange) roomRefusal {
+	h := change.job.Header
 	if h.Inline {
-		x.header = true
+		change.header = true
 		return notRefused
 	}
-	if d.mayNotWrite(x) {
+	if d.mayNotWrite(change) {
 		if h.Pack == "" {
 			return refusedOversized
 		}
-		pack, ok := d.target(x.job)
+		pack, ok := d.target(change.job)
 		if !ok {
 			return refusedOversized
 		}
-		x.leaveTo, x.key, x.header = pack, codec.PrefixPack+pack, true
+		change.leaveTo, change.key, change.header = pack, codec.PrefixPack+pack, true
 	}
-	if x.grows && d.isFullValue(x) {
+	if change.grows && d.isFullValue(change) {
 		return refusedFullValue
 	}
 	return notRefused
@@ -272,27 +272,27 @@
 
 // mayNotWrite tells whether the value of a change can't be written any more as it is, or
 // must not grow.
-func (d *draft) mayNotWrite(x *taskChange) bool {
-	return (d.c.formats.limitsFell || x.grows && d.c.formatOn()) && d.c.isOversizedInPlan(x.key)
+func (d *draft) mayNotWrite(change *taskChange) bool {
+	return (d.c.formats.limitsFell || change.grows && d.c.formatOn()) && d.c.isOversizedInPlan(change.key)
 }
 
 // isFullValue tells whether the value has no room for one more booking.
-func (d *draft) isFullValue(x *taskChange) bool {
+func (d *draft) isFullValue(change *taskChange) bool {
 	bound := d.c.valueBound()
 	if d.c.formatOn() {
 		bound = d.c.cfg.ValueLimit
 	}
-	return d.c.cache.valueSizes[x.key]+d.growth[x.key]+2*tuning.TaskBytes+len(x.job.ID) > bound-tuning.PackSlack
+	return d.c.cache.valueSizes[change.key]+d.growth[change.key]+2*tuning.TaskBytes+len(change.job.ID) > bound-tuning.PackSlack
 }
 
 // refuseByBudget refuses what the transaction has no changes, bytes or conditions for.
-func (d *draft) refuseByBudget(x *taskChange) roomRefusal {
-	j, changes, bytes := x.job, d.changes(), d.bytes
-	if !d.keys[x.key] && !j.Header.Inline {
+func (d *draft) refuseByBudget(change *taskChange) roomRefusal {
+	j, changes, bytes := change.job, d.changes(), d.bytes
+	if !d.keys[change.key] && !j.Header.Inline {
 		changes++
-		bytes += d.c.valueBytes(x.key)
+		bytes += d.c.valueBytes(change.key)
 	}
-	if x.header && d.headers[j.ID] == nil {
+	if change.header && d.headers[j.ID] == nil {
 		changes++
 		bytes += tuning.HeaderBytes
 	}
@@ -302,7 +302,7 @@
 	if changes > d.maxChanges || bytes > d.maxBytes {
 		return refusedFullDraft
 	}
-	if !d.takesConditions(1 + d.newConditions(x)) {
+	if !d.takesConditions(1 + d.newConditions(change)) {
 		return refusedForConditions
 	}
 	return notRefused
@@ -311,9 +311,9 @@
 // newConditions is how many conditions a change adds. They are few where transactions are
 // small: counted as they are, the view's among them, with one for the page of the machine's
 // cordon.
-func (d *draft) newConditions(x *taskChange) int {
-	j, n := x.job, 1
-	for _, key := range [4]string{x.key, x.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
+func (d *draft) newConditions(change *taskChange) int {
+	j, n := change.job, 1
+	for _, key := range [4]string{change.key, change.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
 		if !d.conditions[key] {
 			n++
 		}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -189,12 +189,12 @@
 	if sp.Shape == domain.Gang {
 		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
 	}
-	for _, x := range picks {
-		if !d.hasRoomToGrow(j, x.task) {
+	for _, picked := range picks {
+		if !d.hasRoomToGrow(j, picked.task) {
 			c.planner.dirty = true
 			return false
 		}
-		d.bookPick(j, x, j.task(x.task).Attempt+1, pass)
+		d.bookPick(j, picked, j.task(picked.task).Attempt+1, pass)
 	}
 	return true
 }
@@ -210,9 +210,9 @@
 	for i := range j.Tasks {
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
-	for _, x := range picks {
-		d.hasRoomToGrow(j, x.task) // there is; asked since a job leaves a pack that is too large so
-		d.bookPick(j, x, attempt+1, pass)
+	for _, picked := range picks {
+		d.hasRoomToGrow(j, picked.task) // there is; asked since a job leaves a pack that is too large so
+		d.bookPick(j, picked, attempt+1, pass)
 	}
 	return true
 }
@@ -243,9 +243,9 @@
 }
 
 // bookPick books a task where it was picked to go.
-func (d *draft) bookPick(j *Job, x pick, attempt uint64, pass PlanningPass) {
-	d.book(j, x.task, x.machine.name, x.machine.zone, x.machine.agentEpoch, attempt)
-	d.recordBooking(domain.TaskID{Job: j.ID, Index: x.task}, x.machine.name, x.machine.zone, attempt, pass)
+func (d *draft) bookPick(j *Job, picked pick, attempt uint64, pass PlanningPass) {
+	d.book(j, picked.task, picked.machine.name, picked.machine.zone, picked.machine.agentEpoch, attempt)
+	d.recordBooking(domain.TaskID{Job: j.ID, Index: picked.task}, picked.machine.name, picked.machine.zone, attempt, pass)
 }
 
 // pick is a task put on a machine.
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -114,21 +114,21 @@
 // another round may book more: false if none was booked, or the draft is full.
 func (c *Controller) bookCandidates(d *draft, candidates []bookingCandidate, claims map[string]quotaClaim) bool {
 	anyBooked := false
-	for _, x := range candidates {
-		j, m := x.job, x.machine
+	for _, candidate := range candidates {
+		j, m := candidate.job, candidate.machine
 		if !c.quotaAllows(j.Header.Spec, d, claims) {
 			continue
 		}
-		if !d.hasRoomToGrow(j, x.task.Index) {
+		if !d.hasRoomToGrow(j, candidate.task.Index) {
 			c.planner.dirty = true
 			if d.isNearlyFull() {
 				return false
 			}
 			continue // its pack is full; others may still go in
 		}
-		attempt := j.task(x.task.Index).Attempt + 1
-		d.book(j, x.task.Index, m.Name, m.Zone, m.agentEpoch, attempt)
-		d.recordBooking(x.task, m.Name, m.Zone, attempt, PassQueue)
+		attempt := j.task(candidate.task.Index).Attempt + 1
+		d.book(j, candidate.task.Index, m.Name, m.Zone, m.agentEpoch, attempt)
+		d.recordBooking(candidate.task, m.Name, m.Zone, attempt, PassQueue)
 		anyBooked = true
 	}
 	return anyBooked
