--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -518,7 +518,7 @@
 	}
 	c.cache.loadingSnapshot = false
 	c.cache.revision = max(c.cache.revision, ev.Revision)
-	c.membership.synced = true
+	c.membership.CacheLoaded()
 }
 
 func loadOrder(key string) int {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.debug("order", "verb", o.Kind, "task", o.Task, "machine", m.Name, "attempt", o.Attempt, "reason", o.Reason,
-			"session", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision, "confirmed_s", (c.now - c.membership.fenceConfirmedAt).Seconds())
+			"session", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision, "confirmed_s", (c.now - c.membership.Confirmed().Time()).Seconds())
 	}
 }
 
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 	"time"
 
+	"brassglade/internal/membership"
 	"brassglade/internal/tuning"
 )
 
@@ -28,7 +29,7 @@
 	now     time.Duration // steady time of the present step
 	effects []Effect      // of the present step so far
 
-	membership membership
+	membership membership.Member
 	views      views
 	cache      cache
 	commits    commits
@@ -51,7 +52,7 @@
 	c := &Controller{
 		cfg:        cfg,
 		rng:        rand.New(rand.NewPCG(cfg.Seed, hash64(cfg.Node))),
-		membership: newMembership(incarnation),
+		membership: membership.New(membership.Config{FenceAge: cfg.FenceAge, ReadRate: cfg.ReadRate}, incarnation),
 		views:      newViews(),
 		cache:      newCache(),
 		commits:    newCommits(cfg.WriteRate),
@@ -87,12 +88,12 @@
 		c.loadSnapshot(e)
 		c.settleConfirmations()
 	case WatchAdvanced:
-		c.membership.watchSentAt = e.Sent
+		c.membership.WatchBegins(e.Sent)
 		for _, kv := range e.Items {
 			c.apply(kv)
 		}
 		c.cache.revision = max(c.cache.revision, e.Revision)
-		c.membership.watchSentAt = -1
+		c.membership.WatchEnds()
 		c.settleConfirmations()
 	case ConfirmationAnswered:
 		c.onConfirmation(e)
@@ -152,7 +153,7 @@
 	c.confirmView()
 	c.proposeView()
 	c.expireWaiters()
-	if c.membership.synced {
+	if c.membership.IsSynced() {
 		c.gossip()
 		c.updateReadiness()
 		c.announceFormat()
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -355,7 +355,7 @@
 		return
 	}
 	c.requests.dependencyLists++
-	sp.DependencyListName = fmt.Sprintf("%s-%d", c.membership.incarnation, c.requests.dependencyLists)
+	sp.DependencyListName = fmt.Sprintf("%s-%d", c.membership.Incarnation(), c.requests.dependencyLists)
 	var puts []domain.Put
 	for k, t := range codec.JoinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
 		puts = append(puts, domain.Put{Key: codec.KeyDependencyPiece(e.ID, sp.DependencyListName, k), Value: codec.Encode(t)})
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -159,11 +159,15 @@
 func acting() *Controller {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
-	c.now, c.membership.synced, c.membership.stateReachable = time.Minute, true, true
+	c.now = time.Minute
+	c.membership.CacheLoaded()
+	c.membership.AssumeStateReachable()
 	c.cache.members = map[string]string{"c-0": "x"}
 	c.cache.view = &domain.View{Epoch: 1, Leader: "c-0", Members: c.cache.members, Serving: []string{"c-0"}}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000}, Zones: []string{"a"}}}
-	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.membership.readIndexAt, c.cache.format, c.cache.revision = c.now, c.now, c.now-1, codec.CurrentFormat, 100
+	c.confirmNow()
+	c.membership.AssumeReadIndex(c.now - 1)
+	c.cache.format, c.cache.revision = codec.CurrentFormat, 100
 	return c
 }
 
@@ -283,7 +287,7 @@
 		if len(c.requests.waiting) > 0 && said(c).Status != 0 {
 			t.Errorf("%s: answered %d before its read index", name, said(c).Status)
 		}
-		c.membership.readIndexAt = c.now
+		c.membership.AssumeReadIndex(c.now)
 		c.wakeWaiters()
 		commitAll(t, c)
 		if u := said(c); u.Status != x.status {
@@ -299,7 +303,7 @@
 		if x.status == 201 {
 			c.effects = nil
 			c.onJobSubmitted(submission(jobName(9), jobName(8)))
-			c.membership.readIndexAt = c.now
+			c.membership.AssumeReadIndex(c.now)
 			c.wakeWaiters()
 			if u := said(c); u.Status != 200 {
 				t.Errorf("%s: a repeat gets %d", name, u.Status)
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -33,7 +33,7 @@
 	// Announced only behind a view that has this incarnation: whatever an earlier
 	// process of this controller sent was conditional on an older view, so nothing
 	// of it can be carried out any more once the format is on.
-	key, v := codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.incarnation}
+	key, v := codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()}
 	if c.cache.announcedFormats[c.cfg.Node] >= codec.CurrentFormat {
 		if !c.isLeader() {
 			return
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -79,7 +79,7 @@
 	c.cache.format = 0
 	turn := func() (keys []string) {
 		c.now += time.Second
-		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+		c.confirmNow()
 		c.announceFormat()
 		return commitAll(t, c)
 	}
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -35,7 +35,7 @@
 // ordered is the answer to a check-in of the machine, given at once.
 func ordered(c *Controller, m *Machine, tally uint64, recall float64, seen ...domain.TaskReport) (status int, verbs []domain.CommandKind) {
 	c.effects = nil
-	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+	c.confirmNow()
 	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 1, PreemptionNotice: recall, Tasks: seen}})
 	for _, h := range c.heartbeats.pending {
 		c.answerHeartbeat(h)
@@ -115,7 +115,7 @@
 		GuardDead: func(drop string) bool {
 			c, m := booked(t, drop)
 			c.now += c.cfg.FenceAge + c.cfg.WorkerLease + 5*time.Second
-			c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+			c.confirmNow()
 			c.reviewMachines()
 			if m.abandonedEpoch != 1 {
 				t.Fatal("not given up")
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -88,7 +88,7 @@
 	}
 	if r.FencingToken > c.cache.view.Epoch {
 		// The worker has seen a later view than this node.
-		c.membership.nextConfirmationAt = min(c.membership.nextConfirmationAt, c.now)
+		c.membership.ConfirmSoon(c.now)
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 503})
 		return
 	}
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -209,7 +209,7 @@
 		return
 	}
 	c.peers.nextGossipAt = c.now + max(tuning.DrawEvery/4, 2*c.pace())
-	msg := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.stateServiceAnswers()}
+	msg := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.membership.StateAnswers(c.now)}
 	acting := c.mayAct()
 	for _, name := range c.machineNames() {
 		m := c.heartbeats.machines[name]
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -192,7 +192,7 @@
 			c.debug("task commit not confirmed", "result", int(r))
 			// All nodes together want more than the state service takes, and it
 			// refuses users' submissions as well: each goes back towards its part.
-			if r == domain.Refused && c.membership.stateReachable {
+			if r == domain.Refused && c.membership.IsStateReachable() {
 				c.commits.rate = max(min(c.cfg.FairWriteRate*c.weight(), c.commits.rate), c.commits.rate*tuning.RateCut)
 			}
 			c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -107,7 +107,8 @@
 func planned(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
-	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.effects, c.planner.dirty, c.commits.tokens = c.now, c.now, nil, true, 1e6
+	c.confirmNow()
+	c.effects, c.planner.dirty, c.commits.tokens = nil, true, 1e6
 	c.planCommit()
 	for _, e := range c.effects {
 		if x, ok := e.(Commit); ok && x.Lane == LaneTask {
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -35,12 +35,7 @@
 func (c *Controller) canTakeRequests() bool { return c.mayAct() && len(c.cache.machineTypes) > 0 }
 
 // Ready is what GET /up answers.
-func (c *Controller) Ready() bool { return c.membership.ready }
-
-// stateServiceAnswers tells whether the state service answered lately.
-func (c *Controller) stateServiceAnswers() bool {
-	return c.membership.stateAnsweredAt >= 0 && c.now-c.membership.stateAnsweredAt < tuning.UsableFor
-}
+func (c *Controller) Ready() bool { return c.membership.IsReady() }
 
 // updateReadiness settles what GET /up says. A node that once was ready steps back
 // only when another one can take requests. While the state service answers
@@ -48,13 +43,18 @@
 // double, would keep all nodes out after the outage; users are told at once
 // when to come back instead.
 func (c *Controller) updateReadiness() {
-	if c.canTakeRequests() && c.stateServiceAnswers() {
-		c.membership.ready, c.membership.unreadySince = true, -1
+	if c.canTakeRequests() && c.membership.StateAnswers(c.now) {
+		c.membership.BecomeReady()
 		return
 	}
-	if !c.membership.ready {
-		return
+	if c.membership.IsReady() {
+		c.membership.StepBack(c.now, c.anotherCanTakeRequests())
 	}
+}
+
+// anotherCanTakeRequests tells whether users are better served by another controller
+// while this one takes no requests.
+func (c *Controller) anotherCanTakeRequests() bool {
 	// Either a peer says that the state service answers it, or no peer is heard
 	// at all: then it is this node that is cut off, since in an outage of the
 	// state service alone the peers still talk.
@@ -64,15 +64,7 @@
 		heard = heard || fresh
 		better = better || p.usable && fresh
 	}
-	better = better || !heard && len(c.cfg.Nodes) > 1
-	switch {
-	case !better:
-		c.membership.unreadySince = -1
-	case c.membership.unreadySince < 0:
-		c.membership.unreadySince = c.now
-	case c.now-c.membership.unreadySince > tuning.StepBack:
-		c.membership.ready = false
-	}
+	return better || !heard && len(c.cfg.Nodes) > 1
 }
 
 func (c *Controller) retryLater(req uint64, why string) {
@@ -94,13 +86,13 @@
 }
 
 func (c *Controller) awaitReadIndex(w waiter) {
-	if !c.membership.synced || !c.membership.stateReachable {
+	if !c.membership.IsSynced() || !c.membership.IsStateReachable() {
 		c.retryLater(w.requestID, "state service unreachable")
 		return
 	}
 	w.askedAt = c.now
 	if !c.guard(GuardIndex) {
-		w.askedAt = c.membership.readIndexAt
+		w.askedAt = c.membership.ReadIndex().Time()
 	}
 	c.requests.waiting = append(c.requests.waiting, w)
 	if !c.guard(GuardIndex) {
@@ -124,7 +116,7 @@
 	ws := c.requests.waiting
 	c.requests.waiting = nil
 	for _, w := range ws {
-		if w.askedAt > c.membership.readIndexAt {
+		if !c.membership.HasReadIndex(w.askedAt) {
 			c.requests.waiting = append(c.requests.waiting, w)
 			continue
 		}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -195,7 +195,7 @@
 			}
 			hires++
 			f.rentalCount++
-			e := RentMachines{RentalID: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, f.rentalCount), Type: o.machineType, Zone: o.zone, Spot: o.spot,
+			e := RentMachines{RentalID: fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), f.rentalCount), Type: o.machineType, Zone: o.zone, Spot: o.spot,
 				Count: min(n, tuning.MaxMachinesPerRental)}
 			f.rentals[e.RentalID] = rental{e, c.now}
 			c.info("renting", "type", o.machineType, "zone", o.zone, "spot", o.spot, "count", e.Count)
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -16,7 +16,9 @@
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1"}, ValueLimit: 4096, TransactionLimit: 8, FenceAge: 7 * time.Second}, "x")
 	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: map[string]string{"c-0": "x", "c-1": "y"}, Serving: []string{"c-0", "c-1"}}
 	c.cache.members = map[string]string{"c-0": "x", "c-1": "y"}
-	c.now, c.membership.synced, c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = time.Minute, true, time.Minute, time.Minute
+	c.now = time.Minute
+	c.membership.CacheLoaded()
+	c.confirmNow()
 	for round := 0; round < 30; round++ {
 		for i := 0; i < 1500; i++ {
 			n := fmt.Sprintf("n-%06d", i)
@@ -28,7 +30,7 @@
 			}
 		}
 		c.now += 10 * time.Second
-		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+		c.confirmNow()
 		c.writeCordons()
 		for id, p := range c.commits.pending {
 			for _, a := range p.transaction.Puts {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -43,8 +43,8 @@
 	if c.cache.view != nil {
 		s.Epoch, s.Leader, s.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
-	if c.membership.fenceConfirmedAt >= 0 {
-		s.Confirmed = c.now - c.membership.fenceConfirmedAt
+	if confirmed := c.membership.Confirmed(); confirmed.IsKnown() {
+		s.Confirmed = c.now - confirmed.Time()
 	}
 	return s
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -141,12 +141,11 @@
 }
 
 func (c *Controller) isLeader() bool {
-	return c.cache.view != nil && c.cache.view.Leader == c.cfg.Node && c.cache.view.Members[c.cfg.Node] == c.membership.incarnation
+	return c.isMemberOf(c.cache.view) && c.cache.view.Leader == c.cfg.Node
 }
 
 func (c *Controller) owns(machine string) bool {
-	v := c.cache.view
-	return v != nil && v.Members[c.cfg.Node] == c.membership.incarnation && c.ownerOf(machine) == c.cfg.Node
+	return c.isMemberOf(c.cache.view) && c.ownerOf(machine) == c.cfg.Node
 }
 
 // taskShard tells whose queue a queued task belongs to. A part that doesn't
@@ -171,11 +170,9 @@
 func (c *Controller) adoptView(v *domain.View) {
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = v, c.now
-	// The confirmations so far were about the old view; the watch that brought
-	// this one shows that it held at some time after the watch was sent.
-	c.membership.fenceConfirmedAt = c.membership.watchSentAt
+	c.membership.ViewChanged()
 	// Continuous: this incarnation saw the view just before this one.
-	cont := old != nil && old.Epoch+1 == v.Epoch && old.Members[c.cfg.Node] == c.membership.incarnation
+	cont := c.isMemberOf(old) && old.Epoch+1 == v.Epoch
 	names := map[string]bool{}
 	for n := range c.heartbeats.machines {
 		names[n] = true
@@ -257,7 +254,7 @@
 // proposeView proposes a new view where the member keys, or workers that can't
 // reach their owners, ask for one. Only the conditional write decides.
 func (c *Controller) proposeView() {
-	if c.views.proposing || !c.membership.synced || c.membership.lease != memberKeyWritten || c.cache.members[c.cfg.Node] != c.membership.incarnation || c.now < c.views.nextProposalAt ||
+	if c.views.proposing || !c.membership.IsSynced() || !c.membership.HasMemberKey(c.cache.members[c.cfg.Node]) || c.now < c.views.nextProposalAt ||
 		c.now < c.views.nextReviewAt {
 		return
 	}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -27,7 +27,8 @@
 	c.cache.members = m
 	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
-	c.membership.lease, c.membership.synced = memberKeyWritten, true
+	c.membership.AssumeMemberKey()
+	c.membership.CacheLoaded()
 	for i := 0; i < 2000; i++ {
 		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
 		if o := c.ownerIn(n, z); o == "c-0" {
@@ -48,7 +49,7 @@
 func (c *Controller) pass(d time.Duration, heard func(string) bool) {
 	for end := c.now + d; c.now < end; {
 		c.now += 500 * time.Millisecond
-		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt = c.now, c.now
+		c.confirmNow()
 		for n, p := range c.peers.byName {
 			if heard(n) {
 				p.heardAt = c.now
@@ -217,7 +218,8 @@
 	var seen []string
 	for i := 0; i < 12; i++ {
 		c.now += time.Second
-		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.planner.dirty = c.now, c.now, true
+		c.confirmNow()
+		c.planner.dirty = true
 		c.planCommit()
 		if c.commits.taskCommit == nil {
 			continue
@@ -270,11 +272,13 @@
 // long as the state service takes them; refusals hit users' submissions as well.
 func TestRefusalsSlowDown(t *testing.T) {
 	c := wideCore()
-	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens, c.membership.stateReachable = 8, 5, 8, 8, true
+	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
+	c.membership.AssumeStateReachable()
 	c.ended("c-0/0")
 	turn := func(r domain.CommitResult) {
 		c.now += 2 * time.Second
-		c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.planner.dirty = c.now, c.now, true
+		c.confirmNow()
+		c.planner.dirty = true
 		c.Step(c.now, Tick{})
 		if c.commits.taskCommit == nil {
 			t.Fatalf("no commit at %v", c.now)
