--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -5,6 +5,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // commits is the writing side towards the state service: what is under way, and how
@@ -76,3 +77,18 @@
 	}
 	p.onAnswer(e.Result, e)
 }
+
+// refill adds the changes that came free since the last step: the rate grows back to
+// mostRate, in changes a second, after refusals made it smaller, and what isn't used within
+// a second is lost. Who becomes leader, or is no longer, starts at the full rate of its
+// new part.
+func (k *commits) refill(now time.Duration, mostRate float64, isLeader bool) {
+	elapsed := (now - k.tokensAt).Seconds()
+	if k.leaderRate != isLeader {
+		k.leaderRate = isLeader
+		k.rate = mostRate
+	}
+	k.rate = min(mostRate, k.rate+elapsed*tuning.RateRegain*mostRate)
+	k.tokens = min(k.rate, k.tokens+elapsed*k.rate)
+	k.tokensAt = now
+}
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -1,3 +1,6 @@
+// Package scheduler decides for one controller, without input or output of its own. Step
+// takes one event and the steady time and returns the effects to carry out; the package
+// owns all state and is called by one goroutine.
 package scheduler
 
 import (
@@ -13,7 +16,7 @@
 // Work counts what grows with the fleet, so that tests need no clock to see it.
 type Work struct {
 	Events            int            // steps
-	PendingHeartbeats int            // held check-ins looked at
+	PendingHeartbeats int            // heartbeats waiting for their answer looked at
 	Machines          int            // machines looked at one by one (reviewMachines)
 	Targets           int            // machines weighed for tasks (choices)
 	TooLarge          int            // values refused for their size
@@ -73,28 +76,20 @@
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0:0]
 	c.Work.Events++
-	dt := (c.now - c.commits.tokensAt).Seconds()
-	most := c.cfg.WriteRate * c.weight()
-	if c.commits.leaderRate != c.isLeader() {
-		c.commits.leaderRate = !c.commits.leaderRate
-		c.commits.rate = most
-	}
-	c.commits.rate = min(most, c.commits.rate+dt*tuning.RateRegain*most)
-	c.commits.tokens = min(c.commits.rate, c.commits.tokens+dt*c.commits.rate)
-	c.commits.tokensAt = c.now
+	c.commits.refill(c.now, c.cfg.WriteRate*c.weight(), c.isLeader())
+	c.take(ev)
+	c.doWhatIsDue()
+	return c.effects
+}
+
+// take tells the component that it concerns of an event.
+func (c *Controller) take(ev Event) {
 	switch e := ev.(type) {
 	case Tick:
 	case SnapshotLoaded:
-		c.loadSnapshot(e)
-		c.settleConfirmations()
+		c.onSnapshot(e)
 	case WatchAdvanced:
-		c.membership.WatchBegins(e.Sent)
-		for _, kv := range e.Items {
-			c.apply(kv)
-		}
-		c.cache.revision = max(c.cache.revision, e.Revision)
-		c.membership.WatchEnds()
-		c.settleConfirmations()
+		c.onWatch(e)
 	case ConfirmationAnswered:
 		c.onConfirmation(e)
 	case CommitAnswered:
@@ -112,7 +107,7 @@
 	case JobSubmitted:
 		c.onJobSubmitted(e)
 	case JobQueried:
-		c.onJobQueried(e.RequestID, e.ID, false)
+		c.onJobQueried(e)
 	case JobCancelled:
 		c.onJobCancelled(e)
 	case MachineTypesListed:
@@ -126,45 +121,63 @@
 	case PeerMessageReceived:
 		c.onPeerMessage(e)
 	default:
-		panic(fmt.Sprintf("unknown event %T", ev))
+		panic(fmt.Sprintf("an event that take doesn't know: %T", ev))
 	}
-	c.drive()
-	return c.effects
 }
 
-// weight is this node's part of the changes a second, compared with an equal one.
-// In a wide fleet the leader writes gangs and marks besides its own part; with an
-// equal part of the changes its own jobs waited for minutes beside machines that
-// were free, and looked like those with most room.
+// doWhatIsDue does what is due now, whatever the event was. Each part decides for itself
+// whether anything is. First comes what keeps this controller in its place, then what
+// others learn from it, then its decisions, and last the answers that tell machines.
+func (c *Controller) doWhatIsDue() {
+	c.maintainLease() // without lease and member key nothing else counts
+	c.confirmView()   // every moment in which it isn't sent shortens what the fence allows
+	c.proposeView()   // after maintainLease, which may find the member key gone
+	c.expireWaiters() // users need an answer even while the cache is being loaded
+	if !c.membership.IsSynced() {
+		return // nothing below may be decided on half a cache
+	}
+	c.gossip()                  // sent even by those that may not act: peers judge by it who is cut off
+	c.updateReadiness()         // bound to no place: what GET /up says
+	c.announceFormat()          // seldom and small, so that it takes its tokens before the plan
+	c.writeCordons()            // before planCommit: bookings depend on the pages of cordons
+	c.placeTasks()              // before planCommit: tasks are booked from the queues of machines
+	c.planCommit()              // takes what tokens are left
+	c.scale()                   // the leader's; what is here is booked before more is rented
+	c.endLearningWindow()       // after placing, whose loads it records
+	c.answerPendingHeartbeats() // after planCommit: a heartbeat is held for the bookings it may bring
+	c.reviewMachines()          // last: an answer just given renews its machine's lease
+}
+
+// weight is this controller's part of the changes a second, compared with an equal one.
+// In a large fleet the leader writes gangs and cordons besides its own shard; with an
+// equal part of the changes its own jobs waited for minutes beside machines that were
+// free, and looked like those with most room.
 func (c *Controller) weight() float64 {
-	n := float64(len(c.cfg.Nodes))
-	if n < 3 || c.cache.view == nil || !c.isLargeFleet() {
+	controllers := float64(len(c.cfg.Nodes))
+	if controllers < 3 || c.cache.view == nil || !c.isLargeFleet() {
 		return 1
 	}
 	if c.isLeader() {
 		return tuning.LeaderWeight
 	}
-	return (n - tuning.LeaderWeight) / (n - 1)
+	return (controllers - tuning.LeaderWeight) / (controllers - 1)
+}
+
+// onSnapshot replaces the cache.
+func (c *Controller) onSnapshot(e SnapshotLoaded) {
+	c.loadSnapshot(e)
+	c.settleConfirmations()
 }
 
-// drive does what is due now, whatever the event was.
-func (c *Controller) drive() {
-	c.maintainLease()
-	c.confirmView()
-	c.proposeView()
-	c.expireWaiters()
-	if c.membership.IsSynced() {
-		c.gossip()
-		c.updateReadiness()
-		c.announceFormat()
-		c.writeCordons()
-		c.placeTasks()
-		c.planCommit()
-		c.scale()
-		c.endLearningWindow()
-		c.answerPendingHeartbeats()
-		c.reviewMachines()
+// onWatch brings the cache up to the watch's revision.
+func (c *Controller) onWatch(e WatchAdvanced) {
+	c.membership.WatchBegins(e.Sent)
+	for _, kv := range e.Items {
+		c.apply(kv)
 	}
+	c.membership.WatchEnds()
+	c.cache.revision = max(c.cache.revision, e.Revision)
+	c.settleConfirmations()
 }
 
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -15,7 +15,7 @@
 
 // booked is an acting node with one machine that it heard, and a task of job 1
 // booked there and not yet started.
-func booked(t *testing.T, drop string) (*Controller, *Machine) {
+func booked(t *testing.T, drop Guard) (*Controller, *Machine) {
 	t.Helper()
 	c := acting()
 	c.cfg.DisabledGuard, c.cfg.WorkerLease, c.cfg.HeartbeatInterval = drop, 20*time.Second, 3*time.Second
@@ -55,10 +55,10 @@
 // They guard against meetings that random days seldom bring about.
 func TestGuardsBite(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
-	for guard, holds := range map[string]func(drop string) bool{
+	for guard, holds := range map[Guard]func(drop Guard) bool{
 		// A release without an answer may still be carried out: were the run sent
 		// again, as the notice was withdrawn, the task would then start elsewhere.
-		GuardDoom: func(drop string) bool {
+		GuardDoom: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			ordered(c, m, 2, 8)
 			c.now += 2 * time.Second
@@ -75,7 +75,7 @@
 		},
 		// Whoever sees a view has seen every commit of the views before: a node that
 		// took its own proposal for seen could lack another's last booking.
-		GuardView: func(drop string) bool {
+		GuardView: func(drop Guard) bool {
 			c, _ := booked(t, drop)
 			v := *c.cache.view
 			v.Epoch = 2
@@ -84,14 +84,14 @@
 			return c.cache.view.Epoch == 1
 		},
 		// A cleared attempt is unknown to its worker, and its run would start it anew.
-		GuardClear: func(drop string) bool {
+		GuardClear: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.commits.blockedUntil = c.now + time.Minute
 			_, verbs := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
 			return !slices.Contains(verbs, domain.ForgetTask)
 		},
 		// A machine may be marked and returned between plan and commit.
-		GuardGone: func(drop string) bool {
+		GuardGone: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
 			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
@@ -100,7 +100,7 @@
 		},
 		// Of a snapshot's pages the first is the oldest: a chunk on a later one may
 		// belong to a header that is not there yet, and its stamp would hide it.
-		GuardPage: func(drop string) bool {
+		GuardPage: func(drop Guard) bool {
 			c := acting()
 			c.cfg.DisabledGuard = drop
 			h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}}
@@ -112,7 +112,7 @@
 		},
 		// The tasks of a session given up may be on elsewhere: an answer would keep
 		// alive what may still be there.
-		GuardDead: func(drop string) bool {
+		GuardDead: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.now += c.cfg.FenceAge + c.cfg.WorkerLease + 5*time.Second
 			c.confirmNow()
@@ -124,21 +124,21 @@
 			return status == 503
 		},
 		// What may change is answered behind a read index.
-		GuardIndex: func(drop string) bool {
+		GuardIndex: func(drop Guard) bool {
 			c, _ := booked(t, drop)
 			c.effects = nil
-			c.onJobQueried(1, jobName(1), false)
+			c.onJobQueried(JobQueried{1, jobName(1)})
 			return said(c).Status == 0
 		},
-		GuardNever: func(drop string) bool {
+		GuardNever: func(drop Guard) bool {
 			c, _ := booked(t, drop)
 			return c.whyNeverRuns(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A node that was cut off takes a job for unknown that another one accepted.
-		GuardIndex + " ": func(drop string) bool {
+		GuardIndex + " ": func(drop Guard) bool {
 			c := acting()
-			c.cfg.DisabledGuard = strings.TrimSpace(drop)
-			c.onJobQueried(1, jobName(7), false)
+			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(drop)))
+			c.onJobQueried(JobQueried{1, jobName(7)})
 			return said(c).Status == 0
 		},
 	} {
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -1,26 +1,58 @@
 package scheduler
 
-// Guards that tests may take away, to see that the rule checker notices.
+// Guard names one check that keeps an invariant of docs/design.md. Outside tests all
+// stand; tests take one away and see that the checker of rules notices, so that no check
+// is there for show.
+type Guard string
+
+// The guards, each with what it keeps.
 const (
-	GuardFence = "fence" // answer check-ins only behind a fresh confirmation
-	GuardProof = "proof" // book elsewhere only what is proven off
-	GuardQuota = "quota" // start only within the team's limit
-	GuardDead  = "dead"  // never answer a session that was given up
+	// GuardNone takes nothing away.
+	GuardNone Guard = ""
+
+	// GuardFence lets a controller act only while view and lease are confirmed by requests
+	// younger than the fence age (invariant 2). Without it two owners command one machine.
+	GuardFence Guard = "fence"
+	// GuardProof books a task elsewhere only once its last attempt is proven off
+	// (invariant 5). Without it a task runs twice.
+	GuardProof Guard = "proof"
+	// GuardQuota starts tasks only within their team's limit (invariant 9).
+	GuardQuota Guard = "quota"
+	// GuardDead never answers an agent epoch that was given up, whose tasks may run
+	// elsewhere by now (invariant 6).
+	GuardDead Guard = "dead"
 
-	GuardDoom  = "doom"  // send no run of a booking whose release was tried
-	GuardView  = "view"  // take the view from the watch alone
-	GuardClear = "clear" // clear an ended task only when its outcome is committed
-	GuardGone  = "gone"  // book under the condition of the machine's page of marks
-	GuardPage  = "page"  // take nothing from a snapshot that is newer than its first page
-	GuardBook  = "book"  // book what waits where there is room
-	GuardIndex = "index" // answer what may change behind a read index
-	GuardNever = "never" // accept nothing that can't run
+	// GuardDoom sends no start of a booking whose release was tried: the release may still
+	// be carried out (invariant 4).
+	GuardDoom Guard = "doom"
+	// GuardView takes the view from the watch alone, so that whoever sees an epoch has seen
+	// every commit of the earlier ones (invariant 7).
+	GuardView Guard = "view"
+	// GuardClear has a machine forget an ended task only once its outcome is committed:
+	// the agent no longer knows it, and a start would run it anew (invariant 8).
+	GuardClear Guard = "clear"
+	// GuardGone books under the condition of the machine's page of cordons, since the
+	// machine may be returned between plan and commit (invariant 10).
+	GuardGone Guard = "gone"
+	// GuardPage takes nothing from a snapshot that is newer than its first page: a chunk
+	// without its header would be dropped, and its revision hide it (invariant 12).
+	GuardPage Guard = "page"
+	// GuardBook books what waits where there is room; without it nothing ever starts.
+	GuardBook Guard = "book"
+	// GuardIndex answers what may still change behind a read index (invariant 11).
+	GuardIndex Guard = "index"
+	// GuardNever accepts nothing that can never run.
+	GuardNever Guard = "never"
 
-	GuardDraft = "draft" // count what a draft holds where a job's tasks are asked for
+	// GuardDraft counts what a draft holds already where a job's tasks are asked for
+	// (invariant 21).
+	GuardDraft Guard = "draft"
 
-	GuardNeeds   = "needs"   // start nothing before all that it awaits is done
-	GuardCascade = "cascade" // cancel what needs a cancelled job
+	// GuardNeeds starts nothing before all that it depends on is done (invariant 16).
+	GuardNeeds Guard = "needs"
+	// GuardCascade cancels what depends on a cancelled job (invariant 17).
+	GuardCascade Guard = "cascade"
 )
 
-// guard tells whether a guard stands; outside tests all do.
-func (c *Controller) guard(name string) bool { return c.cfg.DisabledGuard != name }
+// guard tells whether a guard stands.
+func (c *Controller) guard(g Guard) bool { return c.cfg.DisabledGuard != g }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -31,7 +31,7 @@
 // it chose a zone anew (docs/incidents/production-wrong-place.md).
 func TestTwoPassesOneZone(t *testing.T) {
 	for name, x := range map[string]struct {
-		guard  string
+		guard  Guard
 		change func(*codec.JobHeader)
 		want   string
 	}{
@@ -64,7 +64,7 @@
 // TestSpreadCountsTheDraft: one machine's zone has room for all tasks, half of which may
 // be there; the second walk must not book the other half.
 func TestSpreadCountsTheDraft(t *testing.T) {
-	for guard, want := range map[string]int{"": 2, GuardDraft: 4} {
+	for guard, want := range map[Guard]int{"": 2, GuardDraft: 4} {
 		c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 })
 		c.cfg.DisabledGuard = guard
 		c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
@@ -118,7 +118,7 @@
 // TestBookedGangIsNoFailure: a gang booked in the first walk found a place; one like it
 // must be tried in the second walk, too.
 func TestBookedGangIsNoFailure(t *testing.T) {
-	for guard, want := range map[string]int{"": 2, GuardDraft: 0} {
+	for guard, want := range map[Guard]int{"": 2, GuardDraft: 0} {
 		c, j := twoZones(t, func(h *codec.JobHeader) {
 			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
 		})
@@ -141,7 +141,7 @@
 // and both come into one draft. All are done; before, the second was queued again, and no
 // plan ever looked at the job again.
 func TestGangEndsTogether(t *testing.T) {
-	for guard, want := range map[string]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
+	for guard, want := range map[Guard]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
 		c, j := twoZones(t, func(h *codec.JobHeader) {
 			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
 		})
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -100,12 +100,12 @@
 	}
 }
 
-func (c *Controller) onJobQueried(req uint64, id string, _ bool) {
-	if j := c.cache.jobs[id]; j != nil && j.final() {
-		c.replyState(req, 200, j)
+func (c *Controller) onJobQueried(e JobQueried) {
+	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
+		c.replyState(e.RequestID, 200, j)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: req, id: id})
+	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
 }
 
 // wakeWaiters answers those whose read index the cache has reached.
@@ -219,7 +219,7 @@
 
 func (c *Controller) onJobSubmitted(e JobSubmitted) {
 	if j := c.cache.jobs[e.ID]; j != nil && e.ID != "" {
-		c.onJobQueried(e.RequestID, e.ID, true)
+		c.onJobQueried(JobQueried{e.RequestID, e.ID})
 		return
 	}
 	if e.Spec == nil {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -267,7 +267,7 @@
 // zoneBoundFleet plays two minutes of a fleet of four times fill machines: zone-bound
 // arrays, each booked in several commits, meet leaders that end between these, late
 // transactions, lost answers and an outage.
-func zoneBoundFleet(fill int, drop string) *Cluster {
+func zoneBoundFleet(fill int, drop scheduler.Guard) *Cluster {
 	w := fleet(fill, func(s *scheduler.Settings) { s.DisabledGuard = drop })
 	size := fill / 250
 	w.feed(150*size, time.Millisecond)
@@ -291,7 +291,7 @@
 func TestFleetZoneBound(t *testing.T) {
 	for _, x := range []struct {
 		fill int
-		drop string
+		drop scheduler.Guard
 	}{{250, ""}, {250, scheduler.GuardDraft}, {1000, ""}} {
 		t.Run(fmt.Sprint(4*x.fill, x.drop), func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -143,7 +143,7 @@
 				err = fmt.Errorf("next: %w", err)
 			}
 		case "drop":
-			set.DisabledGuard = f[1]
+			set.DisabledGuard = scheduler.Guard(f[1])
 		case "until":
 			until, err = secs(f[1])
 		case "at":
