--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -95,7 +95,7 @@
 	owner := c.ownerIn(r.Machine, r.Zone)
 	if owner != c.cfg.Node {
 		if c.cache.cordons[r.Machine].State != domain.CordonGone {
-			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
+			c.recordRedirect(&r, owner)
 		}
 		c.emit(HeartbeatReply{RequestID: e.RequestID, Status: 421, Owner: owner})
 		return
--- /dev/null
+++ b/internal/scheduler/ownership.go
@@ -0,0 +1,147 @@
+package scheduler
+
+import (
+	"slices"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
+)
+
+// owner of a machine under a view, "" for none: its override, or the rendezvous hash over
+// the serving controllers. While zones are apart it is the hash over those of the machine's
+// own zone, if any serve there. A machine never changes its zone, so whoever knows the zone
+// finds the same owner; whoever doesn't finds none.
+func (c *Controller) owner(v *domain.View, machine, zone string) string {
+	if v == nil {
+		return ""
+	}
+	if o := v.OwnerOverrides[machine]; o != "" && slices.Contains(v.Serving, o) {
+		return o
+	}
+	if !v.Zoned {
+		return rendezvous(machine, v.Serving)
+	}
+	if zone == "" {
+		return ""
+	}
+	var near []string
+	for _, node := range v.Serving {
+		if c.cfg.ZoneOf[node] == zone {
+			near = append(near, node)
+		}
+	}
+	if len(near) == 0 {
+		near = v.Serving
+	}
+	return rendezvous(machine, near)
+}
+
+// zoneOf a machine, as its heartbeats or its bookings name it; "" if neither does.
+func (c *Controller) zoneOf(machine string) string {
+	if m := c.heartbeats.machines[machine]; m != nil && m.Zone != "" {
+		return m.Zone
+	}
+	return c.cache.occupancy[machine].zone
+}
+
+// ownerOf a machine under the current view, "" for none.
+func (c *Controller) ownerOf(machine string) string { return c.ownerIn(machine, "") }
+
+// ownerIn is ownerOf where the machine's zone is at hand.
+func (c *Controller) ownerIn(machine, zone string) string {
+	v := c.cache.view
+	if v == nil {
+		return ""
+	}
+	if c.views.ownersView != v {
+		c.views.ownersView, c.views.ownerByMachine = v, map[string]string{}
+	}
+	o, ok := c.views.ownerByMachine[machine]
+	if !ok {
+		if v.Zoned && zone == "" {
+			zone = c.zoneOf(machine)
+		}
+		if o = c.owner(v, machine, zone); o != "" {
+			c.views.ownerByMachine[machine] = o
+		}
+	}
+	return o
+}
+
+// owns tells whether this controller owns a machine under the current view.
+func (c *Controller) owns(machine string) bool {
+	return c.isMemberOf(c.cache.view) && c.ownerOf(machine) == c.cfg.Node
+}
+
+// isLeader tells whether this process leads under the current view.
+func (c *Controller) isLeader() bool {
+	return c.isMemberOf(c.cache.view) && c.cache.view.Leader == c.cfg.Node
+}
+
+// taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
+// serve falls to a hash over the view without any write.
+func (c *Controller) taskShard(j *Job, t domain.Task) string {
+	shard := t.Shard
+	if shard == "" {
+		shard = j.Header.Shard
+	}
+	v := c.cache.view
+	if v == nil || slices.Contains(v.Serving, shard) {
+		return shard
+	}
+	return rendezvous(j.ID, v.Serving)
+}
+
+// shardOf is the shard of a job, where its tasks wait unless they were passed on.
+func (c *Controller) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
+
+// settleOwnership settles from when on this controller owns each machine, now that the
+// view is no longer the old one, nil for none.
+func (c *Controller) settleOwnership(old *domain.View) {
+	// Continuous: this incarnation saw the view just before this one.
+	continuous := c.isMemberOf(old) && old.Epoch+1 == c.cache.view.Epoch
+	for machine := range c.knownMachines() {
+		switch {
+		case !c.owns(machine):
+			c.endOwnership(machine)
+		case continuous && c.owner(old, machine, c.zoneOf(machine)) == c.cfg.Node:
+		default:
+			c.takeOwnership(machine)
+		}
+	}
+}
+
+// knownMachines are those heard and those with bookings.
+func (c *Controller) knownMachines() map[string]bool {
+	known := map[string]bool{}
+	for machine := range c.heartbeats.machines {
+		known[machine] = true
+	}
+	for machine := range c.cache.bookedOn {
+		known[machine] = true
+	}
+	return known
+}
+
+// endOwnership lets go of a machine that another controller owns, if this one had it.
+func (c *Controller) endOwnership(machine string) {
+	c.dequeueAll(machine)
+	// Known by its bookings alone: should its zone show again later in a zoned view,
+	// ownership must begin then, not when it once began.
+	if m := c.heartbeats.machines[machine]; m != nil && m.Zone == "" {
+		c.dropMachine(machine)
+	}
+}
+
+// takeOwnership starts this controller's ownership of a machine.
+func (c *Controller) takeOwnership(machine string) {
+	m := c.heartbeats.machines[machine]
+	if m == nil {
+		m = c.addMachine(machine)
+	}
+	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
+	m.heardAt = c.now + tuning.TakeoverSilence
+	m.unheededReplies, m.sentToken, m.heartbeatAt = 0, 0, -1
+	m.abandonedEpoch = 0 // another owner may have known better meanwhile
+	clear(m.startsSent)
+}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -107,7 +107,7 @@
 		for i := 0; i < 2000; i += 2 {
 			n := fmt.Sprintf("n-%06d", i)
 			if o := c.ownerIn(n, "a"); c.cfg.ZoneOf[o] == "b" {
-				c.recordRedirect(n, "a", o, 1, tally, 3)
+				c.recordRedirect(&domain.Heartbeat{Machine: n, Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 3}, o)
 			}
 		}
 	}
