--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -2,23 +2,18 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"slices"
-	"strings"
 	"time"
 
-	json "github.com/goccy/go-json"
-
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
-// Jobs that await others. A final state never changes, so a committed header that
+// Jobs that depend on others. A final state never changes, so a committed header that
 // says done is proof enough for all that comes after it, and one that says cancelled
 // cancels all that needs it: nothing of these has started. Both follow from what
-// every node reads in the same ledger; no write stands between a cancellation and
+// every controller reads at the same revision; no write stands between a cancellation and
 // its consequences.
 
 // phase is where a job in the cache stands.
@@ -26,10 +21,10 @@
 
 const (
 	phaseNew       phase = iota // just met
-	phaseWaiting                // a job that it awaits is not done: in no queue, in no count
+	phaseWaiting                // a job that it depends on is not done: in no queue, in no count
 	phaseOpen                   // its tasks may start
 	phaseDone                   // all tasks done
-	phaseCancelled              // by its user, or for a job that it awaits
+	phaseCancelled              // by its user, or for a job that it depends on
 )
 
 // mayStart is the one place that says whether tasks of a job may start at all.
@@ -37,6 +32,7 @@
 	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardNeeds)
 }
 
+// phaseOf is the phase that a job's header and those before it call for.
 func (c *Controller) phaseOf(j *Job) phase {
 	switch {
 	case j.Header.State == domain.StateDone:
@@ -79,27 +75,10 @@
 func (c *Controller) setPhase(j *Job, p phase) {
 	old := j.phase
 	if old == phaseOpen && p != old {
-		for k, o := range c.cache.openJobs {
-			if o == j {
-				c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
-				break
-			}
-		}
-		for i := 0; i < j.Header.TaskCount && j.queuedHere > 0; i++ {
-			c.dequeue(domain.TaskID{Job: j.ID, Index: i})
-		}
+		c.leaveOpen(j)
 	}
 	if p == phaseOpen && p != old {
-		// Order and ages count from the last job before it; after a restart from
-		// the times that the headers tell.
-		j.readyAt = int64(c.now)
-		if c.cache.loadingSnapshot {
-			j.readyAt = max(j.submittedAt, j.dependenciesDoneAt)
-		}
-		c.insertOpen(j)
-		if j.Header.Spec != nil && len(j.Header.Spec.Dependencies) > 0 && old == phaseWaiting {
-			c.debug("job may start", "job", j.ID, "waited_s", (c.now - time.Duration(j.submittedAt)).Seconds())
-		}
+		c.enterOpen(j)
 	}
 	if p == phaseCancelled && !j.Header.Released {
 		c.cache.awaitingRelease[j.ID] = j
@@ -112,6 +91,29 @@
 	}
 }
 
+// leaveOpen takes a job out of those whose tasks may start, and its tasks out of queues.
+func (c *Controller) leaveOpen(j *Job) {
+	if k := slices.Index(c.cache.openJobs, j); k >= 0 {
+		c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
+	}
+	for i := 0; i < j.Header.TaskCount && j.queuedHere > 0; i++ {
+		c.dequeue(domain.TaskID{Job: j.ID, Index: i})
+	}
+}
+
+// enterOpen puts a job among those whose tasks may start. Order and ages count from the last
+// job before it; after a restart from the times that the headers tell.
+func (c *Controller) enterOpen(j *Job) {
+	j.readyAt = int64(c.now)
+	if c.cache.loadingSnapshot {
+		j.readyAt = max(j.submittedAt, j.dependenciesDoneAt)
+	}
+	c.insertOpen(j)
+	if j.phase == phaseWaiting && j.Header.Spec != nil && len(j.Header.Spec.Dependencies) > 0 {
+		c.debug("job may start", "job", j.ID, "waited_s", (c.now - time.Duration(j.submittedAt)).Seconds())
+	}
+}
+
 // endOf is when a job was done, as its header tells or, if it doesn't, now.
 func (c *Controller) endOf(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
@@ -120,7 +122,7 @@
 	return int64(c.now)
 }
 
-// linkDependencies reads what a job just met awaits and joins it to those jobs.
+// linkDependencies reads what a job just met depends on and joins it to those jobs.
 func (c *Controller) linkDependencies(j *Job) {
 	sp := j.Header.Spec
 	if sp == nil {
@@ -134,9 +136,7 @@
 	sp.Dependencies = codec.ParseNames(sp.DependencyText)
 	c.dependOn(j, sp.Dependencies)
 	if j.missingPieces == 0 {
-		for k := 0; k < sp.DependencyListPieces; k++ {
-			c.takeDependencyPiece(j, k)
-		}
+		c.takeDependencyPieces(j)
 	}
 	for _, d := range c.cache.dependents[j.ID] {
 		c.inheritUrgency(j, d)
@@ -144,6 +144,7 @@
 	c.propagateUrgency(j)
 }
 
+// dependOn joins a job to those that it depends on, as far as they are not over.
 func (c *Controller) dependOn(j *Job, ids []string) {
 	for _, id := range ids {
 		n := c.cache.jobs[id]
@@ -179,7 +180,7 @@
 }
 
 // latest is a heap of jobs, the latest accepted first. A job is accepted after
-// all that it awaits, so each comes up once, with all that it has to pass on.
+// all that it depends on, so each comes up once, with all that it has to pass on.
 type latest []*Job
 
 func (l latest) Len() int           { return len(l) }
@@ -213,174 +214,3 @@
 		}
 	}
 }
-
-// --- how the names are kept ---
-
-// Only jobs that are not done need to be named; most submissions name a few. Longer
-// lists lie in pieces beside the header, written before it under a name of their
-// own, so that a header never refers to a list that is not there.
-
-// applyDependencyPiece takes a piece of a list. Its header mostly comes later.
-func (c *Controller) applyDependencyPiece(key string, v []byte) {
-	var text string
-	if v == nil || json.Unmarshal(v, &text) != nil {
-		delete(c.cache.dependencyPieces, key)
-		return
-	}
-	c.cache.dependencyPieces[key] = text
-	id, _, _ := strings.Cut(key[len(codec.PrefixDependencies):], "/")
-	if j := c.cache.jobs[id]; j != nil && j.missingPieces > 0 && j.Header.Spec != nil {
-		if c.countMissingPieces(j); j.missingPieces == 0 {
-			for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-				c.takeDependencyPiece(j, k)
-			}
-			c.propagateUrgency(j)
-			c.settlePhase(j)
-		}
-	}
-}
-
-// countMissingPieces counts the pieces of a job's list that are not here yet.
-func (c *Controller) countMissingPieces(j *Job) {
-	j.missingPieces = 0
-	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-		if _, ok := c.cache.dependencyPieces[codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
-			j.missingPieces++
-		}
-	}
-}
-
-func (c *Controller) takeDependencyPiece(j *Job, k int) {
-	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
-	ids := codec.ParseNames(c.cache.dependencyPieces[key])
-	delete(c.cache.dependencyPieces, key)
-	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
-	c.dependOn(j, ids)
-}
-
-// lookUpDependencies finds the jobs that a submission names. What the cache has was accepted;
-// what it lacks another node may have accepted a moment ago, so the state service
-// is asked for those, if they are few. Only a read index shows that a job was never
-// accepted: by then everything accepted before the submission came is in the cache.
-func (c *Controller) lookUpDependencies(e JobSubmitted) {
-	var keys []string
-	for _, id := range e.Spec.Dependencies {
-		if c.cache.jobs[id] == nil && !slices.Contains(keys, codec.KeyJob(id)) {
-			if keys = append(keys, codec.KeyJob(id)); len(keys) > tuning.MaxLookups {
-				c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
-				return
-			}
-		}
-	}
-	if len(keys) == 0 {
-		c.accept(e, nil)
-		return
-	}
-	c.commits.nextID++
-	c.requests.lookups[c.commits.nextID] = e
-	c.emit(ReadKeys{c.commits.nextID, keys})
-}
-
-func (c *Controller) onRead(ev KeysRead) {
-	e, ok := c.requests.lookups[ev.ID]
-	if !ok {
-		return
-	}
-	delete(c.requests.lookups, ev.ID)
-	found := map[string]*codec.JobHeader{}
-	for _, kv := range ev.Items {
-		h := &codec.JobHeader{}
-		if json.Unmarshal(kv.Value, h) == nil {
-			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = h
-		}
-	}
-	for _, id := range e.Spec.Dependencies {
-		if c.cache.jobs[id] == nil && found[id] == nil {
-			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
-			return
-		}
-	}
-	c.accept(e, found)
-}
-
-// accept takes a submission that names jobs; found are those that the cache may
-// lack, as the state service had them a moment ago.
-func (c *Controller) accept(e JobSubmitted, found map[string]*codec.JobHeader) {
-	refuse := func(why string) { c.emit(UserReply{RequestID: e.RequestID, Status: 422, ID: e.ID, Reason: why}) }
-	sp := *e.Spec
-	ids := slices.Clone(sp.Dependencies)
-	slices.Sort(ids)
-	ids = slices.Compact(ids)
-	var open []string
-	state := domain.StateOpen
-	for _, id := range ids {
-		n := c.cache.jobs[id]
-		if h := found[id]; n == nil && h != nil {
-			n = &Job{ID: id, Header: h}
-		}
-		switch {
-		case n == nil:
-			refuse("awaits a job that was never accepted")
-			return
-		case n.Header.Spec != nil && n.Header.Spec.Shape == domain.Service:
-			refuse("awaits a service, which never ends")
-			return
-		case n.cancelled():
-			state = domain.StateCancelled
-		case n.Header.State != domain.StateDone:
-			open = append(open, id)
-		}
-	}
-	if !c.canTakeRequests() {
-		c.retryLater(e.RequestID, "not ready")
-		return
-	}
-	if c.requests.accepting[e.ID] {
-		c.retryLater(e.RequestID, "being accepted")
-		return
-	}
-	c.requests.accepting[e.ID] = true
-	sp.Dependencies = nil
-	if state == domain.StateCancelled {
-		// Accepted all the same, and over.
-		c.putJob(e, &codec.JobHeader{State: state, TaskCount: sp.TaskCount, Released: true})
-		return
-	}
-	h := c.newHeader(&sp)
-	if t := codec.JoinNames(open, tuning.DependenciesInHeader); len(t) <= 1 {
-		if len(t) == 1 {
-			sp.DependencyText = t[0]
-		}
-		c.putJob(e, h)
-		return
-	}
-	c.requests.dependencyLists++
-	sp.DependencyListName = fmt.Sprintf("%s-%d", c.membership.Incarnation(), c.requests.dependencyLists)
-	var puts []domain.Put
-	for k, t := range codec.JoinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
-		puts = append(puts, domain.Put{Key: codec.KeyDependencyPiece(e.ID, sp.DependencyListName, k), Value: codec.Encode(t)})
-	}
-	sp.DependencyListPieces = len(puts)
-	c.putPieces(e, h, puts)
-}
-
-// putPieces writes the pieces of a list, some in each commit, then the header.
-func (c *Controller) putPieces(e JobSubmitted, h *codec.JobHeader, puts []domain.Put) {
-	if len(puts) == 0 {
-		c.putJob(e, h)
-		return
-	}
-	n := min(len(puts), c.cfg.TransactionLimit)
-	t := domain.Transaction{Puts: puts[:n]}
-	for _, p := range t.Puts {
-		t.Conditions = append(t.Conditions, domain.Condition{Key: p.Key, ModRevision: 0})
-	}
-	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
-		if r != domain.Committed { // a later try uses another name
-			delete(c.requests.accepting, e.ID)
-			c.retryLater(e.RequestID, "state service")
-			return
-		}
-		c.putPieces(e, h, puts[n:])
-	})
-}
--- /dev/null
+++ b/internal/scheduler/dependency_lists.go
@@ -0,0 +1,61 @@
+package scheduler
+
+import (
+	"strings"
+
+	json "github.com/goccy/go-json"
+
+	"brassglade/internal/codec"
+)
+
+// How the names of the jobs that a job depends on are kept. Only those that are not done
+// need to be named; most submissions name a few, which lie in the header. Longer lists lie
+// in pieces beside it, written before it under a name of their own, so that a header never
+// refers to a list that is not there.
+
+// applyDependencyPiece takes a piece of a list. Its header mostly comes later.
+func (c *Controller) applyDependencyPiece(key string, v []byte) {
+	var text string
+	if v == nil || json.Unmarshal(v, &text) != nil {
+		delete(c.cache.dependencyPieces, key)
+		return
+	}
+	c.cache.dependencyPieces[key] = text
+	id, _, _ := strings.Cut(key[len(codec.PrefixDependencies):], "/")
+	j := c.cache.jobs[id]
+	if j == nil || j.missingPieces == 0 || j.Header.Spec == nil {
+		return
+	}
+	if c.countMissingPieces(j); j.missingPieces > 0 {
+		return
+	}
+	c.takeDependencyPieces(j)
+	c.propagateUrgency(j)
+	c.settlePhase(j)
+}
+
+// countMissingPieces counts the pieces of a job's list that are not here yet.
+func (c *Controller) countMissingPieces(j *Job) {
+	j.missingPieces = 0
+	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
+		if _, ok := c.cache.dependencyPieces[codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
+			j.missingPieces++
+		}
+	}
+}
+
+// takeDependencyPieces joins a job to all that its list names. The pieces are all here, and
+// are forgotten.
+func (c *Controller) takeDependencyPieces(j *Job) {
+	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
+		c.takeDependencyPiece(j, k)
+	}
+}
+
+func (c *Controller) takeDependencyPiece(j *Job, k int) {
+	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
+	ids := codec.ParseNames(c.cache.dependencyPieces[key])
+	delete(c.cache.dependencyPieces, key)
+	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
+	c.dependOn(j, ids)
+}
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -37,7 +37,8 @@
 	// GuardPage takes nothing from a snapshot that is newer than its first page: a chunk
 	// without its header would be dropped, and its revision hide it (invariant 12).
 	GuardPage Guard = "page"
-	// GuardBook books what waits where there is room; without it nothing ever starts.
+	// GuardBook books from the queues of machines what waits where there is room; without it
+	// tasks starve.
 	GuardBook Guard = "book"
 	// GuardIndex answers what may still change behind a read index (invariant 11).
 	GuardIndex Guard = "index"
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -106,3 +106,43 @@
 	c.membership.CacheReached(c.cache.revision)
 	c.wakeWaiters()
 }
+
+// --- readiness ---
+
+// canTakeRequests tells whether this controller can take users' requests.
+func (c *Controller) canTakeRequests() bool { return c.mayAct() && len(c.cache.machineTypes) > 0 }
+
+// Ready is what GET /up answers.
+func (c *Controller) Ready() bool { return c.membership.IsReady() }
+
+// updateReadiness settles what GET /up says. A controller that once was ready steps back
+// only when another one can take requests. While the state service answers nobody, leaving
+// the load balancer would help no user, and its pauses, which double, would keep all
+// controllers out after the outage; users are told at once when to come back instead.
+func (c *Controller) updateReadiness() {
+	if c.canTakeRequests() && c.membership.StateAnswers(c.now) {
+		c.membership.BecomeReady()
+		return
+	}
+	if c.membership.IsReady() {
+		c.membership.StepBack(c.now, c.anotherCanTakeRequests())
+	}
+}
+
+// anotherCanTakeRequests tells whether users are better served by another controller while
+// this one takes no requests. Either a peer says that the state service answers it, or no
+// peer is heard at all: then it is this controller that is cut off, since in an outage of
+// the state service alone the peers still talk.
+func (c *Controller) anotherCanTakeRequests() bool {
+	heard := false
+	for _, p := range c.peers.byName {
+		if c.now-p.heardAt >= tuning.PeerFresh {
+			continue
+		}
+		if p.usable {
+			return true
+		}
+		heard = true
+	}
+	return !heard && len(c.cfg.Nodes) > 1
+}
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -3,15 +3,14 @@
 import (
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // requests are the users' requests that have no answer yet.
 type requests struct {
-	waiting         []waiter
+	waiting         []waiter                // for a read index, in the order in which they asked
 	accepting       map[string]bool         // jobs whose submission is being committed
 	lookups         map[uint64]JobSubmitted // submissions that wait for a read, by its ID
 	dependencyLists int                     // lists of dependencies kept in pieces so far
@@ -21,59 +20,49 @@
 	return requests{accepting: map[string]bool{}, lookups: map[uint64]JobSubmitted{}}
 }
 
-// waiter is a user request that needs a read index.
-type waiter struct {
-	requestID uint64
-	id        string
-	askedAt   time.Duration
-	submit    *JobSubmitted // answered as a repeat, or refused with 422
-	refusal   string
-	cancel    bool
-}
+// refusal is why a request is not carried out, in the words that users get.
+type refusal string
 
-// canTakeRequests tells whether this node can take requests.
-func (c *Controller) canTakeRequests() bool { return c.mayAct() && len(c.cache.machineTypes) > 0 }
+// The user may come back with the same request (status 503).
+const (
+	notReady           refusal = "not ready"
+	stateUnreachable   refusal = "state service unreachable"
+	stateSlow          refusal = "state service slow"
+	commitFailed       refusal = "state service"
+	beingAccepted      refusal = "being accepted"
+	dependenciesNotYet refusal = "not all controllers know Awaits yet"
+)
 
-// Ready is what GET /up answers.
-func (c *Controller) Ready() bool { return c.membership.IsReady() }
+// The request is wrong: as it is written (status 400), or for what it asks (422).
+const (
+	malformed           refusal = "malformed"
+	unknownTeam         refusal = "unknown team"
+	overTeamLimit       refusal = "over the team's limit"
+	fitsNoMachineType   refusal = "a task fits no allowed machine type"
+	dependencyUnknown   refusal = "awaits a job that was never accepted"
+	dependencyNeverEnds refusal = "awaits a service, which never ends"
+)
 
-// updateReadiness settles what GET /up says. A node that once was ready steps back
-// only when another one can take requests. While the state service answers
-// nobody, leaving the load balancer would help no user, and its pauses, which
-// double, would keep all nodes out after the outage; users are told at once
-// when to come back instead.
-func (c *Controller) updateReadiness() {
-	if c.canTakeRequests() && c.membership.StateAnswers(c.now) {
-		c.membership.BecomeReady()
-		return
-	}
-	if c.membership.IsReady() {
-		c.membership.StepBack(c.now, c.anotherCanTakeRequests())
-	}
+// --- answers ---
+
+// retryLater asks the user to come back.
+func (c *Controller) retryLater(requestID uint64, why refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: 503, Reason: string(why)})
 }
 
-// anotherCanTakeRequests tells whether users are better served by another controller
-// while this one takes no requests.
-func (c *Controller) anotherCanTakeRequests() bool {
-	// Either a peer says that the state service answers it, or no peer is heard
-	// at all: then it is this node that is cut off, since in an outage of the
-	// state service alone the peers still talk.
-	better, heard := false, false
-	for _, p := range c.peers.byName {
-		fresh := c.now-p.heardAt < tuning.PeerFresh
-		heard = heard || fresh
-		better = better || p.usable && fresh
-	}
-	return better || !heard && len(c.cfg.Nodes) > 1
+// refuse tells the user that the request will never do.
+func (c *Controller) refuse(requestID uint64, status int, id string, why refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: status, ID: id, Reason: string(why)})
 }
 
-func (c *Controller) retryLater(req uint64, why string) {
-	c.emit(UserReply{RequestID: req, Status: 503, Reason: why})
+// replyUnknown tells the user that there is no such job.
+func (c *Controller) replyUnknown(requestID uint64, id string) {
+	c.emit(UserReply{RequestID: requestID, Status: 404, ID: id})
 }
 
 // replyState answers with the job's state as the cache has it.
-func (c *Controller) replyState(req uint64, status int, j *Job) {
-	u := UserReply{RequestID: req, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
+func (c *Controller) replyState(requestID uint64, status int, j *Job) {
+	u := UserReply{RequestID: requestID, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
 	case j.Header.State == domain.StateDone:
 		u.State, u.Done, u.Running = "done", j.Header.TaskCount, 0
@@ -85,9 +74,23 @@
 	c.emit(u)
 }
 
+// --- waiting for a read index ---
+
+// waiter is a request that is answered once the cache has everything that was committed
+// before it came. Until then the cache may lack the job, or have it in an older state.
+type waiter struct {
+	requestID uint64
+	id        string // of the job
+	askedAt   time.Duration
+	submit    *JobSubmitted // the submission; nil: a query or cancellation
+	refusal   refusal       // of the submission, unless it repeats an accepted one
+	cancel    bool
+}
+
+// awaitReadIndex keeps a request until the cache has everything committed before now.
 func (c *Controller) awaitReadIndex(w waiter) {
 	if !c.membership.IsSynced() || !c.membership.IsStateReachable() {
-		c.retryLater(w.requestID, "state service unreachable")
+		c.retryLater(w.requestID, stateUnreachable)
 		return
 	}
 	w.askedAt = c.now
@@ -100,210 +103,75 @@
 	}
 }
 
-func (c *Controller) onJobQueried(e JobQueried) {
-	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
-		c.replyState(e.RequestID, 200, j)
-		return
-	}
-	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
-}
-
 // wakeWaiters answers those whose read index the cache has reached.
 func (c *Controller) wakeWaiters() {
 	if len(c.requests.waiting) == 0 {
 		return
 	}
-	ws := c.requests.waiting
+	waiting := c.requests.waiting
 	c.requests.waiting = nil
-	for _, w := range ws {
+	for _, w := range waiting {
 		if !c.membership.HasReadIndex(w.askedAt) {
 			c.requests.waiting = append(c.requests.waiting, w)
 			continue
 		}
-		j := c.cache.jobs[w.id]
-		switch {
-		case w.cancel:
-			c.cancel(w.requestID, w.id)
-		case j != nil:
-			c.replyState(w.requestID, 200, j)
-		case w.submit == nil:
-			c.emit(UserReply{RequestID: w.requestID, Status: 404, ID: w.id})
-		case w.submit.Spec == nil:
-			c.emit(UserReply{RequestID: w.requestID, Status: 400, ID: w.id, Reason: w.refusal})
-		case w.refusal == "":
-			c.accept(*w.submit, nil)
-		default:
-			c.emit(UserReply{RequestID: w.requestID, Status: 422, ID: w.id, Reason: w.refusal})
-		}
+		c.answerWaiter(w)
 	}
 }
 
+// answerWaiter answers a request by the cache, which has everything committed before it.
+func (c *Controller) answerWaiter(w waiter) {
+	j := c.cache.jobs[w.id]
+	switch {
+	case w.cancel:
+		c.cancel(w.requestID, w.id)
+	case j != nil: // a query, or a submission that repeats an accepted one
+		c.replyState(w.requestID, 200, j)
+	case w.submit == nil:
+		c.replyUnknown(w.requestID, w.id)
+	case w.submit.Spec == nil:
+		c.refuse(w.requestID, 400, w.id, w.refusal)
+	case w.refusal != "":
+		c.refuse(w.requestID, 422, w.id, w.refusal)
+	default:
+		c.accept(*w.submit, nil)
+	}
+}
+
+// failWaiters sends all who wait away: the state service doesn't answer.
 func (c *Controller) failWaiters() {
 	for _, w := range c.requests.waiting {
-		c.retryLater(w.requestID, "state service unreachable")
+		c.retryLater(w.requestID, stateUnreachable)
 	}
 	c.requests.waiting = nil
 }
 
+// expireWaiters sends those away who waited too long.
 func (c *Controller) expireWaiters() {
-	keep := c.requests.waiting[:0]
+	patient := c.requests.waiting[:0]
 	for _, w := range c.requests.waiting {
 		if c.now-w.askedAt > tuning.PollPatience {
-			c.retryLater(w.requestID, "state service slow")
+			c.retryLater(w.requestID, stateSlow)
 			continue
 		}
-		keep = append(keep, w)
-	}
-	c.requests.waiting = keep
-}
-
-// whyNeverRuns tells why a job can never run, or "".
-func (c *Controller) whyNeverRuns(s *domain.JobSpec) string {
-	if !c.guard(GuardNever) {
-		return ""
-	}
-	lim, ok := c.cfg.Teams[s.Team]
-	if !ok {
-		return "unknown team"
-	}
-	k := int64(s.TaskCount)
-	if s.Shape == domain.Array {
-		k = 1
-	}
-	if !withinLimit(domain.Resources{}.Plus(s.Request, k), lim.Limit) {
-		return "over the team's limit"
-	}
-	for i := range c.cache.machineTypes {
-		if c.machineTypeFits(s, &c.cache.machineTypes[i]) {
-			return ""
-		}
+		patient = append(patient, w)
 	}
-	return "a task fits no allowed machine type"
+	c.requests.waiting = patient
 }
 
-// withinLimit tells whether use stays in a limit, where 0 means none.
-func withinLimit(use, lim domain.Resources) bool {
-	return (lim.CPU == 0 || use.CPU <= lim.CPU) && (lim.GPU == 0 || use.GPU <= lim.GPU) &&
-		(lim.Memory == 0 || use.Memory <= lim.Memory)
-}
+// --- queries and cancellations ---
 
-func (c *Controller) machineTypeFits(s *domain.JobSpec, f *domain.MachineType) bool {
-	if !f.Capacity.Fits(s.Request) || s.ImageGB > f.ImageCacheGB && f.ImageCacheGB > 0 {
-		return false
-	}
-	if !listAllows(s.MachineTypes, f.Name) {
-		return false
-	}
-	if s.Zone == "" {
-		return true
-	}
-	for _, z := range f.Zones {
-		if z == s.Zone {
-			return true
-		}
-	}
-	return false
-}
-
-func listAllows(list []string, name string) bool {
-	if len(list) == 0 {
-		return true
-	}
-	for _, l := range list {
-		if l == name {
-			return true
-		}
-	}
-	return false
-}
-
-func (c *Controller) onJobSubmitted(e JobSubmitted) {
-	if j := c.cache.jobs[e.ID]; j != nil && e.ID != "" {
-		c.onJobQueried(JobQueried{e.RequestID, e.ID})
-		return
-	}
-	if e.Spec == nil {
-		if e.ID == "" {
-			c.emit(UserReply{RequestID: e.RequestID, Status: 400, Reason: "malformed"})
-			return
-		}
-		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: "malformed"})
-		return
-	}
-	if !c.canTakeRequests() {
-		c.retryLater(e.RequestID, "not ready")
-		return
-	}
-	if why := c.whyNeverRuns(e.Spec); why != "" {
-		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: why})
-		return
-	}
-	if len(e.Spec.Dependencies) > 0 {
-		// Until all controllers know what awaiting is, one that doesn't might start
-		// the job; the user comes back.
-		if !c.formatOn() {
-			c.retryLater(e.RequestID, "not all controllers know Awaits yet")
-			return
-		}
-		c.lookUpDependencies(e)
-		return
-	}
-	if c.requests.accepting[e.ID] {
-		c.retryLater(e.RequestID, "being accepted")
+// onJobQueried answers a query. A final state never changes, so it needs no read index.
+func (c *Controller) onJobQueried(e JobQueried) {
+	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
+		c.replyState(e.RequestID, 200, j)
 		return
 	}
-	c.requests.accepting[e.ID] = true
-	c.putJob(e, c.newHeader(e.Spec))
-}
-
-// newHeader is that of a new job.
-func (c *Controller) newHeader(sp *domain.JobSpec) *codec.JobHeader {
-	sp.MachineTypes = c.knownTypes(sp.MachineTypes)
-	h := &codec.JobHeader{State: domain.StateOpen, Spec: sp, TaskCount: sp.TaskCount, Shard: c.roomiest(sp), AcceptOrder: c.cache.revision + 1}
-	if c.formatOn() {
-		h.AcceptedAtMS = c.wallMS()
-	}
-	// The tasks of a gang are booked at once, so its chunks have room for all of
-	// them; in others bookings wait where a chunk is full (draft.room).
-	size := tuning.ChunkBytes
-	if sp.Shape == domain.Gang {
-		size = tuning.TaskBytes
-	}
-	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
-	if pack, ok := c.packFor(sp, h.Shard); ok {
-		h.Pack, h.ChunkSize = pack, h.TaskCount
-	} else if placedByLeader(sp) && h.TaskCount <= tuning.MaxInlineTasks {
-		h.Inline, h.ChunkSize = true, h.TaskCount
-	}
-	return h
-}
-
-// putJob writes the header of a new job and tells its user.
-func (c *Controller) putJob(e JobSubmitted, h *codec.JobHeader) {
-	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyJob(e.ID), ModRevision: 0}}, Puts: []domain.Put{{Key: codec.KeyJob(e.ID), Value: codec.Encode(h)}}}
-	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
-		delete(c.requests.accepting, e.ID)
-		switch r {
-		case domain.Committed:
-			c.debug("job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.TaskCount, "part", h.Shard,
-				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.peers.waitingByShard, "est_s", e.Spec.EstimatedRuntime, "due_s", e.Spec.Deadline,
-				"awaits", e.Spec.Dependencies)
-			if j := c.cache.jobs[e.ID]; j != nil {
-				c.replyState(e.RequestID, 201, j)
-			}
-		case domain.Conflict: // somebody else took it: a repeat
-			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
-		default:
-			c.retryLater(e.RequestID, "state service")
-		}
-	})
+	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
 }
 
+// onJobCancelled cancels a job, once a read index shows whether there is one.
 func (c *Controller) onJobCancelled(e JobCancelled) {
-	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
-		c.replyState(e.RequestID, 200, j)
-		return
-	}
 	if c.cache.jobs[e.ID] == nil {
 		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, cancel: true})
 		return
@@ -311,14 +179,15 @@
 	c.cancel(e.RequestID, e.ID)
 }
 
-func (c *Controller) cancel(req uint64, id string) {
+// cancel commits the cancellation of a job that the cache has, and answers the user.
+func (c *Controller) cancel(requestID uint64, id string) {
 	j := c.cache.jobs[id]
 	if j == nil {
-		c.emit(UserReply{RequestID: req, Status: 404, ID: id})
+		c.replyUnknown(requestID, id)
 		return
 	}
 	if j.final() {
-		c.replyState(req, 200, j)
+		c.replyState(requestID, 200, j)
 		return
 	}
 	h := *j.Header
@@ -331,39 +200,11 @@
 		switch r {
 		case domain.Committed:
 			c.debug("job cancelled", "job", id)
-			c.replyState(req, 200, j)
-		case domain.Conflict:
-			c.awaitReadIndex(waiter{requestID: req, id: id, cancel: true})
+			c.replyState(requestID, 200, j)
+		case domain.Conflict: // the job changed meanwhile: once more, on what it is now
+			c.awaitReadIndex(waiter{requestID: requestID, id: id, cancel: true})
 		default:
-			c.retryLater(req, "state service")
+			c.retryLater(requestID, commitFailed)
 		}
 	})
 }
-
-// packFor is the pack of a part that a new job's tasks go to: the first with
-// room for all of them booked. Two nodes may fill one at the same time; then
-// some bookings wait until others end (draft.room).
-func (c *Controller) packFor(sp *domain.JobSpec, part string) (string, bool) {
-	each := tuning.BookedBytes
-	if c.formatOn() {
-		each = tuning.BookedBytesShort
-	}
-	cost := func(n int) int { return tuning.TaskBytes + n*each }
-	most := c.cfg.ValueLimit * tuning.PackPercent / 100
-	if placedByLeader(sp) || cost(sp.TaskCount) > most {
-		return "", false
-	}
-	for k := 0; ; k++ {
-		name := codec.PackName(part, k)
-		if c.cache.oversized[codec.PrefixPack+name] {
-			continue
-		}
-		sum := cost(sp.TaskCount)
-		for _, j := range c.cache.jobsByPack[name] {
-			sum += cost(j.counts.queued + j.counts.booked)
-		}
-		if sum <= most {
-			return name, true
-		}
-	}
-}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -7,7 +7,7 @@
 
 // The passes of one plan.
 const (
-	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's part
+	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's shard
 	PassCached                         // the leader's, over jobs whose image is on a machine with room
 	PassAny                            // the leader's, over all jobs that it places whole
 	PassLargeArray                     // the leader's, over large arrays
--- /dev/null
+++ b/internal/scheduler/submissions.go
@@ -0,0 +1,342 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	json "github.com/goccy/go-json"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
+)
+
+// onJobSubmitted takes a submission. One that repeats an accepted one is answered with the
+// job's state, whatever it says now; so a refusal must wait for a read index, which shows
+// that there is no such job.
+func (c *Controller) onJobSubmitted(e JobSubmitted) {
+	if c.cache.jobs[e.ID] != nil && e.ID != "" {
+		c.onJobQueried(JobQueried{e.RequestID, e.ID})
+		return
+	}
+	if e.Spec == nil {
+		c.refuseMalformed(e)
+		return
+	}
+	if !c.canTakeRequests() {
+		c.retryLater(e.RequestID, notReady)
+		return
+	}
+	if why := c.whyNeverRuns(e.Spec); why != "" {
+		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: why})
+		return
+	}
+	if len(e.Spec.Dependencies) > 0 {
+		// Until all controllers know what dependencies are, one that doesn't might start
+		// the job; the user comes back.
+		if !c.formatOn() {
+			c.retryLater(e.RequestID, dependenciesNotYet)
+			return
+		}
+		c.lookUpDependencies(e)
+		return
+	}
+	if c.startAccepting(e) {
+		c.putJob(e, c.newHeader(e.Spec))
+	}
+}
+
+// refuseMalformed answers a submission that can't be read, at once if not even its job's
+// ID can.
+func (c *Controller) refuseMalformed(e JobSubmitted) {
+	if e.ID == "" {
+		c.refuse(e.RequestID, 400, "", malformed)
+		return
+	}
+	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: malformed})
+}
+
+// startAccepting reserves the job's ID for one submission; the user of another, which came
+// before the first is committed, comes back.
+func (c *Controller) startAccepting(e JobSubmitted) bool {
+	if c.requests.accepting[e.ID] {
+		c.retryLater(e.RequestID, beingAccepted)
+		return false
+	}
+	c.requests.accepting[e.ID] = true
+	return true
+}
+
+// --- what can never run ---
+
+// whyNeverRuns tells why a job can never run, "" if it can.
+func (c *Controller) whyNeverRuns(spec *domain.JobSpec) refusal {
+	if !c.guard(GuardNever) {
+		return ""
+	}
+	quota, ok := c.cfg.Teams[spec.Team]
+	if !ok {
+		return unknownTeam
+	}
+	together := int64(spec.TaskCount) // tasks that run at the same time or not at all
+	if spec.Shape == domain.Array {
+		together = 1
+	}
+	if !withinLimit(domain.Resources{}.Plus(spec.Request, together), quota.Limit) {
+		return overTeamLimit
+	}
+	for i := range c.cache.machineTypes {
+		if c.machineTypeFits(spec, &c.cache.machineTypes[i]) {
+			return ""
+		}
+	}
+	return fitsNoMachineType
+}
+
+// withinLimit tells whether use stays in a limit, where 0 means none.
+func withinLimit(use, limit domain.Resources) bool {
+	return (limit.CPU == 0 || use.CPU <= limit.CPU) && (limit.GPU == 0 || use.GPU <= limit.GPU) &&
+		(limit.Memory == 0 || use.Memory <= limit.Memory)
+}
+
+// machineTypeFits tells whether a task of the job can run on an empty machine of the type.
+func (c *Controller) machineTypeFits(spec *domain.JobSpec, t *domain.MachineType) bool {
+	if !t.Capacity.Fits(spec.Request) || spec.ImageGB > t.ImageCacheGB && t.ImageCacheGB > 0 {
+		return false
+	}
+	return listAllows(spec.MachineTypes, t.Name) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone))
+}
+
+// listAllows tells whether a list, which if empty allows all, allows the name.
+func listAllows(list []string, name string) bool {
+	return len(list) == 0 || slices.Contains(list, name)
+}
+
+// --- submissions that name jobs they depend on ---
+
+// lookUpDependencies finds the jobs that a submission names. What the cache has was
+// accepted; what it lacks another controller may have accepted a moment ago, so the state
+// service is asked for those, if they are few. Only a read index shows that a job was never
+// accepted: by then everything accepted before the submission came is in the cache.
+func (c *Controller) lookUpDependencies(e JobSubmitted) {
+	var keys []string
+	for _, id := range e.Spec.Dependencies {
+		if c.cache.jobs[id] != nil || slices.Contains(keys, codec.KeyJob(id)) {
+			continue
+		}
+		keys = append(keys, codec.KeyJob(id))
+		if len(keys) > tuning.MaxLookups {
+			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
+			return
+		}
+	}
+	if len(keys) == 0 {
+		c.accept(e, nil)
+		return
+	}
+	c.commits.nextID++
+	c.requests.lookups[c.commits.nextID] = e
+	c.emit(ReadKeys{c.commits.nextID, keys})
+}
+
+// onRead takes up a submission whose dependencies were looked up. One of which some are
+// still missing, also since the read failed, waits for a read index.
+func (c *Controller) onRead(ev KeysRead) {
+	e, ok := c.requests.lookups[ev.ID]
+	if !ok {
+		return
+	}
+	delete(c.requests.lookups, ev.ID)
+	found := map[string]*codec.JobHeader{}
+	for _, kv := range ev.Items {
+		h := &codec.JobHeader{}
+		if json.Unmarshal(kv.Value, h) == nil {
+			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = h
+		}
+	}
+	for _, id := range e.Spec.Dependencies {
+		if c.cache.jobs[id] == nil && found[id] == nil {
+			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
+			return
+		}
+	}
+	c.accept(e, found)
+}
+
+// dependencyCheck is what the jobs that a submission names mean for it.
+type dependencyCheck struct {
+	refusal   refusal  // "": it may be accepted
+	cancelled bool     // one of them is cancelled, and so is the new job
+	open      []string // those that are not over, sorted, each once
+}
+
+// checkDependencies judges the named jobs by the cache and by found, the headers that the
+// cache may lack.
+func (c *Controller) checkDependencies(named []string, found map[string]*codec.JobHeader) dependencyCheck {
+	ids := slices.Clone(named)
+	slices.Sort(ids)
+	var check dependencyCheck
+	for _, id := range slices.Compact(ids) {
+		j := c.cache.jobs[id]
+		if h := found[id]; j == nil && h != nil {
+			j = &Job{ID: id, Header: h}
+		}
+		switch {
+		case j == nil:
+			return dependencyCheck{refusal: dependencyUnknown}
+		case j.Header.Spec != nil && j.Header.Spec.Shape == domain.Service:
+			return dependencyCheck{refusal: dependencyNeverEnds}
+		case j.cancelled():
+			check.cancelled = true
+		case j.Header.State != domain.StateDone:
+			check.open = append(check.open, id)
+		}
+	}
+	return check
+}
+
+// accept takes a submission that names jobs; found are the headers of those that the cache
+// may lack, as the state service had them a moment ago.
+func (c *Controller) accept(e JobSubmitted, found map[string]*codec.JobHeader) {
+	check := c.checkDependencies(e.Spec.Dependencies, found)
+	if check.refusal != "" {
+		c.refuse(e.RequestID, 422, e.ID, check.refusal)
+		return
+	}
+	if !c.canTakeRequests() {
+		c.retryLater(e.RequestID, notReady)
+		return
+	}
+	if !c.startAccepting(e) {
+		return
+	}
+	spec := *e.Spec
+	spec.Dependencies = nil
+	if check.cancelled { // accepted all the same, and over
+		c.putJob(e, &codec.JobHeader{State: domain.StateCancelled, TaskCount: spec.TaskCount, Released: true})
+		return
+	}
+	h := c.newHeader(&spec) // which refers to spec
+	c.putPieces(e, h, c.nameDependencies(e.ID, &spec, check.open))
+}
+
+// nameDependencies puts the names of the jobs into the job's spec if they are few. Longer
+// lists lie in pieces beside the header, which it returns, and the spec tells where.
+func (c *Controller) nameDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
+	inHeader := codec.JoinNames(open, tuning.DependenciesInHeader)
+	if len(inHeader) == 0 {
+		return nil
+	}
+	if len(inHeader) == 1 {
+		spec.DependencyText = inHeader[0]
+		return nil
+	}
+	c.requests.dependencyLists++
+	spec.DependencyListName = fmt.Sprintf("%s-%d", c.membership.Incarnation(), c.requests.dependencyLists)
+	var puts []domain.Put
+	for k, text := range codec.JoinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
+		puts = append(puts, domain.Put{Key: codec.KeyDependencyPiece(id, spec.DependencyListName, k), Value: codec.Encode(text)})
+	}
+	spec.DependencyListPieces = len(puts)
+	return puts
+}
+
+// --- writing a new job ---
+
+// newHeader is that of a new job, which keeps spec.
+func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
+	spec.MachineTypes = c.knownTypes(spec.MachineTypes)
+	h := &codec.JobHeader{State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount, Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1}
+	if c.formatOn() {
+		h.AcceptedAtMS = c.wallMS()
+	}
+	// The tasks of a gang are booked at once, so its chunks have room for all of
+	// them; in others bookings wait where a chunk is full (draft.room).
+	size := tuning.ChunkBytes
+	if spec.Shape == domain.Gang {
+		size = tuning.TaskBytes
+	}
+	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
+	if pack, ok := c.packFor(spec, h.Shard); ok {
+		h.Pack, h.ChunkSize = pack, h.TaskCount
+	} else if placedByLeader(spec) && h.TaskCount <= tuning.MaxInlineTasks {
+		h.Inline, h.ChunkSize = true, h.TaskCount
+	}
+	return h
+}
+
+// packFor is the pack of a shard that a new job's tasks go to: the first with room for all
+// of them booked. Two controllers may fill one at the same time; then some bookings wait
+// until others end (draft.room). False: the job needs values of its own.
+func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
+	each := tuning.BookedBytes
+	if c.formatOn() {
+		each = tuning.BookedBytesShort
+	}
+	cost := func(tasks int) int { return tuning.TaskBytes + tasks*each }
+	most := c.cfg.ValueLimit * tuning.PackPercent / 100
+	if placedByLeader(spec) || cost(spec.TaskCount) > most {
+		return "", false
+	}
+	for k := 0; ; k++ {
+		name := codec.PackName(shard, k)
+		if c.cache.oversized[codec.PrefixPack+name] {
+			continue
+		}
+		sum := cost(spec.TaskCount)
+		for _, j := range c.cache.jobsByPack[name] {
+			sum += cost(j.counts.queued + j.counts.booked)
+		}
+		if sum <= most {
+			return name, true
+		}
+	}
+}
+
+// putPieces writes the pieces of a job's list of dependencies, if there are any, some in
+// each commit, and then the header, so that a header never refers to a list that is not
+// there.
+func (c *Controller) putPieces(e JobSubmitted, h *codec.JobHeader, pieces []domain.Put) {
+	if len(pieces) == 0 {
+		c.putJob(e, h)
+		return
+	}
+	now := min(len(pieces), c.cfg.TransactionLimit)
+	t := domain.Transaction{Puts: pieces[:now]}
+	for _, p := range t.Puts {
+		t.Conditions = append(t.Conditions, domain.Condition{Key: p.Key, ModRevision: 0})
+	}
+	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
+		if r != domain.Committed { // a later try uses another name
+			delete(c.requests.accepting, e.ID)
+			c.retryLater(e.RequestID, commitFailed)
+			return
+		}
+		c.putPieces(e, h, pieces[now:])
+	})
+}
+
+// putJob writes the header of a new job and tells its user.
+func (c *Controller) putJob(e JobSubmitted, h *codec.JobHeader) {
+	t := domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyJob(e.ID), ModRevision: 0}},
+		Puts:       []domain.Put{{Key: codec.KeyJob(e.ID), Value: codec.Encode(h)}},
+	}
+	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
+		delete(c.requests.accepting, e.ID)
+		switch r {
+		case domain.Committed:
+			c.debug("job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.TaskCount, "shard", h.Shard,
+				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.peers.waitingByShard,
+				"estimated_s", e.Spec.EstimatedRuntime, "deadline_s", e.Spec.Deadline, "dependencies", e.Spec.Dependencies)
+			if j := c.cache.jobs[e.ID]; j != nil {
+				c.replyState(e.RequestID, 201, j)
+			}
+		case domain.Conflict: // somebody else took it: a repeat
+			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
+		default:
+			c.retryLater(e.RequestID, commitFailed)
+		}
+	})
+}
