--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -377,3 +377,24 @@
 		t.Error("one failure shows at once in one and not in the other")
 	}
 }
+
+// TestLeaseCountsFromItsRequest: the first one that is granted, not the first one sent; and
+// renewals follow each other.
+func TestLeaseCountsFromItsRequest(t *testing.T) {
+	const granted = 10 * time.Second
+	m := started()
+	m.CacheLoaded()
+	m.MaintainLease(0, "")
+	m.LeaseGranted(time.Second, false, 0)
+	if due := m.MaintainLease(granted, ""); !due.Grant {
+		t.Fatal("a lease that was refused is not requested again")
+	}
+	m.LeaseGranted(granted+time.Second, true, 5)
+	for i := time.Duration(1); i <= 3; i++ {
+		at := granted + i*tuning.LeaseRenewalInterval
+		if m.MaintainLease(at-1, own).Renew || !m.MaintainLease(at, own).Renew {
+			t.Errorf("renewal %d is not due at %v", i, at)
+		}
+		m.RenewalAnswered(at+time.Millisecond, Renewed)
+	}
+}
