--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -81,7 +81,7 @@
 // refill adds the changes that came free since the last step: the rate grows back to
 // mostRate, in changes a second, after refusals made it smaller, and what isn't used within
 // a second is lost. Who becomes leader, or is no longer, starts at the full rate of its
-// new part.
+// weight.
 func (k *commits) refill(now time.Duration, mostRate float64, isLeader bool) {
 	elapsed := (now - k.tokensAt).Seconds()
 	if k.leaderRate != isLeader {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -12,7 +12,7 @@
 
 // Jobs that depend on others. A final state never changes, so a committed header that
 // says done is proof enough for all that comes after it, and one that says cancelled
-// cancels all that needs it: nothing of these has started. Both follow from what
+// cancels all that depends on it: nothing of these has started. Both follow from what
 // every controller reads at the same revision; no write stands between a cancellation and
 // its consequences.
 
@@ -163,53 +163,58 @@
 	}
 }
 
-// inheritUrgency makes n as urgent as d, which needs it. True: it became more so.
-func (c *Controller) inheritUrgency(n, d *Job) bool {
-	if d.Header.Spec == nil || d.phase >= phaseDone {
+// inheritUrgency makes a job as urgent as a dependent, which needs it. True: it became more
+// so.
+func (c *Controller) inheritUrgency(j, dependent *Job) bool {
+	if dependent.Header.Spec == nil || dependent.phase >= phaseDone {
 		return false
 	}
-	more := d.priority > n.priority
-	n.priority = max(n.priority, d.priority)
-	if d.deadlineSeconds > 0 {
-		at := d.deadlineAt - int64((c.runTime(d.Header.Spec)+tuning.StartLag)*float64(time.Second))
-		if n.deadlineSeconds == 0 || at < n.deadlineAt {
-			n.deadlineAt, n.deadlineSeconds, more = at, d.deadlineSeconds, true
+	more := dependent.priority > j.priority
+	j.priority = max(j.priority, dependent.priority)
+	if dependent.deadlineSeconds > 0 {
+		latest := dependent.deadlineAt - int64((c.runTime(dependent.Header.Spec)+tuning.StartLag)*float64(time.Second))
+		if j.deadlineSeconds == 0 || latest < j.deadlineAt {
+			j.deadlineAt, j.deadlineSeconds, more = latest, dependent.deadlineSeconds, true
 		}
 	}
 	return more
 }
 
-// latest is a heap of jobs, the latest accepted first. A job is accepted after
-// all that it depends on, so each comes up once, with all that it has to pass on.
-type latest []*Job
-
-func (l latest) Len() int           { return len(l) }
-func (l latest) Less(a, b int) bool { return l[a].Header.AcceptOrder > l[b].Header.AcceptOrder }
-func (l latest) Swap(a, b int)      { l[a], l[b] = l[b], l[a] }
-func (l *latest) Push(x any)        { *l = append(*l, x.(*Job)) }
-func (l *latest) Pop() any {
-	o := *l
-	x := o[len(o)-1]
-	*l = o[:len(o)-1]
-	return x
+// latestFirst is a heap of jobs, the latest accepted first. A job is accepted after all
+// that it depends on, so each comes up once, with all that it has to pass on.
+type latestFirst []*Job
+
+func (l latestFirst) Len() int           { return len(l) }
+func (l latestFirst) Less(a, b int) bool { return l[a].Header.AcceptOrder > l[b].Header.AcceptOrder }
+func (l latestFirst) Swap(a, b int)      { l[a], l[b] = l[b], l[a] }
+func (l *latestFirst) Push(x any)        { *l = append(*l, x.(*Job)) }
+func (l *latestFirst) Pop() any {
+	old := *l
+	last := old[len(old)-1]
+	*l = old[:len(old)-1]
+	return last
 }
 
 // propagateUrgency passes a job's priority and deadline on to all before it that are not
 // over: the latest finish of each is the least, over those that need it, of theirs
 // less their own time.
 func (c *Controller) propagateUrgency(j *Job) {
-	l := latest{j}
-	in := map[*Job]bool{j: true}
-	for len(l) > 0 {
-		x := heap.Pop(&l).(*Job)
-		delete(in, x)
-		if x.Header.Spec == nil {
+	jobs := latestFirst{j}
+	waiting := map[*Job]bool{j: true} // in the heap
+	for len(jobs) > 0 {
+		dependent := heap.Pop(&jobs).(*Job)
+		delete(waiting, dependent)
+		if dependent.Header.Spec == nil {
 			continue
 		}
-		for _, id := range x.Header.Spec.Dependencies {
-			if n := c.cache.jobs[id]; n != nil && n.phase < phaseDone && c.inheritUrgency(n, x) && !in[n] {
-				in[n] = true
-				heap.Push(&l, n)
+		for _, id := range dependent.Header.Spec.Dependencies {
+			needed := c.cache.jobs[id]
+			if needed == nil || needed.phase >= phaseDone {
+				continue
+			}
+			if c.inheritUrgency(needed, dependent) && !waiting[needed] {
+				waiting[needed] = true
+				heap.Push(&jobs, needed)
 			}
 		}
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -40,8 +40,8 @@
 // TestNeedsInAnyOrder: whatever order headers arrive in, as in a snapshot's pages,
 // the same jobs may start and the same are cancelled.
 func TestNeedsInAnyOrder(t *testing.T) {
-	// 0 is done; 1 and 2 await it; 3 awaits 1 and 2; 4 awaits 3 and 6; 5 awaits 4;
-	// 6 is cancelled; 7 awaits nothing.
+	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4;
+	// 6 is cancelled; 7 depends on nothing.
 	kvs := []domain.KeyValue{
 		overHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
@@ -64,7 +64,7 @@
 		}
 		c.apply(overHeader(jobName(1), domain.StateDone, 30))
 		if j := c.cache.jobs[jobName(3)]; j.phase != phaseWaiting {
-			t.Fatal("starts before all that it awaits is done")
+			t.Fatal("starts before all that it depends on is done")
 		}
 		c.apply(overHeader(jobName(2), domain.StateDone, 31))
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(3), jobName(7)}) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// TestAgesSurviveRestarts: a node that reads a snapshot orders jobs as the others
+// TestAgesSurviveRestarts: a controller that reads a snapshot orders jobs as the others
 // do, by the times that the headers tell.
 func TestAgesSurviveRestarts(t *testing.T) {
 	wall := int64(1_700_000_000_000)
@@ -155,7 +155,7 @@
 	}
 }
 
-// acting is a node that may act, with one machine type.
+// acting is a controller that may act, with one machine type.
 func acting() *Controller {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
@@ -185,7 +185,7 @@
 	return JobSubmitted{RequestID: 1, ID: id, Spec: &domain.JobSpec{ID: id, Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, Dependencies: needs}}
 }
 
-// commitAll carries out what the core wants committed, until nothing is left.
+// commitAll carries out what the controller wants committed, until nothing is left.
 func commitAll(t *testing.T, c *Controller) (keys []string) {
 	t.Helper()
 	for len(c.commits.pending) > 0 {
@@ -211,7 +211,7 @@
 }
 
 // TestThousandsAwaited: a submission may name thousands of jobs. The list lies in
-// pieces beside the header, which comes last; another node that reads them in any
+// pieces beside the header, which comes last; another controller that reads them in any
 // order knows the same jobs, and a job none of whose pieces is there yet waits.
 func TestThousandsAwaited(t *testing.T) {
 	c := acting()
@@ -232,7 +232,7 @@
 	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
 		t.Fatalf("%d jobs awaited, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
-	// Another node, the header first.
+	// Another controller, the header first.
 	o := New(Settings{Node: "c-1"}, "y")
 	o.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
 	if o.cache.jobs[j.ID].phase != phaseWaiting {
@@ -242,7 +242,7 @@
 		o.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
 	}
 	if o.cache.jobs[j.ID].unfinishedDependencies != 4000 {
-		t.Fatalf("the other node knows of %d", o.cache.jobs[j.ID].unfinishedDependencies)
+		t.Fatalf("the other controller knows of %d", o.cache.jobs[j.ID].unfinishedDependencies)
 	}
 	for i, id := range needs {
 		if o.cache.jobs[j.ID].phase != phaseWaiting {
@@ -310,7 +310,7 @@
 			}
 		}
 	}
-	// Before all controllers know what awaiting is.
+	// Before all controllers know what dependencies are.
 	c := acting()
 	c.cache.format = 0
 	c.apply(overHeader(jobName(1), domain.StateDone, 5))
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -13,7 +13,7 @@
 	"brassglade/internal/domain"
 )
 
-// booked is an acting node with one machine that it heard, and a task of job 1
+// booked is an acting controller with one machine that it heard, and a task of job 1
 // booked there and not yet started.
 func booked(t *testing.T, drop Guard) (*Controller, *Machine) {
 	t.Helper()
@@ -32,11 +32,11 @@
 	return c, m
 }
 
-// ordered is the answer to a check-in of the machine, given at once.
-func ordered(c *Controller, m *Machine, tally uint64, recall float64, seen ...domain.TaskReport) (status int, verbs []domain.CommandKind) {
+// ordered is the answer to a heartbeat of the machine, given at once.
+func ordered(c *Controller, m *Machine, sequence uint64, notice float64, seen ...domain.TaskReport) (status int, kinds []domain.CommandKind) {
 	c.effects = nil
 	c.confirmNow()
-	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 1, PreemptionNotice: recall, Tasks: seen}})
+	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 1, PreemptionNotice: notice, Tasks: seen}})
 	for _, h := range c.heartbeats.pending {
 		c.answerHeartbeat(h)
 	}
@@ -44,11 +44,11 @@
 		if x, ok := e.(HeartbeatReply); ok {
 			status = x.Status
 			for _, o := range x.Commands {
-				verbs = append(verbs, o.Kind)
+				kinds = append(kinds, o.Kind)
 			}
 		}
 	}
-	return status, verbs
+	return status, kinds
 }
 
 // TestGuardsBite: what each guard keeps holds with it and doesn't without it.
@@ -56,7 +56,7 @@
 func TestGuardsBite(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for guard, holds := range map[Guard]func(drop Guard) bool{
-		// A release without an answer may still be carried out: were the run sent
+		// A release without an answer may still be carried out: were the start sent
 		// again, as the notice was withdrawn, the task would then start elsewhere.
 		GuardDoom: func(drop Guard) bool {
 			c, m := booked(t, drop)
@@ -70,10 +70,10 @@
 			}
 			c.onCommit(CommitAnswered{ID: x.id, Result: domain.InDoubt})
 			c.commits.blockedUntil = c.now + time.Minute
-			_, verbs := ordered(c, m, 4, -1)
-			return !slices.Contains(verbs, domain.StartTask)
+			_, kinds := ordered(c, m, 4, -1)
+			return !slices.Contains(kinds, domain.StartTask)
 		},
-		// Whoever sees a view has seen every commit of the views before: a node that
+		// Whoever sees a view has seen every commit of the views before: a controller that
 		// took its own proposal for seen could lack another's last booking.
 		GuardView: func(drop Guard) bool {
 			c, _ := booked(t, drop)
@@ -83,14 +83,14 @@
 			c.onCommit(CommitAnswered{ID: p.id, Result: domain.Committed, Revision: 160})
 			return c.cache.view.Epoch == 1
 		},
-		// A cleared attempt is unknown to its worker, and its run would start it anew.
+		// A forgotten attempt is unknown to its agent, and a start would run it anew.
 		GuardClear: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.commits.blockedUntil = c.now + time.Minute
-			_, verbs := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
-			return !slices.Contains(verbs, domain.ForgetTask)
+			_, kinds := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
+			return !slices.Contains(kinds, domain.ForgetTask)
 		},
-		// A machine may be marked and returned between plan and commit.
+		// A machine may be cordoned and returned between plan and commit.
 		GuardGone: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
@@ -99,7 +99,7 @@
 			return slices.ContainsFunc(x.Transaction.Conditions, func(k domain.Condition) bool { return k.Key == codec.PrefixCordons+c.cordonPageOf(m.Name) })
 		},
 		// Of a snapshot's pages the first is the oldest: a chunk on a later one may
-		// belong to a header that is not there yet, and its stamp would hide it.
+		// belong to a header that is not there yet, and its revision would hide it.
 		GuardPage: func(drop Guard) bool {
 			c := acting()
 			c.cfg.DisabledGuard = drop
@@ -110,7 +110,7 @@
 			c.apply(chunk)
 			return c.cache.jobs[jobName(5)].counts.booked == 1
 		},
-		// The tasks of a session given up may be on elsewhere: an answer would keep
+		// The tasks of an agent epoch given up may be on elsewhere: an answer would keep
 		// alive what may still be there.
 		GuardDead: func(drop Guard) bool {
 			c, m := booked(t, drop)
@@ -134,7 +134,7 @@
 			c, _ := booked(t, drop)
 			return c.whyNeverRuns(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
-		// A node that was cut off takes a job for unknown that another one accepted.
+		// A controller that was cut off takes a job for unknown that another one accepted.
 		GuardIndex + " ": func(drop Guard) bool {
 			c := acting()
 			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(drop)))
@@ -151,7 +151,7 @@
 	}
 }
 
-// TestFrozenBetweenEvents: a node that stood still answers nothing that it held, by
+// TestFrozenBetweenEvents: a controller that stood still answers nothing that it held, by
 // what it knew before, until it has confirmed anew.
 func TestFrozenBetweenEvents(t *testing.T) {
 	c, m := booked(t, "")
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -80,7 +80,7 @@
 // TestRestByPart: in a wide fleet each part keeps the room that its own jobs need.
 // By the sum over all, the part with a backlog rested the machines it wanted.
 func TestRestByPart(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
 			p.machines[i].Type = "box"
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -29,7 +29,7 @@
 	Epoch     uint64        // of the view, and the fencing token of all commands; 0: none yet
 	Leader    string        // the view's leader
 	Leads     bool          // this controller is that leader
-	Acts      bool          // view, lease and cache are confirmed: it may answer workers
+	Acts      bool          // view, lease and cache are confirmed: it may answer agents
 	Revision  uint64        // of the state service, up to which the cache has every change
 	Confirmed time.Duration // age of the newest confirmation; < 0: none yet
 	Machines  int           // known here
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -13,9 +13,9 @@
 	"brassglade/internal/domain"
 )
 
-// wideCore is a node that leads a fleet of 2,000 machines in two zones. The
-// settings have the smallest values and transactions in use.
-func wideCore() *Controller {
+// largeFleetLeader leads a fleet of 2,000 machines in two zones. The settings have the
+// smallest values and transactions in use.
+func largeFleetLeader() *Controller {
 	nodes := []string{"c-0", "c-1", "c-2", "c-3"}
 	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
 		ZoneOf:   map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
@@ -44,7 +44,7 @@
 	return c
 }
 
-// pass lets time go by, with reports of the machines and words of the peers for
+// pass lets time go by, with heartbeats of the machines and gossip of the peers for
 // which heard says so; state service and fence are well.
 func (c *Controller) pass(d time.Duration, heard func(string) bool) {
 	for end := c.now + d; c.now < end; {
@@ -65,17 +65,17 @@
 }
 
 // TestCutZoneIsKept: the machines of a zone that is cut off are silent together.
-// On a day of 1,333 machines 771 of them were marked lost and returned within
+// On a day of 1,333 machines 771 of them were cordoned as lost and returned within
 // 40 s, since those just taken over counted as heard.
 func TestCutZoneIsKept(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	inB := func(n string) bool { return c.cfg.ZoneOf[n] == "b" || c.zoneOf(n) == "b" }
 	c.pass(6*time.Second, func(n string) bool { return !inB(n) })
 	v := *c.cache.view
 	v.Epoch, v.Serving = 4, []string{"c-0", "c-2"}
 	v.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
 	c.adoptView(&v)
-	for i := 0; i < 2000; i++ { // machines of nodes that left come here by their bookings
+	for i := 0; i < 2000; i++ { // machines of controllers that left come here by their bookings
 		if n := fmt.Sprintf("n-%06d", i); c.owns(n) && c.heartbeats.machines[n] == nil {
 			c.takeOwnership(n)
 			c.heartbeats.machines[n].Zone, c.heartbeats.machines[n].heardOnce = []string{"a", "b"}[i%2], true
@@ -96,18 +96,18 @@
 	}
 }
 
-// TestZonesApart: workers that reach no owner in another zone, hundreds at a
-// time, have room in no list of overrides. Machines then belong to the nodes of
-// their own zone, by one change of the view, until all hear each other again.
+// TestZonesApart: machines that reach no owner in another zone, hundreds at a
+// time, have room in no list of overrides. Machines then belong to the controllers
+// of their own zone, by one change of the view, until all hear each other again.
 func TestZonesApart(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	sameZone := func(n string) bool { return c.cfg.ZoneOf[n] != "b" }
 	c.pass(5*time.Second, sameZone)
-	visits := func(tally uint64) {
+	visits := func(sequence uint64) {
 		for i := 0; i < 2000; i += 2 {
 			n := fmt.Sprintf("n-%06d", i)
 			if o := c.ownerIn(n, "a"); c.cfg.ZoneOf[o] == "b" {
-				c.recordRedirect(&domain.Heartbeat{Machine: n, Zone: "a", AgentEpoch: 1, Sequence: tally, FencingToken: 3}, o)
+				c.recordRedirect(&domain.Heartbeat{Machine: n, Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 3}, o)
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	c.pass(7*time.Second, sameZone)
 	if v := c.desiredView(); v != nil {
-		t.Fatalf("workers sent to and fro once by a new view were moved: %+v", v)
+		t.Fatalf("machines sent to and fro once by a new view were moved: %+v", v)
 	}
 	visits(3)
 	c.pass(time.Second, sameZone)
@@ -156,7 +156,7 @@
 // When zones could not reach each other, overrides were added by thirteen views
 // in four seconds.
 func TestOverridesArePaced(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	lost := func(tally uint64) {
 		n := 0
 		for i := 0; n < 5 && i < 2000; i++ {
@@ -183,10 +183,10 @@
 }
 
 // TestHeldReportsAreNoSign: reports that a cut held back come all at once. None
-// of them can show the answer to the one before, yet 31 machines were marked as
+// of them can show the answer to the one before, yet 31 machines were cordoned as
 // reached by nothing and returned.
 func TestHeldReportsAreNoSign(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.machineNames()[0]]
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
@@ -208,13 +208,13 @@
 	}
 }
 
-// TestOthersValuesInTurns: outcomes of tasks whose records are in other parts'
+// TestOthersValuesInTurns: outcomes of tasks whose records are in other shards'
 // values go into commits of their own, one value each. In one commit with the
 // rest they failed it each time their owners wrote first: after a zone's return
-// its nodes had not one commit through for the rest of the day.
+// its controllers had not one commit through for the rest of the day.
 func TestOthersValuesInTurns(t *testing.T) {
-	c := wideCore()
-	ledger := c.ended("c-0/0", "c-1/0", "c-2/3", "c-0/1")
+	c := largeFleetLeader()
+	revision := c.ended("c-0/0", "c-1/0", "c-2/3", "c-0/1")
 	var seen []string
 	for i := 0; i < 12; i++ {
 		c.now += time.Second
@@ -231,17 +231,17 @@
 			}
 		}
 		seen = append(seen, packs)
-		ledger++
-		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: domain.Committed, Revision: ledger})
-		c.cache.revision = ledger
+		revision++
+		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: domain.Committed, Revision: revision})
+		c.cache.revision = revision
 	}
 	if want := []string{"c-0/0 c-0/1 ", "c-1/0 ", "c-2/3 "}; !slices.Equal(seen, want) {
 		t.Errorf("values changed by each commit: %q, want %q", seen, want)
 	}
 }
 
-// ended gives the core a job in each of the packs, one of whose tasks has ended
-// on a machine of its own; it returns the ledger.
+// ended gives the controller a job in each of the packs, one of whose tasks has ended
+// on a machine of its own; it returns the revision.
 func (c *Controller) ended(packs ...string) uint64 {
 	var mine []string
 	for _, n := range c.machineNames() {
@@ -249,10 +249,10 @@
 			mine = append(mine, n)
 		}
 	}
-	ledger := uint64(10)
+	revision := uint64(10)
 	put := func(key string, v any) {
-		ledger++
-		c.apply(domain.KeyValue{Key: key, Value: codec.Encode(v), ModRevision: ledger})
+		revision++
+		c.apply(domain.KeyValue{Key: key, Value: codec.Encode(v), ModRevision: revision})
 	}
 	for i, pack := range packs {
 		id := fmt.Sprintf("job-00000%d", i)
@@ -264,14 +264,14 @@
 		c.recordHeartbeat(c.heartbeats.machines[mine[i]], &domain.Heartbeat{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
 			Tasks: []domain.TaskReport{{Task: domain.TaskID{Job: id, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}}}, true)
 	}
-	c.cache.revision = ledger
-	return ledger
+	c.cache.revision = revision
+	return revision
 }
 
-// TestRefusalsSlowDown: nodes may use more than an equal part of the changes, as
+// TestRefusalsSlowDown: controllers may use more than an equal part of the changes, as
 // long as the state service takes them; refusals hit users' submissions as well.
 func TestRefusalsSlowDown(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
 	c.membership.AssumeStateReachable()
 	c.ended("c-0/0")
