--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -27,7 +27,7 @@
 	}
 	c.cache.loadingSnapshot = false
 	c.cache.revision = max(c.cache.revision, snapshot.Revision)
-	c.membership.synced = true
+	c.membership.CacheLoaded()
 }
 
 // dropMissingMembers forgets the members that a snapshot doesn't have. Only their keys are ever
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -110,7 +110,7 @@
 		}
 		c.debug("command", "kind", o.Kind, "task", o.Task, "machine", m.Name, "attempt", o.Attempt, "reason", o.Reason,
 			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
-			"confirmed_s", (c.now - c.membership.fenceConfirmedAt).Seconds())
+			"confirmed_s", (c.now - c.membership.Confirmed().Time()).Seconds())
 	}
 }
 
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -4,10 +4,9 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // commits is the writing side towards the key-value store: which transactions are in
@@ -100,9 +99,9 @@
 // commits was refused lately; 0: no bound.
 func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.weight() }
 
-// refill counts the changes that may be made by now. The rate grows back to the full one
-// by a part of it each second, and takes it at once when the controller becomes the leader
-// or stops being it.
+// refill counts the changes that may be made by now: the rate grows back to the full one,
+// in changes a second, after refusals made it smaller, and what isn't used within a second
+// is lost. Who becomes the leader, or stops being it, starts at the full rate of its weight.
 func (s *commits) refill(now time.Duration, full float64, leader bool) {
 	seconds := (now - s.tokensAt).Seconds()
 	if s.leaderRate != leader {
@@ -223,7 +222,7 @@
 // backOff waits a little, of random length, after a task commit that was refused or got
 // no answer.
 func (c *Controller) backOff(result domain.CommitResult) {
-	if result == domain.Refused && c.membership.stateReachable {
+	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
 	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -26,7 +26,7 @@
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
-		c.commitFormat(codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.incarnation})
+		c.commitFormat(codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()})
 	} else if c.isLeader() && c.allAnnounced() {
 		c.commitFormat(codec.KeyFormat, codec.Format{Version: codec.CurrentFormat})
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -119,11 +119,11 @@
 func (c *Controller) refuseHeartbeat(requestID uint64, r *domain.Heartbeat, refusal heartbeatRefusal) {
 	switch refusal {
 	case newerViewSeen:
-		c.membership.nextConfirmationAt = min(c.membership.nextConfirmationAt, c.now)
+		c.membership.ConfirmSoon(c.now)
 	case ownedElsewhere:
 		owner := c.ownerIn(r.Machine, r.Zone)
 		if !c.isReturned(r.Machine) {
-			c.recordRedirect(r.Machine, r.Zone, owner, r.AgentEpoch, r.Sequence, r.FencingToken)
+			c.recordRedirect(r, owner)
 		}
 		c.emit(HeartbeatReply{RequestID: requestID, Status: 421, Owner: owner})
 		return
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -280,7 +280,7 @@
 		return
 	}
 	c.peers.nextGossip.Close(c.now + max(tuning.DrawEvery/4, 2*c.pace()))
-	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.stateServiceAnswers()}
+	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.membership.StateAnswers(c.now)}
 	if c.mayAct() {
 		message.Machines = c.gossipMachines()
 	}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -81,7 +81,7 @@
 // TestRestingByShard: in a wide fleet each shard keeps the room that its own jobs need.
 // By the sum over all, the shard with a backlog rested the machines it wanted.
 func TestRestingByShard(t *testing.T) {
-	c := wideCore()
+	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
 			p.machines[i].Type = "box"
@@ -108,7 +108,8 @@
 func planned(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
-	c.membership.fenceConfirmedAt, c.membership.leaseRenewedAt, c.effects, c.planner.dirty, c.commits.tokens = c.now, c.now, nil, true, 1e6
+	c.confirmNow()
+	c.effects, c.planner.dirty, c.commits.tokens = nil, true, 1e6
 	c.planCommit()
 	for _, e := range c.effects {
 		if x, ok := e.(Commit); ok && x.Lane == LaneTask {
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -312,7 +312,7 @@
 func (c *Controller) rent(kind machineKind, count int) {
 	s := &c.scaling
 	s.rentalCount++
-	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.incarnation, s.rentalCount)
+	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), s.rentalCount)
 	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
 	s.rentals[id] = rental{request, c.now}
 	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -7,7 +7,7 @@
 
 // The passes of one plan.
 const (
-	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's part
+	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's shard
 	PassCached                         // the leader's, over jobs whose image is on a machine with room
 	PassAny                            // the leader's, over all jobs that it places whole
 	PassLargeArray                     // the leader's, over large arrays
@@ -29,7 +29,7 @@
 	Epoch     uint64        // of the view, and the fencing token of all commands; 0: none yet
 	Leader    string        // the view's leader
 	Leads     bool          // this controller is that leader
-	Acts      bool          // view, lease and cache are confirmed: it may answer workers
+	Acts      bool          // view, lease and cache are confirmed: it may answer agents
 	Revision  uint64        // of the state service, up to which the cache has every change
 	Confirmed time.Duration // age of the newest confirmation; < 0: none yet
 	Machines  int           // known here
@@ -43,8 +43,8 @@
 	if c.cache.view != nil {
 		s.Epoch, s.Leader, s.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
-	if c.membership.fenceConfirmedAt >= 0 {
-		s.Confirmed = c.now - c.membership.fenceConfirmedAt
+	if confirmed := c.membership.Confirmed(); confirmed.IsKnown() {
+		s.Confirmed = c.now - confirmed.Time()
 	}
 	return s
 }
