--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -235,7 +235,7 @@
 		}
 	}
 	m := started()
-	m.AssumeConfirmed(0)
+	m.fence, m.leaseRenewed = steady.At(0), steady.At(0)
 	if m.MayAct(0, own) {
 		t.Error("acts before its cache holds a snapshot")
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -161,12 +161,10 @@
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
 	c.now = time.Minute
 	c.membership.CacheLoaded()
-	c.membership.AssumeStateReachable()
 	c.cache.members = map[string]string{"c-0": "x"}
 	c.cache.view = &domain.View{Epoch: 1, Leader: "c-0", Members: c.cache.members, Serving: []string{"c-0"}}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000}, Zones: []string{"a"}}}
 	c.confirmNow()
-	c.membership.AssumeReadIndex(c.now - 1)
 	c.cache.format, c.cache.revision = codec.CurrentFormat, 100
 	return c
 }
@@ -287,7 +285,7 @@
 		if len(c.requests.waiting) > 0 && said(c).Status != 0 {
 			t.Errorf("%s: answered %d before its read index", name, said(c).Status)
 		}
-		c.membership.AssumeReadIndex(c.now)
+		c.reachReadIndex()
 		c.wakeWaiters()
 		commitAll(t, c)
 		if u := said(c); u.Status != x.status {
@@ -303,7 +301,7 @@
 		if x.status == 201 {
 			c.effects = nil
 			c.onJobSubmitted(submission(jobName(9), jobName(8)))
-			c.membership.AssumeReadIndex(c.now)
+			c.reachReadIndex()
 			c.wakeWaiters()
 			if u := said(c); u.Status != 200 {
 				t.Errorf("%s: a repeat gets %d", name, u.Status)
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -27,7 +27,6 @@
 	c.cache.members = m
 	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
-	c.membership.AssumeMemberKey()
 	c.membership.CacheLoaded()
 	for i := 0; i < 2000; i++ {
 		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
@@ -273,7 +272,6 @@
 func TestRefusalsSlowDown(t *testing.T) {
 	c := largeFleetLeader()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
-	c.membership.AssumeStateReachable()
 	c.ended("c-0/0")
 	turn := func(r domain.CommitResult) {
 		c.now += 2 * time.Second
