--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -54,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, requests := newTestClient(t, x.reply)
-			if got := c.Flavors(); !reflect.DeepEqual(got, x.want) {
+			if got := c.MachineTypes(); !reflect.DeepEqual(got, x.want) {
 				t.Errorf("got %+v, want %+v", got, x.want)
 			}
 			if want := []string{"GET /flavors"}; !reflect.DeepEqual(*requests, want) {
@@ -82,7 +82,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, requests := newTestClient(t, x.replies...)
-			if got := c.List(); !reflect.DeepEqual(got, x.want) {
+			if got := c.Instances(); !reflect.DeepEqual(got, x.want) {
 				t.Errorf("got %+v, want %+v", got, x.want)
 			}
 			if want := []string{"GET /rentals?Since=&Page=500", "GET /rentals?Since=n+1&Page=500"}; !reflect.DeepEqual(*requests, want) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -193,8 +193,6 @@
 
 func secs(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-func milli(x float64) int64 { return int64(x*1000 + 0.5) }
-
 // Core gives the core's settings.
 func (s *Settings) Core(o *Operator, seed uint64) scheduler.Settings {
 	p := s.Params
@@ -214,8 +212,8 @@
 	slices.Sort(c.Nodes)
 	for _, t := range p.Teams {
 		c.Teams[t.Name] = domain.Quota{
-			Guarantee: domain.Resources{CPU: milli(t.Cpus), GPU: milli(t.Gpus)},
-			Limit:     domain.Resources{CPU: milli(t.CpusMax), GPU: milli(t.GpusMax)},
+			Guarantee: domain.Resources{CPU: domain.Thousandths(t.Cpus), GPU: domain.Thousandths(t.Gpus)},
+			Limit:     domain.Resources{CPU: domain.Thousandths(t.CpusMax), GPU: domain.Thousandths(t.GpusMax)},
 		}
 	}
 	for _, x := range p.Objectives {
--- a/internal/httpclient/budget.go
+++ b/internal/httpclient/budget.go
@@ -7,81 +7,114 @@
 	"brassglade/internal/tuning"
 )
 
-// Budget is a node's share of a published rate, spent by lanes: a waiting
-// request of a lower lane goes only when no higher one waits.
+const (
+	lanes = 4 // as many as the scheduler's lanes of commits
+	// retryInterval is how often requests that wait for credit are looked at again.
+	retryInterval = 20 * time.Millisecond
+)
+
+// Budget is one controller's part of a published rate of requests and of changes (keys
+// written), as two token buckets that hold one second's worth each. Requests wait in
+// lanes: one of a lower lane goes only when none waits in a more urgent one.
 type Budget struct {
-	mu     sync.Mutex
-	rate   float64 // requests a second
-	wrate  float64 // changes a second
-	tok    float64
-	wtok   float64
-	last   time.Time
-	queues [4][]*ticket
-	armed  bool
+	mu            sync.Mutex
+	requestRate   float64 // requests a second
+	changeRate    float64 // changes a second
+	requestCredit float64 // requests that may go now
+	changeCredit  float64 // changes that may go now; below 0: debt
+	updatedAt     time.Time
+	waiting       [lanes][]*ticket // 0 is the most urgent
+	retryArmed    bool             // a timer will look at the waiting requests again
 }
 
+// ticket is a request that waits for credit.
 type ticket struct {
-	writes int
-	ch     chan struct{}
+	changes int
+	granted chan struct{} // closed when the request may go
 }
 
-// NewBudget returns a budget with a burst of one second's worth.
-func NewBudget(rate, wrate float64) *Budget {
-	return &Budget{rate: rate, wrate: wrate, tok: rate, wtok: wrate, last: time.Now()}
+// NewBudget returns a budget of the given rates, each a second, with a burst of one
+// second's worth.
+func NewBudget(requestRate, changeRate float64) *Budget {
+	return &Budget{
+		requestRate: requestRate, requestCredit: requestRate,
+		changeRate: changeRate, changeCredit: changeRate,
+		updatedAt: time.Now(),
+	}
 }
 
-// Wait returns when the request may go out.
-func (b *Budget) Wait(lane, writes int) {
-	t := &ticket{writes, make(chan struct{})}
+// Wait returns when a request with so many changes may go out; lane 0 is the most urgent.
+func (b *Budget) Wait(lane, changes int) {
+	t := &ticket{changes: changes, granted: make(chan struct{})}
 	b.mu.Lock()
-	b.queues[lane] = append(b.queues[lane], t)
-	b.pump()
+	b.waiting[lane] = append(b.waiting[lane], t)
+	b.grantWaiting()
 	b.mu.Unlock()
-	<-t.ch
+	<-t.granted
 }
 
 // Refund takes back the changes of a request that was refused unexecuted.
-func (b *Budget) Refund(writes int) {
+func (b *Budget) Refund(changes int) {
 	b.mu.Lock()
-	b.wtok = min(b.wrate, b.wtok+float64(writes))
+	b.changeCredit = min(b.changeRate, b.changeCredit+float64(changes))
 	b.mu.Unlock()
 }
 
-func (b *Budget) pump() {
-	now := time.Now()
-	dt := now.Sub(b.last).Seconds()
-	b.last = now
-	b.tok = min(b.rate, b.tok+dt*b.rate)
-	b.wtok = min(b.wrate, b.wtok+dt*b.wrate)
-	left := false
-	for l := range b.queues {
-		for len(b.queues[l]) > 0 {
-			t := b.queues[l][0]
-			// A transaction may be larger than a second's worth: it goes
-			// when there is credit, and its size is paid off afterwards.
-			// Views and users go ahead of that credit: others' transactions must
-			// not keep them waiting, and pay for it afterwards.
-			need := min(float64(t.writes), tuning.TaskCredit*b.wrate)
-			if l < tuning.LanesAhead {
-				need = -tuning.AheadSeconds * b.wrate
-			}
-			if b.tok < 1 || t.writes > 0 && b.wtok < need {
-				left = true
+// grantWaiting lets requests go as far as the credit reaches; mu is held.
+func (b *Budget) grantWaiting() {
+	b.addCredit()
+	starved := false
+	for lane := range b.waiting {
+		for len(b.waiting[lane]) > 0 {
+			t := b.waiting[lane][0]
+			if !b.hasCredit(lane, t.changes) {
+				starved = true
 				break
 			}
-			b.tok--
-			b.wtok -= float64(t.writes)
-			b.queues[l] = b.queues[l][1:]
-			close(t.ch)
+			b.requestCredit--
+			b.changeCredit -= float64(t.changes)
+			b.waiting[lane] = b.waiting[lane][1:]
+			close(t.granted)
 		}
 	}
-	if left && !b.armed {
-		b.armed = true
-		time.AfterFunc(20*time.Millisecond, func() {
-			b.mu.Lock()
-			b.armed = false
-			b.pump()
-			b.mu.Unlock()
-		})
+	if starved && !b.retryArmed {
+		b.retryArmed = true
+		time.AfterFunc(retryInterval, b.retry)
 	}
 }
+
+// addCredit adds what the time since the last call is worth; mu is held.
+func (b *Budget) addCredit() {
+	now := time.Now()
+	elapsed := now.Sub(b.updatedAt).Seconds()
+	b.updatedAt = now
+	b.requestCredit = min(b.requestRate, b.requestCredit+elapsed*b.requestRate)
+	b.changeCredit = min(b.changeRate, b.changeCredit+elapsed*b.changeRate)
+}
+
+// hasCredit tells whether a request of the lane may go now; mu is held.
+func (b *Budget) hasCredit(lane, changes int) bool {
+	if b.requestCredit < 1 {
+		return false
+	}
+	return changes <= 0 || b.changeCredit >= b.neededCredit(lane, changes)
+}
+
+// neededCredit is the credit in changes from which a request may go. A transaction may
+// be larger than a second's worth: it goes when there is some credit, and its size is
+// paid off afterwards. Views and users go ahead of that credit: others' transactions
+// must not keep them waiting, and pay for it afterwards.
+func (b *Budget) neededCredit(lane, changes int) float64 {
+	if lane < tuning.LanesAhead {
+		return -tuning.AheadSeconds * b.changeRate
+	}
+	return min(float64(changes), tuning.TaskCredit*b.changeRate)
+}
+
+// retry looks at the waiting requests again when a timer fires.
+func (b *Budget) retry() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.retryArmed = false
+	b.grantWaiting()
+}
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,7 @@
-// Package httpclient is a small HTTP/1.1 client on net: a pool of kept connections,
-// one goroutine a request, a deadline for each.
+// Package httpclient is a small HTTP/1.1 client on package net for requests between the
+// service's processes: a pool of kept connections for each address, one connection for
+// each request under way and a deadline for each request. It also holds Budget, which
+// spaces requests so that they stay within published rates.
 package httpclient
 
 import (
@@ -16,91 +18,147 @@
 	"brassglade/internal/tuning"
 )
 
-// ErrNotSent means that the request was certainly not executed.
-var ErrNotSent = errors.New("not sent")
+// The two ways in which a request can fail. Each error of Do matches one of them.
+var (
+	// ErrNotSent means that the request was certainly not executed.
+	ErrNotSent = errors.New("not sent")
+	// ErrOutcomeUnknown means that the request may or may not have been executed.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
+)
+
+const (
+	readBufferBytes = 8 << 10 // read buffer of a connection
+	headBytes       = 160     // room for a request's head, which has two to four short lines
+)
+
+// Response is an answer whatever its status.
+type Response struct {
+	Status int
+	Body   []byte
+}
 
-type conn struct {
-	c    net.Conn
-	r    *bufio.Reader
-	used time.Time
+// connection is a connection that carries one request at a time.
+type connection struct {
+	net.Conn
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
-// Client of one address.
+// Client sends requests to one address. Its methods may be called by several goroutines.
 type Client struct {
-	addr string
+	address string
+
 	mu   sync.Mutex
-	idle []*conn
+	idle []*connection // the one used last is at the end
 }
 
-// New returns a client; it connects when asked to do something.
-func New(addr string) *Client { return &Client{addr: addr} }
+// New returns a client of an address, "host:port". It connects with the first request.
+func New(address string) *Client { return &Client{address: address} }
 
-func (c *Client) get(timeout time.Duration) (*conn, error) {
+// Close closes the idle connections. A request under way goes on, and a later one
+// connects anew.
+func (c *Client) Close() error {
 	c.mu.Lock()
-	for len(c.idle) > 0 {
-		k := c.idle[len(c.idle)-1]
-		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(k.used) < tuning.IdleConn {
-			c.mu.Unlock()
-			return k, nil
-		}
-		_ = k.c.Close()
+	defer c.mu.Unlock()
+	var errs []error
+	for _, k := range c.idle {
+		errs = append(errs, k.Close())
 	}
-	c.mu.Unlock()
-	n, err := net.DialTimeout("tcp4", c.addr, timeout)
+	c.idle = nil
+	return errors.Join(errs...)
+}
+
+// Do carries out one request; a nil body sends none. The timeout covers connecting,
+// sending and the whole answer. Its errors match ErrNotSent or ErrOutcomeUnknown.
+func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (Response, error) {
+	deadline := time.Now().Add(timeout)
+	k, err := c.connect(timeout)
+	if err != nil {
+		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	_ = k.SetDeadline(deadline)
+	response, reusable, err := k.exchange(c.request(method, path, body))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+		_ = k.Close()
+		return Response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
-	return &conn{c: n, r: bufio.NewReaderSize(n, 8<<10)}, nil
+	if reusable {
+		c.keep(k)
+	} else {
+		_ = k.Close()
+	}
+	return response, nil
 }
 
-func (c *Client) put(k *conn) {
-	k.used = time.Now()
+// connect returns the idle connection that was used last, if it is fresh enough to be
+// trusted, and else a new one.
+func (c *Client) connect(timeout time.Duration) (*connection, error) {
+	if k := c.takeIdle(); k != nil {
+		return k, nil
+	}
+	n, err := net.DialTimeout("tcp4", c.address, timeout)
+	if err != nil {
+		return nil, err
+	}
+	return &connection{Conn: n, reader: bufio.NewReaderSize(n, readBufferBytes)}, nil
+}
+
+// takeIdle takes a fresh connection out of the pool and closes stale ones on the way;
+// nil if there is none.
+func (c *Client) takeIdle() *connection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.idle) > 0 {
+		last := len(c.idle) - 1
+		k := c.idle[last]
+		c.idle = c.idle[:last]
+		if time.Since(k.lastUsed) < tuning.IdleConn {
+			return k
+		}
+		_ = k.Close()
+	}
+	return nil
+}
+
+// keep puts a connection into the pool, or closes it if the pool is full.
+func (c *Client) keep(k *connection) {
+	k.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= tuning.ClientConns {
-		_ = k.c.Close()
+		_ = k.Close()
 		return
 	}
 	c.idle = append(c.idle, k)
 }
 
-// Do carries out one request. An error other than ErrNotSent leaves open
-// whether it was executed.
-func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	end := time.Now().Add(timeout)
-	k, err := c.get(timeout)
-	if err != nil {
-		return 0, nil, err
-	}
-	_ = k.c.SetDeadline(end)
+// request returns the bytes of a request.
+func (c *Client) request(method, path string, body []byte) []byte {
 	var b bytes.Buffer
-	b.Grow(len(body) + 160)
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, c.addr)
+	b.Grow(len(body) + headBytes)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, c.address)
 	if body != nil || method == http.MethodPost {
 		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
 	}
 	b.WriteString("\r\n")
 	b.Write(body)
-	if _, err := k.c.Write(b.Bytes()); err != nil {
-		_ = k.c.Close()
-		return 0, nil, err
+	return b.Bytes()
+}
+
+// exchange sends a request's bytes and reads the answer; reusable tells whether the other
+// side keeps the connection open.
+func (k *connection) exchange(request []byte) (response Response, reusable bool, err error) {
+	if _, err := k.Write(request); err != nil {
+		return Response{}, false, err
 	}
-	r, err := http.ReadResponse(k.r, nil)
+	r, err := http.ReadResponse(k.reader, nil)
 	if err != nil {
-		_ = k.c.Close()
-		return 0, nil, err
+		return Response{}, false, err
 	}
-	out, err := io.ReadAll(r.Body)
+	body, err := io.ReadAll(r.Body)
 	_ = r.Body.Close()
 	if err != nil {
-		_ = k.c.Close()
-		return 0, nil, err
-	}
-	if r.Close {
-		_ = k.c.Close()
-	} else {
-		c.put(k)
+		return Response{}, false, err
 	}
-	return r.StatusCode, out, nil
+	return Response{Status: r.StatusCode, Body: body}, !r.Close, nil
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -59,9 +59,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, request := serveOnce(t, "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}")
-			status, out, err := New(addr).Do(x.method, x.path, x.body, 5*time.Second)
-			if err != nil || status != 409 || string(out) != "{}" {
-				t.Errorf("answer %d %q, %v", status, out, err)
+			response, err := New(addr).Do(x.method, x.path, x.body, 5*time.Second)
+			if err != nil || response.Status != 409 || string(response.Body) != "{}" {
+				t.Errorf("answer %d %q, %v", response.Status, response.Body, err)
 			}
 			if got, want := <-request, strings.ReplaceAll(x.want, "ADDR", addr); got != want {
 				t.Errorf("sent %q, want %q", got, want)
@@ -87,8 +87,8 @@
 		notSent bool
 	}{"refused connection": {closed, true}, "closed without an answer": {silent, false}, "answer cut off": {cut, false}} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := New(x.addr).Do("GET", "/", nil, 5*time.Second)
-			if err == nil || errors.Is(err, ErrNotSent) != x.notSent {
+			_, err := New(x.addr).Do("GET", "/", nil, 5*time.Second)
+			if err == nil || errors.Is(err, ErrNotSent) != x.notSent || errors.Is(err, ErrOutcomeUnknown) == x.notSent {
 				t.Errorf("error %v, not sent wanted: %v", err, x.notSent)
 			}
 		})
--- /dev/null
+++ b/internal/kvstore/leases.go
@@ -0,0 +1,51 @@
+package kvstore
+
+import (
+	"errors"
+	"fmt"
+
+	json "github.com/goccy/go-json"
+
+	"brassglade/internal/scheduler"
+)
+
+type leaseRequest struct {
+	TTLMilliseconds int64 `json:"LifeMs,omitempty"`
+}
+
+type leaseAnswer struct {
+	LeaseID uint64 `json:"Permit"`
+}
+
+// Grant asks for a lease.
+func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseGranted {
+	c.budget.Wait(scheduler.LaneView, 0)
+	lease, err := c.grant(leaseRequest{TTLMilliseconds: e.TTL.Milliseconds()})
+	if err != nil {
+		return scheduler.LeaseGranted{}
+	}
+	return scheduler.LeaseGranted{OK: true, LeaseID: lease.LeaseID}
+}
+
+func (c *Client) grant(request leaseRequest) (leaseAnswer, error) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return leaseAnswer{}, err
+	}
+	out, err := c.post(leasesPath, body)
+	if err != nil {
+		return leaseAnswer{}, err
+	}
+	var lease leaseAnswer
+	if err := decode(out, &lease); err != nil {
+		return leaseAnswer{}, err
+	}
+	return lease, nil
+}
+
+// Renew renews a lease. Gone: it ran out, and a new one is needed.
+func (c *Client) Renew(e scheduler.RenewLease) scheduler.LeaseRenewalAnswered {
+	c.budget.Wait(scheduler.LaneView, 0)
+	_, err := c.post(fmt.Sprintf("%s/%d/renew", leasesPath, e.LeaseID), []byte("{}"))
+	return scheduler.LeaseRenewalAnswered{OK: err == nil, Gone: errors.Is(err, errNotFound)}
+}
--- /dev/null
+++ b/internal/kvstore/transactions.go
@@ -0,0 +1,169 @@
+package kvstore
+
+import (
+	"bytes"
+	"errors"
+	"log/slog"
+	"time"
+
+	json "github.com/goccy/go-json"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/httpclient"
+	"brassglade/internal/scheduler"
+	"brassglade/internal/tuning"
+)
+
+type transactionRequest struct {
+	Conditions []condition `json:"When,omitempty"`
+	Changes    []change    `json:"Apply,omitempty"`
+}
+
+type condition struct {
+	Key         string `json:"Path"`
+	ModRevision uint64 `json:"Stamp"`
+}
+
+// change sets or deletes one key.
+type change struct {
+	Set     string          `json:"Set,omitempty"`
+	Delete  string          `json:"Delete,omitempty"`
+	Value   json.RawMessage `json:"V,omitempty"`
+	LeaseID uint64          `json:"Permit,omitempty"`
+}
+
+type transactionAnswer struct {
+	Revision   uint64   `json:"Ledger"`
+	FailedKeys []string `json:"failed"` // of the conditions that don't hold
+
+	refusal []byte // the body of an answer that refuses the transaction, for the log
+}
+
+// item is a key as reads and snapshots give it.
+type item struct {
+	Key         string          `json:"Path"`
+	Value       json.RawMessage `json:"V"`
+	ModRevision uint64          `json:"Stamp"`
+}
+
+// keyValue copies the value out of the answer's buffer.
+func (i item) keyValue(key string) domain.KeyValue {
+	return domain.KeyValue{Key: key, Value: bytes.Clone(i.Value), ModRevision: i.ModRevision}
+}
+
+// Confirm compares the view's revision by a transaction without changes.
+func (c *Client) Confirm(e scheduler.ConfirmView) scheduler.ConfirmationAnswered {
+	c.budget.Wait(scheduler.LaneView, 0)
+	body, err := json.Marshal(transactionRequest{Conditions: []condition{{Key: e.Key, ModRevision: e.ModRevision}}})
+	if err != nil {
+		return scheduler.ConfirmationAnswered{}
+	}
+	answer, err := c.transact(body)
+	if err != nil && !errors.Is(err, errConflict) {
+		return scheduler.ConfirmationAnswered{}
+	}
+	return scheduler.ConfirmationAnswered{OK: true, Same: err == nil, Revision: answer.Revision}
+}
+
+// Commit carries out a transaction. The changes of one that was certainly not executed
+// go back into the budget.
+func (c *Client) Commit(e scheduler.Commit) scheduler.CommitAnswered {
+	changes := len(e.Transaction.Puts)
+	c.budget.Wait(e.Lane, changes)
+	body, err := json.Marshal(newTransactionRequest(e.Transaction))
+	if err != nil {
+		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
+	}
+	answer, err := c.transact(body)
+	for n := 0; n < tuning.ThrottledTries && e.Lane == scheduler.LaneUser && errors.Is(err, errThrottled); n++ {
+		time.Sleep(tuning.ThrottledPause)
+		c.budget.Wait(e.Lane, 0)
+		answer, err = c.transact(body)
+	}
+	if errors.Is(err, errMalformed) {
+		slog.Error("state service refuses a transaction", "answer", string(answer.refusal))
+	}
+	answered := scheduler.CommitAnswered{
+		ID:        e.ID,
+		Result:    commitResult(err),
+		Malformed: errors.Is(err, errMalformed),
+		Revision:  answer.Revision,
+		Failed:    answer.FailedKeys,
+	}
+	if answered.Result == domain.Refused {
+		c.budget.Refund(changes)
+	}
+	return answered
+}
+
+// commitResult says what a transaction's error means for its fate.
+func commitResult(err error) domain.CommitResult {
+	switch {
+	case err == nil:
+		return domain.Committed
+	case errors.Is(err, errConflict):
+		return domain.Conflict
+	case errors.Is(err, httpclient.ErrNotSent), errors.Is(err, errMalformed),
+		errors.Is(err, errThrottled), errors.Is(err, errUnavailable):
+		return domain.Refused
+	}
+	return domain.InDoubt
+}
+
+func newTransactionRequest(t domain.Transaction) transactionRequest {
+	var r transactionRequest
+	for _, k := range t.Conditions {
+		r.Conditions = append(r.Conditions, condition{Key: k.Key, ModRevision: k.ModRevision})
+	}
+	for _, p := range t.Puts {
+		if p.Value == nil {
+			r.Changes = append(r.Changes, change{Delete: p.Key})
+		} else {
+			r.Changes = append(r.Changes, change{Set: p.Key, Value: p.Value, LeaseID: p.LeaseID})
+		}
+	}
+	return r
+}
+
+// transact sends a transaction. The answer is that of an executed one or beside errConflict;
+// an answer that can't be read leaves the outcome unknown.
+func (c *Client) transact(body []byte) (transactionAnswer, error) {
+	out, outcome := c.post(transactionPath, body)
+	if outcome != nil && !errors.Is(outcome, errConflict) {
+		return transactionAnswer{refusal: out}, outcome
+	}
+	var answer transactionAnswer
+	if err := decode(out, &answer); err != nil {
+		return transactionAnswer{}, err
+	}
+	return answer, outcome
+}
+
+// Read reads keys one by one; those that don't exist are left out. One failure fails all.
+func (c *Client) Read(e scheduler.ReadKeys) scheduler.KeysRead {
+	read := scheduler.KeysRead{ID: e.ID, OK: true}
+	for _, key := range e.Keys {
+		c.budget.Wait(scheduler.LaneUser, 0)
+		i, err := c.readKey(key)
+		if errors.Is(err, errNotFound) {
+			continue
+		}
+		if err != nil {
+			return scheduler.KeysRead{ID: e.ID}
+		}
+		read.Items = append(read.Items, i.keyValue(key))
+	}
+	return read
+}
+
+func (c *Client) readKey(key string) (item, error) {
+	out, err := get(c.http, keysPath+"/"+key, tuning.StateTimeout)
+	if err != nil {
+		return item{}, err
+	}
+	var i item
+	if err := decode(out, &i); err != nil {
+		return item{}, err
+	}
+	return i, nil
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -106,7 +106,7 @@
 			failed <- err
 		}
 	}()
-	go n.state.Watch(func() time.Duration { return time.Since(n.start) }, func(e scheduler.Event) { n.events <- e })
+	go n.state.Watch(ctx, func() time.Duration { return time.Since(n.start) }, func(e scheduler.Event) { n.events <- e })
 	go n.loop()
 	select {
 	case err := <-failed:
@@ -224,9 +224,9 @@
 	case scheduler.RenewLease:
 		n.send(func() scheduler.Event { return n.state.Renew(x) })
 	case scheduler.ListMachineTypes:
-		n.send(func() scheduler.Event { return n.cloud.Flavors() })
+		n.send(func() scheduler.Event { return n.cloud.MachineTypes() })
 	case scheduler.ListInstances:
-		n.send(func() scheduler.Event { return n.cloud.List() })
+		n.send(func() scheduler.Event { return n.cloud.Instances() })
 	case scheduler.RentMachines:
 		n.send(func() scheduler.Event { return n.cloud.Rent(x) })
 	case scheduler.ReturnMachines:
@@ -265,12 +265,12 @@
 	if err != nil {
 		return ev
 	}
-	st, out, err := w.Do("POST", "/commands", body, tuning.DirectTimeout)
-	if err != nil || st != 200 && st != 409 {
+	response, err := w.Do("POST", "/commands", body, tuning.DirectTimeout)
+	if err != nil || response.Status != 200 && response.Status != 409 {
 		return ev
 	}
-	ev.OK = st == 200
-	if r, ok := api.ParseReport(out); ok && r.Machine == x.Machine {
+	ev.OK = response.Status == 200
+	if r, ok := api.ParseReport(response.Body); ok && r.Machine == x.Machine {
 		ev.Heartbeat = &r
 	}
 	return ev
