--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -33,10 +34,12 @@
 		"null amount":     {`"ExpectS":240.0`, `"ExpectS":null`},
 		"null flag":       {`"Loaners":true`, `"Loaners":null`},
 	} {
-		id, s := ParseSubmission([]byte(strings.Replace(good, change[0], change[1], 1)))
-		if s != nil || id != "job-000412" {
-			t.Errorf("%s: id %q, accepted %v", name, id, s != nil)
-		}
+		t.Run(name, func(t *testing.T) {
+			id, s := ParseSubmission([]byte(strings.Replace(good, change[0], change[1], 1)))
+			if s != nil || id != "job-000412" {
+				t.Errorf("id %q, accepted %v", id, s != nil)
+			}
+		})
 	}
 	for _, b := range []string{"", "[]", "null", "7", `{"NameId":7}`, `{"NameId":"JOB-1"}`, `{"NameId":"job-12x456"}`} {
 		if id, s := ParseSubmission([]byte(b)); id != "" || s != nil {
@@ -45,18 +48,18 @@
 	}
 }
 
-func TestReport(t *testing.T) {
-	r, ok := ParseReport([]byte(`{"Bracket":"n-000231","Address":"10.1.0.232:9000","Build":"g8","Yard":"a","Loaners":true,
+func TestHeartbeat(t *testing.T) {
+	r, err := ParseHeartbeat([]byte(`{"Bracket":"n-000231","Address":"10.1.0.232:9000","Build":"g8","Yard":"a","Loaners":true,
      "Shift":1,"Tally":88,"Baton":41,"RecallS":null,"Pieces":[{"Piece":"job-000412/3","Try":2,"Status":"running"},
               {"Piece":"job-000398/0","Try":1,"Status":"ended","Cause":"no_such"}]}`))
-	if !ok || r.Machine != "n-000231" || r.PreemptionNotice >= 0 || r.FencingToken != 41 || len(r.Tasks) != 2 ||
+	if err != nil || r.Machine != "n-000231" || r.PreemptionNotice >= 0 || r.FencingToken != 41 || len(r.Tasks) != 2 ||
 		r.Tasks[0].Task != (domain.TaskID{Job: "job-000412", Index: 3}) || r.Tasks[1].Cause != domain.CauseUnknown {
 		t.Errorf("report %+v", r)
 	}
 	for _, b := range []string{"", "{}", `{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job","Try":1,"Status":"running"}]}`,
 		`{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job-1/0","Try":1,"Status":"dancing"}]}`} {
-		if _, ok := ParseReport([]byte(b)); ok {
-			t.Errorf("%q was taken", b)
+		if _, err := ParseHeartbeat([]byte(b)); !errors.Is(err, errMalformedHeartbeat) {
+			t.Errorf("%q: error %v", b, err)
 		}
 	}
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -8,12 +8,11 @@
 
 	"github.com/labstack/echo/v4"
 
-	"brassglade/internal/scheduler"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
-// fake answers what its table says; a missing answer is a full stage.
+// fake is a backend that gives one reply; none stands for a full queue.
 type fake struct {
 	answer scheduler.Effect
 	asked  scheduler.Event
@@ -21,8 +20,8 @@
 
 func (f *fake) Ready() bool { return f.answer != nil }
 
-func (f *fake) Ask(_ bool, mk func(uint64) scheduler.Event) (scheduler.Effect, bool) {
-	f.asked = mk(1)
+func (f *fake) Request(_ bool, newEvent func(uint64) scheduler.Event) (scheduler.Effect, bool) {
+	f.asked = newEvent(1)
 	return f.answer, f.answer != nil
 }
 
@@ -36,30 +35,43 @@
 		"accepted":     {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 201, ID: "job-000412", State: "pending"}, 201, `{"NameId":"job-000412","Status":"pending","done":0,"running":0}`, ""},
 		"full stage":   {"POST", "/v1/jobs", good, nil, 503, `{"error":"busy"}`, "1"},
 		"not ready":    {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 503, Reason: "not ready"}, 503, `{"error":"not ready"}`, "1"},
-		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + good, scheduler.UserReply{Status: 201}, 400, "", ""},
-		"odd id":       {"GET", "/v1/jobs/x", "", scheduler.UserReply{Status: 200}, 404, "", ""},
+		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + good, scheduler.UserReply{Status: 201}, 400, `{"error":"body unreadable or over 64 KiB"}`, ""},
+		"refused":      {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 409, Reason: "taken"}, 409, `{"error":"taken"}`, ""},
+		"odd id":       {"GET", "/v1/jobs/x", "", scheduler.UserReply{Status: 200}, 404, `{"error":"no such job"}`, ""},
+		"abort odd id": {"POST", "/v1/jobs/x/abort", "", scheduler.UserReply{Status: 200}, 404, `{"error":"no such job"}`, ""},
+		"no such path": {"GET", "/v2/jobs", "", scheduler.UserReply{Status: 200}, 404, `{"error":"Not Found"}`, ""},
+		"odd method":   {"DELETE", "/v1/jobs", "", scheduler.UserReply{Status: 200}, 405, `{"error":"Method Not Allowed"}`, ""},
+		"odd reply":    {"GET", "/v1/jobs/job-000412", "", scheduler.HeartbeatReply{Status: 200}, 503, `{"error":"busy"}`, "1"},
 		"poll":         {"GET", "/v1/jobs/job-000412", "", scheduler.UserReply{Status: 200, ID: "job-000412", State: "running", Done: 3, Running: 13}, 200, `{"NameId":"job-000412","Status":"running","done":3,"running":13}`, ""},
 		"abort":        {"POST", "/v1/jobs/job-000412/abort", "", scheduler.UserReply{Status: 200, ID: "job-000412", State: "cancelled"}, 200, `{"NameId":"job-000412","Status":"cancelled","done":0,"running":0}`, ""},
 		"up":           {"GET", "/up", "", scheduler.UserReply{}, 200, `{}`, ""},
-		"not up":       {"GET", "/up", "", nil, 503, "", "1"},
+		"not up":       {"GET", "/up", "", nil, 503, `{"error":"not ready"}`, "1"},
 		"other owner":  {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 421, Owner: "c-2"}, 421, `{"Foreman":"c-2"}`, ""},
-		"not entitled": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 503}, 503, "", "1"},
+		"not entitled": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 503}, 503, `{"error":"not entitled"}`, "1"},
+		"full queue":   {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, nil, 503, `{"error":"busy"}`, "1"},
+		"malformed":    {"POST", "/checkin", `{"Bracket":"n-1"}`, nil, 400, `{"error":"malformed report"}`, ""},
+		"no owner":     {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 421}, 421, `{}`, ""},
 		"orders": {"POST", "/checkin", `{"Bracket":"n-1","Shift":1}`, scheduler.HeartbeatReply{Status: 200, FencingToken: 41, Commands: []domain.Command{
 			{Kind: domain.StartTask, Task: domain.TaskID{Job: "job-000412", Index: 4}, Attempt: 2},
 			{Kind: domain.StopTask, Task: domain.TaskID{Job: "job-000377", Index: 1}, Attempt: 1, GraceSeconds: 10}}},
 			200, `{"Baton":41,"Orders":[{"Verb":"run","Piece":"job-000412/4","Try":2},{"Verb":"halt","Piece":"job-000377/1","Try":1,"LeewayS":10}]}`, ""},
 	} {
-		w := httptest.NewRecorder()
-		New(&fake{answer: x.answer}, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(x.method, x.path, strings.NewReader(x.body)))
-		if w.Code != x.code || x.want != "" && w.Body.String() != x.want || w.Header().Get("Retry-After") != x.retry {
-			t.Errorf("%s: %d %s, Retry-After %q", name, w.Code, w.Body, w.Header().Get("Retry-After"))
-		}
+		t.Run(name, func(t *testing.T) {
+			w := httptest.NewRecorder()
+			New(&fake{answer: x.answer}, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(x.method, x.path, strings.NewReader(x.body)))
+			if w.Code != x.code || w.Body.String() != x.want || w.Header().Get("Retry-After") != x.retry {
+				t.Errorf("%d %s, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
+			}
+			if form := w.Header().Get("Content-Type"); form != "application/json" {
+				t.Errorf("Content-Type %q", form)
+			}
+		})
 	}
 }
 
-// TestMalformedReachesTheCoreWithItsId: an accepted job's repeat must get 200
-// even if it is malformed, which only the core can know.
-func TestMalformedReachesTheCoreWithItsId(t *testing.T) {
+// TestMalformedSubmissionReachesTheSchedulerWithItsID: an accepted job's repeat must get 200
+// even if it is malformed, which only the scheduler can know.
+func TestMalformedSubmissionReachesTheSchedulerWithItsID(t *testing.T) {
 	f := &fake{answer: scheduler.UserReply{Status: 200, ID: "job-000412", State: "done"}}
 	w := httptest.NewRecorder()
 	New(f, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", strings.NewReader(`{"NameId":"job-000412"}`)))
@@ -104,18 +116,18 @@
 	}
 }
 
-// TestMalformedReportChangesNothing: it is refused, counted, and never reaches the core.
-func TestMalformedReportChangesNothing(t *testing.T) {
+// TestMalformedHeartbeatChangesNothing: it is refused, counted, and never reaches the scheduler.
+func TestMalformedHeartbeatChangesNothing(t *testing.T) {
 	f := &fake{}
-	h := &handler{b: f}
+	h := &handler{backend: f}
 	e := echo.New()
+	e.HTTPErrorHandler = answerError
+	e.POST(heartbeatPath, h.takeHeartbeat)
 	for i, body := range []string{"{}", "[", `{"Bracket":"n-1","Shift":1,"Pieces":[{"Piece":"job-000001/x","Try":1,"Status":"running"}]}`} {
 		w := httptest.NewRecorder()
-		if err := h.checkin(e.NewContext(httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader(body)), w)); err != nil {
-			t.Fatal(err)
-		}
-		if w.Code != 400 || f.asked != nil || h.bad.Load() != int64(i+1) {
-			t.Errorf("%s: answered %d, asked %v, counted %d", body, w.Code, f.asked, h.bad.Load())
+		e.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader(body)))
+		if w.Code != 400 || f.asked != nil || h.malformedHeartbeats.Load() != int64(i+1) {
+			t.Errorf("%s: answered %d, asked %v, counted %d", body, w.Code, f.asked, h.malformedHeartbeats.Load())
 		}
 	}
 }
@@ -127,10 +139,12 @@
 		metrics http.Handler
 		code    int
 	}{"off": {nil, http.StatusNotFound}, "on": {served, http.StatusOK}} {
-		w := httptest.NewRecorder()
-		New(&fake{}, 0, x.metrics).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-		if w.Code != x.code {
-			t.Errorf("%s: %d", name, w.Code)
-		}
+		t.Run(name, func(t *testing.T) {
+			w := httptest.NewRecorder()
+			New(&fake{}, 0, x.metrics).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+			if w.Code != x.code {
+				t.Errorf("status %d", w.Code)
+			}
+		})
 	}
 }
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -2,113 +2,206 @@
 
 import (
 	"math"
+	"net/http"
 	"regexp"
 
-	json "github.com/goccy/go-json"
-
 	"github.com/go-playground/validator/v10"
+	json "github.com/goccy/go-json"
+	"github.com/labstack/echo/v4"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+	"brassglade/internal/tuning"
 )
 
-// submission is the body of POST /v1/jobs. Pointers tell a missing field from
-// a zero; Builds, Yard, DueS and Awaits may be null or missing. Names that are
-// written into every change of a job's header have a bound.
+// submission is the body of POST /v1/jobs. Pointers tell a missing field from a zero;
+// machine types, zone, deadline and dependencies may be null or missing. Names that are
+// written with every change of a job's header have a bound.
 type submission struct {
-	NameID    *string   `json:"NameId" validate:"required"`
-	Docket    *string   `json:"Docket" validate:"required,min=1,max=200"`
-	Crew      *string   `json:"Crew" validate:"required,min=1"`
-	Shape     *string   `json:"Shape" validate:"required,oneof=batch group daemon"`
-	Urgency   *string   `json:"Urgency" validate:"required,oneof=production urgent standard idle"`
-	Pieces    *int64    `json:"Pieces" validate:"required,min=1,max=100000"`
-	Cores     *float64  `json:"Cores" validate:"required,amount"`
-	Cards     *float64  `json:"Cards" validate:"required,amount"`
-	MemGb     *float64  `json:"MemGb" validate:"required,amount"`
-	Kit       *string   `json:"Kit" validate:"required,max=200"`
-	PullGb    *float64  `json:"PullGb" validate:"required,amount"`
-	Builds    *[]string `json:"Builds"`
-	Yard      *string   `json:"Yard"`
-	SamePlace *bool     `json:"SamePlace" validate:"required"`
-	Apart     *bool     `json:"Apart" validate:"required"`
-	Loaners   *bool     `json:"Loaners" validate:"required"`
-	ExpectS   *float64  `json:"ExpectS" validate:"required,amount"`
-	SnapshotS *float64  `json:"SnapshotS" validate:"required,amount"`
-	StowS     *float64  `json:"StowS" validate:"required,amount"`
-	DueS      *float64  `json:"DueS" validate:"omitempty,amount"`
-	Awaits    *[]string `json:"Awaits" validate:"omitempty,dive,jobid"`
+	ID                 *string   `json:"NameId" validate:"required"`
+	Class              *string   `json:"Docket" validate:"required,min=1,max=200"`
+	Team               *string   `json:"Crew" validate:"required,min=1"`
+	Shape              *string   `json:"Shape" validate:"required,oneof=batch group daemon"`
+	Priority           *string   `json:"Urgency" validate:"required,oneof=production urgent standard idle"`
+	TaskCount          *int64    `json:"Pieces" validate:"required,min=1,max=100000"`
+	CPUs               *float64  `json:"Cores" validate:"required,amount"`
+	GPUs               *float64  `json:"Cards" validate:"required,amount"`
+	MemoryGB           *float64  `json:"MemGb" validate:"required,amount"`
+	Image              *string   `json:"Kit" validate:"required,max=200"`
+	ImageGB            *float64  `json:"PullGb" validate:"required,amount"`
+	MachineTypes       *[]string `json:"Builds"`
+	Zone               *string   `json:"Yard"`
+	OneZone            *bool     `json:"SamePlace" validate:"required"`
+	Spread             *bool     `json:"Apart" validate:"required"`
+	Spot               *bool     `json:"Loaners" validate:"required"`
+	EstimatedRuntime   *float64  `json:"ExpectS" validate:"required,amount"`
+	CheckpointInterval *float64  `json:"SnapshotS" validate:"required,amount"`
+	CheckpointCost     *float64  `json:"StowS" validate:"required,amount"`
+	Deadline           *float64  `json:"DueS" validate:"omitempty,amount"`
+	Dependencies       *[]string `json:"Awaits" validate:"omitempty,dive,jobid"`
 }
 
 type jobAnswer struct {
-	NameID  string `json:"NameId"`
-	Status  string `json:"Status"`
+	ID      string `json:"NameId"`
+	State   string `json:"Status"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
 }
 
-type failure struct {
-	Error string `json:"error"`
-}
+// maxAmount bounds amounts so that sums in thousandths can't overflow.
+const maxAmount = 1e9
 
-// amountMost bounds amounts so that sums in thousandths can't overflow.
-const amountMost = 1e9
+// noMachineType stands for an empty list of machine types, which allows none, while a
+// missing list allows all.
+const noMachineType = "-"
 
 var (
-	idForm = regexp.MustCompile(`^job-[0-9]{6,20}$`)
-	check  = newCheck()
-	shapes = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
-	prios  = map[string]int{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
+	jobIDForm        = regexp.MustCompile(`^job-[0-9]{6,20}$`)
+	submissionChecks = newSubmissionChecks()
+	shapesByName     = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
+	prioritiesByName = map[string]int{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
 )
 
-func newCheck() *validator.Validate {
+// newSubmissionChecks returns the rules that the tags of submission name.
+func newSubmissionChecks() *validator.Validate {
 	v := validator.New()
-	if err := v.RegisterValidation("amount", func(f validator.FieldLevel) bool {
-		x := f.Field().Float()
-		return x >= 0 && x <= amountMost && !math.IsNaN(x)
-	}); err != nil {
-		panic(err)
-	}
-	if err := v.RegisterValidation("jobid", func(f validator.FieldLevel) bool { return idForm.MatchString(f.Field().String()) }); err != nil {
-		panic(err)
+	for tag, check := range map[string]validator.Func{"amount": isAmount, "jobid": isJobID} {
+		if err := v.RegisterValidation(tag, check); err != nil {
+			panic("submission rule " + tag + " can't be registered: " + err.Error())
+		}
 	}
 	return v
 }
 
-// ParseSubmission reads a submission. A malformed one gives its id, if that
-// much is legible, and no spec.
-func ParseSubmission(b []byte) (id string, spec *domain.JobSpec) {
-	var loose map[string]json.RawMessage
-	if json.Unmarshal(b, &loose) != nil || loose == nil {
+func isAmount(field validator.FieldLevel) bool {
+	x := field.Field().Float()
+	return x >= 0 && x <= maxAmount && !math.IsNaN(x)
+}
+
+func isJobID(field validator.FieldLevel) bool {
+	return jobIDForm.MatchString(field.Field().String())
+}
+
+// ParseSubmission reads a submission. A malformed one gives no spec, and its id if that
+// much is legible: the repetition of an accepted job is answered as one even if malformed.
+func ParseSubmission(body []byte) (id string, spec *domain.JobSpec) {
+	var fields map[string]json.RawMessage
+	if json.Unmarshal(body, &fields) != nil || fields == nil {
 		return "", nil
 	}
-	if json.Unmarshal(loose["NameId"], &id) != nil || !idForm.MatchString(id) {
+	if json.Unmarshal(fields["NameId"], &id) != nil || !jobIDForm.MatchString(id) {
 		return "", nil
 	}
 	var s submission
-	if json.Unmarshal(b, &s) != nil || check.Struct(&s) != nil {
+	if json.Unmarshal(body, &s) != nil || submissionChecks.Struct(&s) != nil {
 		return id, nil
 	}
-	sp := &domain.JobSpec{
-		ID: id, Class: *s.Docket, Team: *s.Crew, Shape: shapes[*s.Shape], Priority: prios[*s.Urgency], TaskCount: int(*s.Pieces),
-		Request: domain.Resources{CPU: milli(*s.Cores), GPU: milli(*s.Cards), Memory: milli(*s.MemGb)},
-		OneZone: *s.SamePlace, Spread: *s.Apart, Spot: *s.Loaners, Image: *s.Kit, ImageGB: *s.PullGb,
-		EstimatedRuntime: *s.ExpectS, CheckpointInterval: *s.SnapshotS, CheckpointCost: *s.StowS,
+	return id, s.jobSpec(id)
+}
+
+// jobSpec is the scheduler's form of a submission that keeps all rules.
+func (s *submission) jobSpec(id string) *domain.JobSpec {
+	spec := &domain.JobSpec{
+		ID:        id,
+		Class:     *s.Class,
+		Team:      *s.Team,
+		Shape:     shapesByName[*s.Shape],
+		Priority:  prioritiesByName[*s.Priority],
+		TaskCount: int(*s.TaskCount),
+		Request: domain.Resources{
+			CPU:    roundedThousandths(*s.CPUs),
+			GPU:    roundedThousandths(*s.GPUs),
+			Memory: roundedThousandths(*s.MemoryGB),
+		},
+		OneZone:            *s.OneZone,
+		Spread:             *s.Spread,
+		Spot:               *s.Spot,
+		Image:              *s.Image,
+		ImageGB:            *s.ImageGB,
+		EstimatedRuntime:   *s.EstimatedRuntime,
+		CheckpointInterval: *s.CheckpointInterval,
+		CheckpointCost:     *s.CheckpointCost,
 	}
-	if s.Builds != nil {
-		sp.MachineTypes = *s.Builds
-		if len(sp.MachineTypes) == 0 {
-			sp.MachineTypes = []string{"-"} // an empty list allows nothing
+	if s.MachineTypes != nil {
+		spec.MachineTypes = *s.MachineTypes
+		if len(spec.MachineTypes) == 0 {
+			spec.MachineTypes = []string{noMachineType}
 		}
 	}
-	if s.Yard != nil {
-		sp.Zone = *s.Yard
+	if s.Zone != nil {
+		spec.Zone = *s.Zone
+	}
+	if s.Deadline != nil {
+		spec.Deadline = *s.Deadline
+	}
+	if s.Dependencies != nil {
+		spec.Dependencies = *s.Dependencies
+	}
+	return spec
+}
+
+// roundedThousandths rounds to the nearest, whereas domain.Thousandths adds a half and cuts
+// off: they differ where that sum isn't exact.
+func roundedThousandths(amount float64) int64 { return int64(math.Round(amount * 1000)) }
+
+func (h *handler) submitJob(c echo.Context) error {
+	body, err := readBody(c)
+	if err != nil {
+		return badRequest(errBody.Error())
 	}
-	if s.DueS != nil {
-		sp.Deadline = *s.DueS
+	id, spec := ParseSubmission(body)
+	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+		return scheduler.JobSubmitted{RequestID: requestID, ID: id, Spec: spec}
+	})
+}
+
+func (h *handler) queryJob(c echo.Context) error {
+	id, err := jobIDOf(c)
+	if err != nil {
+		return err
 	}
-	if s.Awaits != nil {
-		sp.Dependencies = *s.Awaits
+	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+		return scheduler.JobQueried{RequestID: requestID, ID: id}
+	})
+}
+
+func (h *handler) cancelJob(c echo.Context) error {
+	id, err := jobIDOf(c)
+	if err != nil {
+		return err
 	}
-	return id, sp
+	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+		return scheduler.JobCancelled{RequestID: requestID, ID: id}
+	})
 }
 
-func milli(x float64) int64 { return int64(math.Round(x * 1000)) }
+// jobIDOf is the id in a request's path. An id of another form belongs to no job.
+func jobIDOf(c echo.Context) (string, error) {
+	id := c.Param("id")
+	if !jobIDForm.MatchString(id) {
+		return "", notFound("no such job")
+	}
+	return id, nil
+}
+
+// answerUser takes a user's request through the loop and answers it.
+func (h *handler) answerUser(c echo.Context, newEvent func(requestID uint64) scheduler.Event) error {
+	// Workers hold on to their connections, hundreds of them, and come all to one
+	// controller when the others end: users make room for them.
+	if h.connectionsOver(tuning.ConnectionShare) {
+		c.Response().Header().Set("Connection", "close")
+	}
+	if h.connectionsOver(tuning.MaxConnections) {
+		return unavailable("too many connections")
+	}
+	effect, ok := h.backend.Request(false, newEvent)
+	reply, is := effect.(scheduler.UserReply)
+	if !ok || !is {
+		return unavailable("busy")
+	}
+	switch reply.Status {
+	case http.StatusOK, http.StatusCreated:
+		return c.JSON(reply.Status, jobAnswer{ID: reply.ID, State: reply.State, Done: reply.Done, Running: reply.Running})
+	}
+	return &errorAnswer{status: reply.Status, reason: reply.Reason}
+}
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -1,117 +1,182 @@
-// Package api is the HTTP side: users and workers, with the boundary structs
-// that carry the protocol's JSON names.
 package api
 
 import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
 	"strconv"
 	"strings"
 
 	json "github.com/goccy/go-json"
-
-	"brassglade/internal/scheduler"
+	"github.com/labstack/echo/v4"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
-type pieceReport struct {
-	Piece  string `json:"Piece"`
-	Try    uint64 `json:"Try"`
-	Status string `json:"Status"`
-	Cause  string `json:"Cause"`
-	Saved  bool   `json:"Saved"`
+// errMalformedHeartbeat means that a heartbeat can't be read; nothing of it is used.
+var errMalformedHeartbeat = errors.New("malformed heartbeat")
+
+// heartbeat is the body of POST /checkin, and of a worker's answer to direct commands.
+type heartbeat struct {
+	Machine          string       `json:"Bracket"`
+	Address          string       `json:"Address"`
+	MachineType      string       `json:"Build"`
+	Zone             string       `json:"Yard"`
+	Spot             bool         `json:"Loaners"`
+	AgentEpoch       uint64       `json:"Shift"`
+	Sequence         uint64       `json:"Tally"`
+	FencingToken     uint64       `json:"Baton"`
+	PreemptionNotice *float64     `json:"RecallS"` // seconds until the machine is taken away
+	Tasks            []taskReport `json:"Pieces"`
 }
 
-type checkin struct {
-	Bracket string        `json:"Bracket"`
-	Address string        `json:"Address"`
-	Build   string        `json:"Build"`
-	Yard    string        `json:"Yard"`
-	Loaners bool          `json:"Loaners"`
-	Shift   uint64        `json:"Shift"`
-	Tally   uint64        `json:"Tally"`
-	Baton   uint64        `json:"Baton"`
-	RecallS *float64      `json:"RecallS"`
-	Pieces  []pieceReport `json:"Pieces"`
+type taskReport struct {
+	Task    string `json:"Piece"` // JOB/INDEX
+	Attempt uint64 `json:"Try"`
+	State   string `json:"Status"`
+	Cause   string `json:"Cause"`
+	Saved   bool   `json:"Saved"`
 }
 
-type order struct {
-	Verb    string   `json:"Verb"`
-	Piece   string   `json:"Piece"`
-	Try     uint64   `json:"Try"`
-	LeewayS *float64 `json:"LeewayS,omitempty"`
+type command struct {
+	Kind         string   `json:"Verb"`
+	Task         string   `json:"Piece"` // JOB/INDEX
+	Attempt      uint64   `json:"Try"`
+	GraceSeconds *float64 `json:"LeewayS,omitempty"` // of stops only
 }
 
-type checkinAnswer struct {
-	Baton  uint64  `json:"Baton"`
-	Orders []order `json:"Orders"`
+type heartbeatAnswer struct {
+	FencingToken uint64    `json:"Baton"`
+	Commands     []command `json:"Orders"`
 }
 
-type foreman struct {
-	Foreman string `json:"Foreman,omitempty"`
+// ownerAnswer sends a worker to its machine's owner.
+type ownerAnswer struct {
+	Owner string `json:"Foreman,omitempty"`
 }
 
-// Commands is the body of POST /commands.
+// Commands is the body of POST /commands, by which a worker gets commands at once.
 type Commands struct {
-	Baton  uint64  `json:"Baton"`
-	Shift  uint64  `json:"Shift"`
-	Orders []order `json:"Orders"`
+	FencingToken uint64    `json:"Baton"`
+	AgentEpoch   uint64    `json:"Shift"`
+	Commands     []command `json:"Orders"`
 }
 
-// NewCommands makes the body of a direct order.
+// NewCommands makes the body of commands that are sent straight to a worker.
 func NewCommands(e scheduler.SendCommands) Commands {
-	return Commands{e.FencingToken, e.AgentEpoch, orders(e.Commands)}
+	return Commands{FencingToken: e.FencingToken, AgentEpoch: e.AgentEpoch, Commands: newCommands(e.Commands)}
+}
+
+func newCommands(commands []domain.Command) []command {
+	out := make([]command, len(commands))
+	for i, k := range commands {
+		out[i] = command{Kind: string(k.Kind), Task: formatTaskID(k.Task), Attempt: k.Attempt}
+		if k.Kind == domain.StopTask {
+			grace := k.GraceSeconds
+			out[i].GraceSeconds = &grace
+		}
+	}
+	return out
 }
 
-var states = map[string]string{
-	"fetching": domain.ReportedFetching, "gathering": domain.ReportedWaiting, "running": domain.ReportedRunning,
-	"saving": domain.ReportedSaving, "ended": domain.ReportedEnded,
+var reportedStates = map[string]string{
+	"fetching":  domain.ReportedFetching,
+	"gathering": domain.ReportedWaiting,
+	"running":   domain.ReportedRunning,
+	"saving":    domain.ReportedSaving,
+	"ended":     domain.ReportedEnded,
 }
 
-func cause(s string) string {
-	if s == "no_such" {
+// reportedCause maps the one cause that the protocol calls otherwise.
+func reportedCause(cause string) string {
+	if cause == "no_such" {
 		return domain.CauseUnknown
 	}
-	return s // the others are called the same inside
+	return cause
 }
 
-func orders(os []domain.Command) []order {
-	l := make([]order, len(os))
-	for i, o := range os {
-		l[i] = order{Verb: string(o.Kind), Piece: o.Task.Job + "/" + strconv.Itoa(o.Task.Index), Try: o.Attempt}
-		if o.Kind == domain.StopTask {
-			v := o.GraceSeconds
-			l[i].LeewayS = &v
+// ParseHeartbeat reads a worker's heartbeat. Its errors match errMalformedHeartbeat.
+func ParseHeartbeat(body []byte) (domain.Heartbeat, error) {
+	var h heartbeat
+	if err := json.Unmarshal(body, &h); err != nil {
+		return domain.Heartbeat{}, fmt.Errorf("%w: %w", errMalformedHeartbeat, err)
+	}
+	if h.Machine == "" || h.AgentEpoch == 0 {
+		return domain.Heartbeat{}, fmt.Errorf("%w: no machine or agent epoch", errMalformedHeartbeat)
+	}
+	parsed := domain.Heartbeat{
+		Machine: h.Machine, Addr: h.Address, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot,
+		AgentEpoch: h.AgentEpoch, Sequence: h.Sequence, FencingToken: h.FencingToken, PreemptionNotice: -1,
+	}
+	if h.PreemptionNotice != nil {
+		parsed.PreemptionNotice = max(*h.PreemptionNotice, 0)
+	}
+	for _, t := range h.Tasks {
+		report, err := t.parse()
+		if err != nil {
+			return domain.Heartbeat{}, fmt.Errorf("%w: %w", errMalformedHeartbeat, err)
 		}
+		parsed.Tasks = append(parsed.Tasks, report)
 	}
-	return l
+	return parsed, nil
 }
 
-// ParseReport reads a worker's report; false: malformed.
-func ParseReport(b []byte) (domain.Heartbeat, bool) {
-	var c checkin
-	if json.Unmarshal(b, &c) != nil || c.Bracket == "" || c.Shift == 0 {
-		return domain.Heartbeat{}, false
+func (t taskReport) parse() (domain.TaskReport, error) {
+	id, err := parseTaskID(t.Task)
+	if err != nil {
+		return domain.TaskReport{}, err
 	}
-	r := domain.Heartbeat{
-		Machine: c.Bracket, Addr: c.Address, Type: c.Build, Zone: c.Yard, Spot: c.Loaners,
-		AgentEpoch: c.Shift, Sequence: c.Tally, FencingToken: c.Baton, PreemptionNotice: -1,
+	state, known := reportedStates[t.State]
+	if !known {
+		return domain.TaskReport{}, fmt.Errorf("unknown state %q of %s", t.State, t.Task)
 	}
-	if c.RecallS != nil {
-		r.PreemptionNotice = max(*c.RecallS, 0)
+	return domain.TaskReport{Task: id, Attempt: t.Attempt, State: state, Cause: reportedCause(t.Cause), Saved: t.Saved}, nil
+}
+
+// formatTaskID writes JOB/INDEX.
+func formatTaskID(id domain.TaskID) string { return id.Job + "/" + strconv.Itoa(id.Index) }
+
+// parseTaskID reads JOB/INDEX.
+func parseTaskID(s string) (domain.TaskID, error) {
+	slash := strings.LastIndexByte(s, '/')
+	if slash < 0 {
+		return domain.TaskID{}, fmt.Errorf("task %q has no index", s)
 	}
-	for _, p := range c.Pieces {
-		k := strings.LastIndexByte(p.Piece, '/')
-		if k < 0 {
-			return r, false
-		}
-		i, err := strconv.Atoi(p.Piece[k+1:])
-		st, ok := states[p.Status]
-		if err != nil || !ok {
-			return r, false
-		}
-		r.Tasks = append(r.Tasks, domain.TaskReport{
-			Task: domain.TaskID{Job: p.Piece[:k], Index: i}, Attempt: p.Try, State: st, Cause: cause(p.Cause), Saved: p.Saved,
-		})
+	index, err := strconv.Atoi(s[slash+1:])
+	if err != nil {
+		return domain.TaskID{}, fmt.Errorf("index of task %q: %w", s, err)
+	}
+	return domain.TaskID{Job: s[:slash], Index: index}, nil
+}
+
+// takeHeartbeat takes a worker's heartbeat through the loop and answers with commands, with
+// the machine's owner if that is another controller, or with 503 while this controller
+// may not give commands.
+func (h *handler) takeHeartbeat(c echo.Context) error {
+	body, err := readBody(c)
+	var beat domain.Heartbeat
+	if err == nil {
+		beat, err = ParseHeartbeat(body)
+	}
+	if err != nil {
+		slog.Info("malformed report", "from", c.Request().RemoteAddr, "bytes", len(body),
+			"count", h.malformedHeartbeats.Add(1))
+		return badRequest("malformed report")
+	}
+	effect, ok := h.backend.Request(true, func(requestID uint64) scheduler.Event {
+		return scheduler.HeartbeatReceived{RequestID: requestID, Heartbeat: beat}
+	})
+	reply, is := effect.(scheduler.HeartbeatReply)
+	if !ok || !is {
+		return unavailable("busy")
+	}
+	switch reply.Status {
+	case http.StatusOK:
+		return c.JSON(reply.Status, heartbeatAnswer{FencingToken: reply.FencingToken, Commands: newCommands(reply.Commands)})
+	case http.StatusMisdirectedRequest:
+		return c.JSON(reply.Status, ownerAnswer{Owner: reply.Owner})
 	}
-	return r, true
+	return unavailable("not entitled")
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,9 +23,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Core(nil, 1)
+	c := s.SchedulerSettings(nil, 1)
 	if len(c.Nodes) != 2 || c.Teams["t"].Limit.GPU != 8000 || c.StartWithin["x"] != 20 || len(c.DeadlineMultiples) != 1 || c.ValueLimit != 8192 {
-		t.Errorf("core settings %+v", c)
+		t.Errorf("scheduler settings %+v", c)
 	}
 	if c.FenceAge.Seconds()+c.WorkerLease.Seconds() >= c.CancelWithin.Seconds() {
 		t.Errorf("fence %v and lease %v don't fit into %v", c.FenceAge, c.WorkerLease, c.CancelWithin)
@@ -50,6 +50,31 @@
 	}
 }
 
+// TestFaultTexts: what the check command prints is known to operators; the Go names behind
+// it may change.
+func TestFaultTexts(t *testing.T) {
+	for name, x := range map[string]struct{ from, to, want string }{
+		"rule":               {`"lease_s":31`, `"lease_s":-1`, `Params.Workers.LeaseS: "-1" breaks rule gt 0`},
+		"rule in a list":     {`"gpus_max":8`, `"gpus_max":-8`, `Params.Teams[0].GpusMax: "-8" breaks rule gte 0`},
+		"missing":            {`"member":"c-1",`, ``, `Members[0].Member: "" breaks rule required `},
+		"type":               {`"domain":"a"`, `"domain":7`, `settings: json: cannot unmarshal number into Go struct field Settings.Domain of type string`},
+		"type in a list":     {`"member":"c-1"`, `"member":7`, `settings: json: cannot unmarshal number into Go struct field Member.Member of type string`},
+		"type without name":  {`"txn_ops":20`, `"txn_ops":[]`, `settings: json: cannot unmarshal number [ into Go struct field .TxnOps of type int`},
+		"type, name as is":   {`"name":"t"`, `"name":7`, `settings: json: cannot unmarshal number into Go struct field Team.Name of type string`},
+		"cancel_s too short": {`"cancel_s":56`, `"cancel_s":32`, `params.workers.cancel_s: 32 s leaves -0.0 s besides lease_s (31 s) and margins; at least 2.0 s are needed`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			text := strings.Replace(good, x.from, x.to, 1)
+			if text == good {
+				t.Fatal("nothing changed")
+			}
+			if _, err := Parse([]byte(text)); err == nil || err.Error() != x.want {
+				t.Errorf("error %q, want %q", err, x.want)
+			}
+		})
+	}
+}
+
 func TestOperator(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "o.yaml")
 	for text, ok := range map[string]bool{"learn: false\nspare: 2\n": true, "spares: 2\n": false, "spare: -1\n": false} {
@@ -78,7 +103,7 @@
 			return
 		}
 		// What a node last allowed is dead before a cancellation has to be carried out.
-		c := s.Core(nil, 1)
+		c := s.SchedulerSettings(nil, 1)
 		if last := c.FenceAge + c.WorkerLease + c.WorkerLease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.FenceAge < tuning.MinFenceAge || last > c.CancelWithin+time.Microsecond {
 			t.Errorf("fence %v, a cancelled task may last %v of %v", c.FenceAge, last, c.CancelWithin)
 		}
--- /dev/null
+++ b/internal/config/scheduler.go
@@ -0,0 +1,97 @@
+package config
+
+import (
+	"slices"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+	"brassglade/internal/tuning"
+)
+
+const bytesPerKB = 1024
+
+// SchedulerSettings gives what the scheduler needs of both files; operator may be nil. The
+// seed is that of random draws.
+func (s *Settings) SchedulerSettings(operator *Operator, seed uint64) scheduler.Settings {
+	p := s.Params
+	lowest := s.lowestLimits()
+	c := scheduler.Settings{
+		Node:              s.Member,
+		Zone:              s.Zone,
+		Nodes:             []string{s.Member},
+		Teams:             quotas(p.Teams),
+		Zones:             p.Zones,
+		ZoneOf:            map[string]string{s.Member: s.Zone},
+		HeartbeatInterval: seconds(p.Workers.HeartbeatInterval),
+		WorkerLease:       seconds(p.Workers.Lease),
+		CancelWithin:      seconds(p.Workers.CancelWithin),
+		GangPeerWait:      seconds(p.Workers.GangPeerWait),
+		FenceAge:          s.fenceAge(),
+		ValueLimit:        int(lowest.valueKB * bytesPerKB),
+		ValueLimitNow:     int(p.State.ValueKB * bytesPerKB),
+		TransactionLimit:  lowest.transactionLimit,
+		WriteRate:         lowest.changesPerSecond * s.changeShare(),
+		FairWriteRate:     lowest.changesPerSecond * s.equalShare(),
+		ReadRate:          lowest.requestsPerSecond * s.equalShare(),
+		ListLag:           seconds(p.Cloud.ListLag),
+		Seed:              seed,
+		StartWithin:       map[string]float64{},
+		FinishWithin:      map[string][]float64{},
+		SpareMachines:     tuning.Spare,
+		Learn:             true,
+	}
+	for _, m := range s.Members {
+		c.Nodes = append(c.Nodes, m.Name)
+		c.ZoneOf[m.Name] = m.Zone
+	}
+	slices.Sort(c.Nodes)
+	setObjectives(&c, p.Objectives)
+	operator.override(&c)
+	return c
+}
+
+// quotas are the teams' quotas by name.
+func quotas(teams []Team) map[string]domain.Quota {
+	byTeam := map[string]domain.Quota{}
+	for _, t := range teams {
+		byTeam[t.Name] = domain.Quota{
+			Guarantee: domain.Resources{CPU: domain.Thousandths(t.CPUGuarantee), GPU: domain.Thousandths(t.GPUGuarantee)},
+			Limit:     domain.Resources{CPU: domain.Thousandths(t.CPULimit), GPU: domain.Thousandths(t.GPULimit)},
+		}
+	}
+	return byTeam
+}
+
+func setObjectives(c *scheduler.Settings, objectives []Objective) {
+	for _, o := range objectives {
+		switch o.Kind {
+		case objectiveStart:
+			c.StartWithin[o.Class] = o.WithinSeconds
+		case objectiveFinish:
+			c.FinishWithin[o.Class] = append(c.FinishWithin[o.Class], o.WithinSeconds)
+		case objectiveGuarantee:
+			c.GuaranteeWithin = o.WithinSeconds
+		case objectiveDeadline:
+			if o.Multiple > 0 && !slices.Contains(c.DeadlineMultiples, o.Multiple) {
+				c.DeadlineMultiples = append(c.DeadlineMultiples, o.Multiple)
+			}
+		}
+	}
+	slices.Sort(c.DeadlineMultiples)
+	for _, bounds := range c.FinishWithin {
+		slices.Sort(bounds)
+	}
+}
+
+// override puts the operators' choices in the place of the defaults.
+func (o *Operator) override(c *scheduler.Settings) {
+	if o == nil {
+		return
+	}
+	if o.Learn != nil {
+		c.Learn = *o.Learn
+	}
+	if o.Spare != nil {
+		c.SpareMachines = *o.Spare
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,25 +1,24 @@
-// Package node puts sockets and timers round the core.
+// Package node runs one controller as a process. It puts listeners, clients and a timer
+// round the scheduler: what arrives becomes an event, one goroutine takes the events one
+// after the other through the scheduler, and the effects that come out are carried out.
 package node
 
 import (
 	"context"
+	"crypto/rand"
 	"encoding/hex"
+	"errors"
+	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 	"runtime/debug"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	json "github.com/goccy/go-json"
-
-	crand "crypto/rand"
-
 	"brassglade/internal/api"
 	"brassglade/internal/cloud"
 	"brassglade/internal/config"
-	"brassglade/internal/httpclient"
 	"brassglade/internal/kvstore"
 	"brassglade/internal/metrics"
 	"brassglade/internal/peer"
@@ -27,86 +26,53 @@
 	"brassglade/internal/tuning"
 )
 
-// ask is a request on its way through the loop.
-type ask struct {
-	make func(uint64) scheduler.Event
-	ch   chan scheduler.Effect
-}
+const (
+	incarnationBytes = 6 // enough that no two starts of a controller share one
+	bytesPerMB       = 1 << 20
+)
 
 // Node is one running controller.
 type Node struct {
-	start      time.Time
+	member     string    // this controller's name
+	start      time.Time // when the scheduler's steady time was 0
 	controller *scheduler.Controller
-	self       string
-	events     chan scheduler.Event // answers to the core's own requests
-	users      chan ask
-	workers    chan ask
-	waiting    map[uint64]chan scheduler.Effect
-	nextReq    uint64
+	metrics    *metrics.Controller // nil unless the operators switched them on
 	ready      atomic.Bool
 
-	state   *kvstore.Client
+	// The loop's inputs. Events wait for room in their queue; requests that find theirs
+	// full are refused.
+	events         chan scheduler.Event
+	userRequests   chan request
+	workerRequests chan request
+	done           <-chan struct{} // closed when the loop ends
+
+	// The loop's own state: requests that wait for their reply.
+	pendingReplies map[uint64]chan scheduler.Effect
+	lastRequestID  uint64
+
+	store   *kvstore.Client
 	cloud   *cloud.Client
-	links   map[string]*peer.Link
-	direct  chan struct{}
-	workMu  sync.Mutex
-	workCon map[string]*httpclient.Client
-	metrics *metrics.Controller // nil unless the operators switched them on
+	peers   map[string]*peer.Link
+	workers *workerClients
 }
 
-// Run serves until the process is killed or a listener fails.
-func Run(ctx context.Context, s *config.Settings, op *config.Operator) error {
-	var id [6]byte
-	if _, err := crand.Read(id[:]); err != nil {
-		return err
-	}
-	inc := hex.EncodeToString(id[:])
-	if m := s.Params.MachineLimits.MemoryMB; m > 0 {
-		debug.SetMemoryLimit(int64(m * tuning.MemoryShare * (1 << 20)))
-	}
-	debug.SetGCPercent(tuning.GCPercent)
-	share := s.Share()
-	rps, writeRps, _, _ := s.Least()
-	start, set := time.Now(), s.Core(op, tuning.Seed)
-	set.WallClockMS = start.UnixMilli()
-	n := &Node{
-		start: start, controller: scheduler.New(set, inc), self: s.Member,
-		events: make(chan scheduler.Event, tuning.WorkerQueue), users: make(chan ask, tuning.UserQueue),
-		workers: make(chan ask, tuning.WorkerQueue), waiting: map[uint64]chan scheduler.Effect{},
-		state:  kvstore.New(s.External.State, rps*share, writeRps*min(1, s.WriteShare()*tuning.LeaderWeight)),
-		cloud:  cloud.New(s.External.Cloud, s.Params.Cloud.Rps*tuning.BudgetShare),
-		links:  map[string]*peer.Link{},
-		direct: make(chan struct{}, tuning.DirectAtOnce), workCon: map[string]*httpclient.Client{},
-	}
-	var metricsHandler http.Handler
-	if op != nil && op.Metrics {
-		n.metrics = metrics.New(s.Member)
-		metricsHandler = n.metrics.Handler()
-	}
-	slog.Info("starting", "member", s.Member, "incarnation", inc, "serve_on", s.ServeOn, "back", s.Back)
-	ln, err := net.Listen("tcp4", s.ServeOn)
+// Run serves until the context ends or a listener fails.
+func Run(ctx context.Context, settings *config.Settings, operator *config.Operator) error {
+	incarnation, err := newIncarnation()
 	if err != nil {
 		return err
 	}
-	back, err := net.Listen("tcp4", s.Back)
+	limitMemory(settings.Params.MachineLimits.MemoryMB)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	n := newNode(settings, operator, incarnation, ctx.Done())
+	slog.Info("starting", "member", settings.Member, "incarnation", incarnation,
+		"serve_on", settings.ServeOn, "back", settings.Back)
+	failed, err := n.listen(settings)
 	if err != nil {
 		return err
 	}
-	for _, m := range s.Members {
-		n.links[m.Member] = peer.Dial(m.Address)
-	}
-	failed := make(chan error, 3)
-	go func() {
-		failed <- peer.Serve(back, func(from string, m scheduler.PeerMessage) {
-			n.events <- scheduler.PeerMessageReceived{From: from, Message: m}
-		})
-	}()
-	go func() {
-		if err := api.New(n, s.Params.MachineLimits.Conns, metricsHandler).Serve(ln); err != http.ErrServerClosed {
-			failed <- err
-		}
-	}()
-	go n.state.Watch(ctx, func() time.Duration { return time.Since(n.start) }, func(e scheduler.Event) { n.events <- e })
+	go n.store.Watch(ctx, n.now, n.emit)
 	go n.loop()
 	select {
 	case err := <-failed:
@@ -116,162 +82,84 @@
 	}
 }
 
-// Ready answers GET /up.
-func (n *Node) Ready() bool { return n.ready.Load() }
-
-// Ask puts a request into the loop's stage; a full stage says no at once.
-func (n *Node) Ask(worker bool, make_ func(uint64) scheduler.Event) (scheduler.Effect, bool) {
-	a := ask{make_, make(chan scheduler.Effect, 1)}
-	q := n.users
-	if worker {
-		q = n.workers
-	}
-	select {
-	case q <- a:
-	default:
-		return nil, false
-	}
-	t := time.NewTimer(tuning.AskPatience)
-	defer t.Stop()
-	select {
-	case e := <-a.ch:
-		return e, true
-	case <-t.C:
-		return nil, false
+// newIncarnation returns the random name of this start of the controller.
+func newIncarnation() (string, error) {
+	var id [incarnationBytes]byte
+	if _, err := rand.Read(id[:]); err != nil {
+		return "", fmt.Errorf("incarnation: %w", err)
 	}
+	return hex.EncodeToString(id[:]), nil
 }
 
-func (n *Node) loop() {
-	tick := time.NewTicker(tuning.Tick)
-	for {
-		// Answers first: they carry view, fence and outcomes.
-		select {
-		case e := <-n.events:
-			n.step(e)
-			continue
-		default:
-		}
-		select {
-		case e := <-n.events:
-			n.step(e)
-		case a := <-n.workers:
-			n.request(a)
-		case a := <-n.users:
-			n.request(a)
-		case <-tick.C:
-			n.step(scheduler.Tick{})
-		}
+// limitMemory sets the garbage collector to the machine's memory; 0 MB: not known.
+func limitMemory(memoryMB float64) {
+	if memoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * bytesPerMB))
 	}
+	debug.SetGCPercent(tuning.GCPercent)
 }
 
-func (n *Node) request(a ask) {
-	n.nextReq++
-	n.waiting[n.nextReq] = a.ch
-	n.step(a.make(n.nextReq))
+func newNode(settings *config.Settings, operator *config.Operator, incarnation string, done <-chan struct{}) *Node {
+	start := time.Now()
+	schedulerSettings := settings.SchedulerSettings(operator, tuning.Seed)
+	schedulerSettings.WallClockMS = start.UnixMilli()
+	requestRate, changeRate := settings.StoreRates()
+	n := &Node{
+		member:         settings.Member,
+		start:          start,
+		controller:     scheduler.New(schedulerSettings, incarnation),
+		events:         make(chan scheduler.Event, tuning.WorkerQueue),
+		userRequests:   make(chan request, tuning.UserQueue),
+		workerRequests: make(chan request, tuning.WorkerQueue),
+		done:           done,
+		pendingReplies: map[uint64]chan scheduler.Effect{},
+		store:          kvstore.New(settings.External.State, requestRate, changeRate),
+		cloud:          cloud.New(settings.External.Cloud, settings.CloudRate()),
+		peers:          map[string]*peer.Link{},
+		workers:        newWorkerClients(),
+	}
+	if operator != nil && operator.Metrics {
+		n.metrics = metrics.New(settings.Member)
+	}
+	return n
 }
 
-func (n *Node) answer(req uint64, e scheduler.Effect) {
-	if ch, ok := n.waiting[req]; ok {
-		delete(n.waiting, req)
-		ch <- e
+// listen opens both listeners, serves on them and starts the links to the peers. The
+// channel gets the error of a listener that fails later.
+func (n *Node) listen(settings *config.Settings) (failed <-chan error, err error) {
+	public, err := net.Listen("tcp4", settings.ServeOn)
+	if err != nil {
+		return nil, err
 	}
-}
-
-func (n *Node) step(ev scheduler.Event) {
-	if n.metrics != nil {
-		n.metrics.Event(ev)
-		defer func() { n.metrics.Status(n.controller.Status()) }()
+	back, err := net.Listen("tcp4", settings.Back)
+	if err != nil {
+		_ = public.Close()
+		return nil, err
 	}
-	// The same message goes to all peers: written once.
-	var frame []byte
-	for _, e := range n.controller.Step(time.Since(n.start), ev) {
-		if n.metrics != nil {
-			n.metrics.Effect(e)
-		}
-		if x, ok := e.(scheduler.SendPeerMessage); ok && x.Message.Steal == nil {
-			if frame == nil {
-				frame = peer.Encode(n.self, x.Message)
-			}
-			if l := n.links[x.To]; l != nil {
-				l.Send(frame)
-			}
-			continue
-		}
-		n.carry(e)
+	for _, m := range settings.Members {
+		n.peers[m.Name] = peer.Dial(m.Address)
 	}
-	n.ready.Store(n.controller.Ready())
-}
-
-func (n *Node) send(f func() scheduler.Event) {
-	go func() { n.events <- f() }()
-}
-
-// carry carries out one effect.
-func (n *Node) carry(e scheduler.Effect) {
-	switch x := e.(type) {
-	case scheduler.HeartbeatReply:
-		n.answer(x.RequestID, x)
-	case scheduler.UserReply:
-		n.answer(x.RequestID, x)
-	case scheduler.ConfirmView:
-		n.send(func() scheduler.Event { return n.state.Confirm(x) })
-	case scheduler.Commit:
-		n.send(func() scheduler.Event { return n.state.Commit(x) })
-	case scheduler.ReadKeys:
-		n.send(func() scheduler.Event { return n.state.Read(x) })
-	case scheduler.GrantLease:
-		n.send(func() scheduler.Event { return n.state.Grant(x) })
-	case scheduler.RenewLease:
-		n.send(func() scheduler.Event { return n.state.Renew(x) })
-	case scheduler.ListMachineTypes:
-		n.send(func() scheduler.Event { return n.cloud.MachineTypes() })
-	case scheduler.ListInstances:
-		n.send(func() scheduler.Event { return n.cloud.Instances() })
-	case scheduler.RentMachines:
-		n.send(func() scheduler.Event { return n.cloud.Rent(x) })
-	case scheduler.ReturnMachines:
-		n.send(func() scheduler.Event { return n.cloud.Return(x) })
-	case scheduler.SendPeerMessage:
-		if l := n.links[x.To]; l != nil {
-			l.Send(peer.Encode(n.self, x.Message))
-		}
-	case scheduler.SendCommands:
-		select {
-		case n.direct <- struct{}{}:
-			n.send(func() scheduler.Event {
-				defer func() { <-n.direct }()
-				return n.order(x)
-			})
-		default: // the next check-in carries it
+	errs := make(chan error, 2)
+	go func() { errs <- peer.Serve(back, n.receivePeerMessage) }()
+	go func() {
+		server := api.New(n, settings.Params.MachineLimits.MaxConnections, n.metricsHandler())
+		if err := server.Serve(public); !errors.Is(err, http.ErrServerClosed) {
+			errs <- err
 		}
-	case scheduler.LogLine:
-		slog.Log(context.Background(), x.Level, x.Message, x.Args...)
-	}
+	}()
+	return errs, nil
 }
 
-func (n *Node) order(x scheduler.SendCommands) scheduler.Event {
-	n.workMu.Lock()
-	w := n.workCon[x.Addr]
-	if w == nil {
-		if len(n.workCon) > 500 {
-			clear(n.workCon)
-		}
-		w = httpclient.New(x.Addr)
-		n.workCon[x.Addr] = w
-	}
-	n.workMu.Unlock()
-	ev := scheduler.CommandsAnswered{Machine: x.Machine}
-	body, err := json.Marshal(api.NewCommands(x))
-	if err != nil {
-		return ev
-	}
-	response, err := w.Do("POST", "/commands", body, tuning.DirectTimeout)
-	if err != nil || response.Status != 200 && response.Status != 409 {
-		return ev
-	}
-	ev.OK = response.Status == 200
-	if r, ok := api.ParseReport(response.Body); ok && r.Machine == x.Machine {
-		ev.Heartbeat = &r
+// metricsHandler answers scrapes; nil where metrics are off.
+func (n *Node) metricsHandler() http.Handler {
+	if n.metrics == nil {
+		return nil
 	}
-	return ev
+	return n.metrics.Handler()
 }
+
+// now is the scheduler's steady time.
+func (n *Node) now() time.Duration { return time.Since(n.start) }
+
+// Ready answers GET /up.
+func (n *Node) Ready() bool { return n.ready.Load() }
--- a/internal/tuning/connections.go
+++ b/internal/tuning/connections.go
@@ -31,4 +31,7 @@
 	DirectAtOnce = 16
 	// MemoryShare of the machine's memory is the collector's soft limit.
 	MemoryShare = 0.55
+	// MaxWorkerClients bounds the workers to which connections are remembered; beyond it
+	// all are forgotten.
+	MaxWorkerClients = 500
 )
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -22,4 +22,6 @@
 	ServedIdle = 40 * time.Second
 	// BodyLimit is the largest request body, by the protocol.
 	BodyLimit = 64 << 10
+	// HeaderTimeout ends a connection whose request's head doesn't come.
+	HeaderTimeout = 10 * time.Second
 )
