--- a/cmd/brassglade/main.go
+++ b/cmd/brassglade/main.go
@@ -14,82 +14,116 @@
 	"brassglade/internal/node"
 )
 
-func logging() error {
-	level := slog.LevelInfo
-	switch v := os.Getenv("LOG_LEVEL"); v {
-	case "error":
-		level = slog.LevelError
-	case "", "info":
-	case "debug":
-		level = slog.LevelDebug
-	default:
-		return fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", v)
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	return nil
-}
-
-func load(file, own string) (*config.Settings, *config.Operator, error) {
-	s, err := config.Load(file)
-	if err != nil {
-		return nil, nil, err
-	}
-	if own == "" {
-		return s, nil, nil
-	}
-	o, err := config.LoadOperator(own)
-	return s, o, err
-}
-
 func main() {
-	var file, own string
 	root := &cobra.Command{
-		Use: "brassglade", Short: "A cluster scheduler of cooperating controllers",
+		Use:          "brassglade",
+		Short:        "A cluster scheduler of cooperating controllers",
 		SilenceUsage: true,
 	}
-	serve := &cobra.Command{
-		Use: "serve", Short: "Run one controller until it is killed", Args: cobra.NoArgs,
+	root.AddCommand(serveCommand(), checkCommand(), versionCommand())
+	if err := root.ExecuteContext(context.Background()); err != nil {
+		os.Exit(1)
+	}
+}
+
+func serveCommand() *cobra.Command {
+	var files settingsFiles
+	c := &cobra.Command{
+		Use:   "serve",
+		Short: "Run one controller until it is killed",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := logging(); err != nil {
+			if err := setUpLogging(); err != nil {
 				return err
 			}
-			s, o, err := load(file, own)
+			settings, operator, err := files.load()
 			if err != nil {
 				return err
 			}
-			return node.Run(c.Context(), s, o)
+			return node.Run(c.Context(), settings, operator)
 		},
 	}
-	check := &cobra.Command{
-		Use: "check", Short: "Check the settings files and say what is wrong", Args: cobra.NoArgs,
+	files.addFlags(c)
+	return c
+}
+
+func checkCommand() *cobra.Command {
+	var files settingsFiles
+	c := &cobra.Command{
+		Use:   "check",
+		Short: "Check the settings files and say what is wrong",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if _, _, err := load(file, own); err != nil {
+			if _, _, err := files.load(); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintln(c.OutOrStdout(), "ok")
 			return err
 		},
 	}
-	for _, c := range []*cobra.Command{serve, check} {
-		c.Flags().StringVar(&file, "config", "", "settings file of the platform (JSON)")
-		c.Flags().StringVar(&own, "operator", "", "the operators' own settings (YAML)")
-		if err := c.MarkFlagRequired("config"); err != nil {
-			panic(err)
-		}
-	}
-	version := &cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+	files.addFlags(c)
+	return c
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			v := "unknown"
-			if b, ok := debug.ReadBuildInfo(); ok {
-				v = b.Main.Version + " " + b.GoVersion
+			version := "unknown"
+			if build, ok := debug.ReadBuildInfo(); ok {
+				version = build.Main.Version + " " + build.GoVersion
 			}
-			_, err := fmt.Fprintln(c.OutOrStdout(), "brassglade", v)
+			_, err := fmt.Fprintln(c.OutOrStdout(), "brassglade", version)
 			return err
 		},
 	}
-	root.AddCommand(serve, check, version)
-	if err := root.ExecuteContext(context.Background()); err != nil {
-		os.Exit(1)
+}
+
+// settingsFiles are the paths of the files that a controller starts with.
+type settingsFiles struct {
+	platform string
+	operator string // "": none
+}
+
+func (f *settingsFiles) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&f.platform, "config", "", "settings file of the platform (JSON)")
+	c.Flags().StringVar(&f.operator, "operator", "", "the operators' own settings (YAML)")
+	if err := c.MarkFlagRequired("config"); err != nil {
+		panic("flag --config isn't defined: " + err.Error())
+	}
+}
+
+// load reads and checks the files; the operators' settings are nil where they have none.
+func (f *settingsFiles) load() (*config.Settings, *config.Operator, error) {
+	settings, err := config.Load(f.platform)
+	if err != nil {
+		return nil, nil, err
 	}
+	if f.operator == "" {
+		return settings, nil, nil
+	}
+	operator, err := config.LoadOperator(f.operator)
+	if err != nil {
+		return nil, nil, err
+	}
+	return settings, operator, nil
+}
+
+// setUpLogging sends log lines to standard error, from the level that LOG_LEVEL names.
+func setUpLogging() error {
+	level := slog.LevelInfo
+	switch name := os.Getenv("LOG_LEVEL"); name {
+	case "error":
+		level = slog.LevelError
+	case "", "info":
+		level = slog.LevelInfo
+	case "debug":
+		level = slog.LevelDebug
+	default:
+		return fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", name)
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+	return nil
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -55,19 +55,6 @@
 // New returns a client of an address, "host:port". It connects with the first request.
 func New(address string) *Client { return &Client{address: address} }
 
-// Close closes the idle connections. A request under way goes on, and a later one
-// connects anew.
-func (c *Client) Close() error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var errs []error
-	for _, k := range c.idle {
-		errs = append(errs, k.Close())
-	}
-	c.idle = nil
-	return errors.Join(errs...)
-}
-
 // Do carries out one request; a nil body sends none. The timeout covers connecting,
 // sending and the whole answer. Its errors match ErrNotSent or ErrOutcomeUnknown.
 func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (Response, error) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/scheduler"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
 // scrape returns what Prometheus would read.
-func scrape(m *Controller) string {
+func scrape(t *testing.T, m *Controller) string {
+	t.Helper()
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
@@ -21,7 +21,7 @@
 // TestScrape: every count tells what was done and why it was allowed.
 func TestScrape(t *testing.T) {
 	m := New("c-0")
-	if s := scrape(m); strings.Contains(s, "brassglade_epoch") {
+	if s := scrape(t, m); strings.Contains(s, "brassglade_epoch") {
 		t.Errorf("a status before the first step: %s", s)
 	}
 	run := domain.Command{Kind: domain.StartTask, Reason: domain.ReasonBooked}
@@ -38,7 +38,7 @@
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
 	m.Status(status)
-	got := scrape(m)
+	got := scrape(t, m)
 	for _, want := range []string{
 		`brassglade_orders_total{member="c-0",reason="booked",verb="run"} 2`,
 		`brassglade_orders_total{member="c-0",reason="recalled",verb="halt"} 2`,
--- /dev/null
+++ b/internal/metrics/status.go
@@ -0,0 +1,87 @@
+package metrics
+
+import (
+	"sync/atomic"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"brassglade/internal/scheduler"
+)
+
+// statusCollector exposes the scheduler's latest status. Scrapes come from other goroutines.
+type statusCollector struct {
+	latest   atomic.Pointer[scheduler.Status] // nil before the first step
+	gauges   []gauge
+	bookings *prometheus.Desc
+	steps    *prometheus.Desc
+}
+
+// gauge is one number of the status.
+type gauge struct {
+	desc  *prometheus.Desc
+	value func(*scheduler.Status) float64
+}
+
+// describe sets up what is exposed, before the first scrape.
+func (s *statusCollector) describe(labels prometheus.Labels) {
+	desc := func(name, help string, by ...string) *prometheus.Desc {
+		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, by, labels)
+	}
+	s.bookings = desc("bookings_total", "Committed bookings of tasks, by the planning pass that chose the machine.", "pass")
+	s.steps = desc("steps_total", "Events that the core has taken.")
+	s.gauges = []gauge{
+		{desc("epoch", "Epoch of the view, and the fencing token of all commands; 0 before the first view."),
+			func(s *scheduler.Status) float64 { return float64(s.Epoch) }},
+		{desc("leads", "1 while this controller is the view's leader."),
+			func(s *scheduler.Status) float64 { return flag(s.Leads) }},
+		{desc("acts", "1 while view, lease and cache are confirmed, so that workers may be answered."),
+			func(s *scheduler.Status) float64 { return flag(s.Acts) }},
+		{desc("state_revision", "Revision of the state service up to which the cache has every change."),
+			func(s *scheduler.Status) float64 { return float64(s.Revision) }},
+		{desc("confirmed_age_seconds", "Age of the newest confirmation of view and cache; -1 before the first."),
+			confirmedAge},
+		{desc("machines", "Machines known to this controller."),
+			func(s *scheduler.Status) float64 { return float64(s.Machines) }},
+		{desc("open_jobs", "Jobs that were accepted, may start and are not over."),
+			func(s *scheduler.Status) float64 { return float64(s.OpenJobs) }},
+	}
+}
+
+func flag(on bool) float64 {
+	if on {
+		return 1
+	}
+	return 0
+}
+
+// confirmedAge is in seconds; -1: never confirmed.
+func confirmedAge(s *scheduler.Status) float64 {
+	if s.Confirmed < 0 {
+		return -1
+	}
+	return s.Confirmed.Seconds()
+}
+
+// Describe lists what Collect gives.
+func (s *statusCollector) Describe(out chan<- *prometheus.Desc) {
+	for _, g := range s.gauges {
+		out <- g.desc
+	}
+	out <- s.bookings
+	out <- s.steps
+}
+
+// Collect gives the numbers of the latest status; nothing before the first step.
+func (s *statusCollector) Collect(out chan<- prometheus.Metric) {
+	status := s.latest.Load()
+	if status == nil {
+		return
+	}
+	for _, g := range s.gauges {
+		out <- prometheus.MustNewConstMetric(g.desc, prometheus.GaugeValue, g.value(status))
+	}
+	for _, pass := range scheduler.PlanningPasses() {
+		out <- prometheus.MustNewConstMetric(s.bookings, prometheus.CounterValue, float64(status.Work.Bookings[pass]), pass.String())
+	}
+	out <- prometheus.MustNewConstMetric(s.steps, prometheus.CounterValue, float64(status.Work.Events))
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	n := newNode(settings, operator, incarnation, ctx.Done())
 	slog.Info("starting", "member", settings.Member, "incarnation", incarnation,
 		"serve_on", settings.ServeOn, "back", settings.Back)
-	failed, err := n.listen(settings)
+	failed, err := n.listen(ctx, settings)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 
 // listen opens both listeners, serves on them and starts the links to the peers. The
 // channel gets the error of a listener that fails later.
-func (n *Node) listen(settings *config.Settings) (failed <-chan error, err error) {
+func (n *Node) listen(ctx context.Context, settings *config.Settings) (failed <-chan error, err error) {
 	public, err := net.Listen("tcp4", settings.ServeOn)
 	if err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	for _, m := range settings.Members {
-		n.peers[m.Name] = peer.Dial(m.Address)
+		n.peers[m.Name] = peer.Dial(ctx, m.Address)
 	}
 	errs := make(chan error, 2)
 	go func() { errs <- peer.Serve(back, n.receivePeerMessage) }()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/codec_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"encoding/hex"
+	"errors"
 	"reflect"
 	"testing"
 
-	"brassglade/internal/scheduler"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
 func TestMessageRoundTrip(t *testing.T) {
@@ -27,7 +27,7 @@
 		q := append([]byte(nil), p...)
 		q[i] ^= 0xff
 		_, _, _ = Decode(q)
-		if _, _, err := Decode(p[:min(i, 7)]); err == nil {
+		if _, _, err := Decode(p[:min(i, 7)]); !errors.Is(err, ErrMalformed) {
 			t.Fatalf("%d bytes were taken", min(i, 7))
 		}
 	}
@@ -51,17 +51,19 @@
 				Images: []string{"img-1", "img-2"}}}}},
 		"c-2": {beforeSteal, scheduler.PeerMessage{Epoch: 4, Machines: []scheduler.PeerMachine{}, Steal: &scheduler.StealRequest{Type: "box", Zone: "b", Spot: true, Room: domain.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
 	} {
-		b, err := hex.DecodeString(x.frame)
-		if err != nil {
-			t.Fatal(err)
-		}
-		got, m, err := Decode(b)
-		if err != nil || got != from || !reflect.DeepEqual(m, x.want) {
-			t.Errorf("%s: from %q, err %v\n got %+v\nwant %+v", from, got, err, m, x.want)
-		}
-		// What this version writes is the same to the byte, so the other reads it.
-		if now := Encode(from, x.want); !reflect.DeepEqual(now, b) {
-			t.Errorf("%s: written otherwise now", from)
-		}
+		t.Run(from, func(t *testing.T) {
+			b, err := hex.DecodeString(x.frame)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, m, err := Decode(b)
+			if err != nil || got != from || !reflect.DeepEqual(m, x.want) {
+				t.Errorf("from %q, err %v\n got %+v\nwant %+v", got, err, m, x.want)
+			}
+			// What this version writes is the same to the byte, so the other reads it.
+			if now := Encode(from, x.want); !reflect.DeepEqual(now, b) {
+				t.Error("written otherwise now")
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/peer/link_test.go
@@ -0,0 +1,100 @@
+package peer
+
+import (
+	"encoding/binary"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"brassglade/internal/scheduler"
+)
+
+// listen returns a listener that is closed at the test's end.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
+
+// receive waits for a value of a channel.
+func receive[T any](t *testing.T, c <-chan T) T {
+	t.Helper()
+	select {
+	case x := <-c:
+		return x
+	case <-time.After(5 * time.Second):
+		t.Fatal("nothing came")
+		panic("unreachable")
+	}
+}
+
+// TestLink: frames arrive in order, whole and named.
+func TestLink(t *testing.T) {
+	ln := listen(t)
+	epochs := make(chan uint64, 3)
+	ended := make(chan error, 1)
+	go func() {
+		ended <- Serve(ln, func(from string, m scheduler.PeerMessage) {
+			if from != "c-1" {
+				t.Errorf("from %q", from)
+			}
+			epochs <- m.Epoch
+		})
+	}()
+	l := Dial(t.Context(), ln.Addr().String())
+	for epoch := uint64(1); epoch <= 3; epoch++ {
+		l.Send(Encode("c-1", scheduler.PeerMessage{Epoch: epoch}))
+		if got := receive(t, epochs); got != epoch {
+			t.Errorf("epoch %d, want %d", got, epoch)
+		}
+	}
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := receive(t, ended); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("Serve ended with %v", err)
+	}
+}
+
+// TestFrameBytes holds the frame and its acknowledgement to the byte.
+func TestFrameBytes(t *testing.T) {
+	ln := listen(t)
+	go func() { _ = Serve(ln, func(string, scheduler.PeerMessage) {}) }()
+	c, err := net.Dial("tcp4", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
+	frame := Encode("c-1", scheduler.PeerMessage{Epoch: 4})
+	if _, err := c.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(frame))), frame...)); err != nil {
+		t.Fatal(err)
+	}
+	var answer [2]byte
+	if n, err := c.Read(answer[:]); err != nil || n != 1 || answer[0] != 1 {
+		t.Errorf("acknowledged by % x, %v", answer[:n], err)
+	}
+	// What is no frame ends the connection.
+	if _, err := c.Write(binary.LittleEndian.AppendUint32(nil, maxFrameBytes+1)); err != nil {
+		t.Fatal(err)
+	}
+	if n, err := c.Read(answer[:]); n != 0 || !errors.Is(err, io.EOF) {
+		t.Errorf("a frame too long: %d bytes, %v", n, err)
+	}
+}
+
+// TestFullLinkDrops: the sender never waits for a peer.
+func TestFullLinkDrops(t *testing.T) {
+	l := &Link{frames: make(chan []byte, 1)}
+	l.Send([]byte{1})
+	l.Send([]byte{2})
+	if got := receive(t, l.frames); got[0] != 1 || len(l.frames) != 0 {
+		t.Errorf("frame %v, %d more", got, len(l.frames))
+	}
+}
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -7,8 +7,8 @@
 	"brassglade/internal/scheduler"
 )
 
-// word is what a node that owns n machines tells the others.
-func word(n int) scheduler.PeerMessage {
+// messageOf is what a controller that owns n machines tells the others.
+func messageOf(n int) scheduler.PeerMessage {
 	m := scheduler.PeerMessage{Epoch: 7, Load: 30, Usable: true}
 	for i := 0; i < n; i++ {
 		x := scheduler.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
@@ -20,11 +20,11 @@
 	return m
 }
 
-// TestFleetFitsAFrame: one node may own all of 2,000 machines.
+// TestFleetFitsAFrame: one controller may own all of 2,000 machines.
 func TestFleetFitsAFrame(t *testing.T) {
-	p := Encode("bracket-1", word(2000))
-	if len(p) > frameMost/2 {
-		t.Errorf("a word of 2,000 machines takes %d bytes", len(p))
+	p := Encode("bracket-1", messageOf(2000))
+	if len(p) > maxFrameBytes/2 {
+		t.Errorf("a message of 2,000 machines takes %d bytes", len(p))
 	}
 	_, m, err := Decode(p)
 	if err != nil || len(m.Machines) != 2000 || len(m.Machines[1999].Images) != 6 {
@@ -33,14 +33,14 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	m := word(190)
+	m := messageOf(190)
 	for i := 0; i < b.N; i++ {
 		b.SetBytes(int64(len(Encode("bracket-1", m))))
 	}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	p := Encode("bracket-1", word(190))
+	p := Encode("bracket-1", messageOf(190))
 	b.SetBytes(int64(len(p)))
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
