--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if own.status == http.StatusServiceUnavailable {
-		c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+		c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	}
 	_ = c.JSON(own.status, errorBody{own.reason})
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -55,7 +55,7 @@
 	return &http.Server{
 		Handler:           e,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
-		IdleTimeout:       tuning.ServedIdle,
+		IdleTimeout:       tuning.ServerIdleTimeout,
 		ConnState:         h.countConnections,
 	}
 }
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -188,10 +188,10 @@
 func (h *handler) answerUser(c echo.Context, newEvent func(requestID uint64) scheduler.Event) error {
 	// Workers hold on to their connections, hundreds of them, and come all to one
 	// controller when the others end: users make room for them.
-	if h.connectionsOver(tuning.ConnectionShare) {
+	if h.connectionsOver(tuning.CloseConnectionsPercent) {
 		c.Response().Header().Set("Connection", "close")
 	}
-	if h.connectionsOver(tuning.MaxConnections) {
+	if h.connectionsOver(tuning.RefuseUsersPercent) {
 		return unavailable("too many connections")
 	}
 	effect, ok := h.backend.Request(false, newEvent)
--- a/internal/config/rates.go
+++ b/internal/config/rates.go
@@ -49,7 +49,7 @@
 // among many each may use more than an equal part, and a refusal by the state service,
 // should they ever coincide, costs a short pause.
 func (s *Settings) changeShare() float64 {
-	return s.equalShare() * min(tuning.WriteOver, max(1, s.controllers()/tuning.WriteOverNodes))
+	return s.equalShare() * min(tuning.WriteOverlap, max(1, s.controllers()/tuning.WriteOverlapControllers))
 }
 
 // StoreRates are the requests and changes a second that this controller's client of the
--- a/internal/httpclient/budget.go
+++ b/internal/httpclient/budget.go
@@ -105,8 +105,8 @@
 // paid off afterwards. Views and users go ahead of that credit: others' transactions
 // must not keep them waiting, and pay for it afterwards.
 func (b *Budget) neededCredit(lane, changes int) float64 {
-	if lane < tuning.LanesAhead {
-		return -tuning.AheadSeconds * b.changeRate
+	if lane < tuning.UrgentLanes {
+		return -tuning.UrgentDebtSeconds * b.changeRate
 	}
 	return min(float64(changes), tuning.TaskCredit*b.changeRate)
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -99,7 +99,7 @@
 		last := len(c.idle) - 1
 		k := c.idle[last]
 		c.idle = c.idle[:last]
-		if time.Since(k.lastUsed) < tuning.IdleConn {
+		if time.Since(k.lastUsed) < tuning.IdleConnectionLifetime {
 			return k
 		}
 		_ = k.Close()
@@ -112,7 +112,7 @@
 	k.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= tuning.ClientConns {
+	if len(c.idle) >= tuning.MaxIdleConnections {
 		_ = k.Close()
 		return
 	}
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -75,7 +75,7 @@
 		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
 	answer, err := c.transact(body)
-	for n := 0; n < tuning.ThrottledTries && e.Lane == scheduler.LaneUser && errors.Is(err, errThrottled); n++ {
+	for n := 0; n < tuning.ThrottledRetries && e.Lane == scheduler.LaneUser && errors.Is(err, errThrottled); n++ {
 		time.Sleep(tuning.ThrottledPause)
 		c.budget.Wait(e.Lane, 0)
 		answer, err = c.transact(body)
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -26,7 +26,7 @@
 
 func newWorkerClients() *workerClients {
 	return &workerClients{
-		slots:     make(chan struct{}, tuning.DirectAtOnce),
+		slots:     make(chan struct{}, tuning.MaxDirectCommands),
 		byAddress: map[string]*httpclient.Client{},
 	}
 }
@@ -68,7 +68,7 @@
 	if err != nil {
 		return answered
 	}
-	response, err := w.client(e.Addr).Do(http.MethodPost, commandsPath, body, tuning.DirectTimeout)
+	response, err := w.client(e.Addr).Do(http.MethodPost, commandsPath, body, tuning.DirectCommandTimeout)
 	if err != nil {
 		return answered
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -59,7 +59,7 @@
 		s.disconnect()
 	}
 	if s.conn == nil {
-		if now.Sub(s.failedAt) < tuning.PeerRetry {
+		if now.Sub(s.failedAt) < tuning.PeerRetryPause {
 			return
 		}
 		conn, err := connect(address)
@@ -107,7 +107,7 @@
 	if c.acknowledgedAt.Load() >= c.unacknowledgedAt.UnixNano() {
 		c.unacknowledgedAt = now
 	}
-	return now.Sub(c.unacknowledgedAt) > tuning.PeerAck
+	return now.Sub(c.unacknowledgedAt) > tuning.PeerAckTimeout
 }
 
 // send writes a frame behind its length.
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -52,7 +52,7 @@
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
+		_ = c.SetReadDeadline(time.Now().Add(tuning.PeerIdleTimeout))
 		frame, err := readFrame(r)
 		if err != nil {
 			return
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -514,7 +514,7 @@
 		if k == nil {
 			return
 		}
-		w.call(n.name, k.name, tuning.DirectTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
+		w.call(n.name, k.name, tuning.DirectCommandTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
 			ev := scheduler.CommandsAnswered{Machine: x.Machine}
 			if rep, ok := r.(domain.Heartbeat); ok {
 				ev.Heartbeat = &rep
--- a/internal/tuning/connections.go
+++ b/internal/tuning/connections.go
@@ -2,36 +2,53 @@
 
 import "time"
 
-// Peers and connections.
+// Connections to other controllers.
 const (
-	// PeerQueue bounds the frames waiting for one peer; older news is stale.
+	// PeerQueue is the most frames that wait for one peer; older news is stale.
 	PeerQueue = 8
-	// PeerTimeout ends a connect or write to a peer.
+	// PeerTimeout ends a connect or a write to a peer, whose news is stale if it takes
+	// longer.
 	PeerTimeout = time.Second
-	// PeerAck is how long a frame may lack its acknowledgement.
-	PeerAck = 4 * time.Second
-	// UsableFor is the age up to which an answered confirmation shows that the
-	// state service answers this node.
+	// PeerAckTimeout is how long a frame may lack its acknowledgement before the connection
+	// counts as cut and is opened anew.
+	PeerAckTimeout = 4 * time.Second
+	// PeerRetryPause is the pause after a failed connect or write, in which frames are
+	// dropped.
+	PeerRetryPause = 500 * time.Millisecond
+	// PeerIdleTimeout closes a connection of a peer that sends nothing; peers send about
+	// once a second.
+	PeerIdleTimeout = 15 * time.Second
+	// PeerFresh is the age up to which a peer's message shows that no cut lies between it
+	// and this controller.
+	PeerFresh = 4 * time.Second
+)
+
+// Readiness: whether the load balancer should send users to this controller.
+const (
+	// UsableFor is the age up to which an answered confirmation shows that the state service
+	// answers this controller: half of FenceAge, so that users are sent elsewhere before
+	// workers must be refused.
 	UsableFor = 3500 * time.Millisecond
-	// StepBack is how long another node must be the better choice before this
-	// one leaves the load balancer: in an outage for all, nodes notice it some
-	// time after each other.
+	// StepBack is how long another controller must be the better choice before this one
+	// leaves the load balancer: in an outage for all, controllers notice it some time after
+	// each other.
 	StepBack = 2500 * time.Millisecond
-	// PeerRetry is the pause after a failed one.
-	PeerRetry = 500 * time.Millisecond
-	// PeerIdle closes a link that says nothing.
-	PeerIdle = 15 * time.Second
-	// IdleConn is how long an idle client connection is trusted.
-	IdleConn = 8 * time.Second
-	// ClientConns bounds the connections of one client at a time.
-	ClientConns = 8
-	// DirectTimeout ends a direct order to a worker.
-	DirectTimeout = 2 * time.Second
-	// DirectAtOnce bounds direct orders under way.
-	DirectAtOnce = 16
-	// MemoryShare of the machine's memory is the collector's soft limit.
-	MemoryShare = 0.55
-	// MaxWorkerClients bounds the workers to which connections are remembered; beyond it
-	// all are forgotten.
+)
+
+// Connections of HTTP clients.
+const (
+	// IdleConnectionLifetime is how long a connection that nobody used is trusted: a server
+	// that closed it meanwhile would cost a request whose outcome is unknown.
+	IdleConnectionLifetime = 8 * time.Second
+	// MaxIdleConnections is the most idle connections that one client keeps.
+	MaxIdleConnections = 8
+	// DirectCommandTimeout ends a request that carries commands straight to a worker; the
+	// answer to its next heartbeat carries them as well.
+	DirectCommandTimeout = 2 * time.Second
+	// MaxDirectCommands is the most such requests under way, so that machines that don't
+	// answer can't take up all sockets.
+	MaxDirectCommands = 16
+	// MaxWorkerClients is the most workers to which connections are remembered; beyond it all
+	// are forgotten, and those in use come back.
 	MaxWorkerClients = 500
 )
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -2,15 +2,21 @@
 
 import "time"
 
-// Process.
+// The process.
 const (
-	// GCPercent trades memory, which is ample, for collector time, which isn't.
+	// Tick is the interval at which the scheduler is driven when no event comes: short
+	// beside all its other times, which are met to within one tick.
+	Tick = 100 * time.Millisecond
+	// GCPercent is by how much the heap may grow between garbage collections, in percent.
+	// It trades memory, which is ample, for processor time, which isn't.
 	GCPercent = 300
-	// RequestTimeout ends a request that the loop did not answer; workers drop
-	// answers after 4 s, so nothing later is of use to them.
+	// MemoryShare is the part of the machine's memory that is the garbage collector's soft
+	// limit, which is passed where the memory is needed all the same.
+	MemoryShare = 0.55
+	// RequestTimeout ends a request that the scheduler did not reply to. Workers drop
+	// answers after 4 s, so that nothing later is of use to them.
 	RequestTimeout = 3500 * time.Millisecond
+	// Seed is that of random draws; the controller's name is mixed in. It is fixed, so that
+	// a day can be played again.
+	Seed = 1
 )
-
-// Seed of the draws; the node's name is mixed in. Fixed, so that a day can be
-// played again.
-const Seed = 1
