--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -77,13 +77,22 @@
 
 func TestOperator(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "o.yaml")
-	for text, ok := range map[string]bool{"learn: false\nspare: 2\n": true, "spares: 2\n": false, "spare: -1\n": false} {
-		if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := LoadOperator(f); (err == nil) != ok {
-			t.Errorf("%q: %v", text, err)
-		}
+	for name, x := range map[string]struct {
+		text string
+		ok   bool
+	}{
+		"taken":        {"learn: false\nspare: 2\n", true},
+		"unknown key":  {"spares: 2\n", false},
+		"out of range": {"spare: -1\n", false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := os.WriteFile(f, []byte(x.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := LoadOperator(f); (err == nil) != x.ok {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 	if _, err := LoadOperator("../../deploy/operator.example.yaml"); err != nil {
 		t.Errorf("the example: %v", err)
--- a/internal/httpclient/budget_test.go
+++ b/internal/httpclient/budget_test.go
@@ -14,3 +14,30 @@
 		t.Errorf("%g changes left after the refund", b.changeCredit)
 	}
 }
+
+// TestCredit: what a request needs, by its lane and size, at ten changes a second.
+func TestCredit(t *testing.T) {
+	const view, task = 0, 2
+	for name, x := range map[string]struct {
+		requestCredit, changeCredit float64
+		lane, changes               int
+		want                        bool
+	}{
+		"no request left":            {0.5, 10, view, 0, false},
+		"read, changes in debt":      {1, -30, task, 0, true},
+		"small task":                 {1, 2, task, 2, true},
+		"small task, too little":     {1, 1.9, task, 2, false},
+		"large task, some credit":    {1, 6, task, 30, true},
+		"large task, too little":     {1, 5.9, task, 30, false},
+		"view ahead of tasks":        {1, -30, view, 1, true},
+		"view, debt as large as may": {1, -30.1, view, 1, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			b := NewBudget(5, 10)
+			b.requestCredit, b.changeCredit = x.requestCredit, x.changeCredit
+			if got := b.hasCredit(x.lane, x.changes); got != x.want {
+				t.Errorf("may go: %v", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/kvstore/leases_test.go
@@ -0,0 +1,45 @@
+package kvstore
+
+import (
+	"testing"
+	"time"
+
+	"brassglade/internal/scheduler"
+)
+
+func TestLease(t *testing.T) {
+	var sent string
+	status, answer := 200, `{"Permit":12,"LifeMs":5000}`
+	c := serve(t, func(method, path, body string) (int, string) {
+		sent = method + " " + path + " " + body
+		return status, answer
+	})
+	if got, want := c.Grant(scheduler.GrantLease{TTL: 5 * time.Second}), (scheduler.LeaseGranted{OK: true, LeaseID: 12}); got != want {
+		t.Errorf("granted %+v, want %+v", got, want)
+	}
+	if want := `POST /grants {"LifeMs":5000}`; sent != want {
+		t.Errorf("sent %s, want %s", sent, want)
+	}
+	for name, x := range map[string]struct {
+		status int
+		want   scheduler.LeaseRenewalAnswered
+	}{
+		"renewed": {200, scheduler.LeaseRenewalAnswered{OK: true}},
+		"expired": {404, scheduler.LeaseRenewalAnswered{Gone: true}},
+		"failed":  {503, scheduler.LeaseRenewalAnswered{}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			status = x.status
+			if got := c.Renew(scheduler.RenewLease{LeaseID: 12}); got != x.want {
+				t.Errorf("got %+v, want %+v", got, x.want)
+			}
+			if want := "POST /grants/12/renew {}"; sent != want {
+				t.Errorf("sent %s, want %s", sent, want)
+			}
+		})
+	}
+	status = 503
+	if got := c.Grant(scheduler.GrantLease{TTL: time.Second}); got != (scheduler.LeaseGranted{}) {
+		t.Errorf("granted %+v", got)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,5 +161,5 @@
 // now is the scheduler's steady time.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Ready answers GET /up.
+// Ready tells whether a load balancer should send users here.
 func (n *Node) Ready() bool { return n.ready.Load() }
