--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -19,7 +19,7 @@
 
 const (
 	lengthBytes   = 4
-	maxFrameBytes = 1 << 20 // twice what a message of 2,000 machines takes
+	maxFrameBytes = 1 << 20 // at least twice what a message of 2,000 machines takes
 )
 
 // acknowledgement is what a receiver writes for each frame.
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -60,8 +60,8 @@
 	FormatRetry = 500 * time.Millisecond
 )
 
-// Sizes of stored values, in bytes unless said otherwise. The protocol bounds values and
-// transactions, and what doesn't fit waits, so that these estimates err to the large side.
+// Sizes of stored values, in bytes unless said otherwise. The settings bound values and
+// transactions, and what is planned not to fit waits.
 const (
 	// TxnBytes bounds the text of one transaction, under the protocol's limit of 64 KiB.
 	TxnBytes = 44 << 10
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -4,8 +4,8 @@
 
 // The process.
 const (
-	// Tick is the interval at which the scheduler is driven when no event comes: short
-	// beside all its other times, which are met to within one tick.
+	// Tick is the interval at which the scheduler is driven when no event comes; what is due
+	// then is at most one tick late.
 	Tick = 100 * time.Millisecond
 	// GCPercent is by how much the heap may grow between garbage collections, in percent.
 	// It trades memory, which is ample, for processor time, which isn't.
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -24,8 +24,8 @@
 	RefuseUsersPercent = 92
 	// ServerIdleTimeout closes a connection that nobody uses; workers send more often.
 	ServerIdleTimeout = 40 * time.Second
-	// HeaderTimeout closes a connection on which a request's head doesn't come; the head is
-	// one packet, so that only a broken client takes longer.
+	// HeaderTimeout closes a connection on which a request's head doesn't come, so that
+	// broken clients can't hold sockets for good.
 	HeaderTimeout = 10 * time.Second
 	// BodyLimit is the largest request body in bytes, by the protocol.
 	BodyLimit = 64 << 10
