--- a/cmd/brassglade/main.go
+++ b/cmd/brassglade/main.go
@@ -113,7 +113,7 @@
 
 // setUpLogging sends log lines to standard error, from the level that LOG_LEVEL names.
 func setUpLogging() error {
-	level := slog.LevelInfo
+	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); name {
 	case "error":
 		level = slog.LevelError
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -130,7 +130,7 @@
 		delete(c.queues.tasksStaying, id)
 	}
 	j.Tasks[i] = t
-	if t.State != domain.Queued || c.taskShard(j, t) != c.cfg.Node {
+	if t.State != domain.Queued || c.cache.taskShard(j, t) != c.cfg.Node {
 		c.dequeue(id)
 	}
 }
@@ -139,7 +139,7 @@
 func (c *Controller) bookingInfo(j *Job) bookingInfo {
 	info := bookingInfo{seenAt: c.now}
 	if j.Header.Spec != nil {
-		info.runTimeMS = int64(1000 * c.runTime(j.Header.Spec))
+		info.runTimeMS = int64(1000 * c.queues.runTime(j.Header.Spec))
 	}
 	return info
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -34,24 +34,24 @@
 	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
 		return true // the commit in flight concerns it
 	}
-	if c.hasUnstartedBooking(m) {
+	if c.cache.hasUnstartedBooking(m) {
 		return false
 	}
 	bookable := c.isBookable(m)
-	if len(m.queue) > 0 && bookable || c.hasUncommittedEnds(m) {
+	if len(m.queue) > 0 && bookable || c.cache.hasUncommittedEnds(m) {
 		return true
 	}
 	if !bookable || c.isReserved(m.Name) && len(m.reported) > 0 {
 		return false
 	}
-	return len(m.reported) == 0 || c.hasRoomForSmallTask(m)
+	return len(m.reported) == 0 || c.cache.hasRoomForSmallTask(m)
 }
 
 // hasUnstartedBooking tells whether a task is booked on m that m doesn't report: there is
 // something to start.
-func (c *Controller) hasUnstartedBooking(m *Machine) bool {
-	for id := range c.cache.bookedOn[m.Name] {
-		if !m.lists(attemptID{id, c.cache.jobs[id.Job].task(id.Index).Attempt}) {
+func (c *cache) hasUnstartedBooking(m *Machine) bool {
+	for id := range c.bookedOn[m.Name] {
+		if !m.lists(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
 			return true
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 // hasUncommittedEnds tells whether m reports ended tasks whose outcome isn't committed yet.
-func (c *Controller) hasUncommittedEnds(m *Machine) bool {
+func (c *cache) hasUncommittedEnds(m *Machine) bool {
 	for _, s := range m.reported {
 		if s.State == domain.ReportedEnded && c.isBooking(m, s) {
 			return true
@@ -70,7 +70,7 @@
 
 // hasRoomForSmallTask tells whether a small task has room on m: the next one may come any
 // moment.
-func (c *Controller) hasRoomForSmallTask(m *Machine) bool {
+func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
 		CPU: capacity.CPU / smallTaskShare, GPU: capacity.GPU / smallTaskShare, Memory: capacity.Memory / smallTaskShare,
@@ -98,7 +98,7 @@
 // mayAnswer tells whether a heartbeat that was accepted may still be answered with 200.
 func (c *Controller) mayAnswer(m *Machine, h *pendingHeartbeat) bool {
 	return c.mayAct() && c.owns(h.machine) && !c.isAbandoned(m, h.agentEpoch) &&
-		h.agentEpoch == m.agentEpoch && !c.isReturned(h.machine)
+		h.agentEpoch == m.agentEpoch && !c.cache.isReturned(h.machine)
 }
 
 // logCommands says for each start and stop why it was allowed: under which view, as of
@@ -133,7 +133,7 @@
 			}
 			continue
 		}
-		if !c.isBooking(m, s) || !c.guard(GuardClear) {
+		if !c.cache.isBooking(m, s) || !c.guard(GuardClear) {
 			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: s.Attempt, Reason: domain.ReasonSettled})
 		}
 	}
@@ -192,7 +192,7 @@
 		return attemptPreempted
 	case c.isEvictedFrom(m, j.Header.Spec):
 		return machineCleared
-	case !c.gangIntact(j, t):
+	case !gangIntact(j, t):
 		return gangBroken
 	}
 	return startAllowed
@@ -214,13 +214,13 @@
 func (c *Controller) stopCommand(m *Machine, s domain.TaskReport) (domain.Command, bool) {
 	stop := domain.Command{Kind: domain.StopTask, Task: s.Task, Attempt: s.Attempt, Reason: domain.ReasonNotBooked}
 	j := c.cache.jobs[s.Task.Job]
-	if j == nil || j.final() || !c.isBooking(m, s) {
+	if j == nil || j.final() || !c.cache.isBooking(m, s) {
 		return stop, true // nobody has any use for it
 	}
 	t, sp := j.task(s.Task.Index), j.Header.Spec
 	saves := s.State == domain.ReportedSaving
 	switch {
-	case !c.gangIntact(j, t):
+	case !gangIntact(j, t):
 		stop.Reason = domain.ReasonGangBroken
 		return stop, !saves
 	case isTogether(sp):
@@ -231,7 +231,7 @@
 		return saveAndStop(stop, sp, domain.ReasonPreempted), !saves
 	case m.preemptionAt >= 0:
 		return c.stopBeforePreemption(m, stop, sp, saves)
-	case c.drainsRunning(m) && !saves:
+	case c.cache.drainsRunning(m) && !saves:
 		return saveAndStop(stop, sp, domain.ReasonDraining), true
 	}
 	return stop, false
@@ -257,8 +257,8 @@
 }
 
 // drainsRunning tells whether m is drained for a reason for which its tasks have to go.
-func (c *Controller) drainsRunning(m *Machine) bool {
-	cordon := c.cache.cordons[m.Name]
+func (c *cache) drainsRunning(m *Machine) bool {
+	cordon := c.cordons[m.Name]
 	return cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle
 }
 
@@ -269,7 +269,7 @@
 
 // gangIntact tells whether all tasks of t's attempt are booked, or done. A gang's task is on
 // only while they are; otherwise the rest is stopped, and a new attempt starts all.
-func (c *Controller) gangIntact(j *Job, t domain.Task) bool {
+func gangIntact(j *Job, t domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
 	}
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -36,7 +36,7 @@
 	if _, already := c.cordons.wanted[machine]; already && wanted.State != domain.CordonGone {
 		return
 	}
-	if c.hasCordon(machine, wanted.State) {
+	if c.cache.hasCordon(machine, wanted.State) {
 		return
 	}
 	c.cordons.wanted[machine] = wanted
@@ -45,8 +45,8 @@
 
 // hasCordon tells whether the machine's committed cordon is of the state, or gone, after
 // which nothing comes.
-func (c *Controller) hasCordon(machine string, state string) bool {
-	written := c.cache.cordons[machine]
+func (c *cache) hasCordon(machine string, state string) bool {
+	written := c.cordons[machine]
 	return written.State == domain.CordonGone || written.State == state
 }
 
@@ -106,7 +106,7 @@
 	changed := cordonPages{pages: map[string]codec.CordonPage{}}
 	for _, machine := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
 		wanted := c.cordons.wanted[machine]
-		if c.hasCordon(machine, wanted.State) {
+		if c.cache.hasCordon(machine, wanted.State) {
 			delete(c.cordons.wanted, machine)
 			continue
 		}
--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -73,7 +73,7 @@
 func TestIdleCordonsWait(t *testing.T) {
 	c := acting()
 	for i := range 4000 {
-		c.addMachine(jobName(i))
+		c.heartbeats.addMachine(jobName(i))
 	}
 	if !c.isLargeFleet() {
 		t.Fatal("the fleet is not large")
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -131,7 +131,7 @@
 	j.priority, j.deadlineSeconds = sp.Priority, sp.Deadline
 	j.deadlineAt = j.submittedAt + int64(sp.Deadline*float64(time.Second))
 	if j.missingPieces = sp.DependencyListPieces; j.missingPieces > 0 {
-		c.countMissingPieces(j)
+		c.cache.countMissingPieces(j)
 	}
 	sp.Dependencies = codec.ParseNames(sp.DependencyText)
 	c.dependOn(j, sp.Dependencies)
@@ -139,7 +139,7 @@
 		c.takeDependencyPieces(j)
 	}
 	for _, d := range c.cache.dependents[j.ID] {
-		c.inheritUrgency(j, d)
+		c.queues.inheritUrgency(j, d)
 	}
 	c.propagateUrgency(j)
 }
@@ -165,14 +165,14 @@
 
 // inheritUrgency makes a job as urgent as a dependent, which needs it. True: it became more
 // so.
-func (c *Controller) inheritUrgency(j, dependent *Job) bool {
+func (q *queues) inheritUrgency(j, dependent *Job) bool {
 	if dependent.Header.Spec == nil || dependent.phase >= phaseDone {
 		return false
 	}
 	more := dependent.priority > j.priority
 	j.priority = max(j.priority, dependent.priority)
 	if dependent.deadlineSeconds > 0 {
-		latest := dependent.deadlineAt - int64((c.runTime(dependent.Header.Spec)+tuning.StartLag)*float64(time.Second))
+		latest := dependent.deadlineAt - int64((q.runTime(dependent.Header.Spec)+tuning.StartLag)*float64(time.Second))
 		if j.deadlineSeconds == 0 || latest < j.deadlineAt {
 			j.deadlineAt, j.deadlineSeconds, more = latest, dependent.deadlineSeconds, true
 		}
@@ -212,7 +212,7 @@
 			if needed == nil || needed.phase >= phaseDone {
 				continue
 			}
-			if c.inheritUrgency(needed, dependent) && !waiting[needed] {
+			if c.queues.inheritUrgency(needed, dependent) && !waiting[needed] {
 				waiting[needed] = true
 				heap.Push(&jobs, needed)
 			}
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -26,7 +26,7 @@
 	if j == nil || j.missingPieces == 0 || j.Header.Spec == nil {
 		return
 	}
-	if c.countMissingPieces(j); j.missingPieces > 0 {
+	if c.cache.countMissingPieces(j); j.missingPieces > 0 {
 		return
 	}
 	c.takeDependencyPieces(j)
@@ -35,10 +35,10 @@
 }
 
 // countMissingPieces counts the pieces of a job's list that are not here yet.
-func (c *Controller) countMissingPieces(j *Job) {
+func (c *cache) countMissingPieces(j *Job) {
 	j.missingPieces = 0
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-		if _, ok := c.cache.dependencyPieces[codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
+		if _, ok := c.dependencyPieces[codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)]; !ok {
 			j.missingPieces++
 		}
 	}
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -136,13 +136,12 @@
 }
 
 // copyCell takes a copy of the records of the cell with task i into the draft.
-func (d *draft) copyCell(j *Job, i int) []domain.Task {
+func (d *draft) copyCell(j *Job, i int) {
 	ref := j.ref(i)
 	if d.cells[ref] == nil {
 		d.copiedCells[j.ID] = append(d.copiedCells[j.ID], ref.from)
 	}
 	d.cells[ref] = j.copyOfCell(i)
-	return d.cells[ref]
 }
 
 // peek reads task i as the draft has it, without touching its cell.
@@ -273,13 +272,13 @@
 // mayNotWrite tells whether the value of a change can't be written any more as it is, or
 // must not grow.
 func (d *draft) mayNotWrite(change *taskChange) bool {
-	return (d.c.formats.limitsFell || change.grows && d.c.formatOn()) && d.c.isOversizedInPlan(change.key)
+	return (d.c.formats.limitsFell || change.grows && d.c.cache.formatOn()) && d.c.isOversizedInPlan(change.key)
 }
 
 // isFullValue tells whether the value has no room for one more booking.
 func (d *draft) isFullValue(change *taskChange) bool {
 	bound := d.c.valueBound()
-	if d.c.formatOn() {
+	if d.c.cache.formatOn() {
 		bound = d.c.cfg.ValueLimit
 	}
 	return d.c.cache.valueSizes[change.key]+d.growth[change.key]+2*tuning.TaskBytes+len(change.job.ID) > bound-tuning.PackSlack
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -69,7 +69,7 @@
 // bookBytes is what a booking is planned to add to its value: what it mostly takes,
 // or, when a draft came out too large by that, the most that it may take.
 func (c *Controller) bookBytes() int {
-	if c.formatOn() && !c.planner.reserveLongestTexts {
+	if c.cache.formatOn() && !c.planner.reserveLongestTexts {
 		return tuning.TaskBytesShort
 	}
 	return tuning.TaskBytes
@@ -144,7 +144,7 @@
 // finishJob ends a job of which all tasks are done. Its header says all there is to know.
 func (d *draft) finishJob(j *Job, h *codec.JobHeader) {
 	h.State, h.Spec, h.SplitChunks, h.CellSize = domain.StateDone, nil, nil, 0
-	if d.c.formatOn() {
+	if d.c.cache.formatOn() {
 		h.DoneAtMS = d.c.wallMS()
 	}
 	d.finished[j.ID] = true
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -57,7 +57,7 @@
 	if tasks == nil {
 		return nil
 	}
-	return d.c.chunkOf(tasksOfValue{id: tasks})
+	return d.c.cache.chunkOf(tasksOfValue{id: tasks})
 }
 
 // appendValues appends packs, chunks and cells, by key. A pack is written even when it
@@ -67,7 +67,7 @@
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
 		switch {
 		case len(values[key]) > 0 || isPackKey(key):
-			puts = append(puts, domain.Put{Key: key, Value: codec.Encode(d.c.chunkOf(values[key]))})
+			puts = append(puts, domain.Put{Key: key, Value: codec.Encode(d.c.cache.chunkOf(values[key]))})
 		case d.c.cache.modRevisions[key] != 0:
 			puts = append(puts, domain.Put{Key: key})
 		}
--- a/internal/scheduler/foreign_values.go
+++ b/internal/scheduler/foreign_values.go
@@ -12,7 +12,7 @@
 	if j.Header.Pack != "" {
 		return !strings.HasPrefix(j.Header.Pack, c.cfg.Node+"/")
 	}
-	return c.shardOf(j) != c.cfg.Node
+	return c.cache.shardOf(j) != c.cfg.Node
 }
 
 // nextForeignValue is the other shard's value to be changed next, in turn; "": none.
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -18,11 +18,11 @@
 }
 
 // formatOn tells whether all controllers read and keep what this version writes.
-func (c *Controller) formatOn() bool { return c.cache.format >= codec.CurrentFormat }
+func (c *cache) formatOn() bool { return c.format >= codec.CurrentFormat }
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
-	if c.formatOn() || c.formats.announcing || c.now < c.formats.nextAnnouncementAt || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.formatOn() || c.formats.announcing || c.now < c.formats.nextAnnouncementAt || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
@@ -70,7 +70,7 @@
 		c.cache.announcedFormats[controller] = format.Version
 		return true, nil
 	}
-	if !c.formatOn() && format.Version >= codec.CurrentFormat {
+	if !c.cache.formatOn() && format.Version >= codec.CurrentFormat {
 		c.info("format on", "version", format.Version)
 	}
 	c.cache.format = max(c.cache.format, format.Version)
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -46,7 +46,7 @@
 		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
 		t.Error("flavors, marks, shares or windows are not as written")
 	}
-	if c.formatOn() {
+	if c.cache.formatOn() {
 		t.Error("the format is on though nobody announced it")
 	}
 	for id, want := range map[string]struct {
@@ -92,7 +92,7 @@
 		t.Fatalf("wrote %v", k)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
-	if k := turn(); len(k) > 0 || c.formatOn() {
+	if k := turn(); len(k) > 0 || c.cache.formatOn() {
 		t.Fatalf("%v is written while c-2 may come back as it was", k)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
@@ -101,13 +101,13 @@
 		t.Fatalf("%v is written by one that doesn't lead", k)
 	}
 	c.cache.view.Leader = "c-0"
-	if k := turn(); !slices.Equal(k, []string{"b/format"}) || !c.formatOn() {
+	if k := turn(); !slices.Equal(k, []string{"b/format"}) || !c.cache.formatOn() {
 		t.Fatalf("wrote %v", k)
 	}
 	// One that restarts learns of it from what is stored.
 	o := New(Settings{Node: "c-2"}, "z")
 	o.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
-	if !o.formatOn() {
+	if !o.cache.formatOn() {
 		t.Error("off again after a restart")
 	}
 }
@@ -230,7 +230,7 @@
 	d := c.newDraft()
 	d.header(c.cache.jobs["job-000001"])
 	checkLimits(t, d.transaction().Puts)
-	if sp := d.headers["job-000001"].Spec; !c.allowsMachine(sp, "box", "a", false) || c.allowsMachine(sp, "type-7", "a", false) && c.machineType("type-7") != nil {
+	if sp := d.headers["job-000001"].Spec; !allowsMachine(sp, "box", "a", false) || allowsMachine(sp, "type-7", "a", false) && c.cache.machineType("type-7") != nil {
 		t.Errorf("types %v", sp.MachineTypes)
 	}
 }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -118,7 +118,7 @@
 // foundNoPlace tells whether all of a gang still waits, and is not booked in this draft.
 func (p *gangPass) foundNoPlace(j *Job) bool {
 	sp := j.Header.Spec
-	return sp.Shape == domain.Gang && p.c.placementOf(j, p.draft).queued == sp.TaskCount
+	return sp.Shape == domain.Gang && placementOf(j, p.draft).queued == sp.TaskCount
 }
 
 // teamAllows tells whether a team's limit has room for all of a gang, so that machines are
@@ -149,11 +149,11 @@
 	}
 	var machines []inventoryMachine
 	for _, m := range c.inventory() {
-		f := c.machineType(m.machineType)
+		f := c.cache.machineType(m.machineType)
 		if f == nil || c.cache.cordons[m.name].State != "" {
 			continue
 		}
-		free := c.freeOn(m.name, f.Capacity, d)
+		free := c.cache.freeOn(m.name, f.Capacity, d)
 		if fitsAny(free, requests) {
 			machines = append(machines, m)
 		}
@@ -180,7 +180,7 @@
 	if c.gangDone(j, d) {
 		return c.finishGang(d, j)
 	}
-	placed := c.placementOf(j, d)
+	placed := placementOf(j, d)
 	if sp.Shape == domain.Gang && placed.queued < sp.TaskCount {
 		return true // booked in this draft, or some of the old attempt are not proven off yet
 	}
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -20,7 +20,7 @@
 	c := acting()
 	c.cfg.DisabledGuard, c.cfg.WorkerLease, c.cfg.HeartbeatInterval = drop, 20*time.Second, 3*time.Second
 	c.apply(openJob(t, 1, 1, 1, 1000))
-	m := c.addMachine("n-000001")
+	m := c.heartbeats.addMachine("n-000001")
 	m.ownedEpoch, m.ownedSince = 1, c.now
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 1, PreemptionNotice: -1}, true)
 	c.enqueue(domain.TaskID{Job: jobName(1), Index: 0}, m)
@@ -104,7 +104,7 @@
 			c := acting()
 			c.cfg.DisabledGuard = drop
 			h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}}
-			chunk := domain.KeyValue{Key: codec.PrefixTask + jobName(5) + "/0", ModRevision: 120, Value: codec.Encode(c.chunkOf(map[string][]domain.Task{jobName(5): {{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Zone: "a", Shard: "c-0"}}}))}
+			chunk := domain.KeyValue{Key: codec.PrefixTask + jobName(5) + "/0", ModRevision: 120, Value: codec.Encode(c.cache.chunkOf(map[string][]domain.Task{jobName(5): {{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Zone: "a", Shard: "c-0"}}}))}
 			c.loadSnapshot(SnapshotLoaded{Revision: 110, Items: []domain.KeyValue{chunk}})
 			c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(5)), ModRevision: 115, Value: codec.Encode(h)})
 			c.apply(chunk)
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -62,7 +62,7 @@
 	}
 	m := c.heartbeats.machines[r.Machine]
 	if m == nil {
-		m = c.addMachine(r.Machine)
+		m = c.heartbeats.addMachine(r.Machine)
 		m.ownedEpoch, m.ownedSince = c.cache.view.Epoch, c.now
 	}
 	if refusal := c.refusalByMachine(m, &r); refusal != heartbeatAccepted {
@@ -107,7 +107,7 @@
 	switch {
 	case c.isAbandoned(m, r.AgentEpoch):
 		return agentEpochAbandoned
-	case c.isReturned(r.Machine):
+	case c.cache.isReturned(r.Machine):
 		return machineReturned
 	case !m.isNewer(r.AgentEpoch, r.Sequence):
 		return lateCopy
@@ -122,7 +122,7 @@
 		c.membership.ConfirmSoon(c.now)
 	case ownedElsewhere:
 		owner := c.ownerIn(r.Machine, r.Zone)
-		if !c.isReturned(r.Machine) {
+		if !c.cache.isReturned(r.Machine) {
 			c.recordRedirect(r, owner)
 		}
 		c.emit(HeartbeatReply{RequestID: requestID, Status: 421, Owner: owner})
@@ -138,13 +138,13 @@
 }
 
 // isReturned tells whether the cloud has confirmed that it took the machine back.
-func (c *Controller) isReturned(machine string) bool {
-	return c.cache.cordons[machine].State == domain.CordonGone
+func (c *cache) isReturned(machine string) bool {
+	return c.cordons[machine].State == domain.CordonGone
 }
 
 // isBooking tells whether a reported attempt is the committed booking of its task.
-func (c *Controller) isBooking(m *Machine, s domain.TaskReport) bool {
-	j := c.cache.jobs[s.Task.Job]
+func (c *cache) isBooking(m *Machine, s domain.TaskReport) bool {
+	j := c.jobs[s.Task.Job]
 	if j == nil || s.Task.Index < 0 || s.Task.Index >= j.Header.TaskCount {
 		return false
 	}
@@ -240,7 +240,7 @@
 	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true // tests take the proof away
 	}
-	if c.isReturned(m.Name) || m.hasLeftEpoch(t.AgentEpoch) {
+	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(t.AgentEpoch) {
 		return true
 	}
 	if !m.isInEpoch(t.AgentEpoch) {
@@ -303,9 +303,9 @@
 		review.limit = tuning.SilentCut
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		if !c.owns(name) || c.isReturned(name) {
+		if !c.owns(name) || c.cache.isReturned(name) {
 			c.forgetIfSilent(m)
 			continue
 		}
@@ -321,7 +321,7 @@
 func (c *Controller) adoptBookedMachines() {
 	for name := range c.cache.bookedOn {
 		if c.heartbeats.machines[name] == nil && c.owns(name) {
-			m := c.addMachine(name)
+			m := c.heartbeats.addMachine(name)
 			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
 		}
 	}
@@ -336,7 +336,7 @@
 	if c.owns(m.Name) && len(c.cache.bookedOn[m.Name]) > 0 {
 		return
 	}
-	c.dropMachine(m.Name)
+	c.heartbeats.dropMachine(m.Name)
 }
 
 // abandonExpiredEpoch gives up the agent epochs of a machine with bookings whose lease can't
@@ -413,7 +413,7 @@
 		}
 	}
 	isOwnFault := unheeding > 2+heard/10
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if c.ignoresReplies(m) && !isOwnFault && c.isOwnUncordoned(m) {
 			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -10,23 +10,23 @@
 
 // machineNames are the machines that this controller knows, in order. They change far
 // less often than they are walked.
-func (c *Controller) machineNames() []string {
-	if c.heartbeats.sortedNames == nil {
-		c.heartbeats.sortedNames = slices.Sorted(maps.Keys(c.heartbeats.machines))
+func (h *heartbeats) machineNames() []string {
+	if h.sortedNames == nil {
+		h.sortedNames = slices.Sorted(maps.Keys(h.machines))
 	}
-	return c.heartbeats.sortedNames
+	return h.sortedNames
 }
 
 // addMachine and dropMachine are the only changes of the set of machines.
-func (c *Controller) addMachine(name string) *Machine {
+func (h *heartbeats) addMachine(name string) *Machine {
 	m := newMachine(name)
-	c.heartbeats.machines[name], c.heartbeats.sortedNames = m, nil
+	h.machines[name], h.sortedNames = m, nil
 	return m
 }
 
-func (c *Controller) dropMachine(name string) {
-	delete(c.heartbeats.machines, name)
-	c.heartbeats.sortedNames = nil
+func (h *heartbeats) dropMachine(name string) {
+	delete(h.machines, name)
+	h.sortedNames = nil
 }
 
 // takesTasks tells whether tasks may be queued on one of this controller's machines now.
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -87,7 +87,7 @@
 // largeArrayTasksAtOnce is how many tasks of a large array one plan may book.
 func (c *Controller) largeArrayTasksAtOnce(d *draft, j *Job) int {
 	if j.isDoubtful() {
-		return 1 - c.placementOf(j, d).booked
+		return 1 - placementOf(j, d).booked
 	}
 	return tuning.LargeAtOnce
 }
@@ -107,8 +107,8 @@
 func (c *Controller) ownersFitting(sp *domain.JobSpec) []string {
 	var owners []string
 	for _, m := range c.inventory() {
-		f := c.machineType(m.machineType)
-		if f == nil || !f.Capacity.Fits(sp.Request) || !c.allowsMachine(sp, m.machineType, m.zone, m.spot) || slices.Contains(owners, m.owner) {
+		f := c.cache.machineType(m.machineType)
+		if f == nil || !f.Capacity.Fits(sp.Request) || !allowsMachine(sp, m.machineType, m.zone, m.spot) || slices.Contains(owners, m.owner) {
 			continue
 		}
 		owners = append(owners, m.owner)
@@ -155,7 +155,7 @@
 		m := booking.room[0]
 		d.bookPick(j, pick{i, m}, j.task(i).Attempt+1, PassLargeArray)
 		booking.tasks++
-		if !c.freeOn(m.name, c.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
+		if !c.cache.freeOn(m.name, c.cache.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
 			booking.room = booking.room[1:]
 		}
 	}
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -31,7 +31,7 @@
 }
 
 // recordFinish counts a task that ended.
-func (c *Controller) recordFinish(*Machine) { c.learner.finishes++ }
+func (l *learner) recordFinish(*Machine) { l.finishes++ }
 
 // endLearningWindow ends windows: learns from the loads of all machines and publishes this
 // controller's part of them for the others.
@@ -58,7 +58,7 @@
 // of a few hundred machines would not fit its value.
 func (c *Controller) ownLoads() []float64 {
 	loads := []float64{}
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
 			loads = append(loads, math.Round(c.load(m)*10)/10)
 		}
@@ -86,7 +86,7 @@
 // choicesAlive are the names that draws may meet again: own machines and serving controllers.
 func (c *Controller) choicesAlive() map[string]bool {
 	alive := map[string]bool{}
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		if c.owns(name) {
 			alive[name] = true
 		}
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -9,12 +9,12 @@
 
 // runTime is the expected run time of a task, s, corrected by what the class
 // showed so far.
-func (c *Controller) runTime(spec *domain.JobSpec) float64 {
+func (q *queues) runTime(spec *domain.JobSpec) float64 {
 	seconds := spec.EstimatedRuntime
 	if seconds <= 0 {
 		seconds = tuning.SeedRun
 	}
-	if ratio := c.queues.runTimeRatios[spec.Class]; ratio != nil && ratio.samples >= 3 {
+	if ratio := q.runTimeRatios[spec.Class]; ratio != nil && ratio.samples >= 3 {
 		seconds *= min(max(ratio.value, 0.25), 4)
 	}
 	return seconds
@@ -25,7 +25,7 @@
 // estimates of these tasks. It is the load x of the thesis (docs/design.md, "The ordinary
 // path: kept, changed, why"). Preemptible tasks delay no others and don't count.
 func (c *Controller) load(m *Machine) float64 {
-	machineType := c.machineType(m.Type)
+	machineType := c.cache.machineType(m.Type)
 	if machineType == nil {
 		return 0
 	}
@@ -59,7 +59,7 @@
 		if j := c.cache.jobs[id.Job]; j != nil && j.Header.Spec != nil && !preemptible(j.Header.Spec) {
 			sum.tasks++
 			sum.used = sum.used.Plus(j.Header.Spec.Request, 1)
-			sum.runTimeMS += int64(1000 * c.runTime(j.Header.Spec))
+			sum.runTimeMS += int64(1000 * c.queues.runTime(j.Header.Spec))
 		}
 	}
 	return sum
@@ -72,7 +72,7 @@
 		return c.queues.meanLoad
 	}
 	sum, n := 0.0, 0
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
 			sum += c.load(m)
 			n++
--- a/internal/scheduler/machine_room.go
+++ b/internal/scheduler/machine_room.go
@@ -8,8 +8,8 @@
 
 // freeOn is the room on a machine of a size as committed, less what the draft (nil: none)
 // books.
-func (c *Controller) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
-	free := size.Plus(c.cache.occupancy[name].used, -1)
+func (c *cache) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
+	free := size.Plus(c.occupancy[name].used, -1)
 	if d != nil {
 		free = free.Plus(d.usedOn[name], -1)
 	}
@@ -17,10 +17,10 @@
 }
 
 // machineType is the cloud's type of a name; nil: it has none such, or was not asked yet.
-func (c *Controller) machineType(name string) *domain.MachineType {
-	for i := range c.cache.machineTypes {
-		if c.cache.machineTypes[i].Name == name {
-			return &c.cache.machineTypes[i]
+func (c *cache) machineType(name string) *domain.MachineType {
+	for i := range c.machineTypes {
+		if c.machineTypes[i].Name == name {
+			return &c.machineTypes[i]
 		}
 	}
 	return nil
@@ -31,18 +31,18 @@
 func (c *Controller) isBookable(m *Machine) bool {
 	hasLiveAgent := m.heardOnce && m.agentEpoch > m.abandonedEpoch && c.now-m.heardAt < 2*c.cfg.HeartbeatInterval+time.Second
 	stays := m.preemptionAt < 0 && c.cache.cordons[m.Name].State == ""
-	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.machineType(m.Type) != nil
+	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.cache.machineType(m.Type) != nil
 }
 
 // allowsMachine tells whether the machine may take a task of the job, room aside.
-func (c *Controller) allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
+func allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
 	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
 }
 
 // fitsOn tells whether a machine may take one more task of a job and has room for it
 // beside the draft's bookings and others that are only chosen so far.
 func (c *Controller) fitsOn(sp *domain.JobSpec, m *inventoryMachine, chosen domain.Resources, d *draft) bool {
-	f := c.machineType(m.machineType)
-	return f != nil && c.allowsMachine(sp, m.machineType, m.zone, m.spot) &&
-		c.freeOn(m.name, f.Capacity, d).Plus(chosen, -1).Fits(sp.Request)
+	f := c.cache.machineType(m.machineType)
+	return f != nil && allowsMachine(sp, m.machineType, m.zone, m.spot) &&
+		c.cache.freeOn(m.name, f.Capacity, d).Plus(chosen, -1).Fits(sp.Request)
 }
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -41,7 +41,7 @@
 // fit a smaller bound, several, once all controllers read those.
 func (c *Controller) putsOfMachineTypes(types []domain.MachineType) []domain.Put {
 	value := codec.Encode(codec.MachineTypePage{Types: types})
-	if len(value) <= c.cfg.ValueLimit || !c.formatOn() && len(value) <= c.valueBound() {
+	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
 		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
 	pages := c.pagesOfMachineTypes(types)
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -78,7 +78,7 @@
 	if c.views.overrideChanges[h.Machine].isRestless(c.now) {
 		return
 	}
-	owner = c.withIncarnation(owner)
+	owner = c.cache.withIncarnation(owner)
 	weight := 1
 	if h.FencingToken == c.cache.view.Epoch {
 		weight = tuning.RedirectCount
@@ -93,8 +93,8 @@
 }
 
 // withIncarnation is a controller's name together with its incarnation in the view.
-func (c *Controller) withIncarnation(node string) string {
-	return node + "/" + c.cache.view.Members[node]
+func (c *cache) withIncarnation(node string) string {
+	return node + "/" + c.view.Members[node]
 }
 
 // isRecent tells whether the redirect still counts, for an owner with its incarnation.
@@ -126,7 +126,7 @@
 		// Machines of its own zone may well reach it, if all these are of another.
 		across := isLarge && c.areAcrossZones(owner, machines)
 		switch {
-		case !across && c.isMissedByMany(owner, len(machines)):
+		case !across && c.peers.isMissedByMany(owner, len(machines)):
 			lost.owners[owner] = true
 		case across && !c.hearsPeer(owner):
 			for _, m := range machines {
@@ -147,7 +147,7 @@
 	stranded := map[string][]strandedMachine{}
 	for machine, redirects := range c.views.redirects {
 		owner := c.ownerIn(machine, redirects[len(redirects)-1].zone)
-		recent := c.recentRedirects(redirects, c.withIncarnation(owner))
+		recent := c.recentRedirects(redirects, c.cache.withIncarnation(owner))
 		if recent.weight == 0 {
 			delete(c.views.redirects, machine)
 		}
@@ -197,9 +197,9 @@
 
 // isMissedByMany tells whether so many machines can't reach the owner, of those that it
 // last said to hear, that it should not serve.
-func (c *Controller) isMissedByMany(owner string, count int) bool {
+func (p *peers) isMissedByMany(owner string, count int) bool {
 	owned := 0
-	if p := c.peers.byName[owner]; p != nil {
+	if p := p.byName[owner]; p != nil {
 		owned = len(p.machines)
 	}
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
@@ -218,7 +218,7 @@
 // may own a machine after a change of epoch.
 func (c *Controller) chooseOverrides(d *viewDraft, wanted map[string]bool) {
 	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
-	if len(d.present.OwnerOverrides) > most && (c.formatOn() || c.formats.limitsFell) {
+	if len(d.present.OwnerOverrides) > most && (c.cache.formatOn() || c.formats.limitsFell) {
 		d.changed = true
 	}
 	overrides := d.next.OwnerOverrides
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -80,12 +80,12 @@
 
 // taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
 // serve falls to a hash over the view without any write.
-func (c *Controller) taskShard(j *Job, t domain.Task) string {
+func (c *cache) taskShard(j *Job, t domain.Task) string {
 	shard := t.Shard
 	if shard == "" {
 		shard = j.Header.Shard
 	}
-	v := c.cache.view
+	v := c.view
 	if v == nil || slices.Contains(v.Serving, shard) {
 		return shard
 	}
@@ -93,7 +93,7 @@
 }
 
 // shardOf is the shard of a job, where its tasks wait unless they were passed on.
-func (c *Controller) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
+func (c *cache) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
 
 // settleOwnership settles from when on this controller owns each machine, now that the
 // view is no longer the old one, nil for none.
@@ -129,7 +129,7 @@
 	// Known by its bookings alone: should its zone show again later in a zoned view,
 	// ownership must begin then, not when it once began.
 	if m := c.heartbeats.machines[machine]; m != nil && m.Zone == "" {
-		c.dropMachine(machine)
+		c.heartbeats.dropMachine(machine)
 	}
 }
 
@@ -137,7 +137,7 @@
 func (c *Controller) takeOwnership(machine string) {
 	m := c.heartbeats.machines[machine]
 	if m == nil {
-		m = c.addMachine(machine)
+		m = c.heartbeats.addMachine(machine)
 	}
 	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
 	m.heardAt = c.now + tuning.TakeoverSilence
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -99,11 +99,11 @@
 func (c *Controller) roomByShard(spec *domain.JobSpec) (room, slots map[string]int64) {
 	room, slots = map[string]int64{}, map[string]int64{}
 	for _, m := range c.inventory() {
-		machineType := c.machineType(m.machineType)
-		if machineType == nil || !c.allowsMachine(spec, m.machineType, m.zone, m.spot) || c.isReserved(m.name) {
+		machineType := c.cache.machineType(m.machineType)
+		if machineType == nil || !allowsMachine(spec, m.machineType, m.zone, m.spot) || c.isReserved(m.name) {
 			continue
 		}
-		free := roomBeside(c.freeOn(m.name, machineType.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(spec))
+		free := roomBeside(c.cache.freeOn(m.name, machineType.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(spec))
 		room[m.owner] += free.CountFitting(spec.Request, int64(spec.TaskCount))
 		slots[m.owner] += machineType.Capacity.CountFitting(spec.Request, 64)
 	}
@@ -167,9 +167,9 @@
 		c.peers.waitingTotal += int64(j.counts.queued)
 		switch {
 		case preemptible(j.Header.Spec):
-			c.peers.preemptibleWaitingByShard[c.shardOf(j)] += int64(j.counts.queued)
+			c.peers.preemptibleWaitingByShard[c.cache.shardOf(j)] += int64(j.counts.queued)
 		case !j.beyondAims:
-			c.peers.waitingByShard[c.shardOf(j)] += int64(j.counts.queued)
+			c.peers.waitingByShard[c.cache.shardOf(j)] += int64(j.counts.queued)
 		}
 	}
 }
@@ -300,7 +300,7 @@
 // gossipMachines are this controller's machines as peers are told of them.
 func (c *Controller) gossipMachines() []PeerMachine {
 	var machines []PeerMachine
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if !c.owns(name) || !c.isAlive(m) {
 			continue
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -56,7 +56,7 @@
 // queues of all others are emptied.
 func (c *Controller) placementMachines() []*Machine {
 	var machines []*Machine
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if c.takesTasks(m) {
 			machines = append(machines, m)
@@ -118,7 +118,7 @@
 // placeJob queues tasks of one job, or has it passed to another shard as a whole.
 func (p *placing) placeJob(j *Job, round placeRound) {
 	c, spec := p.c, j.Header.Spec
-	isHome := c.shardOf(j) == c.cfg.Node
+	isHome := c.cache.shardOf(j) == c.cfg.Node
 	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.passJob(j) {
 		return
 	}
@@ -160,7 +160,7 @@
 		return false
 	case task.Shard == "" && !isHome:
 		return false
-	case task.Shard != "" && c.taskShard(j, task) != c.cfg.Node:
+	case task.Shard != "" && c.cache.taskShard(j, task) != c.cfg.Node:
 		return false
 	}
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
@@ -179,13 +179,13 @@
 		n = j.counts.queued - j.queuedHere
 	}
 	slots := max(machineType.Capacity.CountFitting(spec.Request, 64), 1)
-	p.c.queues.poolRunTime += float64(n) * p.c.runTime(spec) / float64(slots)
+	p.c.queues.poolRunTime += float64(n) * p.c.queues.runTime(spec) / float64(slots)
 }
 
 // anyFittingType is the first machine type that can run tasks of the job; nil: none.
 func (c *Controller) anyFittingType(spec *domain.JobSpec) *domain.MachineType {
 	for i := range c.cache.machineTypes {
-		if c.machineTypeFits(spec, &c.cache.machineTypes[i]) {
+		if machineTypeFits(spec, &c.cache.machineTypes[i]) {
 			return &c.cache.machineTypes[i]
 		}
 	}
@@ -216,7 +216,7 @@
 	case chosen.Ref == noTarget:
 		c.planner.taskHandovers[id] = chosen.Name
 		c.planner.dirty = true
-		c.peers.byName[chosen.Name].addLoad(c.runTime(spec))
+		c.peers.byName[chosen.Name].addLoad(c.queues.runTime(spec))
 		return true
 	}
 	p.enqueue(j, id, chosen.Ref)
@@ -275,7 +275,7 @@
 	for name := range c.cfg.Teams {
 		r.used[name] = c.teamUsed(name, nil)
 	}
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		for _, id := range m.queue {
 			j := c.cache.jobs[id.Job]
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -22,7 +22,7 @@
 }
 
 // placementOf counts a job's tasks as the draft would leave them.
-func (c *Controller) placementOf(j *Job, d *draft) placement {
+func placementOf(j *Job, d *draft) placement {
 	p := j.counts
 	d.eachCopied(j, func(committed, drafted *domain.Task) {
 		p.count(committed.State, -1)
@@ -45,7 +45,7 @@
 
 // bookedZones counts a job's booked tasks by zone as the draft would leave them. A zone
 // without any is not listed.
-func (c *Controller) bookedZones(j *Job, d *draft) map[string]int {
+func bookedZones(j *Job, d *draft) map[string]int {
 	zones := map[string]int{}
 	for i := range j.Tasks {
 		countZone(zones, &j.Tasks[i], 1)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -15,7 +15,7 @@
 	c := acting()
 	c.cfg.Zones = []string{"a", "b"}
 	for i, zone := range c.cfg.Zones {
-		m := c.addMachine(fmt.Sprintf("n-%06d", i))
+		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		m.images["img"] = c.now
 	}
@@ -104,13 +104,13 @@
 	d.release(j, 0, false)
 	d.book(j, 1, "n-000001", "b", 1, 1)
 	d.finish(j, 2)
-	if at := c.placementOf(j, d); at != (placement{queued: 4, booked: 1, done: 1}) {
+	if at := placementOf(j, d); at != (placement{queued: 4, booked: 1, done: 1}) {
 		t.Errorf("in the draft: %+v", at)
 	}
-	if at := c.placementOf(j, nil); at != (placement{queued: 5, booked: 1}) {
+	if at := placementOf(j, nil); at != (placement{queued: 5, booked: 1}) {
 		t.Errorf("committed: %+v", at)
 	}
-	if got := fmt.Sprint(c.bookedZones(j, d), c.bookedZones(j, nil)); got != "map[b:1] map[a:1]" {
+	if got := fmt.Sprint(bookedZones(j, d), bookedZones(j, nil)); got != "map[b:1] map[a:1]" {
 		t.Errorf("zones %s", got)
 	}
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -77,7 +77,7 @@
 		c.planner.taskHandovers = map[domain.TaskID]string{}
 		return
 	}
-	if c.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+	if c.cache.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
 		// The same again, at once, with room for the longest texts.
 		c.planner.reserveLongestTexts, c.planner.dirty = true, true
 		c.planner.nextPlan.Close(c.now)
@@ -98,7 +98,7 @@
 // commit that may still change one is unsettled.
 func (c *Controller) maySplit() bool {
 	anyToSplit := len(c.cache.oversized)+len(c.commits.fullValues) > 0
-	return anyToSplit && c.commits.inDoubt.key == "" && (c.formatOn() || c.formats.limitsFell)
+	return anyToSplit && c.commits.inDoubt.key == "" && (c.cache.formatOn() || c.formats.limitsFell)
 }
 
 // planForeignValue plans the changes of one value of another shard, if it is the turn of
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -56,7 +56,7 @@
 // reserved for jobs placed by the leader.
 func (c *Controller) machinesToBook() []*Machine {
 	var machines []*Machine
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if len(m.queue) > 0 && c.owns(name) && c.isBookable(m) && !c.isReserved(name) {
 			machines = append(machines, m)
@@ -68,7 +68,7 @@
 // headOfQueue is the first task in a machine's queue that could start now; false: none, or
 // the first one has no room yet and is waited for.
 func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
-	free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, d)
+	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
 		if !c.waitsOn(d, m, j, id) || c.isHeldBack(j, id) {
@@ -101,7 +101,7 @@
 		return false
 	}
 	t := j.task(id.Index)
-	return t.State == domain.Queued && c.taskShard(j, t) == c.cfg.Node
+	return t.State == domain.Queued && c.cache.taskShard(j, t) == c.cfg.Node
 }
 
 // isHeldBack tells whether a task doesn't start now: its job pauses after an error, or it
@@ -146,8 +146,8 @@
 // doesn't: on a day of pipelines their last jobs waited 30 s so.
 func (c *Controller) queueByPriority(m *Machine) []domain.TaskID {
 	for i := 1; i < len(m.queue); i++ {
-		if c.priorityOf(m.queue[i]) > c.priorityOf(m.queue[i-1]) {
-			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return cmp.Compare(c.priorityOf(b), c.priorityOf(a)) })
+		if c.cache.priorityOf(m.queue[i]) > c.cache.priorityOf(m.queue[i-1]) {
+			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return cmp.Compare(c.cache.priorityOf(b), c.cache.priorityOf(a)) })
 			break
 		}
 	}
@@ -155,8 +155,8 @@
 }
 
 // priorityOf is the priority of a task's job; 0: the cache doesn't have it any more.
-func (c *Controller) priorityOf(id domain.TaskID) domain.Priority {
-	if j := c.cache.jobs[id.Job]; j != nil {
+func (c *cache) priorityOf(id domain.TaskID) domain.Priority {
+	if j := c.jobs[id.Job]; j != nil {
 		return j.priority
 	}
 	return 0
--- a/internal/scheduler/plan_gang_stops.go
+++ b/internal/scheduler/plan_gang_stops.go
@@ -6,14 +6,14 @@
 // be taken away: the header carries it to all owners, which stop their tasks well within
 // gang_peer_s of each other.
 func (c *Controller) planGangStops(d *draft) {
-	for _, name := range c.machineNames() {
-		if len(c.cache.bookedOn[name]) == 0 || !c.isGoingAway(c.heartbeats.machines[name]) || !c.owns(name) {
+	for _, name := range c.heartbeats.machineNames() {
+		if len(c.cache.bookedOn[name]) == 0 || !c.cache.isGoingAway(c.heartbeats.machines[name]) || !c.owns(name) {
 			continue
 		}
 		for _, id := range sortedTasks(c.cache.bookedOn[name]) {
 			j := c.cache.jobs[id.Job]
 			t := j.task(id.Index)
-			if c.needsGangStop(j, t) && d.changes() < c.cfg.TransactionLimit {
+			if needsGangStop(j, t) && d.changes() < c.cfg.TransactionLimit {
 				d.header(j).StopThrough = t.Attempt
 			}
 		}
@@ -22,14 +22,14 @@
 
 // isGoingAway tells whether the cloud gave notice for a machine, or it is drained since it
 // is faulty.
-func (c *Controller) isGoingAway(m *Machine) bool {
-	cordon := c.cache.cordons[m.Name]
+func (c *cache) isGoingAway(m *Machine) bool {
+	cordon := c.cordons[m.Name]
 	return m.preemptionAt >= 0 || cordon.State == domain.CordonDrain && cordon.Reason == domain.DrainFaulty
 }
 
 // needsGangStop tells whether a booked task is one of a gang that nobody stopped yet. A
 // gang of one is stopped by its machine's owner alone.
-func (c *Controller) needsGangStop(j *Job, t domain.Task) bool {
+func needsGangStop(j *Job, t domain.Task) bool {
 	sp := j.Header.Spec
 	return sp != nil && sp.Shape == domain.Gang && sp.TaskCount > 1 &&
 		j.Header.State == domain.StateOpen && j.Header.StopThrough < t.Attempt
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -40,7 +40,7 @@
 // happened to it since that was decided, and its new controller still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
-		slices.Contains(c.cache.view.Serving, to) && c.shardOf(j) == c.cfg.Node
+		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Node
 }
 
 // planTaskHandovers hands over single tasks until the draft is full.
@@ -68,5 +68,5 @@
 // new controller still serves.
 func (c *Controller) canHandOverTask(d *draft, j *Job, id domain.TaskID, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && !d.changed[id] && j.task(id.Index).State == domain.Queued &&
-		slices.Contains(c.cache.view.Serving, to) && c.taskShard(j, j.task(id.Index)) == c.cfg.Node
+		slices.Contains(c.cache.view.Serving, to) && c.cache.taskShard(j, j.task(id.Index)) == c.cfg.Node
 }
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -22,7 +22,7 @@
 	releases, byValue := c.provenReleases()
 	if c.takeLargestReleasesTurn(d, len(byValue)) {
 		slices.SortStableFunc(releases, func(a, b provenRelease) int {
-			return cmp.Compare(byValue[c.valueOf(b.task)], byValue[c.valueOf(a.task)])
+			return cmp.Compare(byValue[c.cache.valueOf(b.task)], byValue[c.cache.valueOf(a.task)])
 		})
 	}
 	full := false
@@ -46,7 +46,7 @@
 // stopped, so that none is always left out.
 func (c *Controller) provenReleases() (releases []provenRelease, byValue map[string]int) {
 	byValue = map[string]int{}
-	names := c.machineNames()
+	names := c.heartbeats.machineNames()
 	k, _ := slices.BinarySearch(names, c.planner.releasesFrom)
 	for _, name := range slices.Concat(names[k:], names[:k]) {
 		if len(c.cache.bookedOn[name]) == 0 || !c.owns(name) {
@@ -115,7 +115,7 @@
 	switch {
 	case h.State != domain.StateOpen,
 		h.StopThrough != 0 && h.StopThrough >= t.Attempt,
-		!c.gangIntact(j, t):
+		!gangIntact(j, t):
 		return false
 	case m.preemptionAt >= 0,
 		c.isEvicting(m.Name) && !reservesMachines(h.Spec),
@@ -135,8 +135,8 @@
 }
 
 // valueOf is the key of the value that holds a task.
-func (c *Controller) valueOf(id domain.TaskID) string {
-	return keyOf(c.cache.jobs[id.Job], id.Index)
+func (c *cache) valueOf(id domain.TaskID) string {
+	return keyOf(c.jobs[id.Job], id.Index)
 }
 
 // release puts a release into the draft. A task of a job that was cancelled meanwhile isn't
@@ -155,7 +155,7 @@
 
 // gangDone tells whether one of a gang's tasks is done, and hence all are.
 func (c *Controller) gangDone(j *Job, d *draft) bool {
-	return j.Header.Spec.Shape == domain.Gang && c.placementOf(j, d).done > 0
+	return j.Header.Spec.Shape == domain.Gang && placementOf(j, d).done > 0
 }
 
 // planCancelledJobs takes away the tasks of cancelled jobs whose last booking is gone: they
@@ -163,7 +163,7 @@
 func (c *Controller) planCancelledJobs(d *draft) {
 	for _, id := range slices.Sorted(maps.Keys(c.cache.awaitingRelease)) {
 		j := c.cache.awaitingRelease[id]
-		if j.counts.booked > 0 || c.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
+		if j.counts.booked > 0 || c.cache.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
 			continue
 		}
 		if c.isTurnOf(d, j) && d.takesEndOf(j) {
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -19,7 +19,7 @@
 	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
-		m := c.addMachine(fmt.Sprintf("n-%06d", i))
+		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for k := 0; k < 4; k++ {
 			c.enqueue(domain.TaskID{Job: jobName(1), Index: 4*i + k}, m)
@@ -59,7 +59,7 @@
 func TestUrgentGoesAhead(t *testing.T) {
 	for prio, want := range map[int]string{1: "", 2: jobName(3)} {
 		c := acting()
-		m := c.addMachine("n-000001")
+		m := c.heartbeats.addMachine("n-000001")
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
 		c.apply(openJob(t, 2, 1, 1, 5000))
@@ -156,7 +156,7 @@
 			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
 		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(h)})
 		c.apply(openJob(t, 1, 4, 1, 1000))
-		m := c.addMachine("n-000001")
+		m := c.heartbeats.addMachine("n-000001")
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		for i := range 4 {
 			c.enqueue(domain.TaskID{Job: jobName(2), Index: i}, m)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -28,7 +28,7 @@
 // released when the machine reports that the task ended.
 func (c *Controller) planPreemptions(machines []*Machine) {
 	for attempt := range c.planner.preempted {
-		if !c.isBooked(attempt) {
+		if !c.cache.isBooked(attempt) {
 			delete(c.planner.preempted, attempt)
 		}
 	}
@@ -40,8 +40,8 @@
 }
 
 // isBooked tells whether an attempt is still the booking of its task.
-func (c *Controller) isBooked(attempt attemptID) bool {
-	j := c.cache.jobs[attempt.Task.Job]
+func (c *cache) isBooked(attempt attemptID) bool {
+	j := c.jobs[attempt.Task.Job]
 	if j == nil || j.final() {
 		return false
 	}
@@ -79,7 +79,7 @@
 // missingRoomOn is what the tasks that wait in a machine's queue need beyond the free room, up
 // to the first that would have to wait for others than preemptible ones.
 func (c *Controller) missingRoomOn(m *Machine) domain.Resources {
-	free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
+	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	room := roomBeside(free, c.cache.occupancy[m.Name].preemptible.used, false)
 	var needed domain.Resources
 	for _, id := range c.queueByPriority(m) {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -78,7 +78,7 @@
 func (c *Controller) claims(d *draft) map[string]quotaClaim {
 	claims := map[string]quotaClaim{}
 	for _, j := range c.cache.openJobs {
-		spec, placed := j.Header.Spec, c.placementOf(j, d)
+		spec, placed := j.Header.Spec, placementOf(j, d)
 		claim := claims[spec.Team]
 		if placedByLeader(spec) {
 			c.addPlacedClaim(&claim, j, placed)
@@ -225,8 +225,8 @@
 }
 
 // cloneShares copies the committed shares of a team's limit.
-func (s *cache) cloneShares(name string) codec.TeamShares {
-	return codec.TeamShares{ByNode: maps.Clone(s.shares[name].ByNode)}
+func (c *cache) cloneShares(name string) codec.TeamShares {
+	return codec.TeamShares{ByNode: maps.Clone(c.shares[name].ByNode)}
 }
 
 // settleShares gives back what others' releases left unused of this controller's shares,
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -94,7 +94,7 @@
 // a task of the job if it were empty.
 func (c *Controller) mayReserve(m *machineState, sp *domain.JobSpec) bool {
 	return m.heard && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
-		c.allowsMachine(sp, m.Type, m.Zone, m.Spot) && c.machineType(m.Type).Capacity.Fits(sp.Request)
+		allowsMachine(sp, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(sp.Request)
 }
 
 // reservationCandidate tells when a machine will be empty, and whether it may be emptied for
@@ -111,7 +111,7 @@
 			return candidate, false
 		}
 		candidate.isLowerPriority = candidate.isLowerPriority && j.priority < sp.Priority
-		left := c.runTime(running) - (c.now - c.cache.bookings[id].seenAt).Seconds()
+		left := c.queues.runTime(running) - (c.now - c.cache.bookings[id].seenAt).Seconds()
 		candidate.wait = max(candidate.wait, left, shortestRest)
 	}
 	return candidate, true
@@ -189,7 +189,7 @@
 			c.scaling.resting[candidate.machine.Name] = true
 			continue
 		}
-		capacity := c.machineType(candidate.machine.Type).Capacity
+		capacity := c.cache.machineType(candidate.machine.Type).Capacity
 		kept[candidate.shard] = kept[candidate.shard].Plus(capacity, 1)
 	}
 	c.endRestFor(candidates, pending)
@@ -208,7 +208,7 @@
 		if isLarge {
 			shard = c.ownerIn(m.Name, m.Zone)
 		}
-		candidates = append(candidates, restCandidate{m, c.restPrice(m, before[m.Name]), shard, m.free})
+		candidates = append(candidates, restCandidate{m, c.cache.restPrice(m, before[m.Name]), shard, m.free})
 	}
 	slices.SortStableFunc(candidates, func(a, b restCandidate) int {
 		return trueFirst(a.price < b.price, b.price < a.price)
@@ -217,7 +217,7 @@
 }
 
 // restPrice is the price by which machines are compared to choose those that rest.
-func (c *Controller) restPrice(m *machineState, rested bool) float64 {
+func (c *cache) restPrice(m *machineState, rested bool) float64 {
 	machineType := c.machineType(m.Type)
 	price := machineType.Price
 	if m.Spot {
@@ -251,7 +251,7 @@
 		}
 		shard := ""
 		if isLarge && work.job != nil && !largeArray(work.spec) {
-			shard = c.shardOf(work.job)
+			shard = c.cache.shardOf(work.job)
 		}
 		wanted[shard] = wanted[shard].Plus(work.spec.Request, int64(work.tasks))
 	}
@@ -316,7 +316,7 @@
 		}
 		w := shardWork{spec: work.spec, left: int64(work.tasks)}
 		if isLarge {
-			w.shard = c.shardOf(work.job)
+			w.shard = c.cache.shardOf(work.job)
 		}
 		c.packAmong(candidates, &w, false)
 		c.packAmong(candidates, &w, true)
@@ -332,7 +332,7 @@
 		}
 		candidate := &candidates[i]
 		m := candidate.machine
-		if c.scaling.resting[m.Name] != resting || candidate.shard != w.shard || !c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
+		if c.scaling.resting[m.Name] != resting || candidate.shard != w.shard || !allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
 		n := candidate.free.CountFitting(w.spec.Request, w.left)
@@ -353,7 +353,7 @@
 	}
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
-		if !c.machineTypeFits(sp, machineType) {
+		if !machineTypeFits(sp, machineType) {
 			continue
 		}
 		toStart := machineType.BootSeconds + sp.ImageGB/max(machineType.FetchGBPerS, 0.01)
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -9,15 +9,15 @@
 )
 
 // recordRunTime keeps smoothed run times per machine, class and type.
-func (c *Controller) recordRunTime(m *Machine, sp *domain.JobSpec, run float64) {
+func (q *queues) recordRunTime(m *Machine, sp *domain.JobSpec, run float64) {
 	if run <= 0 || math.IsNaN(run) {
 		return
 	}
 	m.runTime.add(run)
-	if c.queues.runTimeRatios[sp.Class] == nil {
-		c.queues.runTimeRatios[sp.Class] = &smoothedValue{}
+	if q.runTimeRatios[sp.Class] == nil {
+		q.runTimeRatios[sp.Class] = &smoothedValue{}
 	}
-	c.queues.runTimeRatios[sp.Class].add(run / max(sp.EstimatedRuntime, 1))
+	q.runTimeRatios[sp.Class].add(run / max(sp.EstimatedRuntime, 1))
 }
 
 // smoothedValue is a smoothed value.
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -233,7 +233,7 @@
 		}
 		slot := &plan.there[i]
 		m := slot.machine
-		if !c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
+		if !allowsMachine(w.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
 			continue
 		}
 		n := w.fitting(roomBeside(slot.free, slot.preemptible, preemptible(w.spec)), m.Zone)
@@ -249,7 +249,7 @@
 			return
 		}
 		p := &plan.planned[i]
-		if !c.allowsMachine(w.spec, p.kind.machineType, p.kind.zone, p.kind.spot) {
+		if !allowsMachine(w.spec, p.kind.machineType, p.kind.zone, p.kind.spot) {
 			continue
 		}
 		n := w.fitting(p.free, p.kind.zone)
@@ -261,7 +261,7 @@
 // creditTurnover leaves work to the slots that fall free soon, unless it needs a whole machine
 // or its job waits for too long.
 func (c *Controller) creditTurnover(plan *scaleOutPlan, w *unplacedWork) {
-	if reservesMachines(w.spec) || w.job != nil && c.isStarving(w.job, c.placementOf(w.job, nil)) {
+	if reservesMachines(w.spec) || w.job != nil && c.isStarving(w.job, placementOf(w.job, nil)) {
 		return
 	}
 	n := min(w.left, int64(plan.turnoverCredit))
@@ -276,7 +276,7 @@
 		if !ok {
 			return
 		}
-		capacity := c.machineType(kind.machineType).Capacity
+		capacity := c.cache.machineType(kind.machineType).Capacity
 		n := max(w.fitting(capacity, kind.zone), 1)
 		plan.planned = append(plan.planned, plannedMachine{kind, capacity.Plus(w.spec.Request, -n)})
 		w.take(kind.zone, n)
@@ -347,7 +347,7 @@
 	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
-		if !c.machineTypeFits(sp, machineType) {
+		if !machineTypeFits(sp, machineType) {
 			continue
 		}
 		tasks := float64(machineType.Capacity.CountFitting(sp.Request, int64(max(n, 1))))
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -182,11 +182,11 @@
 		if m.cordon.State == domain.CordonGone {
 			continue
 		}
-		machineType := c.machineType(m.Type)
+		machineType := c.cache.machineType(m.Type)
 		if machineType == nil {
 			continue
 		}
-		m.free = c.freeOn(name, machineType.Capacity, nil)
+		m.free = c.cache.freeOn(name, machineType.Capacity, nil)
 		m.tasks = len(c.cache.bookedOn[name])
 		machines = append(machines, *m)
 	}
@@ -354,7 +354,7 @@
 // isStuck tells whether a machine boots for too long, or is unheard for too long.
 func (c *Controller) isStuck(m *machineState) bool {
 	s := &c.scaling
-	bootPatience := time.Duration(tuning.BootPatience * c.machineType(m.Type).BootSeconds * float64(time.Second))
+	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
 	if m.Status == instanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
 		return true
 	}
@@ -390,7 +390,7 @@
 func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
-		if work.zones.left(m.Zone, int64(work.tasks)) > 0 && c.allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
+		if work.zones.left(m.Zone, int64(work.tasks)) > 0 && allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
 			return true
 		}
 	}
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -50,7 +50,7 @@
 		id, _, _ := strings.Cut(name, "/")
 		return c.shrinkChunk(d, key, c.cache.jobs[id])
 	case codec.KindPack:
-		if c.packShard(name) != c.cfg.Node {
+		if c.cache.packShard(name) != c.cfg.Node {
 			return false
 		}
 		if c.cache.oversized[key] {
@@ -62,12 +62,12 @@
 }
 
 // packShard is the shard that cares for a pack.
-func (c *Controller) packShard(pack string) string {
+func (c *cache) packShard(pack string) string {
 	shard, _, _ := strings.Cut(pack, "/")
-	if slices.Contains(c.cache.view.Serving, shard) {
+	if slices.Contains(c.view.Serving, shard) {
 		return shard
 	}
-	return rendezvous(pack, c.cache.view.Serving)
+	return rendezvous(pack, c.view.Serving)
 }
 
 // shrinkChunk splits a chunk. A value that no job keeps its tasks in any more, since it was
@@ -80,7 +80,7 @@
 				continue
 			}
 			inUse = true
-			if c.shardOf(j) == c.cfg.Node && c.splitCell(d, j, i) {
+			if c.cache.shardOf(j) == c.cfg.Node && c.splitCell(d, j, i) {
 				return true
 			}
 		}
@@ -98,7 +98,7 @@
 		d.rewrite(key) // without what left it
 		return true
 	}
-	for _, j := range c.longestTexts(pack) {
+	for _, j := range c.cache.longestTexts(pack) {
 		if c.moveOrSplit(d, key, j, slog.LevelInfo) {
 			return true
 		}
@@ -109,7 +109,7 @@
 // relieveFullPack moves the job with the longest text out of a pack that had no room for a
 // booking, or splits it if it is alone there.
 func (c *Controller) relieveFullPack(d *draft, key, pack string) (planned bool) {
-	jobs := c.longestTexts(pack)
+	jobs := c.cache.longestTexts(pack)
 	if c.cache.valueSizes[key] < c.cfg.ValueLimit/2 {
 		return false // it has room again
 	}
@@ -131,8 +131,8 @@
 }
 
 // longestTexts are the jobs of a pack that have tasks in it, the longest texts first.
-func (c *Controller) longestTexts(pack string) []*Job {
-	jobs := c.cache.jobsByPack[pack]
+func (c *cache) longestTexts(pack string) []*Job {
+	jobs := c.jobsByPack[pack]
 	bytes := map[string]int{}
 	for id, j := range jobs {
 		if j.Tasks != nil {
@@ -189,7 +189,7 @@
 		return pack, true
 	}
 	c := d.c
-	need := c.textBytes(j) + len(j.ID) + 3*tuning.TaskBytes
+	need := c.cache.textBytes(j) + len(j.ID) + 3*tuning.TaskBytes
 	if need > c.cfg.ValueLimit-2*tuning.PackSlack {
 		return "", false // it would take a whole pack, and soon not fit that
 	}
@@ -254,7 +254,7 @@
 		d.bytes += d.c.valueBytes(key)
 		d.rewrite(key)
 	}
-	d.growth[key] += d.c.textBytes(j) + len(j.ID) + 8
+	d.growth[key] += d.c.cache.textBytes(j) + len(j.ID) + 8
 	d.copyCell(j, 0) // a pack holds all tasks of a job
 }
 
@@ -282,7 +282,7 @@
 	if dropsSource {
 		room--
 	}
-	if !c.draftCells(d, j, split, room) {
+	if !c.cache.draftCells(d, j, split, room) {
 		return true // the rest, and the header, come with later commits
 	}
 	if dropsSource {
@@ -318,7 +318,7 @@
 		split.header.DoneTasks += doneTasks(tasks)
 		split.cells = append(split.cells, domain.Put{
 			Key:   codec.KeyCell(j.ID, chunk, cell),
-			Value: codec.Encode(c.chunkOf(map[string][]domain.Task{j.ID: tasks})),
+			Value: codec.Encode(c.cache.chunkOf(map[string][]domain.Task{j.ID: tasks})),
 		})
 	}
 	return split
@@ -335,14 +335,14 @@
 
 // draftCells puts the cells that are not written yet into the draft, as many as there is room
 // for. It tells whether that was all of them.
-func (c *Controller) draftCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
+func (c *cache) draftCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
 	complete = true
-	lastChange := max(c.cache.modRevisions[split.source], c.cache.modRevisions[codec.KeyJob(j.ID)])
+	lastChange := max(c.modRevisions[split.source], c.modRevisions[codec.KeyJob(j.ID)])
 	for _, cell := range split.cells {
 		// Written already if it is there since source and header last changed. The
 		// commit that names the cells is conditional on those two: then no late one
 		// of these can have changed a cell meanwhile, and conditions are few.
-		if len(split.cells) > room && c.cache.modRevisions[cell.Key] > lastChange {
+		if len(split.cells) > room && c.modRevisions[cell.Key] > lastChange {
 			continue
 		}
 		if len(d.rawPuts) >= room {
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -52,7 +52,7 @@
 	}
 	c.planner.jobHandovers[j.ID] = to
 	c.planner.dirty = true
-	c.peers.byName[to].addLoad(c.runTime(spec) * float64(j.Header.TaskCount))
+	c.peers.byName[to].addLoad(c.queues.runTime(spec) * float64(j.Header.TaskCount))
 	return true
 }
 
@@ -60,7 +60,7 @@
 func (p *placing) couldRun(spec *domain.JobSpec) bool {
 	for i := range p.targets {
 		t := &p.targets[i]
-		if t.machineType.Capacity.Fits(spec.Request) && p.c.allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) {
+		if t.machineType.Capacity.Fits(spec.Request) && allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) {
 			return true
 		}
 	}
@@ -94,10 +94,10 @@
 
 // peerMachineFits tells whether a peer's machine, were it empty, could take a task of the job.
 func (c *Controller) peerMachineFits(m *PeerMachine, spec *domain.JobSpec) bool {
-	machineType := c.machineType(m.Type)
+	machineType := c.cache.machineType(m.Type)
 	return machineType != nil && !m.Leaving && c.cache.cordons[m.Name].State == "" &&
 		machineType.Capacity.Fits(spec.Request) &&
-		c.allowsMachine(spec, m.Type, m.Zone, m.Spot) && !c.isReserved(m.Name)
+		allowsMachine(spec, m.Type, m.Zone, m.Spot) && !c.isReserved(m.Name)
 }
 
 // canStart tells whether a queued task would fit the machine right now.
@@ -107,7 +107,7 @@
 		return false
 	}
 	spec := j.Header.Spec
-	return free.Fits(spec.Request) && c.allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
+	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
 		withinLimit(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
@@ -128,7 +128,7 @@
 		if len(m.queue) > 0 {
 			continue
 		}
-		if free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil); free.CPU != 0 {
+		if free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil); free.CPU != 0 {
 			c.stealTo(m, free, from)
 		}
 	}
@@ -151,7 +151,7 @@
 
 // isBehind tells whether the tasks in a machine's queue need more than what is free there.
 func (c *Controller) isBehind(m *Machine) bool {
-	free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
+	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	for _, id := range m.queue {
 		if !c.queues.isIn(id, m) {
 			continue
@@ -192,7 +192,7 @@
 // firstToSteal is the first task in a machine's queue that can't start there at once, but
 // could on an idle machine with that much free.
 func (c *Controller) firstToSteal(from, to *Machine, freeThere domain.Resources) (domain.TaskID, bool) {
-	free := c.freeOn(from.Name, c.machineType(from.Type).Capacity, nil)
+	free := c.cache.freeOn(from.Name, c.cache.machineType(from.Type).Capacity, nil)
 	for _, id := range from.queue {
 		if !c.queues.isIn(id, from) {
 			continue
@@ -240,7 +240,7 @@
 		if len(m.queue) > 0 || sent >= tuning.MaxStealRequests {
 			continue
 		}
-		free := c.freeOn(m.Name, c.machineType(m.Type).Capacity, nil)
+		free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 		offers := c.shardsToAsk(work, m, free)
 		k := c.draw(&c.learner.steals, offers)
 		if k < 0 {
@@ -286,7 +286,7 @@
 	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
 		if task := j.task(i); task.State == domain.Queued {
 			seen++
-			shards[c.taskShard(j, task)] = true
+			shards[c.cache.taskShard(j, task)] = true
 		}
 	}
 	delete(shards, c.cfg.Node)
@@ -297,7 +297,7 @@
 func (c *Controller) shardsToAsk(work []stealableWork, m *Machine, free domain.Resources) []policy.Choice {
 	shards := map[string]bool{}
 	for _, w := range work {
-		if free.Fits(w.spec.Request) && c.allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
+		if free.Fits(w.spec.Request) && allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
 			maps.Copy(shards, w.shards)
 		}
 	}
@@ -337,7 +337,7 @@
 
 // allows tells whether the peer's machine may run tasks of a job.
 func (s *stealAnswer) allows(spec *domain.JobSpec) bool {
-	return s.c.allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
+	return allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
 }
 
 // giveJobs gives whole jobs of which the peer has room for at least half.
@@ -366,7 +366,7 @@
 	if placedByLeader(spec) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
 		return false
 	}
-	return c.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
+	return c.cache.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
 }
 
 // giveUnplaced gives tasks that are in no queue yet.
@@ -378,7 +378,7 @@
 		}
 		for i := 0; i < j.Header.TaskCount; i++ {
 			id := domain.TaskID{Job: j.ID, Index: i}
-			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.taskShard(j, task) == c.cfg.Node {
+			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.cache.taskShard(j, task) == c.cfg.Node {
 				s.give(id)
 			}
 		}
@@ -388,13 +388,13 @@
 // giveQueued gives tasks that can't start at once on the machine in whose queue they are.
 func (s *stealAnswer) giveQueued() {
 	c := s.c
-	for _, name := range c.machineNames() {
+	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		machineType := c.machineType(m.Type)
+		machineType := c.cache.machineType(m.Type)
 		if len(m.queue) == 0 || machineType == nil {
 			continue
 		}
-		free := c.freeOn(name, machineType.Capacity, nil)
+		free := c.cache.freeOn(name, machineType.Capacity, nil)
 		for _, id := range m.queue {
 			if !c.queues.isIn(id, m) {
 				continue
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -17,7 +17,7 @@
 	c.cache.view.Serving = []string{"c-0", "c-1"}
 	c.cache.view.OwnerOverrides = map[string]string{}
 	for i := 0; i < machines; i++ {
-		m := c.addMachine(fmt.Sprintf("n-%06d", i))
+		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
 		c.cache.view.OwnerOverrides[m.Name] = "c-0"
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 	}
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -35,7 +35,7 @@
 	if len(e.Spec.Dependencies) > 0 {
 		// Until all controllers know what dependencies are, one that doesn't might start
 		// the job; the user comes back.
-		if !c.formatOn() {
+		if !c.cache.formatOn() {
 			c.retryLater(e.RequestID, dependenciesNotYet)
 			return
 		}
@@ -87,7 +87,7 @@
 		return overTeamLimit
 	}
 	for i := range c.cache.machineTypes {
-		if c.machineTypeFits(spec, &c.cache.machineTypes[i]) {
+		if machineTypeFits(spec, &c.cache.machineTypes[i]) {
 			return ""
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 // machineTypeFits tells whether a task of the job can run on an empty machine of the type.
-func (c *Controller) machineTypeFits(spec *domain.JobSpec, t *domain.MachineType) bool {
+func machineTypeFits(spec *domain.JobSpec, t *domain.MachineType) bool {
 	if !t.Capacity.Fits(spec.Request) || spec.ImageGB > t.ImageCacheGB && t.ImageCacheGB > 0 {
 		return false
 	}
@@ -167,12 +167,12 @@
 
 // checkDependencies judges the named jobs by the cache and by found, the headers that the
 // cache may lack.
-func (c *Controller) checkDependencies(named []string, found map[string]*codec.JobHeader) dependencyCheck {
+func (c *cache) checkDependencies(named []string, found map[string]*codec.JobHeader) dependencyCheck {
 	ids := slices.Clone(named)
 	slices.Sort(ids)
 	var check dependencyCheck
 	for _, id := range slices.Compact(ids) {
-		j := c.cache.jobs[id]
+		j := c.jobs[id]
 		if h := found[id]; j == nil && h != nil {
 			j = &Job{ID: id, Header: h}
 		}
@@ -193,7 +193,7 @@
 // accept takes a submission that names jobs; found are the headers of those that the cache
 // may lack, as the state service had them a moment ago.
 func (c *Controller) accept(e JobSubmitted, found map[string]*codec.JobHeader) {
-	check := c.checkDependencies(e.Spec.Dependencies, found)
+	check := c.cache.checkDependencies(e.Spec.Dependencies, found)
 	if check.refusal != "" {
 		c.refuse(e.RequestID, 422, e.ID, check.refusal)
 		return
@@ -240,9 +240,9 @@
 
 // newHeader is that of a new job, which keeps spec.
 func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
-	spec.MachineTypes = c.knownTypes(spec.MachineTypes)
+	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
 	h := &codec.JobHeader{State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount, Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1}
-	if c.formatOn() {
+	if c.cache.formatOn() {
 		h.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked at once, so its chunks have room for all of
@@ -265,7 +265,7 @@
 // until others end (draft.room). False: the job needs values of its own.
 func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
 	each := tuning.BookedBytes
-	if c.formatOn() {
+	if c.cache.formatOn() {
 		each = tuning.BookedBytesShort
 	}
 	cost := func(tasks int) int { return tuning.TaskBytes + tasks*each }
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -26,12 +26,12 @@
 
 // newTarget looks at a machine as it is.
 func (c *Controller) newTarget(m *Machine) target {
-	machineType := c.machineType(m.Type)
+	machineType := c.cache.machineType(m.Type)
 	return target{
 		machine:       m,
 		machineType:   machineType,
 		load:          c.load(m),
-		free:          c.freeOn(m.Name, machineType.Capacity, nil),
+		free:          c.cache.freeOn(m.Name, machineType.Capacity, nil),
 		preemptible:   c.cache.occupancy[m.Name].preemptible.used,
 		queued:        int64(c.queues.length(m)),
 		pendingImages: c.imagesPending(m),
@@ -49,7 +49,7 @@
 func (c *Controller) setScarce(targets []target) {
 	var want, room domain.Resources
 	for _, j := range c.cache.openJobs {
-		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.shardOf(j) == c.cfg.Node {
+		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.cache.shardOf(j) == c.cfg.Node {
 			want = want.Plus(j.Header.Spec.Request, int64(j.counts.queued-j.queuedHere))
 		}
 	}
@@ -71,7 +71,7 @@
 // kindOf is the kind of a job's tasks. Those of a starving job wait in queues like all
 // others, or none of them might ever begin.
 func (c *Controller) kindOf(j *Job) taskKind {
-	return taskKind{j.Header.Spec.Request, preemptible(j.Header.Spec) && !c.isStarving(j, c.placementOf(j, nil))}
+	return taskKind{j.Header.Spec.Request, preemptible(j.Header.Spec) && !c.isStarving(j, placementOf(j, nil))}
 }
 
 // roomFor is the room that tasks of a kind can have on the machine.
@@ -121,7 +121,7 @@
 	c.Work.Targets += len(roomy)
 	for _, i := range roomy {
 		t := &p.targets[i]
-		if !c.allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) || t.machine.failedHere(j) {
+		if !allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) || t.machine.failedHere(j) {
 			continue
 		}
 		if cached && !t.hasImage(spec.Image) && !slices.Contains(t.pendingImages, spec.Image) {
@@ -144,7 +144,7 @@
 	}
 	choice.Load = t.load
 	choice.Cost = t.fetchCost(spec)
-	choice.Cost += p.c.packCost(t, spec, kind, cheapest)
+	choice.Cost += p.c.queues.packCost(t, spec, kind, cheapest)
 	return true
 }
 
@@ -164,7 +164,7 @@
 // packCost makes draws prefer fuller and cheaper machines among those where a task starts
 // at once: it runs as fast on any of them, but a machine that stays empty can
 // be returned, and a full one fetches each image once for many.
-func (c *Controller) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
+func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
 	slots := t.machineType.Capacity.CountFitting(spec.Request, 64)
 	room := t.roomFor(kind).CountFitting(spec.Request, 64) - t.queued
 	if room <= 0 || slots == 0 {
@@ -178,7 +178,7 @@
 		price = t.machineType.SpotPrice
 	}
 	dearness := min(price/float64(slots)/cheapest, tuning.MaxDearness)
-	return c.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(dearness-1))
+	return q.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(dearness-1))
 }
 
 // leastPrice is the least price of a slot for a task of the job.
@@ -186,7 +186,7 @@
 	cheapest := math.Inf(1)
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
-		if !c.machineTypeFits(spec, machineType) {
+		if !machineTypeFits(spec, machineType) {
 			continue
 		}
 		slots := float64(max(machineType.Capacity.CountFitting(spec.Request, 64), 1))
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -19,7 +19,7 @@
 			clear(m.failures)
 			j.failures, j.pausedUntil = 0, 0
 			if ran {
-				c.recordRunTime(m, sp, (c.now - startedAt).Seconds())
+				c.queues.recordRunTime(m, sp, (c.now - startedAt).Seconds())
 			}
 		case domain.CauseError:
 			c.recordTaskError(m, j)
@@ -29,7 +29,7 @@
 			j.failures++
 			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.MaxErrorPause))
 		}
-		c.recordFinish(m)
+		c.learner.recordFinish(m)
 	})
 }
 
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -52,12 +52,12 @@
 		isOwed := guarantee != (domain.Resources{}) && withinLimit(withJob, guarantee) && c.age(j) <= c.cfg.GuaranteeWithin
 		// Moore and Hodgson's rule lets the jobs with the most work give way; none of them
 		// may do so for ever.
-		isOwed = c.isStarving(j, c.placementOf(j, nil)) || isOwed
+		isOwed = c.isStarving(j, placementOf(j, nil)) || isOwed
 		jobs = append(jobs, &urgent{
 			job:             j,
 			withinGuarantee: isOwed,
-			run:             c.runTime(spec) + tuning.StartLag,
-			work:            float64(j.counts.queued) * c.runTime(spec) / c.slots(spec),
+			run:             c.queues.runTime(spec) + tuning.StartLag,
+			work:            float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
 			goals:           c.goals(j),
 		})
 	}
@@ -88,7 +88,7 @@
 	c.inventory() // brings machinesByKind up to date
 	n := int64(0)
 	for kind, count := range c.peers.machinesByKind {
-		if f := c.machineType(kind.machineType); f != nil && c.allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
+		if f := c.cache.machineType(kind.machineType); f != nil && allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
 			n += count * f.Capacity.CountFitting(spec.Request, 64)
 		}
 	}
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -27,7 +27,7 @@
 
 // mayShrinkValues tells whether values over the smaller bound are to be written smaller: once
 // all controllers read what comes of it, or when they can't be written any more as they are.
-func (c *Controller) mayShrinkValues() bool { return c.formatOn() || c.formats.limitsFell }
+func (c *Controller) mayShrinkValues() bool { return c.cache.formatOn() || c.formats.limitsFell }
 
 // recordRefusal learns from a refused transaction that the limits fell.
 func (c *Controller) recordRefusal(t domain.Transaction) {
@@ -56,12 +56,12 @@
 }
 
 // chunkOf makes the value of some jobs' tasks, by job, in the form that all controllers read.
-func (c *Controller) chunkOf(tasksByJob map[string][]domain.Task) *codec.ChunkValue {
+func (c *cache) chunkOf(tasksByJob map[string][]domain.Task) *codec.ChunkValue {
 	return codec.NewChunkValue(tasksByJob, c.formatOn())
 }
 
 // textBytes is what a job's tasks take in a value.
-func (c *Controller) textBytes(j *Job) int {
+func (c *cache) textBytes(j *Job) int {
 	if j.Tasks == nil {
 		return 0
 	}
@@ -84,7 +84,7 @@
 			live[id] = j.Tasks
 		}
 	}
-	return len(codec.Encode(c.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
+	return len(codec.Encode(c.cache.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
 }
 
 // encodeWindow leaves out loads evenly until a window's record fits its value: the
@@ -114,7 +114,7 @@
 		return
 	}
 	spec := *h.Spec
-	spec.MachineTypes = c.knownTypes(spec.MachineTypes)
+	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
 	spec.Class = spec.Class[:min(len(spec.Class), tuning.NameBytes)]
 	spec.Image = spec.Image[:min(len(spec.Image), tuning.NameBytes)]
 	h.Spec = &spec
@@ -127,8 +127,8 @@
 
 // knownTypes are those of a long list that exist; of none of them, one that doesn't,
 // since an empty list would allow all.
-func (c *Controller) knownTypes(names []string) []string {
-	if len(names) < manyMachineTypes || len(c.cache.machineTypes) == 0 {
+func (c *cache) knownTypes(names []string) []string {
+	if len(names) < manyMachineTypes || len(c.machineTypes) == 0 {
 		return names
 	}
 	var known []string
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -19,7 +19,7 @@
 	if !zoneBound(j.Header.Spec) {
 		return map[string]int{}
 	}
-	return c.bookedZones(j, d)
+	return bookedZones(j, d)
 }
 
 // zoneAllowance is how many further tasks of a job may go to each zone; nil: any number
@@ -51,7 +51,7 @@
 	if !zoneBound(sp) || sp.Shape == domain.Array {
 		return nil
 	}
-	booked, allowed := c.bookedZones(j, nil), zoneAllowance{}
+	booked, allowed := bookedZones(j, nil), zoneAllowance{}
 	if sp.OneZone {
 		if zone, ok := c.chooseZone(sp, int64(n), machines, oneZoneChoices(booked, c.cfg.Zones)); ok {
 			allowed[zone] = int64(n)
@@ -90,7 +90,7 @@
 	room := map[string]int64{}
 	for i := range machines {
 		m := &machines[i]
-		if m.cordon.State == "" && c.allowsMachine(sp, m.Type, m.Zone, m.Spot) {
+		if m.cordon.State == "" && allowsMachine(sp, m.Type, m.Zone, m.Spot) {
 			room[m.Zone] += m.free.CountFitting(sp.Request, n)
 		}
 	}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -31,7 +31,7 @@
 	for i := 0; i < 2000; i++ {
 		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
 		if o := c.ownerIn(n, z); o == "c-0" {
-			c.recordHeartbeat(c.addMachine(n), &domain.Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+			c.recordHeartbeat(c.heartbeats.addMachine(n), &domain.Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		} else {
 			if c.peers.byName[o] == nil {
 				c.peers.byName[o] = &peerState{fits: map[fitKey]bool{}}
@@ -156,7 +156,7 @@
 // in four seconds.
 func TestOverridesArePaced(t *testing.T) {
 	c := largeFleetLeader()
-	lost := func(tally uint64) {
+	loseMachines := func() {
 		n := 0
 		for i := 0; n < 5 && i < 2000; i++ {
 			m := fmt.Sprintf("n-%06d", i)
@@ -168,7 +168,7 @@
 	}
 	views := 0
 	for i := 0; i < 24; i++ {
-		lost(uint64(i))
+		loseMachines()
 		if v := c.desiredView(); v != nil {
 			v.Epoch = c.cache.view.Epoch + 1
 			c.adoptView(v)
@@ -186,7 +186,7 @@
 // reached by nothing and returned.
 func TestHeldReportsAreNoSign(t *testing.T) {
 	c := largeFleetLeader()
-	m := c.heartbeats.machines[c.machineNames()[0]]
+	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
 		r := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
@@ -243,7 +243,7 @@
 // on a machine of its own; it returns the revision.
 func (c *Controller) ended(packs ...string) uint64 {
 	var mine []string
-	for _, n := range c.machineNames() {
+	for _, n := range c.heartbeats.machineNames() {
 		if c.owns(n) && len(mine) < len(packs) {
 			mine = append(mine, n)
 		}
