--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -14,24 +14,24 @@
 )
 
 // newView notices a change of leader: kept reports reach every controller then.
-func (w *Cluster) newView(value []byte) {
+func (c *Cluster) noticeLeader(value []byte) {
 	var v domain.View
-	if json.Unmarshal(value, &v) != nil || v.Leader == w.leader {
+	if json.Unmarshal(value, &v) != nil || v.Leader == c.leader {
 		return
 	}
-	if w.leader != "" {
-		w.came("new leader")
+	if c.leader != "" {
+		c.occurred("new leader")
 	}
-	w.leader = v.Leader
-	kept := w.kept
-	w.kept = nil
+	c.leader = v.Leader
+	kept := c.keptHeartbeats
+	c.keptHeartbeats = nil
 	for _, r := range kept {
-		for _, n := range w.nodes {
-			w.after(time.Duration(1+w.rng.IntN(400))*time.Millisecond, func() {
-				if k := w.worker(r.Machine); !k.gone && (r.AgentEpoch < k.shift || r.Sequence < k.tally) {
-					w.came("old report under a new leader")
+		for _, p := range c.processes {
+			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
+				if w := c.worker(r.Machine); !w.isGone && (r.AgentEpoch < w.agentEpoch || r.Sequence < w.sequence) {
+					c.occurred("old report under a new leader")
 				}
-				n.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
+				p.request(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
 			})
 		}
 	}
@@ -39,30 +39,30 @@
 
 // look asks all nodes about a job within milliseconds of news about it, again and
 // again, and submits it anew.
-func (w *Cluster) look(id string) {
-	t := w.jobs[id]
-	if !w.strikes("looks") || !t.asked {
+func (c *Cluster) lookClosely(id string) {
+	job := c.jobs[id]
+	if !c.strikes("looks") || !job.isSubmitted {
 		return
 	}
-	for _, n := range w.nodes {
+	for _, p := range c.processes {
 		for k := 0; k < 4; k++ {
-			w.after(time.Duration(w.rng.IntN(40*(k+1)))*time.Millisecond, func() {
-				w.userAt(n, func(n *node, done func(scheduler.Effect)) {
+			c.after(time.Duration(c.rng.IntN(40*(k+1)))*time.Millisecond, func() {
+				c.requestAt(p, func(p *controllerProcess, done func(scheduler.Effect)) {
 					if k == 3 {
-						sp := t.spec
+						sp := job.spec
 						sp.TaskCount++ // whatever the other fields say now
-						n.ask(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: &sp} }, done)
+						p.request(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: &sp} }, done)
 						return
 					}
-					n.ask(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
+					p.request(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
 				}, func(u scheduler.UserReply, asked time.Duration) {
 					if u.Status == 200 {
-						w.came("answer to a close look")
+						c.occurred("answer to a close look")
 					}
 					if u.Status == 201 {
-						w.broke("taken", "%s accepted twice", id)
+						c.violated("taken", "%s accepted twice", id)
 					}
-					w.judge(id, u, asked)
+					c.checkReply(id, u, asked)
 				})
 			})
 		}
@@ -71,24 +71,24 @@
 
 // odd sends, once a second, a job that fits no machine or lacks a field, repeats
 // a submission with other fields, and cancels a job that is done.
-func (w *Cluster) odd() {
-	if !w.strikes("odd") {
+func (c *Cluster) submitOddRequests() {
+	if !c.strikes("odd") {
 		return
 	}
-	w.after(time.Second, w.odd)
+	c.after(time.Second, c.submitOddRequests)
 	ask := func(id string, ev func(r uint64) scheduler.Event, done func(scheduler.UserReply)) {
-		w.user(func(n *node, f func(scheduler.Effect)) { n.ask(ev, f) }, func(u scheduler.UserReply, asked time.Duration) {
-			w.judge(id, u, asked)
+		c.requestAnywhere(func(p *controllerProcess, f func(scheduler.Effect)) { p.request(ev, f) }, func(u scheduler.UserReply, asked time.Duration) {
+			c.checkReply(id, u, asked)
 			done(u)
 		})
 	}
-	w.fed++
-	id := fmt.Sprintf("job-7%06d", w.fed)
+	c.generatedJobs++
+	id := fmt.Sprintf("job-7%06d", c.generatedJobs)
 	sp := domain.JobSpec{ID: id, Class: "odd", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 5}
 	spec, want := &sp, 422
-	switch w.fed % 4 {
+	switch c.generatedJobs % 4 {
 	case 0:
-		sp.Request.GPU = size.GPU + 1
+		sp.Request.GPU = machineCapacity.GPU + 1
 	case 1:
 		sp.Team = "none"
 	case 2:
@@ -96,41 +96,41 @@
 	case 3:
 		spec, want = nil, 400
 	}
-	w.jobs[id] = &truth{spec: sp, done: map[int]bool{}, cancelAt: -1, readyAt: -1, wrong: true}
+	c.jobs[id] = &jobRecord{spec: sp, done: map[int]bool{}, cancelToldAt: -1, readyAt: -1, isInvalid: true}
 	ask(id, func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: spec} }, func(u scheduler.UserReply) {
 		if u.Status == want {
-			w.came("odd submission refused")
+			c.occurred("odd submission refused")
 		} else if u.Status >= 400 && u.Status < 500 {
-			w.broke("refused", "%s got %d, not %d", id, u.Status, want)
+			c.violated("refused", "%s got %d, not %d", id, u.Status, want)
 		}
 	})
-	for _, id := range w.ids() {
-		t := w.jobs[id]
-		if !t.accepted || t.told == "cancelled" || w.rng.IntN(4) != 0 {
+	for _, id := range c.jobIDs() {
+		job := c.jobs[id]
+		if !job.accepted || job.finalState == "cancelled" || c.rng.IntN(4) != 0 {
 			continue
 		}
-		if t.told == "done" {
-			ask(id, func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, func(scheduler.UserReply) { w.came("done job cancelled") })
+		if job.finalState == "done" {
+			ask(id, func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, func(scheduler.UserReply) { c.occurred("done job cancelled") })
 			continue
 		}
-		again := t.spec
-		again.Request.GPU = size.GPU + 1 // a repeat is known by its id alone
+		again := job.spec
+		again.Request.GPU = machineCapacity.GPU + 1 // a repeat is known by its id alone
 		ask(id, func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: id, Spec: &again} }, func(u scheduler.UserReply) {
 			if u.Status == 200 {
-				w.came("repeat answered")
+				c.occurred("repeat answered")
 			}
 		})
 	}
 }
 
-func (w *Cluster) ids() []string { return sorted(w.jobs) }
+func (c *Cluster) jobIDs() []string { return sorted(c.jobs) }
 
 // onMachines counts a job's tasks on machines.
-func (w *Cluster) onMachines(job string) int {
+func (c *Cluster) onMachines(job string) int {
 	n := 0
-	for _, k := range w.workers {
-		for id, x := range k.tasks {
-			if id.Job == job && x.on() && !k.gone {
+	for _, w := range c.workers {
+		for id, x := range w.tasks {
+			if id.Job == job && x.isOnMachine() && !w.isGone {
 				n++
 			}
 		}
@@ -140,26 +140,26 @@
 
 // callOff cancels n running jobs within a fifth of a second; up to eight of the
 // machines that run them hang.
-func (w *Cluster) callOff(n int, hang time.Duration) {
+func (c *Cluster) cancelRunningJobs(n int, hang time.Duration) {
 	hung := 0
-	for _, id := range w.ids() {
-		t := w.jobs[id]
+	for _, id := range c.jobIDs() {
+		job := c.jobs[id]
 		var on []*worker
-		for _, k := range w.workers {
-			for _, x := range k.ids() {
-				if x.Job == id && k.tasks[x].on() && !k.gone {
-					on = append(on, k)
+		for _, w := range c.workers {
+			for _, x := range w.taskIDs() {
+				if x.Job == id && w.tasks[x].isOnMachine() && !w.isGone {
+					on = append(on, w)
 					break
 				}
 			}
 		}
-		if n == 0 || len(on) == 0 || t.cancelAsk || t.told != "" || !t.accepted {
+		if n == 0 || len(on) == 0 || job.cancelRequested || job.finalState != "" || !job.accepted {
 			continue
 		}
 		n--
-		w.came("running job called off")
-		w.after(time.Duration(w.rng.IntN(200))*time.Millisecond, func() { w.Abort(id) })
-		if hang > 0 && hung < 8 && !on[0].hung {
+		c.occurred("running job called off")
+		c.after(time.Duration(c.rng.IntN(200))*time.Millisecond, func() { c.Cancel(id) })
+		if hang > 0 && hung < 8 && !on[0].isHung {
 			hung++
 			on[0].hang(hang)
 		}
@@ -167,15 +167,15 @@
 }
 
 // roomOn is how many tasks of a job a machine still has room for.
-func (k *worker) roomOn(sp *domain.JobSpec) int64 {
-	if k.gone || !k.up || k.hung || k.sick || k.recall >= 0 || k.w.Now < k.deafTill || k.w.Now < k.muteTill ||
-		k.spot && !sp.Spot || sp.Zone != "" && sp.Zone != k.zone {
+func (w *worker) roomFor(sp *domain.JobSpec) int64 {
+	if w.isGone || !w.isUp || w.isHung || w.isSick || w.preemptedAt >= 0 || w.cluster.Now < w.deafUntil || w.cluster.Now < w.muteUntil ||
+		w.spot && !sp.Spot || sp.Zone != "" && sp.Zone != w.zone {
 		return 0
 	}
-	free := size
-	for id, x := range k.tasks {
+	free := machineCapacity
+	for id, x := range w.tasks {
 		if x.state != domain.ReportedEnded {
-			free = free.Plus(k.w.jobs[id.Job].spec.Request, -1)
+			free = free.Plus(w.cluster.jobs[id.Job].spec.Request, -1)
 		}
 	}
 	return free.CountFitting(sp.Request, int64(sp.TaskCount))
@@ -184,59 +184,59 @@
 // checkRoom: once all troubles are over, no job is left waiting for 90 s while
 // machines that fit have room for it all the time and its team is under its limit.
 // Wide worlds are left out.
-func (w *Cluster) checkRoom() {
-	if len(w.workers) > tuning.LargeFleetMachines {
+func (c *Cluster) checkLeftWaiting() {
+	if len(c.workers) > tuning.LargeFleetMachines {
 		return
 	}
 	used, there := map[string]domain.Resources{}, map[string]zoneCount{}
-	for _, k := range w.workers {
-		if k.gone {
+	for _, w := range c.workers {
+		if w.isGone {
 			continue
 		}
-		for _, id := range k.ids() {
-			if x := k.tasks[id]; x.state != domain.ReportedEnded {
-				sp := w.jobs[id.Job].spec
+		for _, id := range w.taskIDs() {
+			if x := w.tasks[id]; x.state != domain.ReportedEnded {
+				sp := c.jobs[id.Job].spec
 				used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 				if there[id.Job] == nil {
 					there[id.Job] = zoneCount{}
 				}
-				there[id.Job][k.zone]++
+				there[id.Job][w.zone]++
 			}
 		}
 	}
-	for _, id := range w.ids() {
-		t := w.jobs[id]
-		sp := &t.spec
+	for _, id := range c.jobIDs() {
+		job := c.jobs[id]
+		sp := &job.spec
 		at := 1
 		if sp.Shape == domain.Gang {
 			at = sp.TaskCount
 		}
-		lim := w.set.Teams[sp.Team].Limit
+		lim := c.settings.Teams[sp.Team].Limit
 		after := used[sp.Team].Plus(sp.Request, int64(at))
-		waits := t.accepted && t.told == "" && !t.cancelAsk && !t.mistake && w.allDone(t) && there[id].sum()+int64(len(t.done)) < int64(sp.TaskCount) &&
+		waits := job.accepted && job.finalState == "" && !job.cancelRequested && !job.failsEverywhere && c.dependenciesDone(job) && there[id].sum()+int64(len(job.done)) < int64(sp.TaskCount) &&
 			(sp.Shape != domain.Gang || there[id].sum() == 0) && (lim.GPU == 0 || after.GPU <= lim.GPU) && (lim.CPU == 0 || after.CPU <= lim.CPU)
 		if !waits {
-			delete(w.room, id)
+			delete(c.roomSince, id)
 			continue
 		}
-		if w.room[id] == nil {
-			w.room[id] = map[string]time.Duration{}
+		if c.roomSince[id] == nil {
+			c.roomSince[id] = map[string]time.Duration{}
 		}
 		long := zoneCount{}
-		for _, k := range w.workers {
-			n := k.roomOn(sp)
-			since, was := w.room[id][k.name]
+		for _, w := range c.workers {
+			n := w.roomFor(sp)
+			since, was := c.roomSince[id][w.name]
 			switch {
 			case n == 0:
-				delete(w.room[id], k.name)
+				delete(c.roomSince[id], w.name)
 			case !was:
-				w.room[id][k.name] = w.Now
-			case w.Now-max(since, w.calm) > 90*time.Second:
-				long[k.zone] += n
+				c.roomSince[id][w.name] = c.Now
+			case c.Now-max(since, c.calmSince) > 90*time.Second:
+				long[w.zone] += n
 			}
 		}
-		if long.usable(sp, there[id]) >= int64(at) && !t.reported(w, "left_waiting") {
-			w.broke("left_waiting", "%s waits beside room for it", id)
+		if long.usable(sp, there[id]) >= int64(at) && !job.reported(c, "left_waiting") {
+			c.violated("left_waiting", "%s waits beside room for it", id)
 		}
 	}
 }
@@ -269,36 +269,38 @@
 
 // checkServed: at the end of a day at least half of a class, of a team and of a
 // class's largest jobs has been served.
-func (w *Cluster) checkServed() {
+func (c *Cluster) checkServed() {
 	type share struct{ served, all int }
 	by := map[string]*share{}
 	largest := map[string]int{}
-	each := func(f func(id string, t *truth)) {
-		for _, id := range w.ids() {
-			if t := w.jobs[id]; t.accepted && !t.cancelAsk && !w.before(t, func(n *truth) bool { return n.cancelAsk }) {
-				f(id, t)
+	each := func(f func(id string, job *jobRecord)) {
+		for _, id := range c.jobIDs() {
+			if job := c.jobs[id]; job.accepted && !job.cancelRequested && !c.anyPrerequisite(job, func(earlier *jobRecord) bool { return earlier.cancelRequested }) {
+				f(id, job)
 			}
 		}
 	}
-	each(func(_ string, t *truth) { largest[t.spec.Class] = max(largest[t.spec.Class], t.spec.TaskCount) })
-	each(func(_ string, t *truth) {
-		keys := []string{"class " + t.spec.Class, "team " + t.spec.Team}
-		if 2*t.spec.TaskCount > largest[t.spec.Class] {
-			keys = append(keys, "largest of class "+t.spec.Class)
+	each(func(_ string, job *jobRecord) {
+		largest[job.spec.Class] = max(largest[job.spec.Class], job.spec.TaskCount)
+	})
+	each(func(_ string, job *jobRecord) {
+		keys := []string{"class " + job.spec.Class, "team " + job.spec.Team}
+		if 2*job.spec.TaskCount > largest[job.spec.Class] {
+			keys = append(keys, "largest of class "+job.spec.Class)
 		}
 		for _, k := range keys {
 			if by[k] == nil {
 				by[k] = &share{}
 			}
 			by[k].all++
-			if t.told == "done" || t.spec.Shape == domain.Service && t.begun {
+			if job.finalState == "done" || job.spec.Shape == domain.Service && job.hasBegun {
 				by[k].served++
 			}
 		}
 	})
 	for _, k := range sorted(by) {
 		if x := by[k]; 2*x.served < x.all {
-			w.broke("unserved", "%d of %d of %s", x.served, x.all, k)
+			c.violated("unserved", "%d of %d of %s", x.served, x.all, k)
 		}
 	}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -18,21 +18,21 @@
 	"brassglade/internal/domain"
 )
 
-type action struct {
-	at  time.Duration
-	seq int
-	f   func()
+type event struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type agenda []action
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
+	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].sequence < a[j].sequence
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(action)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	o := *a
 	x := o[len(o)-1]
 	*a = o[:len(o)-1]
@@ -45,84 +45,84 @@
 	Trace  []string // what happened, for people
 	Broken []string // rules that were broken
 
-	rng               *rand.Rand
-	set               scheduler.Settings
-	queue             agenda
-	seq               int
-	nodes             []*node
-	st                *service
-	cl                *provider
-	workers           []*worker
-	jobs              map[string]*truth
-	byName            map[string]*worker
-	fill              int               // machines a zone and kind that can be rented
-	marked            []string          // machines that nodes gave up, and why
-	smaller           int               // values that were brought to their new size
-	fed               int               // jobs that tests made
-	cuts              map[string]string // "a|b" -> drop or hold
-	held              map[string][]func()
-	zoneCut, zoneMode string // a zone cut off from everything, and how
-	zoneHeld          []func()
-	calm              time.Duration // when the last trouble so far is over
-	blind             bool          // tests of the checker: troubles are no excuse
-	opsNow            int           // changes a transaction may have until the limit falls; 0: as set
-	old               bool          // all nodes begin as the version before
-	spell             map[string]spell
-	met               map[string]int                      // what really came about, so that tests can tell that troubles met
-	kept              []domain.Heartbeat                  // old reports, kept for the next leader
-	leader            string                              // as the state service has it
-	room              map[string]map[string]time.Duration // since when a job waits beside room on a machine
+	rng                     *rand.Rand
+	settings                scheduler.Settings
+	events                  eventQueue
+	lastSequence            int
+	processes               []*controllerProcess
+	state                   *stateService
+	cloud                   *cloud
+	workers                 []*worker
+	jobs                    map[string]*jobRecord
+	workersByName           map[string]*worker
+	marketCapacity          int               // machines a zone and kind that can be rented
+	cordons                 []string          // machines that nodes gave up, and why
+	shrunkValues            int               // values that were brought to their new size
+	generatedJobs           int               // jobs that tests made
+	linkCuts                map[string]string // "a|b" -> drop or hold
+	heldOnLink              map[string][]func()
+	cutOffZone, zoneCutMode string // a zone cut off from everything, and how
+	heldAtZone              []func()
+	calmSince               time.Duration // when the last trouble so far is over
+	excusesNothing          bool          // tests of the checker: troubles are no excuse
+	initialTransactionLimit int           // changes a transaction may have until the limit falls; 0: as set
+	startsAsPreviousVersion bool          // all nodes begin as the version before
+	troubles                map[string]trouble
+	occurrences             map[string]int                      // what really came about, so that tests can tell that troubles met
+	keptHeartbeats          []domain.Heartbeat                  // old reports, kept for the next leader
+	leader                  string                              // as the state service has it
+	roomSince               map[string]map[string]time.Duration // since when a job waits beside room on a machine
 
 	// onEffect, if set, sees all that leaves the cores, as it leaves them.
-	onEffect func(*node, scheduler.Effect)
+	onEffect func(*controllerProcess, scheduler.Effect)
 
 	// Benchmarks only: the processor time of the controllers' steps.
-	timed       bool
+	timesSteps  bool
 	stepTime    time.Duration
 	longestStep time.Duration
 }
 
 // spell is a trouble that lasts for a while and strikes at a share.
-type spell struct {
-	till  time.Duration
+type trouble struct {
+	until time.Duration
 	share float64
-	by    time.Duration
+	delay time.Duration
 }
 
 // strikes tells whether a trouble is on and chance wills it.
-func (w *Cluster) strikes(name string) bool {
-	s, on := w.spell[name]
-	return on && w.Now < s.till && (s.share >= 1 || w.rng.Float64() < s.share)
+func (c *Cluster) strikes(name string) bool {
+	s, on := c.troubles[name]
+	return on && c.Now < s.until && (s.share >= 1 || c.rng.Float64() < s.share)
 }
 
 // came counts something that troubles brought about.
-func (w *Cluster) came(what string) {
-	w.met[what]++
+func (c *Cluster) occurred(what string) {
+	c.occurrences[what]++
 }
 
 // truth is what really became of a job.
-type truth struct {
-	spec       domain.JobSpec
-	run        time.Duration
-	done       map[int]bool
-	accepted   bool
-	asked      bool          // submitted by a user
-	cancelAsk  bool          // its user asked to cancel it
-	cancelAt   time.Duration // when told; < 0: not
-	told       string        // final state told
-	acceptedAt time.Duration
-	answered   time.Duration // when a question about it was last answered
-	begun      bool          // one of its tasks ran
-	toldAt     time.Duration
-	wrong      bool          // submitted wrongly on purpose
-	mistake    bool          // its tasks fail on every machine
-	readyAt    time.Duration // when all that it awaits was done; < 0: not yet
+type jobRecord struct {
+	spec            domain.JobSpec
+	runtime         time.Duration
+	done            map[int]bool
+	accepted        bool
+	isSubmitted     bool          // submitted by a user
+	cancelRequested bool          // its user asked to cancel it
+	cancelToldAt    time.Duration // when told; < 0: not
+	finalState      string        // final state told
+	acceptedAt      time.Duration
+	answeredAt      time.Duration // when a question about it was last answered
+	hasBegun        bool          // one of its tasks ran
+	finalStateAt    time.Duration
+	isInvalid       bool          // submitted wrongly on purpose
+	failsEverywhere bool          // its tasks fail on every machine
+	readyAt         time.Duration // when all that it awaits was done; < 0: not yet
 }
 
 // allDone tells whether all that a job awaits is done.
-func (w *Cluster) allDone(t *truth) bool {
-	for _, id := range t.spec.Dependencies {
-		if n := w.jobs[id]; n == nil || len(n.done) < n.spec.TaskCount {
+func (c *Cluster) dependenciesDone(job *jobRecord) bool {
+	for _, id := range job.spec.Dependencies {
+		if earlier := c.jobs[id]; earlier == nil || len(earlier.done) < earlier.spec.TaskCount {
 			return false
 		}
 	}
@@ -130,20 +130,20 @@
 }
 
 // before calls f for every job that must be done before one, until f says so.
-func (w *Cluster) before(t *truth, f func(*truth) bool) bool {
+func (c *Cluster) anyPrerequisite(job *jobRecord, f func(*jobRecord) bool) bool {
 	seen := map[string]bool{}
-	work := append([]string(nil), t.spec.Dependencies...)
+	work := append([]string(nil), job.spec.Dependencies...)
 	for len(work) > 0 {
 		id := work[len(work)-1]
 		work = work[:len(work)-1]
-		n := w.jobs[id]
-		if n == nil || seen[id] {
+		earlier := c.jobs[id]
+		if earlier == nil || seen[id] {
 			continue
 		}
-		if seen[id] = true; f(n) {
+		if seen[id] = true; f(earlier) {
 			return true
 		}
-		work = append(work, n.spec.Dependencies...)
+		work = append(work, earlier.spec.Dependencies...)
 	}
 	return false
 }
@@ -163,48 +163,50 @@
 }
 
 // New returns a world whose nodes start at time 0.
-func New(seed uint64, set scheduler.Settings) *Cluster { return newWorld(seed, set, 0, false) }
+func New(seed uint64, settings scheduler.Settings) *Cluster {
+	return newCluster(seed, settings, 0, false)
+}
 
-func newWorld(seed uint64, set scheduler.Settings, opsNow int, old bool) *Cluster {
-	w := &Cluster{
-		opsNow: opsNow, old: old,
-		rng: rand.New(rand.NewPCG(seed, 7)), set: set, jobs: map[string]*truth{},
-		cuts: map[string]string{}, held: map[string][]func(){}, byName: map[string]*worker{}, fill: 5,
-		spell: map[string]spell{}, met: map[string]int{}, room: map[string]map[string]time.Duration{},
+func newCluster(seed uint64, settings scheduler.Settings, opsNow int, old bool) *Cluster {
+	c := &Cluster{
+		initialTransactionLimit: opsNow, startsAsPreviousVersion: old,
+		rng: rand.New(rand.NewPCG(seed, 7)), settings: settings, jobs: map[string]*jobRecord{},
+		linkCuts: map[string]string{}, heldOnLink: map[string][]func(){}, workersByName: map[string]*worker{}, marketCapacity: 5,
+		troubles: map[string]trouble{}, occurrences: map[string]int{}, roomSince: map[string]map[string]time.Duration{},
 	}
-	w.st = newService(w)
-	w.cl = &provider{w: w, hires: map[string][]string{}, up: true}
-	for i, name := range set.Nodes {
-		n := &node{w: w, name: name, drift: 1 + 0.0005*float64(i-1), old: old}
-		w.nodes = append(w.nodes, n)
-		n.boot()
+	c.state = newStateService(c)
+	c.cloud = &cloud{cluster: c, rentals: map[string][]string{}, isUp: true}
+	for i, name := range settings.Nodes {
+		p := &controllerProcess{cluster: c, name: name, clockRate: 1 + 0.0005*float64(i-1), isPreviousVersion: old}
+		c.processes = append(c.processes, p)
+		p.boot()
 	}
-	return w
+	return c
 }
 
-func (w *Cluster) log(format string, a ...any) {
-	w.Trace = append(w.Trace, fmt.Sprintf("%7.2f ", w.Now.Seconds())+fmt.Sprintf(format, a...))
+func (c *Cluster) log(format string, a ...any) {
+	c.Trace = append(c.Trace, fmt.Sprintf("%7.2f ", c.Now.Seconds())+fmt.Sprintf(format, a...))
 }
 
-func (w *Cluster) broke(rule, format string, a ...any) {
+func (c *Cluster) violated(rule, format string, a ...any) {
 	s := rule + ": " + fmt.Sprintf(format, a...)
-	w.Broken = append(w.Broken, s)
-	w.log("BROKEN %s", s)
+	c.Broken = append(c.Broken, s)
+	c.log("BROKEN %s", s)
 }
 
-func (w *Cluster) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, action{w.Now + d, w.seq, f})
+func (c *Cluster) after(d time.Duration, f func()) {
+	c.lastSequence++
+	heap.Push(&c.events, event{c.Now + d, c.lastSequence, f})
 }
 
 // Run plays until the given time.
-func (w *Cluster) Run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		a := heap.Pop(&w.queue).(action)
-		w.Now = a.at
-		a.f()
+func (c *Cluster) Run(until time.Duration) {
+	for len(c.events) > 0 && c.events[0].at <= until {
+		a := heap.Pop(&c.events).(event)
+		c.Now = a.at
+		a.run()
 	}
-	w.Now = until
+	c.Now = until
 }
 
 func pair(a, b string) string {
@@ -215,30 +217,30 @@
 }
 
 // send delivers after a little while, unless a cut drops it or holds it back.
-func (w *Cluster) send(from, to string, f func()) {
-	if w.zoneCut != "" && w.inZone(from) != w.inZone(to) {
-		if w.zoneMode == "hold" {
-			w.zoneHeld = append(w.zoneHeld, f)
+func (c *Cluster) send(from, to string, f func()) {
+	if c.cutOffZone != "" && c.inCutOffZone(from) != c.inCutOffZone(to) {
+		if c.zoneCutMode == "hold" {
+			c.heldAtZone = append(c.heldAtZone, f)
 		}
 		return
 	}
-	switch w.cuts[pair(from, to)] {
+	switch c.linkCuts[pair(from, to)] {
 	case "drop":
 		return
 	case "hold":
 		k := pair(from, to)
-		w.held[k] = append(w.held[k], f)
+		c.heldOnLink[k] = append(c.heldOnLink[k], f)
 		return
 	}
-	w.after(time.Duration(1+w.rng.IntN(5))*time.Millisecond, f)
+	c.after(time.Duration(1+c.rng.IntN(5))*time.Millisecond, f)
 }
 
 // call is a request with a time limit; done gets nil when it passes.
-func (w *Cluster) call(from, to string, limit time.Duration, exec func(reply func(any)), done func(any)) {
+func (c *Cluster) call(from, to string, limit time.Duration, exec func(reply func(any)), done func(any)) {
 	over := false
-	w.send(from, to, func() {
+	c.send(from, to, func() {
 		exec(func(r any) {
-			w.send(to, from, func() {
+			c.send(to, from, func() {
 				if !over {
 					over = true
 					done(r)
@@ -246,7 +248,7 @@
 			})
 		})
 	})
-	w.after(limit, func() {
+	c.after(limit, func() {
 		if !over {
 			over = true
 			done(nil)
@@ -254,208 +256,208 @@
 	})
 }
 
-func (w *Cluster) cut(a, b, mode string, d time.Duration) {
+func (c *Cluster) cut(a, b, mode string, d time.Duration) {
 	k := pair(a, b)
-	w.cuts[k] = mode
-	w.after(d, func() {
-		delete(w.cuts, k)
-		for _, f := range w.held[k] {
-			w.after(time.Millisecond, f)
+	c.linkCuts[k] = mode
+	c.after(d, func() {
+		delete(c.linkCuts, k)
+		for _, f := range c.heldOnLink[k] {
+			c.after(time.Millisecond, f)
 		}
-		delete(w.held, k)
+		delete(c.heldOnLink, k)
 	})
 }
 
 // cutZone cuts the nodes and machines of a zone from everything outside it.
-func (w *Cluster) cutZone(zone, mode string, d time.Duration) {
-	w.log("zone %s is cut off (%s)", zone, mode)
-	w.zoneCut, w.zoneMode = zone, mode
-	w.calm = max(w.calm, w.Now+d)
-	w.after(d, func() {
-		w.zoneCut = ""
-		w.log("zone %s is back", zone)
-		for _, f := range w.zoneHeld {
-			w.after(time.Millisecond, f)
-		}
-		w.zoneHeld = nil
+func (c *Cluster) cutZone(zone, mode string, d time.Duration) {
+	c.log("zone %s is cut off (%s)", zone, mode)
+	c.cutOffZone, c.zoneCutMode = zone, mode
+	c.calmSince = max(c.calmSince, c.Now+d)
+	c.after(d, func() {
+		c.cutOffZone = ""
+		c.log("zone %s is back", zone)
+		for _, f := range c.heldAtZone {
+			c.after(time.Millisecond, f)
+		}
+		c.heldAtZone = nil
 	})
 }
 
 // inZone tells whether a name is a node or machine of the zone that is cut off.
-func (w *Cluster) inZone(name string) bool {
-	if k := w.byName[name]; k != nil {
-		return k.zone == w.zoneCut
+func (c *Cluster) inCutOffZone(name string) bool {
+	if w := c.workersByName[name]; w != nil {
+		return w.zone == c.cutOffZone
 	}
-	return w.set.ZoneOf[name] == w.zoneCut
+	return c.settings.ZoneOf[name] == c.cutOffZone
 }
 
 // wallStart is the time of day at which worlds begin, ms.
 const wallStart = 1_800_000_000_000
 
 // node is one controller process round a real core.
-type node struct {
-	w          *Cluster
-	name       string
-	controller *scheduler.Controller
-	gen        int
-	born       time.Duration
-	drift      float64
-	req        uint64
-	wait       map[uint64]func(scheduler.Effect)
-	since      uint64
-	old        bool // runs the version before, as far as that concerns the switch
+type controllerProcess struct {
+	cluster           *Cluster
+	name              string
+	controller        *scheduler.Controller
+	generation        int
+	startedAt         time.Duration
+	clockRate         float64
+	lastRequest       uint64
+	pendingReplies    map[uint64]func(scheduler.Effect)
+	watchRevision     uint64
+	isPreviousVersion bool // runs the version before, as far as that concerns the switch
 	// A frozen process stands still in the middle of a step, while its clock goes
 	// on: what it decided goes out when it wakes, and then all it did not hear.
-	froze  time.Duration // until then
-	effs   []scheduler.Effect
-	events []scheduler.Event
+	frozenUntil     time.Duration // until then
+	withheldEffects []scheduler.Effect
+	unheardEvents   []scheduler.Event
 }
 
-func (n *node) now() time.Duration {
-	return time.Duration(float64(n.w.Now-n.born) * n.drift)
+func (p *controllerProcess) clock() time.Duration {
+	return time.Duration(float64(p.cluster.Now-p.startedAt) * p.clockRate)
 }
 
-func (n *node) boot() {
-	n.gen++
-	n.born = n.w.Now
-	s := n.w.set
-	s.Node, s.Seed = n.name, uint64(n.gen)
-	s.WallClockMS = wallStart + n.w.Now.Milliseconds()
-	if n.old {
-		s.PreviousFormat, s.ValueLimit, s.TransactionLimit = true, max(s.ValueLimit, s.ValueLimitNow), max(s.TransactionLimit, n.w.opsNow)
+func (p *controllerProcess) boot() {
+	p.generation++
+	p.startedAt = p.cluster.Now
+	s := p.cluster.settings
+	s.Node, s.Seed = p.name, uint64(p.generation)
+	s.WallClockMS = wallStart + p.cluster.Now.Milliseconds()
+	if p.isPreviousVersion {
+		s.PreviousFormat, s.ValueLimit, s.TransactionLimit = true, max(s.ValueLimit, s.ValueLimitNow), max(s.TransactionLimit, p.cluster.initialTransactionLimit)
 	}
-	n.controller = scheduler.New(s, fmt.Sprintf("%s.%d", n.name, n.gen))
-	n.wait = map[uint64]func(scheduler.Effect){}
-	g := n.gen
+	p.controller = scheduler.New(s, fmt.Sprintf("%s.%d", p.name, p.generation))
+	p.pendingReplies = map[uint64]func(scheduler.Effect){}
+	g := p.generation
 	var tick func()
 	tick = func() {
-		if n.gen == g && n.controller != nil {
-			n.step(scheduler.Tick{})
-			n.w.after(tuning.Tick, tick)
+		if p.generation == g && p.controller != nil {
+			p.step(scheduler.Tick{})
+			p.cluster.after(tuning.Tick, tick)
 		}
 	}
-	n.w.after(time.Duration(n.w.rng.IntN(100))*time.Millisecond, tick)
-	n.snapshot(g)
+	p.cluster.after(time.Duration(p.cluster.rng.IntN(100))*time.Millisecond, tick)
+	p.loadSnapshot(g)
 }
 
-func (n *node) crash(back time.Duration) {
-	if n.controller == nil {
+func (p *controllerProcess) crash(back time.Duration) {
+	if p.controller == nil {
 		return
 	}
-	n.w.log("%s ends", n.name)
-	n.controller, n.wait = nil, nil
-	n.froze, n.effs, n.events = 0, nil, nil
-	n.gen++
-	n.w.after(back, func() {
-		if n.controller == nil {
-			n.w.log("%s starts", n.name)
-			n.boot()
+	p.cluster.log("%s ends", p.name)
+	p.controller, p.pendingReplies = nil, nil
+	p.frozenUntil, p.withheldEffects, p.unheardEvents = 0, nil, nil
+	p.generation++
+	p.cluster.after(back, func() {
+		if p.controller == nil {
+			p.cluster.log("%s starts", p.name)
+			p.boot()
 		}
 	})
 }
 
-func (n *node) step(ev scheduler.Event) {
-	if n.controller == nil {
+func (p *controllerProcess) step(ev scheduler.Event) {
+	if p.controller == nil {
 		return
 	}
-	if n.w.Now < n.froze && len(n.effs) > 0 {
-		n.events = append(n.events, ev)
+	if p.cluster.Now < p.frozenUntil && len(p.withheldEffects) > 0 {
+		p.unheardEvents = append(p.unheardEvents, ev)
 		return
 	}
-	l := n.timedStep(ev)
-	if n.w.Now < n.froze {
-		n.effs = l
+	l := p.timedStep(ev)
+	if p.cluster.Now < p.frozenUntil {
+		p.withheldEffects = l
 		return
 	}
 	for _, e := range l {
-		n.carry(e)
+		p.carryOut(e)
 	}
 }
 
 // timedStep is a step of the core, timed where a benchmark asks for it.
-func (n *node) timedStep(ev scheduler.Event) []scheduler.Effect {
-	if !n.w.timed {
-		return n.controller.Step(n.now(), ev)
+func (p *controllerProcess) timedStep(ev scheduler.Event) []scheduler.Effect {
+	if !p.cluster.timesSteps {
+		return p.controller.Step(p.clock(), ev)
 	}
 	start := time.Now()
-	effects := n.controller.Step(n.now(), ev)
+	effects := p.controller.Step(p.clock(), ev)
 	took := time.Since(start)
-	n.w.stepTime += took
-	n.w.longestStep = max(n.w.longestStep, took)
+	p.cluster.stepTime += took
+	p.cluster.longestStep = max(p.cluster.longestStep, took)
 	return effects
 }
 
 // freeze stops the process at its next step that does something.
-func (n *node) freeze(d time.Duration) {
-	if n.controller == nil {
+func (p *controllerProcess) freeze(d time.Duration) {
+	if p.controller == nil {
 		return
 	}
-	n.w.log("%s stands still, its clock goes on", n.name)
-	n.froze = n.w.Now + d
-	g := n.gen
-	n.w.after(d, func() {
-		if n.gen != g {
+	p.cluster.log("%s stands still, its clock goes on", p.name)
+	p.frozenUntil = p.cluster.Now + d
+	g := p.generation
+	p.cluster.after(d, func() {
+		if p.generation != g {
 			return
 		}
-		n.w.log("%s goes on, %d events late", n.name, len(n.events))
-		n.w.met["woken"]++
-		effs, evs := n.effs, n.events
-		n.effs, n.events = nil, nil
+		p.cluster.log("%s goes on, %d events late", p.name, len(p.unheardEvents))
+		p.cluster.occurrences["woken"]++
+		effs, evs := p.withheldEffects, p.unheardEvents
+		p.withheldEffects, p.unheardEvents = nil, nil
 		for _, e := range effs {
 			if x, ok := e.(scheduler.HeartbeatReply); ok && x.Status == 200 {
-				n.w.came("answer decided before a freeze")
+				p.cluster.occurred("answer decided before a freeze")
 			}
-			n.carry(e)
+			p.carryOut(e)
 		}
 		for _, e := range evs {
-			n.step(e)
+			p.step(e)
 		}
 	})
 }
 
 // ask puts a request to the core; the answer comes through the effect.
-func (n *node) ask(mk func(uint64) scheduler.Event, done func(scheduler.Effect)) {
-	if n.controller == nil {
+func (p *controllerProcess) request(mk func(uint64) scheduler.Event, done func(scheduler.Effect)) {
+	if p.controller == nil {
 		return
 	}
-	n.req++
-	n.wait[n.req] = done
-	n.step(mk(n.req))
+	p.lastRequest++
+	p.pendingReplies[p.lastRequest] = done
+	p.step(mk(p.lastRequest))
 }
 
-func (n *node) answer(req uint64, e scheduler.Effect) {
-	if f := n.wait[req]; f != nil {
-		delete(n.wait, req)
+func (p *controllerProcess) reply(req uint64, e scheduler.Effect) {
+	if f := p.pendingReplies[req]; f != nil {
+		delete(p.pendingReplies, req)
 		f(e)
 	}
 }
 
 // back delivers an answer if the process is still the same.
-func (n *node) back(g int) func(scheduler.Event) {
+func (p *controllerProcess) deliverer(g int) func(scheduler.Event) {
 	return func(e scheduler.Event) {
-		if n.gen == g {
-			n.step(e)
+		if p.generation == g {
+			p.step(e)
 		}
 	}
 }
 
-func (n *node) carry(e scheduler.Effect) {
-	if n.w.onEffect != nil {
-		n.w.onEffect(n, e)
+func (p *controllerProcess) carryOut(e scheduler.Effect) {
+	if p.cluster.onEffect != nil {
+		p.cluster.onEffect(p, e)
 	}
-	w, back := n.w, n.back(n.gen)
+	c, back := p.cluster, p.deliverer(p.generation)
 	switch x := e.(type) {
 	case scheduler.HeartbeatReply:
-		n.answer(x.RequestID, x)
+		p.reply(x.RequestID, x)
 	case scheduler.UserReply:
-		n.answer(x.RequestID, x)
+		p.reply(x.RequestID, x)
 	case scheduler.ConfirmView:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.confirm(n.name, x)) }, func(r any) {
+		c.call(p.name, "state", tuning.StateTimeout, func(r func(any)) { c.answerSlowly(r, c.state.confirm(p.name, x)) }, func(r any) {
 			ev, _ := r.(scheduler.ConfirmationAnswered)
 			back(ev)
 		})
 	case scheduler.Commit:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.st.perform(n, x, r) }, func(r any) {
+		c.call(p.name, "state", tuning.StateTimeout, func(r func(any)) { c.state.commitAmidTroubles(p, x, r) }, func(r any) {
 			ev, ok := r.(scheduler.CommitAnswered)
 			if !ok {
 				ev = scheduler.CommitAnswered{ID: x.ID, Result: domain.InDoubt}
@@ -463,7 +465,7 @@
 			back(ev)
 		})
 	case scheduler.ReadKeys:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.read(n.name, x)) }, func(r any) {
+		c.call(p.name, "state", tuning.StateTimeout, func(r func(any)) { c.answerSlowly(r, c.state.read(p.name, x)) }, func(r any) {
 			ev, ok := r.(scheduler.KeysRead)
 			if !ok {
 				ev = scheduler.KeysRead{ID: x.ID}
@@ -471,27 +473,27 @@
 			back(ev)
 		})
 	case scheduler.GrantLease:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.grant(n.name, x.TTL)) }, func(r any) {
+		c.call(p.name, "state", tuning.StateTimeout, func(r func(any)) { c.answerSlowly(r, c.state.grant(p.name, x.TTL)) }, func(r any) {
 			ev, _ := r.(scheduler.LeaseGranted)
 			back(ev)
 		})
 	case scheduler.RenewLease:
-		w.call(n.name, "state", tuning.StateTimeout, func(r func(any)) { w.slowly(r, w.st.renew(n.name, x.LeaseID)) }, func(r any) {
+		c.call(p.name, "state", tuning.StateTimeout, func(r func(any)) { c.answerSlowly(r, c.state.renew(p.name, x.LeaseID)) }, func(r any) {
 			ev, _ := r.(scheduler.LeaseRenewalAnswered)
 			back(ev)
 		})
 	case scheduler.ListMachineTypes:
-		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.flavors()) }, func(r any) {
+		c.call(p.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(c.cloud.machineTypes()) }, func(r any) {
 			ev, _ := r.(scheduler.MachineTypesListed)
 			back(ev)
 		})
 	case scheduler.ListInstances:
-		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.list()) }, func(r any) {
+		c.call(p.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(c.cloud.instances()) }, func(r any) {
 			ev, _ := r.(scheduler.InstancesListed)
 			back(ev)
 		})
 	case scheduler.RentMachines:
-		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.rent(x)) }, func(r any) {
+		c.call(p.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(c.cloud.rent(x)) }, func(r any) {
 			ev, ok := r.(scheduler.RentalAnswered)
 			if !ok {
 				ev = scheduler.RentalAnswered{RentalID: x.RentalID}
@@ -499,22 +501,22 @@
 			back(ev)
 		})
 	case scheduler.ReturnMachines:
-		w.call(n.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(w.cl.giveBack(x.Names)) }, func(r any) {
+		c.call(p.name, "cloud", tuning.CloudTimeout, func(r func(any)) { r(c.cloud.returnMachines(x.Names)) }, func(r any) {
 			ok, _ := r.(bool)
 			back(scheduler.ReturnAnswered{Names: x.Names, OK: ok})
 		})
 	case scheduler.SendPeerMessage:
-		for _, o := range w.nodes {
-			if o.name == x.To {
-				w.send(n.name, o.name, func() { o.step(scheduler.PeerMessageReceived{From: n.name, Message: x.Message}) })
+		for _, other := range c.processes {
+			if other.name == x.To {
+				c.send(p.name, other.name, func() { other.step(scheduler.PeerMessageReceived{From: p.name, Message: x.Message}) })
 			}
 		}
 	case scheduler.SendCommands:
-		k := w.worker(x.Machine)
-		if k == nil {
+		w := c.worker(x.Machine)
+		if w == nil {
 			return
 		}
-		w.call(n.name, k.name, tuning.DirectTimeout, func(r func(any)) { k.direct(x, r) }, func(r any) {
+		c.call(p.name, w.name, tuning.DirectTimeout, func(r func(any)) { w.receiveCommands(x, r) }, func(r any) {
 			ev := scheduler.CommandsAnswered{Machine: x.Machine}
 			if rep, ok := r.(domain.Heartbeat); ok {
 				ev.Heartbeat = &rep
@@ -523,213 +525,213 @@
 		})
 	case scheduler.LogLine:
 		if x.Message == "value made smaller" {
-			w.smaller++
+			c.shrunkValues++
 		}
-		if x.Message == "format on" && w.old {
-			w.log("%s reads that all know the new format", n.name)
+		if x.Message == "format on" && c.startsAsPreviousVersion {
+			c.log("%s reads that all know the new format", p.name)
 		}
 		if x.Message == "machine marked" {
-			w.marked = append(w.marked, fmt.Sprint(x.Args...))
+			c.cordons = append(c.cordons, fmt.Sprint(x.Args...))
 		}
 		if x.Message == "view" {
-			w.log("%s sees view %v", n.name, x.Args)
+			c.log("%s sees view %v", p.name, x.Args)
 		}
 	}
 }
 
-func (n *node) snapshot(g int) {
-	if n.gen != g {
+func (p *controllerProcess) loadSnapshot(g int) {
+	if p.generation != g {
 		return
 	}
-	n.w.call(n.name, "state", 2*tuning.StateTimeout, func(r func(any)) { r(n.w.st.snapshot(n.name)) }, func(r any) {
-		if n.gen != g {
+	p.cluster.call(p.name, "state", 2*tuning.StateTimeout, func(r func(any)) { r(p.cluster.state.snapshot(p.name)) }, func(r any) {
+		if p.generation != g {
 			return
 		}
 		ev, ok := r.(scheduler.SnapshotLoaded)
 		if !ok {
-			n.w.after(tuning.ConfirmationRetry, func() { n.snapshot(g) })
+			p.cluster.after(tuning.ConfirmationRetry, func() { p.loadSnapshot(g) })
 			return
 		}
-		n.since = ev.Revision
-		n.step(ev)
-		n.watch(g)
+		p.watchRevision = ev.Revision
+		p.step(ev)
+		p.watch(g)
 	})
 }
 
-func (n *node) watch(g int) {
-	if n.gen != g {
+func (p *controllerProcess) watch(g int) {
+	if p.generation != g {
 		return
 	}
-	sent := n.now()
-	n.w.call(n.name, "state", tuning.WatchWait+tuning.StateTimeout, func(r func(any)) { n.w.st.watch(n.name, n.since, r) }, func(r any) {
-		if n.gen != g {
+	sent := p.clock()
+	p.cluster.call(p.name, "state", tuning.WatchWait+tuning.StateTimeout, func(r func(any)) { p.cluster.state.watch(p.name, p.watchRevision, r) }, func(r any) {
+		if p.generation != g {
 			return
 		}
 		pause := tuning.ConfirmationRetry
 		if ev, ok := r.(scheduler.WatchAdvanced); ok {
-			n.since = max(n.since, ev.Revision)
+			p.watchRevision = max(p.watchRevision, ev.Revision)
 			ev.Sent = sent
-			n.step(ev)
+			p.step(ev)
 			pause = tuning.WatchGap
 		}
-		n.w.after(pause, func() { n.watch(g) })
+		p.cluster.after(pause, func() { p.watch(g) })
 	})
 }
 
-func (w *Cluster) worker(name string) *worker {
-	return w.byName[name]
+func (c *Cluster) worker(name string) *worker {
+	return c.workersByName[name]
 }
 
 // Submit sends a job and repeats it until it is accepted; then polls.
-func (w *Cluster) Submit(s domain.JobSpec, run time.Duration) {
-	t := w.jobs[s.ID]
-	if t == nil {
-		t = &truth{spec: s, run: run, done: map[int]bool{}, cancelAt: -1, readyAt: -1}
-		w.jobs[s.ID] = t
+func (c *Cluster) Submit(s domain.JobSpec, run time.Duration) {
+	job := c.jobs[s.ID]
+	if job == nil {
+		job = &jobRecord{spec: s, runtime: run, done: map[int]bool{}, cancelToldAt: -1, readyAt: -1}
+		c.jobs[s.ID] = job
 	}
 	for _, id := range s.Dependencies { // users name only what was accepted
-		if n := w.jobs[id]; n == nil || !n.accepted {
-			w.after(100*time.Millisecond, func() { w.Submit(s, run) })
+		if earlier := c.jobs[id]; earlier == nil || !earlier.accepted {
+			c.after(100*time.Millisecond, func() { c.Submit(s, run) })
 			return
 		}
 	}
-	t.asked = true
-	w.user(func(n *node, done func(scheduler.Effect)) {
+	job.isSubmitted = true
+	c.requestAnywhere(func(p *controllerProcess, done func(scheduler.Effect)) {
 		sp := s
-		n.ask(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: s.ID, Spec: &sp} }, done)
+		p.request(func(r uint64) scheduler.Event { return scheduler.JobSubmitted{RequestID: r, ID: s.ID, Spec: &sp} }, done)
 	}, func(u scheduler.UserReply, asked time.Duration) {
-		w.judge(s.ID, u, asked)
+		c.checkReply(s.ID, u, asked)
 		if u.Status == 200 || u.Status == 201 {
-			w.log("%s accepted", s.ID)
-			w.poll(s.ID)
+			c.log("%s accepted", s.ID)
+			c.poll(s.ID)
 			return
 		}
-		w.after(time.Second, func() { w.Submit(s, run) })
+		c.after(time.Second, func() { c.Submit(s, run) })
 	})
 }
 
 // user sends a request to a live node through the load balancer.
-func (w *Cluster) user(ask func(*node, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
-	asked := w.Now
-	var live []*node
-	for _, n := range w.nodes {
-		if n.controller != nil {
-			live = append(live, n)
+func (c *Cluster) requestAnywhere(ask func(*controllerProcess, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
+	asked := c.Now
+	var live []*controllerProcess
+	for _, p := range c.processes {
+		if p.controller != nil {
+			live = append(live, p)
 		}
 	}
 	if len(live) == 0 {
 		done(scheduler.UserReply{}, asked)
 		return
 	}
-	w.userAt(live[w.rng.IntN(len(live))], ask, done)
+	c.requestAt(live[c.rng.IntN(len(live))], ask, done)
 }
 
 // userAt is the same at one node.
-func (w *Cluster) userAt(n *node, ask func(*node, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
-	asked := w.Now
-	w.call("users", n.name, 2*time.Second, func(r func(any)) {
-		ask(n, func(e scheduler.Effect) { r(e) })
+func (c *Cluster) requestAt(p *controllerProcess, ask func(*controllerProcess, func(scheduler.Effect)), done func(scheduler.UserReply, time.Duration)) {
+	asked := c.Now
+	c.call("users", p.name, 2*time.Second, func(r func(any)) {
+		ask(p, func(e scheduler.Effect) { r(e) })
 	}, func(r any) {
 		u, _ := r.(scheduler.UserReply)
 		done(u, asked)
 	})
 }
 
-func (w *Cluster) poll(id string) {
-	w.user(func(n *node, done func(scheduler.Effect)) {
-		n.ask(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
+func (c *Cluster) poll(id string) {
+	c.requestAnywhere(func(p *controllerProcess, done func(scheduler.Effect)) {
+		p.request(func(r uint64) scheduler.Event { return scheduler.JobQueried{RequestID: r, ID: id} }, done)
 	}, func(u scheduler.UserReply, asked time.Duration) {
-		w.judge(id, u, asked)
+		c.checkReply(id, u, asked)
 		pause := 5 * time.Second
-		if w.strikes("storm") {
+		if c.strikes("storm") {
 			pause /= 10
-			w.came(fmt.Sprintf("poll answered %d", u.Status))
+			c.occurred(fmt.Sprintf("poll answered %d", u.Status))
 		}
-		if t := w.jobs[id]; t.told == "" {
-			w.after(pause, func() { w.poll(id) })
+		if job := c.jobs[id]; job.finalState == "" {
+			c.after(pause, func() { c.poll(id) })
 		}
 	})
 }
 
 // Abort cancels a job, repeating until told that it is over.
-func (w *Cluster) Abort(id string) {
-	t := w.jobs[id]
-	t.cancelAsk = true
-	w.user(func(n *node, done func(scheduler.Effect)) {
-		n.ask(func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, done)
+func (c *Cluster) Cancel(id string) {
+	job := c.jobs[id]
+	job.cancelRequested = true
+	c.requestAnywhere(func(p *controllerProcess, done func(scheduler.Effect)) {
+		p.request(func(r uint64) scheduler.Event { return scheduler.JobCancelled{RequestID: r, ID: id} }, done)
 	}, func(u scheduler.UserReply, asked time.Duration) {
-		w.judge(id, u, asked)
-		if t.told == "" {
-			w.after(time.Second, func() { w.Abort(id) })
+		c.checkReply(id, u, asked)
+		if job.finalState == "" {
+			c.after(time.Second, func() { c.Cancel(id) })
 		}
 	})
 }
 
 // judge checks an answer against the rules that concern users. A request that was
 // under way when its user was told otherwise may still bring the older state.
-func (w *Cluster) judge(id string, u scheduler.UserReply, asked time.Duration) {
-	t := w.jobs[id]
+func (c *Cluster) checkReply(id string, u scheduler.UserReply, asked time.Duration) {
+	job := c.jobs[id]
 	switch u.Status {
 	case 404, 400, 422:
-		if t.accepted && asked >= t.acceptedAt {
-			w.broke("forgotten", "%s got %d", id, u.Status)
+		if job.accepted && asked >= job.acceptedAt {
+			c.violated("forgotten", "%s got %d", id, u.Status)
 		}
-		if u.Status != 404 && !t.wrong {
-			w.broke("refused", "%s got %d: %s", id, u.Status, u.Reason)
+		if u.Status != 404 && !job.isInvalid {
+			c.violated("refused", "%s got %d: %s", id, u.Status, u.Reason)
 		}
 		return
 	case 200, 201:
 	default:
 		return
 	}
-	if !t.asked {
-		w.broke("invented", "%s", id)
+	if !job.isSubmitted {
+		c.violated("invented", "%s", id)
 	}
-	if t.wrong {
-		w.broke("taken", "%s can't run, yet it got %d", id, u.Status)
+	if job.isInvalid {
+		c.violated("taken", "%s can't run, yet it got %d", id, u.Status)
 	}
-	if !t.accepted {
-		t.acceptedAt = w.Now
-		defer w.look(id)
+	if !job.accepted {
+		job.acceptedAt = c.Now
+		defer c.lookClosely(id)
 	}
-	t.accepted, t.answered = true, w.Now
-	if t.told != "" && u.State != t.told && asked >= t.toldAt {
-		w.broke("went_back", "%s: %s after %s", id, u.State, t.told)
+	job.accepted, job.answeredAt = true, c.Now
+	if job.finalState != "" && u.State != job.finalState && asked >= job.finalStateAt {
+		c.violated("went_back", "%s: %s after %s", id, u.State, job.finalState)
 	}
 	switch u.State {
 	case "done":
-		if len(t.done) < t.spec.TaskCount {
-			w.broke("not_done", "%s: %d of %d", id, len(t.done), t.spec.TaskCount)
+		if len(job.done) < job.spec.TaskCount {
+			c.violated("not_done", "%s: %d of %d", id, len(job.done), job.spec.TaskCount)
 		}
 	case "cancelled":
-		if !t.cancelAsk && !w.before(t, func(n *truth) bool { return n.cancelAsk }) {
-			w.broke("went_back", "%s cancelled though nobody asked", id)
+		if !job.cancelRequested && !c.anyPrerequisite(job, func(earlier *jobRecord) bool { return earlier.cancelRequested }) {
+			c.violated("went_back", "%s cancelled though nobody asked", id)
 		}
-		if t.cancelAt < 0 {
-			t.cancelAt = w.Now
+		if job.cancelToldAt < 0 {
+			job.cancelToldAt = c.Now
 		}
 	default:
-		w.before(t, func(n *truth) bool {
-			late := n.cancelAt >= 0 && w.Now-n.cancelAt > w.set.CancelWithin
-			if late && !t.reported(w, "orphaned") {
-				w.broke("orphaned", "%s is %s though %s is cancelled", id, u.State, n.spec.ID)
+		c.anyPrerequisite(job, func(earlier *jobRecord) bool {
+			late := earlier.cancelToldAt >= 0 && c.Now-earlier.cancelToldAt > c.settings.CancelWithin
+			if late && !job.reported(c, "orphaned") {
+				c.violated("orphaned", "%s is %s though %s is cancelled", id, u.State, earlier.spec.ID)
 			}
 			return late
 		})
 		return
 	}
-	if t.told == "" {
-		t.told, t.toldAt = u.State, w.Now
-		w.log("%s is told %s", id, u.State)
-		w.look(id)
+	if job.finalState == "" {
+		job.finalState, job.finalStateAt = u.State, c.Now
+		c.log("%s is told %s", id, u.State)
+		c.lookClosely(id)
 	}
 }
 
 // Unfinished lists accepted jobs that are not over.
-func (w *Cluster) Unfinished() []string {
+func (c *Cluster) Unfinished() []string {
 	var l []string
-	for id, t := range w.jobs {
-		if t.accepted && t.told == "" && t.spec.Shape != domain.Service {
+	for id, job := range c.jobs {
+		if job.accepted && job.finalState == "" && job.spec.Shape != domain.Service {
 			l = append(l, id)
 		}
 	}
@@ -738,9 +740,9 @@
 }
 
 // Starts counts task starts in the trace.
-func (w *Cluster) Starts() int {
+func (c *Cluster) Starts() int {
 	n := 0
-	for _, l := range w.Trace {
+	for _, l := range c.Trace {
 		if strings.Contains(l, " runs on ") {
 			n++
 		}
@@ -750,55 +752,55 @@
 
 // checkPlaces checks quota and cancelled work; called whenever a task comes on
 // a machine and every second.
-func (w *Cluster) checkPlaces() {
+func (c *Cluster) checkRunningTasks() {
 	used := map[string]domain.Resources{}
-	for _, k := range w.workers {
-		if k.gone {
+	for _, w := range c.workers {
+		if w.isGone {
 			continue
 		}
-		for _, id := range k.ids() {
-			x := k.tasks[id]
-			if !x.on() {
+		for _, id := range w.taskIDs() {
+			x := w.tasks[id]
+			if !x.isOnMachine() {
 				continue
 			}
-			t := w.jobs[id.Job]
-			used[t.spec.Team] = used[t.spec.Team].Plus(t.spec.Request, 1)
-			if t.cancelAt >= 0 && w.Now-t.cancelAt > w.set.CancelWithin && !t.reported(w, "ran_cancelled") {
-				w.broke("ran_cancelled", "%v on %s", id, k.name)
+			job := c.jobs[id.Job]
+			used[job.spec.Team] = used[job.spec.Team].Plus(job.spec.Request, 1)
+			if job.cancelToldAt >= 0 && c.Now-job.cancelToldAt > c.settings.CancelWithin && !job.reported(c, "ran_cancelled") {
+				c.violated("ran_cancelled", "%v on %s", id, w.name)
 			}
 		}
 	}
 	for _, team := range []string{"red", "blue"} {
-		lim := w.set.Teams[team].Limit
+		lim := c.settings.Teams[team].Limit
 		if lim.GPU > 0 && used[team].GPU == lim.GPU {
-			w.came("a team at its limit")
+			c.occurred("a team at its limit")
 		}
 		if lim.GPU > 0 && used[team].GPU > lim.GPU {
-			w.broke("quota", "%s uses %d of %d", team, used[team].GPU, lim.GPU)
+			c.violated("quota", "%s uses %d of %d", team, used[team].GPU, lim.GPU)
 		}
 	}
 }
 
 // checkKnown: once all troubles are over, a job about which no question is
 // answered for 75 s is forgotten, and each must begin within four minutes.
-func (w *Cluster) checkKnown() {
-	for _, id := range w.Unfinished() {
-		t := w.jobs[id]
-		since := w.Now - max(t.answered, w.calm)
-		if since > 75*time.Second && !t.reported(w, "forgotten") {
-			w.broke("forgotten", "%s: no answer for %.0f s", id, since.Seconds())
+func (c *Cluster) checkProgress() {
+	for _, id := range c.Unfinished() {
+		job := c.jobs[id]
+		since := c.Now - max(job.answeredAt, c.calmSince)
+		if since > 75*time.Second && !job.reported(c, "forgotten") {
+			c.violated("forgotten", "%s: no answer for %.0f s", id, since.Seconds())
 		}
-		if t.readyAt < 0 && w.allDone(t) {
-			t.readyAt = w.Now
+		if job.readyAt < 0 && c.dependenciesDone(job) {
+			job.readyAt = c.Now
 		}
-		if !t.begun && !t.cancelAsk && t.readyAt >= 0 && w.Now-max(t.acceptedAt, t.readyAt, w.calm) > 4*time.Minute && !t.reported(w, "starved") {
-			w.broke("starved", "%s has not begun", id)
+		if !job.hasBegun && !job.cancelRequested && job.readyAt >= 0 && c.Now-max(job.acceptedAt, job.readyAt, c.calmSince) > 4*time.Minute && !job.reported(c, "starved") {
+			c.violated("starved", "%s has not begun", id)
 		}
 	}
 }
 
-func (t *truth) reported(w *Cluster, rule string) bool {
-	return slices.ContainsFunc(w.Broken, func(s string) bool {
-		return strings.HasPrefix(s, rule) && strings.Contains(s, t.spec.ID)
+func (job *jobRecord) reported(c *Cluster, rule string) bool {
+	return slices.ContainsFunc(c.Broken, func(s string) bool {
+		return strings.HasPrefix(s, rule) && strings.Contains(s, job.spec.ID)
 	})
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -29,17 +29,17 @@
 				t.Fatal(err)
 			}
 			script, want, _ := strings.Cut(string(b), "\n----\n")
-			w, err := Play(script)
+			c, err := Play(script)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(w.Broken) > 0 {
-				t.Errorf("broken rules: %v", w.Broken)
+			if len(c.Broken) > 0 {
+				t.Errorf("broken rules: %v", c.Broken)
 			}
-			if u := w.Unfinished(); len(u) > 0 {
+			if u := c.Unfinished(); len(u) > 0 {
 				t.Errorf("not finished: %v", u)
 			}
-			got := strings.Join(w.Trace, "\n") + "\n"
+			got := strings.Join(c.Trace, "\n") + "\n"
 			if *update {
 				if err := os.WriteFile(f, []byte(script+"\n----\n"+got), 0o644); err != nil {
 					t.Fatal(err)
@@ -60,7 +60,7 @@
 }
 
 // day makes a random day of jobs and overlapping troubles.
-func day(seed uint64, drop string) string {
+func randomDay(seed uint64, drop string) string {
 	r := rand.New(rand.NewPCG(seed, 99))
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d\n", seed)
@@ -126,21 +126,21 @@
 // playAll plays a day for each seed, several at a time: worlds share nothing.
 func playAll(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
 	t.Helper()
-	ws, errs := make([]*Cluster, len(seeds)), make([]error, len(seeds))
+	clusters, errs := make([]*Cluster, len(seeds)), make([]error, len(seeds))
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var g sync.WaitGroup
 	for i, seed := range seeds {
 		g.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
-			ws[i], errs[i] = Play(script(seed))
+			clusters[i], errs[i] = Play(script(seed))
 		})
 	}
 	g.Wait()
 	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
 	}
-	return ws
+	return clusters
 }
 
 // TestRandomDays plays days of overlapping troubles: no rule may be broken, and
@@ -151,11 +151,11 @@
 	// The last three broke ran_twice before new sessions were told from old
 	// ones (docs/incidents/own-day-sessions.md).
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 107, 132, 144}
-	for i, w := range playAll(t, seeds, func(seed uint64) string { return day(seed, "") }) {
+	for i, c := range playAll(t, seeds, func(seed uint64) string { return randomDay(seed, "") }) {
 		seed := seeds[i]
-		starts += w.Starts()
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-			t.Errorf("seed %d: broken %v, unfinished %v", seed, w.Broken, w.Unfinished())
+		starts += c.Starts()
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+			t.Errorf("seed %d: broken %v, unfinished %v", seed, c.Broken, c.Unfinished())
 		}
 	}
 	if starts < 800 {
@@ -171,7 +171,7 @@
 		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= 20; seed++ {
-				script := day(seed, guard)
+				script := randomDay(seed, guard)
 				if guard == "fence" {
 					// An owner that hears nothing from the state service while
 					// its workers still reach it, for longer than fence and lease;
@@ -182,7 +182,7 @@
 				}
 				if guard == "needs" || guard == "cascade" {
 					var b strings.Builder
-					pipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
+					writePipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
 					script += b.String()
 				}
 				if guard == "draft" {
@@ -192,11 +192,11 @@
 					// Nothing can be answered, and that counts for once.
 					script = "blind\nat 2 submit job-000001 array 2 blue run=200\nat 20 state down for=100\nuntil 150\n"
 				}
-				w, err := Play(script)
+				c, err := Play(script)
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range w.Broken {
+				for _, b := range c.Broken {
 					if strings.HasPrefix(b, rule) {
 						return
 					}
@@ -209,11 +209,11 @@
 
 // TestSameDayTwice: a day plays the same way each time.
 func TestSameDayTwice(t *testing.T) {
-	a, err := Play(day(3, ""))
+	a, err := Play(randomDay(3, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Play(day(3, ""))
+	b, err := Play(randomDay(3, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -33,12 +33,12 @@
 
 func newDigest() *digest { return &digest{sum: sha256.New()} }
 
-func (d *digest) add(n *node, effect scheduler.Effect) {
+func (d *digest) add(p *controllerProcess, effect scheduler.Effect) {
 	if _, isLog := effect.(scheduler.LogLine); isLog {
 		return
 	}
 	d.effects++
-	fmt.Fprintf(d.sum, "%d %s ", n.w.Now, n.name)
+	fmt.Fprintf(d.sum, "%d %s ", p.cluster.Now, p.name)
 	switch e := effect.(type) {
 	case scheduler.ConfirmView:
 		d.line("confirm", e.Key, e.ModRevision)
@@ -116,14 +116,14 @@
 }
 
 var digestKinds = []digestKind{
-	{"random", 60, scripted(func(seed uint64) string { return day(seed, "") })},
+	{"random", 60, scripted(func(seed uint64) string { return randomDay(seed, "") })},
 	{"zones", 60, scripted(func(seed uint64) string { return zoneDay(300+seed, "") })},
-	{"zones across leaders", 15, scripted(func(seed uint64) string { return zoneAcross(rand.New(rand.NewPCG(seed, 71))) })},
-	{"meetings", 40, scripted(pairs)},
+	{"zones across leaders", 15, scripted(func(seed uint64) string { return zoneBoundAcrossLeaders(rand.New(rand.NewPCG(seed, 71))) })},
+	{"meetings", 40, scripted(pairedTroublesDay)},
 	{"pipelines", 30, scripted(func(seed uint64) string {
 		var b strings.Builder
-		pipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
-		return day(seed, "") + b.String()
+		writePipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
+		return randomDay(seed, "") + b.String()
 	})},
 	{"old beside new", 40, scripted(func(seed uint64) string { return upgradeDay(seed, "") })},
 	{"guests", 4, fleetDay(withGuestDay)},
@@ -147,45 +147,45 @@
 
 // withGuestDay has an idle array of a guest beside jobs of teams with guarantees.
 func withGuestDay(seed uint64, d *digest) {
-	w := withGuest(seed, 4)
-	w.onEffect = d.add
-	w.after(time.Second, func() {
-		w.Submit(domain.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: domain.Array, Priority: 0, TaskCount: 150,
+	c := clusterWithGuest(seed, 4)
+	c.onEffect = d.add
+	c.after(time.Second, func() {
+		c.Submit(domain.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: domain.Array, Priority: 0, TaskCount: 150,
 			Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
 	})
-	w.feed(25, 4*time.Second)
-	w.Run(300 * time.Second)
+	c.submitGrownLoad(25, 4*time.Second)
+	c.Run(300 * time.Second)
 }
 
 // restartedFleet has 700 machines; all controllers end at once after an outage.
 func restartedFleet(_ uint64, d *digest) {
-	w := busyFleet(d)
-	w.Run(40 * time.Second)
-	w.st.outage(8 * time.Second)
-	w.Run(48 * time.Second)
-	for _, n := range w.nodes {
-		n.crash(3 * time.Second)
+	c := busyFleet(d)
+	c.Run(40 * time.Second)
+	c.state.outage(8 * time.Second)
+	c.Run(48 * time.Second)
+	for _, p := range c.processes {
+		p.crash(3 * time.Second)
 	}
-	w.Run(90 * time.Second)
+	c.Run(90 * time.Second)
 }
 
 // cutFleet has 700 machines, one of whose zones is cut off with its controllers.
 func cutFleet(_ uint64, d *digest) {
-	w := busyFleet(d)
-	w.Run(40 * time.Second)
-	w.cutZone("b", "hold", 35*time.Second)
-	w.Run(110 * time.Second)
+	c := busyFleet(d)
+	c.Run(40 * time.Second)
+	c.cutZone("b", "hold", 35*time.Second)
+	c.Run(110 * time.Second)
 }
 
 func busyFleet(d *digest) *Cluster {
-	w := grown(5, 175, func(s *scheduler.Settings) {
+	c := grownCluster(5, 175, func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/5, 120*0.92/5
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
-	w.onEffect = d.add
-	w.feed(120, time.Millisecond)
-	w.feed(200, 300*time.Millisecond)
-	return w
+	c.onEffect = d.add
+	c.submitGrownLoad(120, time.Millisecond)
+	c.submitGrownLoad(200, 300*time.Millisecond)
+	return c
 }
 
 // BenchmarkDigest is a command, not a measurement: see `make digest`.
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -20,13 +20,13 @@
 // times as long; `make test` runs them without it.
 
 // answered counts the machines that got a 200 since the given time.
-func (w *Cluster) answered(since time.Duration) (n, up int) {
-	for _, k := range w.workers {
-		if k.gone || !k.up {
+func (c *Cluster) answered(since time.Duration) (n, up int) {
+	for _, w := range c.workers {
+		if w.isGone || !w.isUp {
 			continue
 		}
 		up++
-		if k.last200 >= since {
+		if w.acceptedAt >= since {
 			n++
 		}
 	}
@@ -35,12 +35,12 @@
 
 // fleet is a deployment of the size and rates that the fleet ones have; fill is
 // the number of machines a zone and kind.
-func fleet(fill int, change ...func(*scheduler.Settings)) *Cluster {
+func fleetCluster(fill int, change ...func(*scheduler.Settings)) *Cluster {
 	rates := func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	}
-	return grown(7, fill, append([]func(*scheduler.Settings){rates}, change...)...)
+	return grownCluster(7, fill, append([]func(*scheduler.Settings){rates}, change...)...)
 }
 
 // TestFleetRestarts: with 2,000 machines all controllers end at once, just after
@@ -49,14 +49,14 @@
 // for each event must not grow with the fleet: held check-ins were once all
 // looked at again for each event, forty times as often as now.
 func TestFleetRestarts(t *testing.T) {
-	w := fleet(500)
-	w.feed(260, time.Millisecond)
-	w.feed(300, 300*time.Millisecond)
-	w.Run(60 * time.Second)
-	a := w.work()
-	w.Run(70 * time.Second)
-	b := w.work()
-	events, machines := float64(b.Events-a.Events), float64(len(w.workers))*10
+	c := fleetCluster(500)
+	c.submitGrownLoad(260, time.Millisecond)
+	c.submitGrownLoad(300, 300*time.Millisecond)
+	c.Run(60 * time.Second)
+	a := c.totalWork()
+	c.Run(70 * time.Second)
+	b := c.totalWork()
+	events, machines := float64(b.Events-a.Events), float64(len(c.workers))*10
 	t.Logf("%.0f events a second; held check-ins for each %.2f; looks at each machine a second %.2f, weighed for tasks %.1f",
 		events/10, float64(b.PendingHeartbeats-a.PendingHeartbeats)/events, float64(b.Machines-a.Machines)/machines, float64(b.Targets-a.Targets)/machines)
 	if x := float64(b.PendingHeartbeats-a.PendingHeartbeats) / events; x > 10 {
@@ -65,47 +65,47 @@
 	if x := float64(b.Machines-a.Machines) / machines; x > 5 {
 		t.Errorf("each machine is looked at %.1f times a second", x)
 	}
-	if _, up := w.answered(0); up < 1900 {
+	if _, up := c.answered(0); up < 1900 {
 		t.Fatalf("only %d machines are up", up)
 	}
-	w.st.outage(12 * time.Second)
-	w.Run(80 * time.Second)
-	crash := w.Now
-	for i, n := range w.nodes {
+	c.state.outage(12 * time.Second)
+	c.Run(80 * time.Second)
+	crash := c.Now
+	for i, p := range c.processes {
 		back := 4*time.Second + time.Duration(i*130)*time.Millisecond
 		if i == 2 {
 			back = 150 * time.Millisecond // its old grant still lives
 		}
-		n.crash(back)
+		p.crash(back)
 	}
 	// Twice more in the middle of the election, back at once.
-	w.after(4200*time.Millisecond, func() { w.nodes[0].crash(100 * time.Millisecond) })
-	w.after(4700*time.Millisecond, func() { w.nodes[2].crash(100 * time.Millisecond) })
-	w.Run(crash + 12*time.Second)
-	changes, requests := w.st.changes, w.st.requests
-	n, up := w.answered(crash)
+	c.after(4200*time.Millisecond, func() { c.processes[0].crash(100 * time.Millisecond) })
+	c.after(4700*time.Millisecond, func() { c.processes[2].crash(100 * time.Millisecond) })
+	c.Run(crash + 12*time.Second)
+	changes, requests := c.state.changes, c.state.requests
+	n, up := c.answered(crash)
 	if 100*n < 95*up {
 		t.Errorf("8 s after the controllers came back %d of %d machines have an answer", n, up)
 	}
-	w.Run(crash + 30*time.Second)
-	secs := (w.Now - crash - 12*time.Second).Seconds()
-	if r := float64(w.st.changes-changes) / secs; r > 1.4*30 { // the clients' budgets come on top
+	c.Run(crash + 30*time.Second)
+	secs := (c.Now - crash - 12*time.Second).Seconds()
+	if r := float64(c.state.changes-changes) / secs; r > 1.4*30 { // the clients' budgets come on top
 		t.Errorf("%.1f changes a second", r)
 	}
-	if r := float64(w.st.requests-requests) / secs; r > 120 {
+	if r := float64(c.state.requests-requests) / secs; r > 120 {
 		t.Errorf("%.1f requests a second", r)
 	}
 	lost := 0
-	for _, k := range w.workers {
-		if !k.gone && k.shift > 1 {
+	for _, w := range c.workers {
+		if !w.isGone && w.agentEpoch > 1 {
 			lost++
 		}
 	}
 	if lost > 0 {
 		t.Errorf("%d machines lost their lease", lost)
 	}
-	if len(w.Broken) > 0 {
-		t.Errorf("%d broken rules, first %s", len(w.Broken), w.Broken[0])
+	if len(c.Broken) > 0 {
+		t.Errorf("%d broken rules, first %s", len(c.Broken), c.Broken[0])
 	}
 }
 
@@ -113,17 +113,17 @@
 // controllers, for twice a lease. None of its machines is given back, work that
 // can't be reached is neither lost nor run twice, and the other zone goes on.
 func TestFleetZoneCut(t *testing.T) {
-	w := fleet(500)
-	w.feed(260, time.Millisecond)
-	w.feed(400, 300*time.Millisecond)
-	w.Run(60 * time.Second)
-	w.marked = nil
-	w.cutZone("b", "hold", 40*time.Second)
-	w.Run(90 * time.Second)
+	c := fleetCluster(500)
+	c.submitGrownLoad(260, time.Millisecond)
+	c.submitGrownLoad(400, 300*time.Millisecond)
+	c.Run(60 * time.Second)
+	c.cordons = nil
+	c.cutZone("b", "hold", 40*time.Second)
+	c.Run(90 * time.Second)
 	n, up := 0, 0
-	for _, k := range w.workers {
-		if k.zone == "a" && k.up && !k.gone {
-			if up++; k.last200 > w.Now-10*time.Second {
+	for _, w := range c.workers {
+		if w.zone == "a" && w.isUp && !w.isGone {
+			if up++; w.acceptedAt > c.Now-10*time.Second {
 				n++
 			}
 		}
@@ -131,21 +131,21 @@
 	if 100*n < 95*up {
 		t.Errorf("%d of the %d machines of the other zone have an answer", n, up)
 	}
-	w.Run(125 * time.Second)
+	c.Run(125 * time.Second)
 	given := 0
-	for _, m := range w.marked {
+	for _, m := range c.cordons {
 		if strings.Contains(m, "lost") || strings.Contains(m, "stuck") || strings.Contains(m, "deaf") {
 			given++
 		}
 	}
 	if given > 20 {
-		t.Errorf("%d machines were given up for the cut, as %s", given, w.marked[0])
+		t.Errorf("%d machines were given up for the cut, as %s", given, c.cordons[0])
 	}
-	if n, up := w.answered(w.Now - 10*time.Second); 100*n < 95*up {
+	if n, up := c.answered(c.Now - 10*time.Second); 100*n < 95*up {
 		t.Errorf("25 s after the cut %d of %d machines have an answer", n, up)
 	}
-	if len(w.Broken) > 0 {
-		t.Errorf("%d broken rules, first %s", len(w.Broken), w.Broken[0])
+	if len(c.Broken) > 0 {
+		t.Errorf("%d broken rules, first %s", len(c.Broken), c.Broken[0])
 	}
 }
 
@@ -155,67 +155,67 @@
 // breaks, hardly a change is refused for its size, the machines go on starting tasks,
 // pipelines run, and in the end no value of a job is too large.
 func TestFleetUpgrade(t *testing.T) {
-	set := grownSettings(7, 500, func(s *scheduler.Settings) {
+	settings := grownSettings(7, 500, func(s *scheduler.Settings) {
 		s.ValueLimitNow, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
 		s.WriteRate, s.FairWriteRate, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
-	w := newWorld(1, set, 8, true)
-	w.fill = 500
-	w.feed(220, time.Millisecond)
-	w.feed(260, 500*time.Millisecond)
-	for i, n := range w.nodes {
-		w.after(time.Duration(40+4*i)*time.Second, func() {
-			n.old = false
-			n.crash([]time.Duration{200 * time.Millisecond, 3 * time.Second}[i%2])
+	c := newCluster(1, settings, 8, true)
+	c.marketCapacity = 500
+	c.submitGrownLoad(220, time.Millisecond)
+	c.submitGrownLoad(260, 500*time.Millisecond)
+	for i, p := range c.processes {
+		c.after(time.Duration(40+4*i)*time.Second, func() {
+			p.isPreviousVersion = false
+			p.crash([]time.Duration{200 * time.Millisecond, 3 * time.Second}[i%2])
 		})
 	}
-	w.Run(63 * time.Second)
-	if w.st.kv["b/format"].v != nil {
+	c.Run(63 * time.Second)
+	if c.state.entries["b/format"].value != nil {
 		t.Fatal("the format is on before the last controller is replaced")
 	}
-	w.Run(66 * time.Second)
-	if w.st.kv["b/format"].v == nil {
+	c.Run(66 * time.Second)
+	if c.state.entries["b/format"].value == nil {
 		t.Fatal("the format is not on")
 	}
 	large := 0
-	for _, e := range w.st.kv {
-		if len(e.v) > set.ValueLimit {
+	for _, e := range c.state.entries {
+		if len(e.value) > settings.ValueLimit {
 			large++
 		}
 	}
-	w.st.lower(set.ValueLimit, set.TransactionLimit)
+	c.state.lowerLimits(settings.ValueLimit, settings.TransactionLimit)
 	for i := 0; i < 20; i++ {
 		a, b := fmt.Sprintf("job-%06d", 900000+2*i), fmt.Sprintf("job-%06d", 900001+2*i)
 		sp := domain.JobSpec{ID: a, Class: "p", Team: "red", Shape: domain.Array, TaskCount: 3, Request: domain.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
 		next := sp
 		next.ID, next.Dependencies = b, []string{a}
-		w.after(time.Duration(i)*time.Second, func() { w.Submit(sp, 5*time.Second); w.Submit(next, 5*time.Second) })
+		c.after(time.Duration(i)*time.Second, func() { c.Submit(sp, 5*time.Second); c.Submit(next, 5*time.Second) })
 	}
-	starts := w.Starts()
-	w.Run(140 * time.Second)
-	if n := w.Starts() - starts; n < 1500 {
+	starts := c.Starts()
+	c.Run(140 * time.Second)
+	if n := c.Starts() - starts; n < 1500 {
 		t.Errorf("only %d tasks started in 70 s after the limits fell", n)
 	}
-	w.Run(200 * time.Second)
+	c.Run(200 * time.Second)
 	done := 0
 	for i := 0; i < 20; i++ {
-		if j := w.jobs[fmt.Sprintf("job-%06d", 900001+2*i)]; j != nil && len(j.done) == 3 {
+		if job := c.jobs[fmt.Sprintf("job-%06d", 900001+2*i)]; job != nil && len(job.done) == 3 {
 			done++
 		}
 	}
 	left := 0
-	for k, e := range w.st.kv {
-		if len(e.v) > set.ValueLimit && !strings.HasPrefix(k, "b/task/") { // what was cut stays where it was
+	for k, e := range c.state.entries {
+		if len(e.value) > settings.ValueLimit && !strings.HasPrefix(k, "b/task/") { // what was cut stays where it was
 			left++
 		}
 	}
-	t.Logf("%d values too large when the limits fell, %d in the end; %d made smaller, %d refused; %d pipelines done", large, left, w.smaller, w.st.tooLarge, done)
-	if large < 3 || left > 0 || w.st.tooLarge > 14 || done < 18 {
-		t.Errorf("%d values too large when the limits fell, %d in the end; %d refused; %d of 20 pipelines done", large, left, w.st.tooLarge, done)
+	t.Logf("%d values too large when the limits fell, %d in the end; %d made smaller, %d refused; %d pipelines done", large, left, c.shrunkValues, c.state.refusedAsTooLarge, done)
+	if large < 3 || left > 0 || c.state.refusedAsTooLarge > 14 || done < 18 {
+		t.Errorf("%d values too large when the limits fell, %d in the end; %d refused; %d of 20 pipelines done", large, left, c.state.refusedAsTooLarge, done)
 	}
-	if len(w.Broken) > 0 {
-		t.Errorf("%d broken rules, first %s", len(w.Broken), w.Broken[0])
+	if len(c.Broken) > 0 {
+		t.Errorf("%d broken rules, first %s", len(c.Broken), c.Broken[0])
 	}
 }
 
@@ -223,33 +223,33 @@
 // deployment. What each controller holds stays far below its memory, and what the
 // array's tasks cost leaves the state service changes for others.
 func TestFleetLargestArray(t *testing.T) {
-	w := grown(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
-	w.feed(200, 400*time.Millisecond)
-	w.Run(50 * time.Second)
-	w.Submit(domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: 1, TaskCount: 100000,
+	c := grownCluster(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
+	c.submitGrownLoad(200, 400*time.Millisecond)
+	c.Run(50 * time.Second)
+	c.Submit(domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: 1, TaskCount: 100000,
 		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
-	changes := w.st.changes
-	w.Run(110 * time.Second)
-	perSecond := float64(w.st.changes-changes) / 60
+	changes := c.state.changes
+	c.Run(110 * time.Second)
+	perSecond := float64(c.state.changes-changes) / 60
 	runtime.GC()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	each := float64(mem.HeapAlloc) / 5 / (1 << 20)
-	started := len(w.firstRuns("job-900001"))
+	started := len(c.firstRuns("job-900001"))
 	t.Logf("%d tasks started in a minute, %.1f changes a second, at most %.1f MB a controller with the stand-in's own", started, perSecond, each)
 	if started < 5000 || perSecond > 1.4*25 || each > 100 {
 		t.Errorf("%d tasks started in a minute, %.1f changes a second, %.1f MB a controller", started, perSecond, each)
 	}
-	if len(w.Broken) > 0 {
-		t.Errorf("%d broken rules, first %s", len(w.Broken), w.Broken[0])
+	if len(c.Broken) > 0 {
+		t.Errorf("%d broken rules, first %s", len(c.Broken), c.Broken[0])
 	}
 }
 
 // feedZoneBound submits arrays and gangs bound to one zone, or spread over zones.
-func (w *Cluster) feedZoneBound(jobs int, every time.Duration) {
+func (c *Cluster) submitZoneBoundLoad(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
-		w.fed++
-		sp := domain.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+w.fed), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: domain.Array, Priority: 1,
+		c.generatedJobs++
+		sp := domain.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+c.generatedJobs), Class: "z", Team: []string{"red", "blue"}[i%2], Shape: domain.Array, Priority: 1,
 			TaskCount: 30 + i%5*40, Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 30, CheckpointInterval: 10, CheckpointCost: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
 		switch i % 4 {
@@ -260,7 +260,7 @@
 			sp.Shape, sp.TaskCount, sp.Spot, sp.Priority = domain.Gang, 2+i%3, false, 2
 			sp.Request = domain.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		}
-		w.after(time.Duration(i)*every, func() { w.Submit(sp, time.Duration(15+i%40)*time.Second) })
+		c.after(time.Duration(i)*every, func() { c.Submit(sp, time.Duration(15+i%40)*time.Second) })
 	}
 }
 
@@ -268,21 +268,21 @@
 // arrays, each booked in several commits, meet leaders that end between these, late
 // transactions, lost answers and an outage.
 func zoneBoundFleet(fill int, drop string) *Cluster {
-	w := fleet(fill, func(s *scheduler.Settings) { s.DisabledGuard = drop })
+	c := fleetCluster(fill, func(s *scheduler.Settings) { s.DisabledGuard = drop })
 	size := fill / 250
-	w.feed(150*size, time.Millisecond)
-	w.feed(300*size, 300*time.Millisecond/time.Duration(size))
-	w.feedZoneBound(70+20*size, 1800*time.Millisecond/time.Duration(size+1))
+	c.submitGrownLoad(150*size, time.Millisecond)
+	c.submitGrownLoad(300*size, 300*time.Millisecond/time.Duration(size))
+	c.submitZoneBoundLoad(70+20*size, 1800*time.Millisecond/time.Duration(size+1))
 	for at := 32 * time.Second; at < 80*time.Second; at += 11 * time.Second {
-		w.after(at, func() { w.node("leader").crash(300 * time.Millisecond) })
-		w.after(at+4*time.Second, func() {
-			w.spell["late"] = spell{w.Now + 3*time.Second, 0.3, 0}
-			w.spell["lost"] = spell{w.Now + 5*time.Second, 0.3, 0}
+		c.after(at, func() { c.process("leader").crash(300 * time.Millisecond) })
+		c.after(at+4*time.Second, func() {
+			c.troubles["late"] = trouble{c.Now + 3*time.Second, 0.3, 0}
+			c.troubles["lost"] = trouble{c.Now + 5*time.Second, 0.3, 0}
 		})
 	}
-	w.after(84*time.Second, func() { w.st.outage(6 * time.Second) })
-	w.Run(120 * time.Second)
-	return w
+	c.after(84*time.Second, func() { c.state.outage(6 * time.Second) })
+	c.Run(120 * time.Second)
+	return c
 }
 
 // TestFleetZoneBound: no task starts where it must not, machines go on reporting, and the
@@ -295,23 +295,23 @@
 	}{{250, ""}, {250, scheduler.GuardDraft}, {1000, ""}} {
 		t.Run(fmt.Sprint(4*x.fill, x.drop), func(t *testing.T) {
 			t.Parallel()
-			w := zoneBoundFleet(x.fill, x.drop)
+			c := zoneBoundFleet(x.fill, x.drop)
 			ran := 0
-			for id, j := range w.jobs {
-				if j.spec.Class == "z" && j.spec.Shape == domain.Array {
-					ran += len(w.firstRuns(id))
+			for id, job := range c.jobs {
+				if job.spec.Class == "z" && job.spec.Shape == domain.Array {
+					ran += len(c.firstRuns(id))
 				}
 			}
-			leaders := w.met["new leader"]
-			n, up := w.answered(w.Now - 10*time.Second)
+			leaders := c.occurrences["new leader"]
+			n, up := c.answered(c.Now - 10*time.Second)
 			t.Logf("%d of %d machines answered in the last 10 s; %d leaders; %d tasks of zone-bound arrays ran, %d starts in all; %d broken rules; %v",
-				n, up, leaders, ran, w.Starts(), len(w.Broken), w.met)
-			if up < 4*x.fill*95/100 || 100*n < 95*up || leaders < 4 || ran < 3000 || w.met["late transaction that changed something"] == 0 {
+				n, up, leaders, ran, c.Starts(), len(c.Broken), c.occurrences)
+			if up < 4*x.fill*95/100 || 100*n < 95*up || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
 				t.Errorf("%d of %d machines answered, %d leaders, %d tasks of zone-bound arrays ran", n, up, leaders, ran)
 			}
-			broken := slices.ContainsFunc(w.Broken, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
-			if want := x.drop != ""; broken != want || !want && len(w.Broken) > 0 {
-				t.Errorf("%d broken rules: %.300s", len(w.Broken), fmt.Sprint(w.Broken))
+			broken := slices.ContainsFunc(c.Broken, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
+			if want := x.drop != ""; broken != want || !want && len(c.Broken) > 0 {
+				t.Errorf("%d broken rules: %.300s", len(c.Broken), fmt.Sprint(c.Broken))
 			}
 		})
 	}
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -18,7 +18,7 @@
 }
 
 // load is work for a few minutes: long and short arrays, gangs, both teams.
-func load(r *rand.Rand, n, within int) string {
+func mixedLoad(r *rand.Rand, n, within int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
 		at, id, team := 1+r.IntN(within), fmt.Sprintf("job-%06d", 100+i), []string{"red", "blue"}[r.IntN(2)]
@@ -34,53 +34,53 @@
 	return b.String()
 }
 
-func anyNode(r *rand.Rand) string { return fmt.Sprintf("c-%d", r.IntN(3)) }
-func anyMode(r *rand.Rand) string { return []string{"drop", "hold"}[r.IntN(2)] }
-func anyMach(r *rand.Rand) string { return fmt.Sprintf("n-%06d", 1+r.IntN(8)) }
+func anyController(r *rand.Rand) string { return fmt.Sprintf("c-%d", r.IntN(3)) }
+func anyCutMode(r *rand.Rand) string    { return []string{"drop", "hold"}[r.IntN(2)] }
+func anyMachine(r *rand.Rand) string    { return fmt.Sprintf("n-%06d", 1+r.IntN(8)) }
 
 // line writes one line of a script at a time that may be a fraction.
-func line(at float64, format string, a ...any) string {
+func scriptLine(at float64, format string, a ...any) string {
 	return fmt.Sprintf("at %.2f ", at) + fmt.Sprintf(format, a...) + "\n"
 }
 
 // gap: the state service refuses one controller, others confirm cancellations, then
 // it is out for all for longer than a cancellation has.
-func gap(r *rand.Rand, node string) string {
+func refusalGap(r *rand.Rand, node string) string {
 	at := 60 + 10*r.Float64()
 	s := ""
 	for i := 1; i <= 4; i++ {
 		s += fmt.Sprintf("at 2 submit job-%06d array 6 blue run=250\n", i)
 	}
-	s += line(at, "state refuse %s for=%d", node, 10+r.IntN(10))
+	s += scriptLine(at, "state refuse %s for=%d", node, 10+r.IntN(10))
 	for i := 1; i <= 4; i++ {
-		s += line(at+0.05+2*r.Float64(), "cancel job-%06d", i)
+		s += scriptLine(at+0.05+2*r.Float64(), "cancel job-%06d", i)
 	}
-	return s + line(at+2.2+0.7*r.Float64(), "state down for=%d", 50+r.IntN(30))
+	return s + scriptLine(at+2.2+0.7*r.Float64(), "state down for=%d", 50+r.IntN(30))
 }
 
 // meetings are those of the users' list; docs/meetings.md has a row for each.
 var meetings = []meeting{
-	{"gap", func(r *rand.Rand) string { return gap(r, anyNode(r)) + "until 320\n" },
+	{"gap", func(r *rand.Rand) string { return refusalGap(r, anyController(r)) + "until 320\n" },
 		[]string{"outage while cancelled tasks are on"}, "fence", "ran_cancelled"},
 	{"gap_with_starts_under_way", func(r *rand.Rand) string {
 		// Bookings whose runs the old leader hasn't sent: its machines are cut off from
 		// it for a moment, within their lease.
-		n := anyNode(r)
+		n := anyController(r)
 		s := "at 2 submit job-000100 array 12 blue run=55\n"
-		s += line(68.8+0.4*r.Float64(), "cut %s * drop for=%d", n, 14+r.IntN(2))
+		s += scriptLine(68.8+0.4*r.Float64(), "cut %s * drop for=%d", n, 14+r.IntN(2))
 		for i := 1; i <= 6; i++ {
-			s += line(69.2, "submit job-%06d array 4 blue run=60", i) + line(70.1+1.5*r.Float64(), "cancel job-%06d", i)
+			s += scriptLine(69.2, "submit job-%06d array 4 blue run=60", i) + scriptLine(70.1+1.5*r.Float64(), "cancel job-%06d", i)
 		}
-		return s + line(70, "state refuse %s for=14", n) + line(72, "state down for=60") + "until 320\n"
+		return s + scriptLine(70, "state refuse %s for=14", n) + scriptLine(72, "state down for=60") + "until 320\n"
 	}, nil, "fence", "late_start"},
 	{"answers_held_up", func(r *rand.Rand) string {
-		s := load(r, 16, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
+		s := mixedLoad(r, 16, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
 		for i := 0; i < 6; i++ {
 			at := 30 + 120*r.Float64()
-			s += line(at, "cut %s %s hold for=%d", anyNode(r), anyMach(r), 2+r.IntN(12)) + line(at+r.Float64(), "hang %s for=%d", anyMach(r), 2+r.IntN(22)) +
-				line(at+1, "crash leader back=%.1f", []float64{0.3, 4}[r.IntN(2)])
+			s += scriptLine(at, "cut %s %s hold for=%d", anyController(r), anyMachine(r), 2+r.IntN(12)) + scriptLine(at+r.Float64(), "hang %s for=%d", anyMachine(r), 2+r.IntN(22)) +
+				scriptLine(at+1, "crash leader back=%.1f", []float64{0.3, 4}[r.IntN(2)])
 		}
-		return s + line(100, "calloff 3 hang=15") + "until 600\n"
+		return s + scriptLine(100, "calloff 3 hang=15") + "until 600\n"
 	}, []string{"new leader", "running job called off"}, "", ""},
 	{"small_jobs_across_leaders", func(r *rand.Rand) string {
 		s := "fill 1\n"
@@ -88,124 +88,124 @@
 			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d gpu=%d spot\n", 1+r.IntN(150), 1+i, 2+r.IntN(2), 8+r.IntN(40), 2+r.IntN(2))
 		}
 		for at := 40; at < 200; at += 25 {
-			s += line(float64(at)+5*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4, 15}[r.IntN(3)])
+			s += scriptLine(float64(at)+5*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4, 15}[r.IntN(3)])
 		}
 		return s + "until 700\n"
 	}, []string{"new leader"}, "", ""},
 	{"close_looks", func(r *rand.Rand) string {
-		s := load(r, 30, 100) + "at 1 looks for=300\nat 20 endings for=100 share=0.4\n"
+		s := mixedLoad(r, 30, 100) + "at 1 looks for=300\nat 20 endings for=100 share=0.4\n"
 		for i := 0; i < 10; i++ {
-			s += line(3+110*r.Float64(), "cancel job-%06d", 100+r.IntN(30))
+			s += scriptLine(3+110*r.Float64(), "cancel job-%06d", 100+r.IntN(30))
 		}
-		return s + line(40, "lost all for=60 share=0.3") + line(60, "cut %s state hold for=5", anyNode(r)) + line(80, "slow for=20 by=0.9") + "until 500\n"
+		return s + scriptLine(40, "lost all for=60 share=0.3") + scriptLine(60, "cut %s state hold for=5", anyController(r)) + scriptLine(80, "slow for=20 by=0.9") + "until 500\n"
 	}, []string{"answer to a close look", "answer lost", "slow answer", "cancelled at its end"}, "index", "went_back"},
 	{"hand_over_and_back", func(r *rand.Rand) string {
-		s := load(r, 20, 150)
+		s := mixedLoad(r, 20, 150)
 		for at := 30.0; at < 150; at += 20 {
-			s += line(at, "crash leader back=%.1f", 0.1+r.Float64()) + line(at+2*r.Float64(), "crash leader back=0.2")
+			s += scriptLine(at, "crash leader back=%.1f", 0.1+r.Float64()) + scriptLine(at+2*r.Float64(), "crash leader back=0.2")
 		}
-		return s + line(80, "crash all back=0.3") + line(110, "crash all back=25") + line(111, "crash c-0 back=0.1") + line(160, "crash all back=0.1") +
-			line(160.5, "crash %s back=3", anyNode(r)) + "until 700\n"
+		return s + scriptLine(80, "crash all back=0.3") + scriptLine(110, "crash all back=25") + scriptLine(111, "crash c-0 back=0.1") + scriptLine(160, "crash all back=0.1") +
+			scriptLine(160.5, "crash %s back=3", anyController(r)) + "until 700\n"
 	}, []string{"new leader"}, "", ""},
 	{"quick_machines_late_writes", func(r *rand.Rand) string {
-		s := "at 0 quick for=200\n" + load(r, 20, 60)
+		s := "at 0 quick for=200\n" + mixedLoad(r, 20, 60)
 		for at := 5.0; at < 60; at += 12 {
-			s += line(at, "late all for=6 share=0.5") + line(at+2+3*r.Float64(), "crash leader back=4")
+			s += scriptLine(at, "late all for=6 share=0.5") + scriptLine(at+2+3*r.Float64(), "crash leader back=4")
 		}
 		return s + "until 500\n"
 	}, []string{"up within two seconds", "late transaction", "new leader"}, "", ""},
 	{"cancelled_at_the_end", func(r *rand.Rand) string {
-		return load(r, 30, 150) + "at 1 endings for=250 share=0.6\nat 1 looks for=300\nuntil 700\n"
+		return mixedLoad(r, 30, 150) + "at 1 endings for=250 share=0.6\nat 1 looks for=300\nuntil 700\n"
 	}, []string{"cancelled at its end", "answer to a close look"}, "", ""},
 	{"zone_cut_off", func(r *rand.Rand) string {
-		return "zones\n" + load(r, 20, 120) + line(50+10*r.Float64(), "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyMode(r), 25+r.IntN(40)) +
-			line(60, "calloff 4") + line(120, "crash leader back=4") + "until 600\n"
+		return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyCutMode(r), 25+r.IntN(40)) +
+			scriptLine(60, "calloff 4") + scriptLine(120, "crash leader back=4") + "until 600\n"
 	}, []string{"running job called off"}, "", ""},
 	{"old_reports_under_a_new_leader", func(r *rand.Rand) string {
-		s := load(r, 24, 150)
+		s := mixedLoad(r, 24, 150)
 		for i := 1; i <= 8; i++ { // some from an earlier session, too
 			s += fmt.Sprintf("at 25 keep n-%06d for=150\nat 30 copies n-%06d for=120 most=45\n", i, i)
 		}
 		for at := 45.0; at < 190; at += 28 {
-			s += line(at, "hang %s for=24", anyMach(r)) + line(at+10*r.Float64(), "crash leader back=%.1f", []float64{0.3, 6}[r.IntN(2)])
+			s += scriptLine(at, "hang %s for=24", anyMachine(r)) + scriptLine(at+10*r.Float64(), "crash leader back=%.1f", []float64{0.3, 6}[r.IntN(2)])
 		}
-		return s + line(90, "calloff 3 hang=18") + "until 700\n"
+		return s + scriptLine(90, "calloff 3 hang=18") + "until 700\n"
 	}, []string{"old report under a new leader", "new leader"}, "", ""},
 	{"teams_at_their_limits", func(r *rand.Rand) string {
-		s := "fill 4\n" + atLimits(r)
+		s := "fill 4\n" + loadAtLimits(r)
 		for at := 45.0; at < 160; at += 30 {
-			s += line(at, "cut leader %s hold for=%d", anyMach(r), 8+r.IntN(20)) + line(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
-				line(at+1.5+3*r.Float64(), "crash leader back=4") + line(at+2, "deaf %s for=12", anyMach(r))
+			s += scriptLine(at, "cut leader %s hold for=%d", anyMachine(r), 8+r.IntN(20)) + scriptLine(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
+				scriptLine(at+1.5+3*r.Float64(), "crash leader back=4") + scriptLine(at+2, "deaf %s for=12", anyMachine(r))
 		}
 		return s + "until 700\n"
 	}, []string{"a team at its limit", "running job called off", "new leader"}, "quota", "quota"},
 	{"refused_then_out", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + load(r, 16, 60)
+		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 16, 60)
 		at := 60 + 10*r.Float64()
-		s += line(at, "calloff 4") + line(at, "state refuse leader for=30") + line(at+1, "state down for=55") + line(at-10, "slow for=80 by=1.2")
-		return s + line(at+20, "calloff 2 hang=10") + "until 600\n"
+		s += scriptLine(at, "calloff 4") + scriptLine(at, "state refuse leader for=30") + scriptLine(at+1, "state down for=55") + scriptLine(at-10, "slow for=80 by=1.2")
+		return s + scriptLine(at+20, "calloff 2 hang=10") + "until 600\n"
 	}, []string{"running job called off", "slow answer"}, "", ""},
 	{"cancelled_while_work_changes_hands", func(r *rand.Rand) string {
-		s := load(r, 24, 120)
+		s := mixedLoad(r, 24, 120)
 		for at := 40.0; at < 160; at += 30 {
-			s += line(at, "crash %s back=%.1f", anyNode(r), []float64{0.3, 8}[r.IntN(2)])
+			s += scriptLine(at, "crash %s back=%.1f", anyController(r), []float64{0.3, 8}[r.IntN(2)])
 			for k := 0; k < 5; k++ {
-				s += line(at+8*r.Float64(), "calloff 1")
+				s += scriptLine(at+8*r.Float64(), "calloff 1")
 			}
 		}
 		return s + "until 600\n"
 	}, []string{"running job called off"}, "", ""},
 	{"late_transactions", func(r *rand.Rand) string {
-		s := "fill 4\nat 1 looks for=300\n" + atLimits(r)
+		s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
 		for at := 20.0; at < 200; at += 20 {
-			s += line(at, "late %s for=12 share=0.5", []string{"all", anyNode(r)}[r.IntN(2)]) + line(at+15*r.Float64(), "crash %s back=%.1f", anyNode(r), []float64{0.2, 4}[r.IntN(2)]) +
-				line(at+5*r.Float64(), "calloff 1")
+			s += scriptLine(at, "late %s for=12 share=0.5", []string{"all", anyController(r)}[r.IntN(2)]) + scriptLine(at+15*r.Float64(), "crash %s back=%.1f", anyController(r), []float64{0.2, 4}[r.IntN(2)]) +
+				scriptLine(at+5*r.Float64(), "calloff 1")
 		}
-		return s + line(210, "state refuse %s for=20", anyNode(r)) + "until 700\n"
+		return s + scriptLine(210, "state refuse %s for=20", anyController(r)) + "until 700\n"
 	}, []string{"late transaction that changed something", "a team at its limit", "running job called off"}, "", ""},
 	{"swarm", func(r *rand.Rand) string {
 		s := "rates\nat 30 looks for=60\n"
 		for i := 0; i < 4*150; i++ {
 			at := 10 + float64(i)/4
-			s += line(at, "submit job-%06d array 1 %s run=%d gpu=0 cpu=1 spot", 1000+i, []string{"red", "blue"}[i%2], 5+r.IntN(15))
+			s += scriptLine(at, "submit job-%06d array 1 %s run=%d gpu=0 cpu=1 spot", 1000+i, []string{"red", "blue"}[i%2], 5+r.IntN(15))
 			if r.IntN(4) == 0 {
-				s += line(at+12*r.Float64(), "cancel job-%06d", 1000+i)
+				s += scriptLine(at+12*r.Float64(), "cancel job-%06d", 1000+i)
 			}
 		}
-		return s + line(80, "crash leader back=4") + "until 500\n"
+		return s + scriptLine(80, "crash leader back=4") + "until 500\n"
 	}, []string{"new leader"}, "", ""},
 	{"mute_machines", func(r *rand.Rand) string {
-		s := load(r, 20, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
+		s := mixedLoad(r, 20, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
 		for i := 1; i <= 4; i++ {
-			s += line(40+3*r.Float64(), "mute n-%06d for=%d", i, 30+r.IntN(40)) + line(90+r.Float64(), "mute n-%06d for=12", i+4)
+			s += scriptLine(40+3*r.Float64(), "mute n-%06d for=%d", i, 30+r.IntN(40)) + scriptLine(90+r.Float64(), "mute n-%06d for=12", i+4)
 		}
-		return s + line(44, "calloff 6") + line(93, "calloff 3") + line(50, "crash leader back=4") + "until 600\n"
+		return s + scriptLine(44, "calloff 6") + scriptLine(93, "calloff 3") + scriptLine(50, "crash leader back=4") + "until 600\n"
 	}, []string{"orders to a mute machine", "running job called off"}, "", ""},
 	{"leader_cut_from_state_and_peers", func(r *rand.Rand) string {
-		s := load(r, 20, 100) + "at 2 submit job-000001 array 9 blue run=250 spot\n"
+		s := mixedLoad(r, 20, 100) + "at 2 submit job-000001 array 9 blue run=250 spot\n"
 		for k, at := range []float64{45, 130} {
 			at += 10 * r.Float64()
 			n := fmt.Sprintf("c-%d", (k+r.IntN(2))%3)
 			for _, o := range []string{"state", "c-0", "c-1", "c-2"} {
 				if o != n {
-					s += line(at, "cut %s %s %s for=50", n, o, anyMode(r))
+					s += scriptLine(at, "cut %s %s %s for=50", n, o, anyCutMode(r))
 				}
 			}
-			s += line(at+6, "calloff 3") + line(at+12, "calloff 2 hang=10")
+			s += scriptLine(at+6, "calloff 3") + scriptLine(at+12, "calloff 2 hang=10")
 		}
 		return s + "until 600\n"
 	}, []string{"running job called off"}, "fence", "ran_twice"},
 	{"ten_leaders", func(r *rand.Rand) string {
-		s := load(r, 24, 160)
+		s := mixedLoad(r, 24, 160)
 		for i := 0; i < 10; i++ {
-			s += line(40+12*float64(i)+6*r.Float64(), "crash leader back=%.1f", []float64{0.2, 0.8, 4}[r.IntN(3)])
+			s += scriptLine(40+12*float64(i)+6*r.Float64(), "crash leader back=%.1f", []float64{0.2, 0.8, 4}[r.IntN(3)])
 		}
-		return s + line(80+20*r.Float64(), "state down for=18") + line(75, "calloff 2") + "until 700\n"
+		return s + scriptLine(80+20*r.Float64(), "state down for=18") + scriptLine(75, "calloff 2") + "until 700\n"
 	}, []string{"new leader"}, "", ""},
 	{"answers_lost", func(r *rand.Rand) string {
-		s := "fill 4\nat 1 looks for=300\n" + atLimits(r)
+		s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
 		for at := 20.0; at < 160; at += 25 {
-			s += line(at, "lost %s for=15 share=0.5", []string{"all", anyNode(r)}[r.IntN(2)]) + line(at+15*r.Float64(), "calloff 1") + line(at+10, "crash %s back=0.2", anyNode(r))
+			s += scriptLine(at, "lost %s for=15 share=0.5", []string{"all", anyController(r)}[r.IntN(2)]) + scriptLine(at+15*r.Float64(), "calloff 1") + scriptLine(at+10, "crash %s back=0.2", anyController(r))
 		}
 		return s + "until 600\n"
 	}, []string{"answer lost", "answer to a close look"}, "", ""},
@@ -214,7 +214,7 @@
 		for i := 0; i < 24; i++ {
 			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d prio=%d spot\n", 1+r.IntN(60), 100+i, 1+r.IntN(8), 10+r.IntN(20), r.IntN(4))
 		}
-		return s + line(70, "crash leader back=4") + "until 900\n"
+		return s + scriptLine(70, "crash leader back=4") + "until 900\n"
 	}, []string{"slow answer", "odd submission refused", "repeat answered"}, "never", "taken"},
 	{"zone_bound_jobs_lose_machines", func(r *rand.Rand) string {
 		s := ""
@@ -222,92 +222,102 @@
 			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d zone=%s\n", 1+r.IntN(60), 100+i, 2+r.IntN(9), 20+r.IntN(60), []string{"a", "b"}[r.IntN(2)])
 		}
 		for i := 0; i < 8; i++ {
-			s += line(30+90*r.Float64(), "take %s", anyMach(r)) + line(40+80*r.Float64(), "notice %s in=5", anyMach(r))
+			s += scriptLine(30+90*r.Float64(), "take %s", anyMachine(r)) + scriptLine(40+80*r.Float64(), "notice %s in=5", anyMachine(r))
 		}
-		return s + line(70, "crash leader back=4") + line(72, "cloud down for=25") + "until 700\n"
+		return s + scriptLine(70, "crash leader back=4") + scriptLine(72, "cloud down for=25") + "until 700\n"
 	}, []string{"new leader"}, "", ""},
-	{"zone_bound_arrays_across_leaders", zoneAcross,
+	{"zone_bound_arrays_across_leaders", zoneBoundAcrossLeaders,
 		[]string{"new leader", "answer lost", "late transaction that changed something"}, "draft", "wrong_place"},
 	{"all_away_longer_than_a_lease", func(r *rand.Rand) string {
-		return load(r, 24, 120) + line(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + line(49, "calloff 3 hang=30") + line(52, "keep %s for=1", anyMach(r)) + "until 700\n"
+		return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", anyMachine(r)) + "until 700\n"
 	}, []string{"new leader", "running job called off"}, "", ""},
 	{"leader_ends_beside_unreachable_machines", func(r *rand.Rand) string {
-		s := "at 2 submit job-000001 array 12 blue run=150 ckpt=10\n" + load(r, 16, 100)
+		s := "at 2 submit job-000001 array 12 blue run=150 ckpt=10\n" + mixedLoad(r, 16, 100)
 		for at := 40.0; at < 150; at += 35 {
 			for i := 0; i < 4; i++ {
 				what := []string{"deaf %s for=%d", "hang %s for=%d", "mute %s for=%d", "cut c-1 %s drop for=%d", "cut c-2 %s hold for=%d"}[r.IntN(5)]
-				s += line(at+r.Float64(), what, anyMach(r), 10+r.IntN(20))
+				s += scriptLine(at+r.Float64(), what, anyMachine(r), 10+r.IntN(20))
 			}
-			s += line(at+2, "crash leader back=4") + line(at+3, "calloff 1")
+			s += scriptLine(at+2, "crash leader back=4") + scriptLine(at+3, "calloff 1")
 		}
 		return s + "until 700\n"
 	}, []string{"new leader"}, "", ""},
 	{"frozen_controllers", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\n" + load(r, 24, 150)
+		s := "at 1 looks for=250\n" + mixedLoad(r, 24, 150)
 		for at := 35.0; at < 170; at += 30 {
-			s += line(at+5*r.Float64(), "freeze %s for=%d", []string{"leader", anyNode(r)}[r.IntN(2)], 2+r.IntN(40)) + line(at+3+5*r.Float64(), "calloff 2")
+			s += scriptLine(at+5*r.Float64(), "freeze %s for=%d", []string{"leader", anyController(r)}[r.IntN(2)], 2+r.IntN(40)) + scriptLine(at+3+5*r.Float64(), "calloff 2")
 		}
-		return s + line(100, "state refuse leader for=15") + "until 700\n"
+		return s + scriptLine(100, "state refuse leader for=15") + "until 700\n"
 	}, []string{"woken", "answer decided before a freeze"}, "", ""},
 	{"frozen_over_a_minute", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + load(r, 20, 120)
-		s += line(50+5*r.Float64(), "freeze leader for=%d", 62+r.IntN(30)) + line(56, "calloff 3")
-		return s + line(150+5*r.Float64(), "freeze leader for=%d", 5+r.IntN(8)) + line(152, "calloff 1") + "until 700\n"
+		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 20, 120)
+		s += scriptLine(50+5*r.Float64(), "freeze leader for=%d", 62+r.IntN(30)) + scriptLine(56, "calloff 3")
+		return s + scriptLine(150+5*r.Float64(), "freeze leader for=%d", 5+r.IntN(8)) + scriptLine(152, "calloff 1") + "until 700\n"
 	}, []string{"woken", "new leader", "running job called off"}, "", ""},
 	{"two_controllers_cut", func(r *rand.Rand) string {
 		// The second spell begins less than a lease after the first has ended.
-		s := "at 2 submit job-000001 array 9 blue run=200 spot\n" + load(r, 20, 120)
+		s := "at 2 submit job-000001 array 9 blue run=200 spot\n" + mixedLoad(r, 20, 120)
 		for at := 45.0; at < 150; at += 40 {
 			a := r.IntN(3)
-			s += line(at+r.Float64(), "cut c-%d state %s for=%d", a, anyMode(r), 10+r.IntN(18)) +
-				line(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, anyMode(r), 10+r.IntN(18)) + line(at+4, "calloff 2")
+			s += scriptLine(at+r.Float64(), "cut c-%d state %s for=%d", a, anyCutMode(r), 10+r.IntN(18)) +
+				scriptLine(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, anyCutMode(r), 10+r.IntN(18)) + scriptLine(at+4, "calloff 2")
 		}
 		return s + "until 700\n"
 	}, []string{"running job called off"}, "", ""},
 }
 
 // troubles are one line or two each, for days that pair any two of them.
-var troubles = []func(r *rand.Rand, at float64) string{
+var pairableTroubles = []func(r *rand.Rand, at float64) string{
 	func(r *rand.Rand, at float64) string {
-		return line(at, "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)])
+		return scriptLine(at, "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)])
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "crash %s back=%.1f", anyNode(r), []float64{0.2, 4}[r.IntN(2)])
+		return scriptLine(at, "crash %s back=%.1f", anyController(r), []float64{0.2, 4}[r.IntN(2)])
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "crash all back=%.1f", []float64{0.3, 3, 24}[r.IntN(3)])
+		return scriptLine(at, "crash all back=%.1f", []float64{0.3, 3, 24}[r.IntN(3)])
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "cut %s state %s for=%d", anyNode(r), anyMode(r), 5+r.IntN(25))
+		return scriptLine(at, "cut %s state %s for=%d", anyController(r), anyCutMode(r), 5+r.IntN(25))
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "cut %s * %s for=%d", anyNode(r), anyMode(r), 5+r.IntN(25))
+		return scriptLine(at, "cut %s * %s for=%d", anyController(r), anyCutMode(r), 5+r.IntN(25))
 	},
-	func(r *rand.Rand, at float64) string { return line(at, "state down for=%d", 3+r.IntN(45)) },
-	func(r *rand.Rand, at float64) string { return line(at, "state refuse leader for=%d", 5+r.IntN(25)) },
-	func(r *rand.Rand, at float64) string { return line(at, "slow for=%d by=1.4", 5+r.IntN(25)) },
-	func(r *rand.Rand, at float64) string { return line(at, "freeze %s for=%d", anyNode(r), 2+r.IntN(30)) },
-	func(r *rand.Rand, at float64) string { return line(at, "late all for=%d share=0.4", 5+r.IntN(20)) },
-	func(r *rand.Rand, at float64) string { return line(at, "lost all for=%d share=0.4", 5+r.IntN(20)) },
+	func(r *rand.Rand, at float64) string { return scriptLine(at, "state down for=%d", 3+r.IntN(45)) },
 	func(r *rand.Rand, at float64) string {
-		return line(at, "cloud down for=30") + line(at+1, "take %s", anyMach(r))
+		return scriptLine(at, "state refuse leader for=%d", 5+r.IntN(25))
 	},
+	func(r *rand.Rand, at float64) string { return scriptLine(at, "slow for=%d by=1.4", 5+r.IntN(25)) },
 	func(r *rand.Rand, at float64) string {
-		return line(at, "hang %s for=%d", anyMach(r), 3+r.IntN(25)) + line(at+1, "notice %s in=6", anyMach(r))
+		return scriptLine(at, "freeze %s for=%d", anyController(r), 2+r.IntN(30))
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "deaf %s for=%d", anyMach(r), 5+r.IntN(35)) + line(at, "mute %s for=%d", anyMach(r), 5+r.IntN(35))
+		return scriptLine(at, "late all for=%d share=0.4", 5+r.IntN(20))
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "keep %s for=30", anyMach(r)) + line(at+6, "crash leader back=4") + line(at, "copies %s for=20 most=40", anyMach(r))
+		return scriptLine(at, "lost all for=%d share=0.4", 5+r.IntN(20))
 	},
 	func(r *rand.Rand, at float64) string {
-		return line(at, "calloff %d hang=%d", 2+r.IntN(3), 25*r.IntN(2))
+		return scriptLine(at, "cloud down for=30") + scriptLine(at+1, "take %s", anyMachine(r))
 	},
-	func(r *rand.Rand, at float64) string { return line(at, "endings for=20 share=0.7") },
-	func(r *rand.Rand, at float64) string { return line(at, "odd for=20") + line(at, "quick for=20") },
 	func(r *rand.Rand, at float64) string {
-		return line(at, "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyMode(r), 5+r.IntN(35))
+		return scriptLine(at, "hang %s for=%d", anyMachine(r), 3+r.IntN(25)) + scriptLine(at+1, "notice %s in=6", anyMachine(r))
+	},
+	func(r *rand.Rand, at float64) string {
+		return scriptLine(at, "deaf %s for=%d", anyMachine(r), 5+r.IntN(35)) + scriptLine(at, "mute %s for=%d", anyMachine(r), 5+r.IntN(35))
+	},
+	func(r *rand.Rand, at float64) string {
+		return scriptLine(at, "keep %s for=30", anyMachine(r)) + scriptLine(at+6, "crash leader back=4") + scriptLine(at, "copies %s for=20 most=40", anyMachine(r))
+	},
+	func(r *rand.Rand, at float64) string {
+		return scriptLine(at, "calloff %d hang=%d", 2+r.IntN(3), 25*r.IntN(2))
+	},
+	func(r *rand.Rand, at float64) string { return scriptLine(at, "endings for=20 share=0.7") },
+	func(r *rand.Rand, at float64) string {
+		return scriptLine(at, "odd for=20") + scriptLine(at, "quick for=20")
+	},
+	func(r *rand.Rand, at float64) string {
+		return scriptLine(at, "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyCutMode(r), 5+r.IntN(35))
 	},
 }
 
@@ -317,37 +327,37 @@
 	for _, seed := range []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 138, 229} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := pairs(seed)
-			w, err := Play(s)
+			s := pairedTroublesDay(seed)
+			c, err := Play(s)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-				t.Errorf("broken %v, unfinished %v on\n%s", w.Broken, w.Unfinished(), s)
+			if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+				t.Errorf("broken %v, unfinished %v on\n%s", c.Broken, c.Unfinished(), s)
 			}
-			if w.met["answer to a close look"] < 100 || w.Starts() < 40 {
-				t.Errorf("%d starts, %v", w.Starts(), w.met)
+			if c.occurrences["answer to a close look"] < 100 || c.Starts() < 40 {
+				t.Errorf("%d starts, %v", c.Starts(), c.occurrences)
 			}
 		})
 	}
 }
 
-func pairs(seed uint64) string {
+func pairedTroublesDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 53))
 	s := fmt.Sprintf("seed %d\nat 1 looks for=600\n", seed)
 	if seed%3 == 0 {
 		s += "zones\n"
 	}
-	s += load(r, 26, 190)
+	s += mixedLoad(r, 26, 190)
 	for at := 35.0; at < 200; at += 38 {
-		a, b := r.IntN(len(troubles)), r.IntN(len(troubles))
-		s += troubles[a](r, at) + troubles[b](r, at+3*r.Float64())
+		a, b := r.IntN(len(pairableTroubles)), r.IntN(len(pairableTroubles))
+		s += pairableTroubles[a](r, at) + pairableTroubles[b](r, at+3*r.Float64())
 	}
 	return s + "until 900\n"
 }
 
 // atLimits is more small work than the teams' limits take.
-func atLimits(r *rand.Rand) string {
+func loadAtLimits(r *rand.Rand) string {
 	s := ""
 	for i := 0; i < 20; i++ {
 		s += fmt.Sprintf("at %d submit job-%06d array %d %s run=%d gpu=%d spot\n", 1+r.IntN(100), 100+i, 4+r.IntN(9), []string{"red", "red", "blue"}[r.IntN(3)], 8+r.IntN(40), 1+r.IntN(2))
@@ -366,17 +376,17 @@
 // TestCheckerSeesWaiting: without bookings a job waits beside room for it, and its
 // class and team go unserved, while a gang, which the leader books, is served.
 func TestCheckerSeesWaiting(t *testing.T) {
-	w, err := Play("drop book\nat 2 submit job-000001 array 2 blue run=20\nat 2 submit job-000002 gang 1 red run=20\nuntil 300\n")
+	c, err := Play("drop book\nat 2 submit job-000001 array 2 blue run=20\nat 2 submit job-000002 gang 1 red run=20\nuntil 300\n")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, rule := range []string{"left_waiting: job-000001", "starved: job-000001", "unserved: 0 of 1 of team blue"} {
-		if !slices.ContainsFunc(w.Broken, func(s string) bool { return strings.HasPrefix(s, rule) }) {
-			t.Errorf("%s is not among %v", rule, w.Broken)
+		if !slices.ContainsFunc(c.Broken, func(s string) bool { return strings.HasPrefix(s, rule) }) {
+			t.Errorf("%s is not among %v", rule, c.Broken)
 		}
 	}
-	if slices.ContainsFunc(w.Broken, func(s string) bool { return strings.Contains(s, "job-000002") || strings.Contains(s, "team red") }) {
-		t.Errorf("%v", w.Broken)
+	if slices.ContainsFunc(c.Broken, func(s string) bool { return strings.Contains(s, "job-000002") || strings.Contains(s, "team red") }) {
+		t.Errorf("%v", c.Broken)
 	}
 }
 
@@ -392,18 +402,18 @@
 			s += fmt.Sprintf("at %d submit job-%06d array 6 %s run=15 spot\n", 5*i, 100+i, []string{"red", "blue"}[i%2])
 			s += fmt.Sprintf("at %d submit job-%06d array 6 %s run=15 spot\n", 20+5*i, 200+i, []string{"red", "blue"}[i%2])
 		}
-		w, err := Play(s + "at 25 sick n-000001\nuntil 400\n")
+		c, err := Play(s + "at 25 sick n-000001\nuntil 400\n")
 		if err != nil {
 			t.Fatal(err)
 		}
 		var sick []string
-		for _, m := range w.marked {
+		for _, m := range c.cordons {
 			if strings.Contains(m, "sick") {
 				sick = append(sick, m)
 			}
 		}
 		tries, others := 0, 0
-		for _, l := range w.Trace {
+		for _, l := range c.Trace {
 			if !strings.Contains(l, ": error") {
 				continue
 			}
@@ -416,10 +426,10 @@
 			t.Errorf("seed %d: marked as sick: %v", seed, sick)
 		}
 		found += len(sick)
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 || tries > 700 {
-			t.Errorf("seed %d: broken %v, unfinished %v, %d tries", seed, w.Broken, w.Unfinished(), tries)
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 || tries > 700 {
+			t.Errorf("seed %d: broken %v, unfinished %v, %d tries", seed, c.Broken, c.Unfinished(), tries)
 		}
-		t.Logf("seed %d: %d tries of 66 mistaken tasks in 200 s, %d changes", seed, tries, w.st.changes)
+		t.Logf("seed %d: %d tries of 66 mistaken tasks in 200 s, %d changes", seed, tries, c.state.changes)
 	}
 	if found < 2 {
 		t.Errorf("the sick machine was found on %d of 3 days", found)
@@ -435,14 +445,14 @@
 			t.Parallel()
 			met := map[string]int{}
 			for seed := uint64(1); seed <= 3; seed++ {
-				w, err := Play(m.script(seed, ""))
+				c, err := Play(m.script(seed, ""))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-					t.Errorf("seed %d: broken %v, unfinished %v", seed, w.Broken, w.Unfinished())
+				if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+					t.Errorf("seed %d: broken %v, unfinished %v", seed, c.Broken, c.Unfinished())
 				}
-				for k, n := range w.met {
+				for k, n := range c.occurrences {
 					met[k] += n
 				}
 			}
@@ -455,11 +465,11 @@
 				return
 			}
 			for seed := uint64(1); seed <= 20; seed++ {
-				w, err := Play(m.script(seed, m.guard))
+				c, err := Play(m.script(seed, m.guard))
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, b := range w.Broken {
+				for _, b := range c.Broken {
 					if strings.HasPrefix(b, m.rule) {
 						return
 					}
@@ -476,13 +486,13 @@
 func TestLateWritesAmidAnUpgrade(t *testing.T) {
 	t.Parallel()
 	seeds, late := []uint64{3, 5, 8}, 0
-	for i, w := range playAll(t, seeds, func(seed uint64) string {
+	for i, c := range playAll(t, seeds, func(seed uint64) string {
 		return upgradeDay(seed, "") + "at 70 late all for=25 share=0.4\nat 105 late all for=60 share=0.3\nat 170 lost all for=40 share=0.3\n"
 	}) {
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-			t.Errorf("seed %d: broken %v, unfinished %v", seeds[i], w.Broken, w.Unfinished())
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+			t.Errorf("seed %d: broken %v, unfinished %v", seeds[i], c.Broken, c.Unfinished())
 		}
-		late += w.met["late transaction that changed something"]
+		late += c.occurrences["late transaction that changed something"]
 	}
 	if late == 0 {
 		t.Error("no transaction came late and changed something")
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -10,7 +10,7 @@
 
 // pipelines appends random pipelines to a day: chains, diamonds and fans, some
 // cancelled at their root or midway, some whose last job comes late.
-func pipelines(b *strings.Builder, r *rand.Rand, from, count int) {
+func writePipelines(b *strings.Builder, r *rand.Rand, from, count int) {
 	for p := 0; p < count; p++ {
 		at, id := from+r.IntN(120), 1000*(p+1)
 		team := []string{"red", "blue"}[r.IntN(2)]
@@ -108,7 +108,7 @@
 		}
 	}
 	fmt.Fprintf(&b, "at %d limits\n", 110+r.IntN(60))
-	pipelines(&b, r, 110, 8)
+	writePipelines(&b, r, 110, 8)
 	b.WriteString("until 900\n")
 	return b.String()
 }
@@ -119,16 +119,16 @@
 	t.Parallel()
 	refused, smaller := 0, 0
 	seeds := []uint64{1, 3, 5, 4, 8, 12, 14, 22}
-	for i, w := range playAll(t, seeds, func(seed uint64) string { return upgradeDay(seed, "") }) {
+	for i, c := range playAll(t, seeds, func(seed uint64) string { return upgradeDay(seed, "") }) {
 		seed := seeds[i]
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-			t.Errorf("seed %d: broken %v, unfinished %v", seed, w.Broken, w.Unfinished())
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+			t.Errorf("seed %d: broken %v, unfinished %v", seed, c.Broken, c.Unfinished())
 		}
-		refused, smaller = refused+w.st.tooLarge, smaller+w.smaller
-		if w.st.tooLarge > 12 {
-			t.Errorf("seed %d: %d transactions were refused as too large", seed, w.st.tooLarge)
+		refused, smaller = refused+c.state.refusedAsTooLarge, smaller+c.shrunkValues
+		if c.state.refusedAsTooLarge > 12 {
+			t.Errorf("seed %d: %d transactions were refused as too large", seed, c.state.refusedAsTooLarge)
 		}
-		if w.st.kv["b/format"].v == nil {
+		if c.state.entries["b/format"].value == nil {
 			t.Errorf("seed %d: the format was never turned on", seed)
 		}
 	}
@@ -142,14 +142,14 @@
 func TestRandomPipelines(t *testing.T) {
 	t.Parallel()
 	seeds := []uint64{201, 202, 203, 204, 205, 206, 207, 208}
-	for i, w := range playAll(t, seeds, func(seed uint64) string {
+	for i, c := range playAll(t, seeds, func(seed uint64) string {
 		var b strings.Builder
-		pipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
-		return day(seed, "") + b.String()
+		writePipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
+		return randomDay(seed, "") + b.String()
 	}) {
 		seed := seeds[i]
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-			t.Errorf("seed %d: broken %v, unfinished %v", seed, w.Broken, w.Unfinished())
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+			t.Errorf("seed %d: broken %v, unfinished %v", seed, c.Broken, c.Unfinished())
 		}
 	}
 }
@@ -159,29 +159,29 @@
 // told to come back, and runs once all are new.
 func TestLeaderUpgraded(t *testing.T) {
 	for _, order := range []string{"first", "last", "twice"} {
-		set := Settings()
-		w := newWorld(31, set, 0, true)
-		w.Watchful()
+		settings := Settings()
+		c := newCluster(31, settings, 0, true)
+		c.StartChecks()
 		lead := func() (leader string) {
-			for _, n := range w.nodes {
-				if strings.Contains(string(w.st.kv["b/view"].v), `"l":"`+n.name+`"`) {
-					leader = n.name
+			for _, p := range c.processes {
+				if strings.Contains(string(c.state.entries["b/view"].value), `"l":"`+p.name+`"`) {
+					leader = p.name
 				}
 			}
 			return leader
 		}
 		act := func(s string) {
-			if err := w.act(strings.Fields(s)); err != nil {
+			if err := c.playAction(strings.Fields(s)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		act("submit job-000001 array 6 blue run=60 spot")
-		w.Run(30 * time.Second)
+		c.Run(30 * time.Second)
 		for left := 3; left > 0; left-- {
 			next := ""
-			for _, n := range w.nodes {
-				if isLeader := n.name == lead(); n.old && (next == "" || isLeader == (order != "last")) {
-					next = n.name
+			for _, p := range c.processes {
+				if isLeader := p.name == lead(); p.isPreviousVersion && (next == "" || isLeader == (order != "last")) {
+					next = p.name
 				}
 			}
 			act("upgrade " + next + " back=0.5")
@@ -189,14 +189,14 @@
 				act("submit job-000002 array 2 red run=5 awaits=job-000001")
 			}
 			if order == "twice" {
-				w.Run(w.Now + 700*time.Millisecond)
+				c.Run(c.Now + 700*time.Millisecond)
 				act("crash " + next + " back=0.2")
 			}
-			w.Run(w.Now + 8*time.Second)
+			c.Run(c.Now + 8*time.Second)
 		}
-		w.Run(w.Now + 90*time.Second)
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 || !w.jobs["job-000002"].accepted || w.st.kv["b/format"].v == nil {
-			t.Errorf("%s: broken %v, unfinished %v", order, w.Broken, w.Unfinished())
+		c.Run(c.Now + 90*time.Second)
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 || !c.jobs["job-000002"].accepted || c.state.entries["b/format"].value == nil {
+			t.Errorf("%s: broken %v, unfinished %v", order, c.Broken, c.Unfinished())
 		}
 	}
 }
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -12,50 +12,50 @@
 )
 
 // each runs f every second of the world.
-func (w *Cluster) each(f func()) {
+func (c *Cluster) everySecond(f func()) {
 	var again func()
 	again = func() {
 		f()
-		w.after(time.Second, again)
+		c.after(time.Second, again)
 	}
-	w.after(time.Second, again)
+	c.after(time.Second, again)
 }
 
 // Watchful starts the checks that run every second, among them gangs whose
 // mates are gone.
-func (w *Cluster) Watchful() {
-	w.each(w.checkPlaces)
-	w.each(w.checkKnown)
-	w.each(w.checkRoom)
+func (c *Cluster) StartChecks() {
+	c.everySecond(c.checkRunningTasks)
+	c.everySecond(c.checkProgress)
+	c.everySecond(c.checkLeftWaiting)
 	lost := map[string]time.Duration{}
-	w.each(func() {
+	c.everySecond(func() {
 		type key struct {
 			job string
 			a   uint64
 		}
 		running := map[key]int{}
-		for _, k := range w.workers {
-			for _, id := range k.ids() {
-				if t := k.tasks[id]; t.state == domain.ReportedRunning && !k.hung && w.jobs[id.Job].spec.Shape == domain.Gang {
+		for _, w := range c.workers {
+			for _, id := range w.taskIDs() {
+				if t := w.tasks[id]; t.state == domain.ReportedRunning && !w.isHung && c.jobs[id.Job].spec.Shape == domain.Gang {
 					running[key{id.Job, t.attempt}]++
 				}
 			}
 		}
-		for _, k := range w.workers {
-			for _, id := range k.ids() {
-				t, j := k.tasks[id], w.jobs[id.Job]
+		for _, w := range c.workers {
+			for _, id := range w.taskIDs() {
+				t, job := w.tasks[id], c.jobs[id.Job]
 				g := key{id.Job, t.attempt}
-				if t.state != domain.ReportedRunning || j.spec.Shape != domain.Gang || running[g] >= j.spec.TaskCount || len(j.done) > 0 {
+				if t.state != domain.ReportedRunning || job.spec.Shape != domain.Gang || running[g] >= job.spec.TaskCount || len(job.done) > 0 {
 					continue
 				}
 				n := fmt.Sprintf("%s %d", g.job, g.a)
 				if _, ok := lost[n]; !ok {
-					lost[n] = w.Now
+					lost[n] = c.Now
 				}
-				if w.Now-lost[n] >= w.set.GangPeerWait {
-					k.do(func() {
+				if c.Now-lost[n] >= c.settings.GangPeerWait {
+					w.whenResponsive(func() {
 						if t.state == domain.ReportedRunning {
-							k.end(id, t, "peers", false)
+							w.endTask(id, t, "peers", false)
 						}
 					})
 				}
@@ -109,8 +109,8 @@
 func Play(script string) (*Cluster, error) { return play(script, nil) }
 
 // play is Play with a look at all that leaves the cores.
-func play(script string, onEffect func(*node, scheduler.Effect)) (*Cluster, error) {
-	seed, set := uint64(1), Settings()
+func play(script string, onEffect func(*controllerProcess, scheduler.Effect)) (*Cluster, error) {
+	seed, settings := uint64(1), Settings()
 	var until time.Duration
 	blind, old, opsNow, fill := false, false, 0, 5
 	type line struct {
@@ -130,20 +130,20 @@
 		case "blind":
 			blind = true
 		case "rates":
-			set.WriteRate, set.FairWriteRate, set.ReadRate = 25*0.92/3, 25*0.92/3, 100*0.92/3
+			settings.WriteRate, settings.FairWriteRate, settings.ReadRate = 25*0.92/3, 25*0.92/3, 100*0.92/3
 		case "zones":
-			set.ZoneOf = map[string]string{"c-0": "a", "c-1": "b", "c-2": "a"}
+			settings.ZoneOf = map[string]string{"c-0": "a", "c-1": "b", "c-2": "a"}
 		case "fill":
 			fill, err = strconv.Atoi(f[1])
 		case "old":
 			old = true
 		case "next":
-			set.ValueLimitNow, opsNow = set.ValueLimit, set.TransactionLimit
-			if _, err = fmt.Sscanf(l, "next value=%d ops=%d", &set.ValueLimit, &set.TransactionLimit); err != nil {
+			settings.ValueLimitNow, opsNow = settings.ValueLimit, settings.TransactionLimit
+			if _, err = fmt.Sscanf(l, "next value=%d ops=%d", &settings.ValueLimit, &settings.TransactionLimit); err != nil {
 				err = fmt.Errorf("next: %w", err)
 			}
 		case "drop":
-			set.DisabledGuard = f[1]
+			settings.DisabledGuard = f[1]
 		case "until":
 			until, err = secs(f[1])
 		case "at":
@@ -157,39 +157,39 @@
 			return nil, fmt.Errorf("%q: %w", l, err)
 		}
 	}
-	w := newWorld(seed, set, opsNow, old)
-	w.blind, w.fill, w.onEffect = blind, fill, onEffect
-	w.Watchful()
+	c := newCluster(seed, settings, opsNow, old)
+	c.excusesNothing, c.marketCapacity, c.onEffect = blind, fill, onEffect
+	c.StartChecks()
 	for _, l := range ls {
-		w.after(l.at, func() {
-			if err := w.act(l.f); err != nil {
-				w.broke("script", "%v: %v", l.f, err)
+		c.after(l.at, func() {
+			if err := c.playAction(l.f); err != nil {
+				c.violated("script", "%v: %v", l.f, err)
 			}
 		})
 	}
-	w.Run(until)
-	w.checkServed()
-	return w, nil
+	c.Run(until)
+	c.checkServed()
+	return c, nil
 }
 
-func (w *Cluster) node(name string) *node {
+func (c *Cluster) process(name string) *controllerProcess {
 	if name == "leader" {
-		name = w.leader
+		name = c.leader
 	}
-	for _, n := range w.nodes {
-		if n.name == name {
-			return n
+	for _, p := range c.processes {
+		if p.name == name {
+			return p
 		}
 	}
 	return nil
 }
 
 // act carries out one action of a script.
-func (w *Cluster) act(f []string) error {
+func (c *Cluster) playAction(f []string) error {
 	opt := map[string]string{}
 	for i, x := range f {
 		if x == "leader" && i > 0 {
-			f[i] = w.leader
+			f[i] = c.leader
 		}
 		k, v, _ := strings.Cut(x, "=")
 		opt[k] = v
@@ -204,86 +204,86 @@
 	switch f[0] {
 	case "submit", "cancel", "calloff", "looks", "odd", "quick", "endings", "storm":
 	default:
-		if w.blind {
+		if c.excusesNothing {
 			break
 		}
-		w.calm = max(w.calm, w.Now+max(dur("for", 0), dur("back", 0), dur("in", 0)))
+		c.calmSince = max(c.calmSince, c.Now+max(dur("for", 0), dur("back", 0), dur("in", 0)))
 	}
 	switch f[0] {
 	case "submit":
-		return w.submitLine(f, opt, num, dur)
+		return c.submitLine(f, opt, num, dur)
 	case "cancel":
-		if w.jobs[f[1]] == nil {
-			w.log("no job %s", f[1])
+		if c.jobs[f[1]] == nil {
+			c.log("no job %s", f[1])
 			return nil
 		}
-		w.Abort(f[1])
+		c.Cancel(f[1])
 	case "crash":
-		for _, n := range w.nodes {
-			if f[1] == "all" || f[1] == n.name {
-				n.crash(dur("back", 4))
+		for _, p := range c.processes {
+			if f[1] == "all" || f[1] == p.name {
+				p.crash(dur("back", 4))
 			}
 		}
 	case "upgrade":
-		n := w.node(f[1])
-		n.old = false
-		w.log("%s is upgraded", n.name)
-		n.crash(dur("back", 4))
+		p := c.process(f[1])
+		p.isPreviousVersion = false
+		c.log("%s is upgraded", p.name)
+		p.crash(dur("back", 4))
 	case "limits":
-		w.st.lower(w.set.ValueLimit, w.set.TransactionLimit)
+		c.state.lowerLimits(c.settings.ValueLimit, c.settings.TransactionLimit)
 	case "cut":
-		w.log("cut %s - %s (%s)", f[1], f[2], f[3])
+		c.log("cut %s - %s (%s)", f[1], f[2], f[3])
 		if f[2] != "*" {
-			w.cut(f[1], f[2], f[3], dur("for", 20))
+			c.cut(f[1], f[2], f[3], dur("for", 20))
 			return nil
 		}
 		for i := 1; i <= 60; i++ { // also those not rented yet
-			w.cut(f[1], fmt.Sprintf("n-%06d", i), f[3], dur("for", 20))
+			c.cut(f[1], fmt.Sprintf("n-%06d", i), f[3], dur("for", 20))
 		}
 	case "state":
 		if f[1] == "down" {
-			w.st.outage(dur("for", 20))
+			c.state.outage(dur("for", 20))
 			return nil
 		}
-		w.log("state service refuses %s", f[2])
-		w.st.refuse[f[2]] = true
-		w.after(dur("for", 20), func() {
-			delete(w.st.refuse, f[2])
-			w.st.wake()
+		c.log("state service refuses %s", f[2])
+		c.state.refused[f[2]] = true
+		c.after(dur("for", 20), func() {
+			delete(c.state.refused, f[2])
+			c.state.answerWatches()
 		})
 	case "cutzone":
-		w.cutZone(f[1], f[2], dur("for", 20))
+		c.cutZone(f[1], f[2], dur("for", 20))
 	case "freeze":
-		w.node(f[1]).freeze(dur("for", 10))
+		c.process(f[1]).freeze(dur("for", 10))
 	case "late", "lost":
 		name := f[0]
 		if f[1] != "all" {
 			name += " " + f[1]
 		}
-		w.log("transactions of %s: %s", f[1], map[string]string{"late": "carried out late, without an answer", "lost": "their answers are lost"}[f[0]])
-		w.spell[name] = spell{w.Now + dur("for", 20), num("share", 0.5), 0}
-		w.calm = max(w.calm, w.Now+dur("for", 20)+12*time.Second)
+		c.log("transactions of %s: %s", f[1], map[string]string{"late": "carried out late, without an answer", "lost": "their answers are lost"}[f[0]])
+		c.troubles[name] = trouble{c.Now + dur("for", 20), num("share", 0.5), 0}
+		c.calmSince = max(c.calmSince, c.Now+dur("for", 20)+12*time.Second)
 	case "slow":
-		w.log("the state service is slow")
-		w.spell["slow"] = spell{w.Now + dur("for", 20), 1, dur("by", 1)}
+		c.log("the state service is slow")
+		c.troubles["slow"] = trouble{c.Now + dur("for", 20), 1, dur("by", 1)}
 	case "boots":
-		w.spell["boots "+f[2]+" "+f[1]] = spell{w.Now + dur("for", 20), 1, 0}
+		c.troubles["boots "+f[2]+" "+f[1]] = trouble{c.Now + dur("for", 20), 1, 0}
 	case "quick", "endings", "looks", "storm":
-		w.spell[f[0]] = spell{w.Now + dur("for", 20), num("share", 1), 0}
+		c.troubles[f[0]] = trouble{c.Now + dur("for", 20), num("share", 1), 0}
 	case "odd":
-		w.spell["odd"] = spell{w.Now + dur("for", 20), 1, 0}
-		w.odd()
+		c.troubles["odd"] = trouble{c.Now + dur("for", 20), 1, 0}
+		c.submitOddRequests()
 	case "calloff":
 		n, err := strconv.Atoi(f[1])
 		if err != nil {
 			return err
 		}
-		w.callOff(n, dur("hang", 0))
+		c.cancelRunningJobs(n, dur("hang", 0))
 	case "cloud":
-		w.cl.up = false
-		w.after(dur("for", 20), func() { w.cl.up = true })
+		c.cloud.isUp = false
+		c.after(dur("for", 20), func() { c.cloud.isUp = true })
 	case "hang", "take", "notice", "sick", "deaf", "copies", "keep", "mute":
-		w.trouble(f, dur)
+		c.strikeMachine(f, dur)
 	default:
 		return fmt.Errorf("unknown action")
 	}
@@ -291,7 +291,7 @@
 }
 
 // submitLine submits the job that a line describes.
-func (w *Cluster) submitLine(f []string, opt map[string]string, num func(string, float64) float64, dur func(string, float64) time.Duration) error {
+func (c *Cluster) submitLine(f []string, opt map[string]string, num func(string, float64) float64, dur func(string, float64) time.Duration) error {
 	n, err := strconv.Atoi(f[3])
 	if err != nil {
 		return err
@@ -308,50 +308,50 @@
 	_, oneZone := opt["onezone"]
 	_, spread := opt["spread"]
 	_, mistake := opt["mistake"]
-	w.Submit(domain.JobSpec{
+	c.Submit(domain.JobSpec{
 		Dependencies: needs, Deadline: num("due", 0),
 		ID: f[1], Class: "c", Team: f[4], Shape: domain.Shape(f[2]), Priority: int(num("prio", 1)), TaskCount: n,
 		Request: domain.Resources{CPU: int64(1000 * num("cpu", 2)), GPU: int64(1000 * num("gpu", 1)), Memory: 4000},
 		Spot:    spot, OneZone: oneZone, Spread: spread, Zone: opt["zone"], MachineTypes: types, Image: "img", ImageGB: 1, EstimatedRuntime: num("run", 20), CheckpointInterval: num("ckpt", 0), CheckpointCost: 2,
 	}, dur("run", 20))
-	w.jobs[f[1]].mistake = mistake
+	c.jobs[f[1]].failsEverywhere = mistake
 	return nil
 }
 
 // trouble strikes one machine.
-func (w *Cluster) trouble(f []string, dur func(string, float64) time.Duration) {
-	k := w.worker(f[1])
-	if k == nil || k.gone {
-		w.log("no machine %s", f[1])
+func (c *Cluster) strikeMachine(f []string, dur func(string, float64) time.Duration) {
+	w := c.worker(f[1])
+	if w == nil || w.isGone {
+		c.log("no machine %s", f[1])
 		return
 	}
 	switch f[0] {
 	case "hang":
-		k.hang(dur("for", 20))
+		w.hang(dur("for", 20))
 	case "take":
-		k.vanish("is taken")
+		w.vanish("is taken")
 	case "deaf":
-		w.log("nothing reaches %s", k.name)
-		k.deafTill = w.Now + dur("for", 60)
+		c.log("nothing reaches %s", w.name)
+		w.deafUntil = c.Now + dur("for", 60)
 	case "copies":
-		w.log("copies of reports of %s come late", k.name)
-		k.copyTill, k.copyMost = w.Now+dur("for", 30), dur("most", 30)
-		w.calm = max(w.calm, k.copyTill+k.copyMost)
+		c.log("copies of reports of %s come late", w.name)
+		w.copyUntil, w.copyDelay = c.Now+dur("for", 30), dur("most", 30)
+		c.calmSince = max(c.calmSince, w.copyUntil+w.copyDelay)
 	case "keep":
-		k.keepTill = w.Now + dur("for", 30)
+		w.keepUntil = c.Now + dur("for", 30)
 	case "mute":
-		w.log("%s reaches no controller", k.name)
-		k.muteTill = w.Now + dur("for", 60)
+		c.log("%s reaches no controller", w.name)
+		w.muteUntil = c.Now + dur("for", 60)
 	case "sick":
-		w.log("%s fails all it starts", k.name)
-		k.sick = true
+		c.log("%s fails all it starts", w.name)
+		w.isSick = true
 	case "notice":
-		w.log("%s is recalled", k.name)
-		k.recall = w.Now + dur("in", 8)
-		k.changed()
-		w.after(dur("in", 8), func() {
-			if !k.gone {
-				k.vanish("is taken")
+		c.log("%s is recalled", w.name)
+		w.preemptedAt = c.Now + dur("in", 8)
+		w.heartbeatSoon()
+		c.after(dur("in", 8), func() {
+			if !w.isGone {
+				w.vanish("is taken")
 			}
 		})
 	}
--- a/internal/simulation/shapes_test.go
+++ b/internal/simulation/shapes_test.go
@@ -38,14 +38,14 @@
 // of the job's tasks ran, that a job with an end came to it, and that no rule was broken.
 func expectAllTasksRun(t *testing.T, job string, tasks int) {
 	t.Helper()
-	w, err := Play("seed 7\nat 1 submit job-000001 " + job + "\nuntil 100\n")
+	c, err := Play("seed 7\nat 1 submit job-000001 " + job + "\nuntil 100\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if runs := w.firstRuns("job-000001"); len(runs) != tasks {
+	if runs := c.firstRuns("job-000001"); len(runs) != tasks {
 		t.Errorf("%d of %d tasks ran", len(runs), tasks)
 	}
-	if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-		t.Errorf("broken %v, unfinished %v", w.Broken, w.Unfinished())
+	if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+		t.Errorf("broken %v, unfinished %v", c.Broken, c.Unfinished())
 	}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -12,79 +12,79 @@
 )
 
 // provider is a cloud with one machine type, two zones and a lagging list.
-type provider struct {
-	w     *Cluster
-	up    bool
-	hires map[string][]string
-	n     int
+type cloud struct {
+	cluster     *Cluster
+	isUp        bool
+	rentals     map[string][]string
+	lastMachine int
 }
 
-var size = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
+var machineCapacity = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
-func (c *provider) flavors() any {
-	if !c.up {
+func (c *cloud) machineTypes() any {
+	if !c.isUp {
 		return nil
 	}
 	return scheduler.MachineTypesListed{OK: true, Types: []domain.MachineType{{
-		Name: "box", Capacity: size, ImageCacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
+		Name: "box", Capacity: machineCapacity, ImageCacheGB: 100, FetchGBPerS: 1, Price: 10, SpotPrice: 4, BootSeconds: 10, Zones: []string{"a", "b"},
 	}}}
 }
 
-func (c *provider) list() any {
-	if !c.up {
+func (c *cloud) instances() any {
+	if !c.isUp {
 		return nil
 	}
 	ev := scheduler.InstancesListed{OK: true}
-	for _, k := range c.w.workers {
-		if k.gone && c.w.Now-k.goneAt > c.w.set.ListLag || c.w.Now-k.born < c.w.set.ListLag {
+	for _, w := range c.cluster.workers {
+		if w.isGone && c.cluster.Now-w.goneAt > c.cluster.settings.ListLag || c.cluster.Now-w.rentedAt < c.cluster.settings.ListLag {
 			continue
 		}
 		st := "booting"
-		if k.up {
+		if w.isUp {
 			st = "running"
 		}
-		ev.Instances = append(ev.Instances, domain.Instance{Name: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot, Status: st,
-			HeldSeconds: (c.w.Now - k.born).Seconds()})
+		ev.Instances = append(ev.Instances, domain.Instance{Name: w.name, Addr: w.name, Type: "box", Zone: w.zone, Spot: w.spot, Status: st,
+			HeldSeconds: (c.cluster.Now - w.rentedAt).Seconds()})
 	}
 	return ev
 }
 
-func (c *provider) rent(e scheduler.RentMachines) any {
-	if !c.up {
+func (c *cloud) rent(e scheduler.RentMachines) any {
+	if !c.isUp {
 		return scheduler.RentalAnswered{RentalID: e.RentalID}
 	}
-	if names, ok := c.hires[e.RentalID]; ok {
+	if names, ok := c.rentals[e.RentalID]; ok {
 		return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 	}
 	var names []string
 	for i := 0; i < e.Count; i++ {
 		live := 0
-		for _, k := range c.w.workers {
-			if !k.gone && k.zone == e.Zone && k.spot == e.Spot {
+		for _, w := range c.cluster.workers {
+			if !w.isGone && w.zone == e.Zone && w.spot == e.Spot {
 				live++
 			}
 		}
-		if live >= c.w.fill {
+		if live >= c.cluster.marketCapacity {
 			break
 		}
-		c.n++
-		k := newWorker(c.w, fmt.Sprintf("n-%06d", c.n), e.Zone, e.Spot)
-		names = append(names, k.name)
+		c.lastMachine++
+		w := newWorker(c.cluster, fmt.Sprintf("n-%06d", c.lastMachine), e.Zone, e.Spot)
+		names = append(names, w.name)
 	}
 	if len(names) == 0 {
 		return scheduler.RentalAnswered{RentalID: e.RentalID, NoCapacity: true}
 	}
-	c.hires[e.RentalID] = names
+	c.rentals[e.RentalID] = names
 	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
-func (c *provider) giveBack(names []string) any {
-	if !c.up {
+func (c *cloud) returnMachines(names []string) any {
+	if !c.isUp {
 		return nil
 	}
 	for _, n := range names {
-		if k := c.w.worker(n); k != nil && !k.gone {
-			k.vanish("returned")
+		if w := c.cluster.worker(n); w != nil && !w.isGone {
+			w.vanish("returned")
 		}
 	}
 	return true
@@ -98,72 +98,72 @@
 }
 
 // on: it has its image and has not ended.
-func (t *task) on() bool {
+func (t *task) isOnMachine() bool {
 	return t.state == domain.ReportedWaiting || t.state == domain.ReportedRunning || t.state == domain.ReportedSaving
 }
 
 // worker is one machine.
 type worker struct {
-	w          *Cluster
-	name, zone string
-	spot       bool
-	born       time.Duration
-	up, gone   bool
-	goneAt     time.Duration
-	hung       bool
-	sick       bool
-	paused     []func()
-	shift      uint64
-	tally      uint64
-	baton      uint64
-	node       int
-	tasks      map[domain.TaskID]*task
-	answered   time.Duration // sending time of the last answered report
-	busy       bool          // a report is in flight
-	last       time.Duration
-	recall     time.Duration
-	last200    time.Duration // when it last got a 200
-	deafTill   time.Duration // until then nothing reaches it, though its reports arrive
-	muteTill   time.Duration // until then it reaches no controller; commands reach it
-	keepTill   time.Duration // until then its reports are kept for the next leader
-	copyTill   time.Duration // until then copies of its reports come late
-	copyMost   time.Duration
+	cluster        *Cluster
+	name, zone     string
+	spot           bool
+	rentedAt       time.Duration
+	isUp, isGone   bool
+	goneAt         time.Duration
+	isHung         bool
+	isSick         bool
+	paused         []func()
+	agentEpoch     uint64
+	sequence       uint64
+	fencingToken   uint64
+	controller     int
+	tasks          map[domain.TaskID]*task
+	leaseRenewedAt time.Duration // sending time of the last answered report
+	awaitsReply    bool          // a report is in flight
+	heartbeatAt    time.Duration
+	preemptedAt    time.Duration
+	acceptedAt     time.Duration // when it last got a 200
+	deafUntil      time.Duration // until then nothing reaches it, though its reports arrive
+	muteUntil      time.Duration // until then it reaches no controller; commands reach it
+	keepUntil      time.Duration // until then its reports are kept for the next leader
+	copyUntil      time.Duration // until then copies of its reports come late
+	copyDelay      time.Duration
 }
 
 // lateBoot is how many times as long machines take that come up late.
 const lateBoot = 2
 
-func newWorker(w *Cluster, name, zone string, spot bool) *worker {
-	k := &worker{w: w, name: name, zone: zone, spot: spot, born: w.Now, shift: 1, tasks: map[domain.TaskID]*task{}, recall: -1}
-	w.workers = append(w.workers, k)
-	w.byName[name] = k
-	boot := time.Duration(8000+w.rng.IntN(6000)) * time.Millisecond
-	if w.strikes("quick") {
-		boot = time.Duration(300+w.rng.IntN(1700)) * time.Millisecond
-		w.came("up within two seconds")
-	}
-	if w.strikes("boots late " + zone) {
+func newWorker(c *Cluster, name, zone string, spot bool) *worker {
+	w := &worker{cluster: c, name: name, zone: zone, spot: spot, rentedAt: c.Now, agentEpoch: 1, tasks: map[domain.TaskID]*task{}, preemptedAt: -1}
+	c.workers = append(c.workers, w)
+	c.workersByName[name] = w
+	boot := time.Duration(8000+c.rng.IntN(6000)) * time.Millisecond
+	if c.strikes("quick") {
+		boot = time.Duration(300+c.rng.IntN(1700)) * time.Millisecond
+		c.occurred("up within two seconds")
+	}
+	if c.strikes("boots late " + zone) {
 		boot *= lateBoot
-		w.came("up late")
+		c.occurred("up late")
 	}
-	if w.strikes("boots never " + zone) {
-		w.came("never up")
-		return k
+	if c.strikes("boots never " + zone) {
+		c.occurred("never up")
+		return w
 	}
-	w.after(boot, func() {
-		if k.gone {
+	c.after(boot, func() {
+		if w.isGone {
 			return
 		}
-		k.up, k.answered, k.node = true, w.Now, w.rng.IntN(len(w.nodes))
-		k.loop()
-		k.leases()
+		w.isUp, w.leaseRenewedAt, w.controller = true, c.Now, c.rng.IntN(len(c.processes))
+		w.heartbeatLoop()
+		w.checkLease()
 	})
-	return k
+	return w
 }
 
-func (k *worker) ids() []domain.TaskID {
-	l := make([]domain.TaskID, 0, len(k.tasks))
-	for id := range k.tasks {
+func (w *worker) taskIDs() []domain.TaskID {
+	l := make([]domain.TaskID, 0, len(w.tasks))
+	for id := range w.tasks {
 		l = append(l, id)
 	}
 	sort.Slice(l, func(a, b int) bool {
@@ -172,256 +172,256 @@
 	return l
 }
 
-func (k *worker) vanish(how string) {
-	k.w.log("%s %s", k.name, how)
-	k.gone, k.goneAt = true, k.w.Now
-	k.tasks = map[domain.TaskID]*task{}
+func (w *worker) vanish(how string) {
+	w.cluster.log("%s %s", w.name, how)
+	w.isGone, w.goneAt = true, w.cluster.Now
+	w.tasks = map[domain.TaskID]*task{}
 }
 
 // do runs f now, or when the machine no longer hangs.
-func (k *worker) do(f func()) {
-	if k.gone {
+func (w *worker) whenResponsive(f func()) {
+	if w.isGone {
 		return
 	}
-	if k.hung {
-		k.paused = append(k.paused, f)
+	if w.isHung {
+		w.paused = append(w.paused, f)
 		return
 	}
 	f()
 }
 
-func (k *worker) hang(d time.Duration) {
-	k.w.log("%s hangs", k.name)
-	k.hung = true
-	k.w.after(d, func() {
-		if k.gone {
+func (w *worker) hang(d time.Duration) {
+	w.cluster.log("%s hangs", w.name)
+	w.isHung = true
+	w.cluster.after(d, func() {
+		if w.isGone {
 			return
 		}
-		k.w.log("%s goes on", k.name)
-		k.hung = false
-		p := k.paused
-		k.paused = nil
+		w.cluster.log("%s goes on", w.name)
+		w.isHung = false
+		p := w.paused
+		w.paused = nil
 		for _, f := range p {
-			k.do(f)
+			w.whenResponsive(f)
 		}
 	})
 }
 
-func (k *worker) loop() {
-	k.w.after(time.Duration(2250+k.w.rng.IntN(1500))*time.Millisecond, func() { k.do(k.loop) })
-	k.report()
+func (w *worker) heartbeatLoop() {
+	w.cluster.after(time.Duration(2250+w.cluster.rng.IntN(1500))*time.Millisecond, func() { w.whenResponsive(w.heartbeatLoop) })
+	w.heartbeat()
 }
 
 // leases ends the session when no report was answered in time; also while the
 // machine hangs, since its tasks are killed before anything else then.
-func (k *worker) leases() {
-	if k.gone {
+func (w *worker) checkLease() {
+	if w.isGone {
 		return
 	}
-	if k.w.Now-k.answered > k.w.set.WorkerLease {
-		k.w.log("%s loses its lease, shift %d", k.name, k.shift+1)
-		k.shift++
-		k.tasks = map[domain.TaskID]*task{}
-		k.answered = k.w.Now
+	if w.cluster.Now-w.leaseRenewedAt > w.cluster.settings.WorkerLease {
+		w.cluster.log("%s loses its lease, shift %d", w.name, w.agentEpoch+1)
+		w.agentEpoch++
+		w.tasks = map[domain.TaskID]*task{}
+		w.leaseRenewedAt = w.cluster.Now
 	}
-	k.w.after(100*time.Millisecond, k.leases)
+	w.cluster.after(100*time.Millisecond, w.checkLease)
 }
 
-func (k *worker) changed() {
-	wait := max(0, 500*time.Millisecond-(k.w.Now-k.last))
-	k.w.after(wait, func() { k.do(k.report) })
+func (w *worker) heartbeatSoon() {
+	wait := max(0, 500*time.Millisecond-(w.cluster.Now-w.heartbeatAt))
+	w.cluster.after(wait, func() { w.whenResponsive(w.heartbeat) })
 }
 
-func (k *worker) makeReport() domain.Heartbeat {
-	k.tally++
-	r := domain.Heartbeat{Machine: k.name, Addr: k.name, Type: "box", Zone: k.zone, Spot: k.spot,
-		AgentEpoch: k.shift, Sequence: k.tally, FencingToken: k.baton, PreemptionNotice: -1}
-	if k.recall >= 0 {
-		r.PreemptionNotice = max(0, (k.recall - k.w.Now).Seconds())
-	}
-	for _, id := range k.ids() {
-		t := k.tasks[id]
+func (w *worker) makeHeartbeat() domain.Heartbeat {
+	w.sequence++
+	r := domain.Heartbeat{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Spot: w.spot,
+		AgentEpoch: w.agentEpoch, Sequence: w.sequence, FencingToken: w.fencingToken, PreemptionNotice: -1}
+	if w.preemptedAt >= 0 {
+		r.PreemptionNotice = max(0, (w.preemptedAt - w.cluster.Now).Seconds())
+	}
+	for _, id := range w.taskIDs() {
+		t := w.tasks[id]
 		r.Tasks = append(r.Tasks, domain.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
 
-func (k *worker) report() {
-	if k.busy || k.gone {
+func (w *worker) heartbeat() {
+	if w.awaitsReply || w.isGone {
 		return
 	}
-	k.busy, k.last = true, k.w.Now
-	r := k.makeReport()
-	sent, shift := k.w.Now, k.shift
-	n := k.w.nodes[k.node]
-	if k.w.Now < k.copyTill {
+	w.awaitsReply, w.heartbeatAt = true, w.cluster.Now
+	r := w.makeHeartbeat()
+	sent, shift := w.cluster.Now, w.agentEpoch
+	p := w.cluster.processes[w.controller]
+	if w.cluster.Now < w.copyUntil {
 		// A copy of the report comes late, here or to another controller.
-		o := k.w.nodes[k.w.rng.IntN(len(k.w.nodes))]
-		k.w.after(time.Duration(1+k.w.rng.Int64N(int64(k.copyMost))), func() {
-			o.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
+		other := w.cluster.processes[w.cluster.rng.IntN(len(w.cluster.processes))]
+		w.cluster.after(time.Duration(1+w.cluster.rng.Int64N(int64(w.copyDelay))), func() {
+			other.request(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(scheduler.Effect) {})
 		})
 	}
-	if k.w.Now < k.keepTill {
-		k.w.kept = append(k.w.kept, r)
+	if w.cluster.Now < w.keepUntil {
+		w.cluster.keptHeartbeats = append(w.cluster.keptHeartbeats, r)
 	}
-	k.w.call(k.name, n.name, 4*time.Second, func(reply func(any)) {
-		if k.w.Now < k.muteTill {
+	w.cluster.call(w.name, p.name, 4*time.Second, func(reply func(any)) {
+		if w.cluster.Now < w.muteUntil {
 			return
 		}
-		n.ask(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(e scheduler.Effect) {
-			if k.w.Now >= k.deafTill {
+		p.request(func(q uint64) scheduler.Event { return scheduler.HeartbeatReceived{RequestID: q, Heartbeat: r} }, func(e scheduler.Effect) {
+			if w.cluster.Now >= w.deafUntil {
 				reply(e)
 			}
 		})
 	}, func(x any) {
-		k.do(func() {
-			k.busy = false
+		w.whenResponsive(func() {
+			w.awaitsReply = false
 			a, _ := x.(scheduler.HeartbeatReply)
 			switch {
 			case a.Status == 200:
-				if shift != k.shift || a.FencingToken < k.baton || k.w.Now-sent > 4*time.Second {
+				if shift != w.agentEpoch || a.FencingToken < w.fencingToken || w.cluster.Now-sent > 4*time.Second {
 					return
 				}
-				k.baton, k.answered, k.last200 = a.FencingToken, sent, k.w.Now
-				k.obey(a.Commands)
+				w.fencingToken, w.leaseRenewedAt, w.acceptedAt = a.FencingToken, sent, w.cluster.Now
+				w.carryOut(a.Commands)
 				return
 			case a.Status == 421:
-				for i, o := range k.w.nodes {
-					if o.name == a.Owner && i != k.node {
-						k.node = i
-						k.w.after(200*time.Millisecond, func() { k.do(k.report) })
+				for i, other := range w.cluster.processes {
+					if other.name == a.Owner && i != w.controller {
+						w.controller = i
+						w.cluster.after(200*time.Millisecond, func() { w.whenResponsive(w.heartbeat) })
 						return
 					}
 				}
 			}
-			k.node = (k.node + 1) % len(k.w.nodes)
-			k.w.after(time.Second, func() { k.do(k.report) })
+			w.controller = (w.controller + 1) % len(w.cluster.processes)
+			w.cluster.after(time.Second, func() { w.whenResponsive(w.heartbeat) })
 		})
 	})
 }
 
 // direct carries out orders sent straight here.
-func (k *worker) direct(e scheduler.SendCommands, reply func(any)) {
-	if k.w.Now < k.deafTill {
+func (w *worker) receiveCommands(e scheduler.SendCommands, reply func(any)) {
+	if w.cluster.Now < w.deafUntil {
 		return
 	}
-	k.do(func() {
-		if e.FencingToken >= k.baton && e.AgentEpoch == k.shift {
-			if k.w.Now < k.muteTill {
-				k.w.came("orders to a mute machine")
+	w.whenResponsive(func() {
+		if e.FencingToken >= w.fencingToken && e.AgentEpoch == w.agentEpoch {
+			if w.cluster.Now < w.muteUntil {
+				w.cluster.occurred("orders to a mute machine")
 			}
-			k.baton = e.FencingToken
-			k.obey(e.Commands)
+			w.fencingToken = e.FencingToken
+			w.carryOut(e.Commands)
 		}
-		reply(k.makeReport())
+		reply(w.makeHeartbeat())
 	})
 }
 
-func (k *worker) obey(os []domain.Command) {
+func (w *worker) carryOut(os []domain.Command) {
 	for _, o := range os {
-		t := k.tasks[o.Task]
+		t := w.tasks[o.Task]
 		switch o.Kind {
 		case domain.ForgetTask:
 			if t != nil && t.attempt == o.Attempt && t.state == domain.ReportedEnded {
-				delete(k.tasks, o.Task)
+				delete(w.tasks, o.Task)
 			}
 		case domain.StopTask:
 			if t == nil || t.attempt != o.Attempt || t.state == domain.ReportedEnded {
 				continue
 			}
-			sp := k.w.jobs[o.Task.Job].spec
+			sp := w.cluster.jobs[o.Task.Job].spec
 			if t.state == domain.ReportedRunning && sp.CheckpointInterval > 0 && o.GraceSeconds >= sp.CheckpointCost {
 				t.state = domain.ReportedSaving
-				k.w.after(time.Duration(sp.CheckpointCost*float64(time.Second)), func() {
-					k.do(func() {
-						if k.tasks[o.Task] == t && t.state == domain.ReportedSaving {
-							k.end(o.Task, t, domain.CauseStopped, true)
+				w.cluster.after(time.Duration(sp.CheckpointCost*float64(time.Second)), func() {
+					w.whenResponsive(func() {
+						if w.tasks[o.Task] == t && t.state == domain.ReportedSaving {
+							w.endTask(o.Task, t, domain.CauseStopped, true)
 						}
 					})
 				})
 			} else if t.state != domain.ReportedSaving || o.GraceSeconds == 0 {
-				k.end(o.Task, t, domain.CauseStopped, false)
+				w.endTask(o.Task, t, domain.CauseStopped, false)
 			}
 		case domain.StartTask:
-			k.start(o)
+			w.startTask(o)
 		}
 	}
 }
 
-func (k *worker) end(id domain.TaskID, t *task, cause string, saved bool) {
+func (w *worker) endTask(id domain.TaskID, t *task, cause string, saved bool) {
 	t.state, t.cause, t.saved = domain.ReportedEnded, cause, saved
-	k.w.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, k.name, cause)
-	k.changed()
+	w.cluster.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, w.name, cause)
+	w.heartbeatSoon()
 }
 
-func (k *worker) start(o domain.Command) {
+func (w *worker) startTask(o domain.Command) {
 	id := o.Task
-	j := k.w.jobs[id.Job]
-	if t := k.tasks[id]; t != nil {
+	job := w.cluster.jobs[id.Job]
+	if t := w.tasks[id]; t != nil {
 		if t.attempt != o.Attempt && t.state != domain.ReportedEnded {
-			k.w.broke("busy", "%v try %d on %s beside try %d", id, o.Attempt, k.name, t.attempt)
+			w.cluster.violated("busy", "%v try %d on %s beside try %d", id, o.Attempt, w.name, t.attempt)
 		}
 		return
 	}
-	if !k.w.allDone(j) {
-		k.w.broke("too_early", "%s/%d on %s before what it awaits is done", id.Job, id.Index, k.name)
+	if !w.cluster.dependenciesDone(job) {
+		w.cluster.violated("too_early", "%s/%d on %s before what it awaits is done", id.Job, id.Index, w.name)
 	}
 	// An answer given under the fence may still bring it, a little later; not after
 	// that. Runs go out in answers alone, which a worker drops after 4 s.
-	if late := k.w.Now - j.cancelAt; j.cancelAt >= 0 && late > 0 {
-		k.w.came("start after a cancellation was told")
-		if late > k.w.set.FenceAge+4*time.Second {
-			k.w.broke("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, k.name, late.Seconds())
+	if late := w.cluster.Now - job.cancelToldAt; job.cancelToldAt >= 0 && late > 0 {
+		w.cluster.occurred("start after a cancellation was told")
+		if late > w.cluster.settings.FenceAge+4*time.Second {
+			w.cluster.violated("late_start", "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, w.name, late.Seconds())
 		}
 	}
 	t := &task{attempt: o.Attempt, state: domain.ReportedFetching}
-	k.tasks[id] = t
+	w.tasks[id] = t
 	var used domain.Resources
-	for x, y := range k.tasks {
+	for x, y := range w.tasks {
 		if y.state != domain.ReportedEnded {
-			used = used.Plus(k.w.jobs[x.Job].spec.Request, 1)
+			used = used.Plus(w.cluster.jobs[x.Job].spec.Request, 1)
 		}
 	}
-	if !size.Fits(used) {
-		k.end(id, t, domain.CauseNoRoom, false)
+	if !machineCapacity.Fits(used) {
+		w.endTask(id, t, domain.CauseNoRoom, false)
 		return
 	}
-	shift := k.shift
-	k.w.after(time.Duration(500+k.w.rng.IntN(1500))*time.Millisecond, func() {
-		k.do(func() {
-			if k.shift != shift || k.tasks[id] != t || t.state != domain.ReportedFetching {
+	shift := w.agentEpoch
+	w.cluster.after(time.Duration(500+w.cluster.rng.IntN(1500))*time.Millisecond, func() {
+		w.whenResponsive(func() {
+			if w.agentEpoch != shift || w.tasks[id] != t || t.state != domain.ReportedFetching {
 				return
 			}
-			k.arrive(id, t, j)
+			w.imageFetched(id, t, job)
 		})
 	})
 }
 
 // arrive: the task has its image and is on the machine from now on.
-func (k *worker) arrive(id domain.TaskID, t *task, j *truth) {
-	if k.sick || j.mistake {
-		k.end(id, t, domain.CauseError, false)
+func (w *worker) imageFetched(id domain.TaskID, t *task, job *jobRecord) {
+	if w.isSick || job.failsEverywhere {
+		w.endTask(id, t, domain.CauseError, false)
 		return
 	}
-	for _, o := range k.w.workers {
-		if x := o.tasks[id]; o != k && x != nil && x.on() && !o.gone {
-			k.w.broke("ran_twice", "%s/%d try %d on %s while try %d is on %s", id.Job, id.Index, t.attempt, k.name, x.attempt, o.name)
+	for _, o := range w.cluster.workers {
+		if x := o.tasks[id]; o != w && x != nil && x.isOnMachine() && !o.isGone {
+			w.cluster.violated("ran_twice", "%s/%d try %d on %s while try %d is on %s", id.Job, id.Index, t.attempt, w.name, x.attempt, o.name)
 		}
 	}
-	k.checkZones(id, j)
-	if k.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != k.zone {
-		k.w.broke("wrong_place", "%s/%d on %s", id.Job, id.Index, k.name)
+	w.checkZoneRules(id, job)
+	if w.spot && !job.spec.Spot || job.spec.Zone != "" && job.spec.Zone != w.zone {
+		w.cluster.violated("wrong_place", "%s/%d on %s", id.Job, id.Index, w.name)
 	}
-	if j.cancelAt >= 0 && k.w.Now-j.cancelAt > k.w.set.CancelWithin {
-		k.w.broke("ran_cancelled", "%s/%d starts on %s", id.Job, id.Index, k.name)
+	if job.cancelToldAt >= 0 && w.cluster.Now-job.cancelToldAt > w.cluster.settings.CancelWithin {
+		w.cluster.violated("ran_cancelled", "%s/%d starts on %s", id.Job, id.Index, w.name)
 	}
 	t.state = domain.ReportedWaiting
 	// In a wide world the sums over all machines are made each second only.
-	if len(k.w.workers) <= tuning.LargeFleetMachines {
-		k.w.checkPlaces()
+	if len(w.cluster.workers) <= tuning.LargeFleetMachines {
+		w.cluster.checkRunningTasks()
 	}
-	if j.spec.Shape != domain.Gang || j.spec.TaskCount == 1 {
-		k.run(id, t, j)
+	if job.spec.Shape != domain.Gang || job.spec.TaskCount == 1 {
+		w.runTask(id, t, job)
 		return
 	}
 	type member struct {
@@ -430,73 +430,73 @@
 		t  *task
 	}
 	var all []member
-	for _, o := range k.w.workers {
-		for i := 0; i < j.spec.TaskCount; i++ {
+	for _, o := range w.cluster.workers {
+		for i := 0; i < job.spec.TaskCount; i++ {
 			oid := domain.TaskID{Job: id.Job, Index: i}
 			if x := o.tasks[oid]; x != nil && x.attempt == t.attempt && x.state == domain.ReportedWaiting {
 				all = append(all, member{o, oid, x})
 			}
 		}
 	}
-	if len(all) == j.spec.TaskCount {
+	if len(all) == job.spec.TaskCount {
 		for _, m := range all {
-			m.k.run(m.id, m.t, j)
+			m.k.runTask(m.id, m.t, job)
 		}
 	}
 }
 
 // checkZones checks the rules on a job's zones as one of its tasks comes on, given the
 // others that are on machines: all in one zone, or at most half in each.
-func (k *worker) checkZones(id domain.TaskID, j *truth) {
-	if !j.spec.OneZone && !j.spec.Spread {
+func (w *worker) checkZoneRules(id domain.TaskID, job *jobRecord) {
+	if !job.spec.OneZone && !job.spec.Spread {
 		return
 	}
 	here := 1
-	for _, o := range k.w.workers {
-		if o.gone {
+	for _, o := range w.cluster.workers {
+		if o.isGone {
 			continue
 		}
-		for _, other := range o.ids() {
-			if other.Job != id.Job || !o.tasks[other].on() {
+		for _, other := range o.taskIDs() {
+			if other.Job != id.Job || !o.tasks[other].isOnMachine() {
 				continue
 			}
-			if o.zone == k.zone {
+			if o.zone == w.zone {
 				here++
-			} else if j.spec.OneZone {
-				k.w.broke("wrong_place", "%s/%d in zone %s, %d in %s", id.Job, id.Index, k.zone, other.Index, o.zone)
+			} else if job.spec.OneZone {
+				w.cluster.violated("wrong_place", "%s/%d in zone %s, %d in %s", id.Job, id.Index, w.zone, other.Index, o.zone)
 			}
 		}
 	}
-	if most := (j.spec.TaskCount + 1) / 2; j.spec.Spread && here > most {
-		k.w.broke("wrong_place", "%s/%d is number %d in zone %s, of %d allowed", id.Job, id.Index, here, k.zone, most)
+	if most := (job.spec.TaskCount + 1) / 2; job.spec.Spread && here > most {
+		w.cluster.violated("wrong_place", "%s/%d is number %d in zone %s, of %d allowed", id.Job, id.Index, here, w.zone, most)
 	}
 }
 
-func (k *worker) run(id domain.TaskID, t *task, j *truth) {
-	j.begun = true
+func (w *worker) runTask(id domain.TaskID, t *task, job *jobRecord) {
+	job.hasBegun = true
 	t.state = domain.ReportedRunning
-	k.w.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, k.name, k.zone)
-	k.changed()
-	if j.spec.Shape == domain.Service {
+	w.cluster.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, w.name, w.zone)
+	w.heartbeatSoon()
+	if job.spec.Shape == domain.Service {
 		return
 	}
-	left := j.run
-	if j.done[id.Index] {
+	left := job.runtime
+	if job.done[id.Index] {
 		left = 0
 	}
-	shift := k.shift
-	k.w.after(left, func() {
-		k.do(func() {
-			if k.shift == shift && k.tasks[id] == t && t.state == domain.ReportedRunning {
-				j.done[id.Index] = true
-				for i := 0; i < j.spec.TaskCount && j.spec.Shape == domain.Gang; i++ {
-					j.done[i] = true // they complete together
+	shift := w.agentEpoch
+	w.cluster.after(left, func() {
+		w.whenResponsive(func() {
+			if w.agentEpoch == shift && w.tasks[id] == t && t.state == domain.ReportedRunning {
+				job.done[id.Index] = true
+				for i := 0; i < job.spec.TaskCount && job.spec.Shape == domain.Gang; i++ {
+					job.done[i] = true // they complete together
 				}
-				if len(j.done) == j.spec.TaskCount && j.asked && k.w.strikes("endings") {
-					k.w.came("cancelled at its end")
-					k.w.Abort(id.Job)
+				if len(job.done) == job.spec.TaskCount && job.isSubmitted && w.cluster.strikes("endings") {
+					w.cluster.occurred("cancelled at its end")
+					w.cluster.Cancel(id.Job)
 				}
-				k.end(id, t, domain.CauseDone, false)
+				w.endTask(id, t, domain.CauseDone, false)
 			}
 		})
 	})
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -9,7 +9,7 @@
 
 // zoneBound is a load of arrays and services whose tasks must all be in one zone, or at
 // most half of them in each, larger than the room that a zone mostly has.
-func zoneBound(r *rand.Rand, n, within int) string {
+func zoneBoundLoad(r *rand.Rand, n, within int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
 		at, id := 1+r.IntN(within), fmt.Sprintf("job-%06d", 500+i)
@@ -35,7 +35,7 @@
 
 // zoneDay makes a random day of zone-bound jobs among others, with overlapping troubles.
 func zoneDay(seed uint64, drop string) string {
-	return day(seed, drop) + zoneBound(rand.New(rand.NewPCG(seed, 61)), 16, 200)
+	return randomDay(seed, drop) + zoneBoundLoad(rand.New(rand.NewPCG(seed, 61)), 16, 200)
 }
 
 // TestRandomZoneDays: on days of overlapping troubles no task starts in a zone that its
@@ -45,10 +45,10 @@
 	t.Parallel()
 	// On the last three, jobs waited for ever for machines in zones that they can't use.
 	starts, seeds := 0, []uint64{301, 302, 303, 304, 305, 306, 307, 308, 309, 310, 311, 312, 1058, 1110, 1254}
-	for i, w := range playAll(t, seeds, func(seed uint64) string { return zoneDay(seed, "") }) {
-		starts += w.Starts()
-		if len(w.Broken) > 0 || len(w.Unfinished()) > 0 {
-			t.Errorf("seed %d: %d broken, %v; unfinished %v", seeds[i], len(w.Broken), w.Broken, w.Unfinished())
+	for i, c := range playAll(t, seeds, func(seed uint64) string { return zoneDay(seed, "") }) {
+		starts += c.Starts()
+		if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
+			t.Errorf("seed %d: %d broken, %v; unfinished %v", seeds[i], len(c.Broken), c.Broken, c.Unfinished())
 		}
 	}
 	if starts < 1500 {
@@ -58,7 +58,7 @@
 
 // zoneAcross is a load of large zone-bound arrays, each booked in several commits, while
 // leaders change between these, transactions come late and answers to them are lost.
-func zoneAcross(r *rand.Rand) string {
+func zoneBoundAcrossLeaders(r *rand.Rand) string {
 	var b strings.Builder
 	b.WriteString("fill 4\n")
 	for i := 0; i < 14; i++ {
@@ -70,13 +70,13 @@
 	for at := 14.0; at < 150; at += 9 {
 		switch r.IntN(4) {
 		case 0:
-			b.WriteString(line(at+3*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)]))
+			b.WriteString(scriptLine(at+3*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)]))
 		case 1:
-			b.WriteString(line(at, "late leader for=6 share=0.6") + line(at+2+3*r.Float64(), "crash leader back=0.3"))
+			b.WriteString(scriptLine(at, "late leader for=6 share=0.6") + scriptLine(at+2+3*r.Float64(), "crash leader back=0.3"))
 		case 2:
-			b.WriteString(line(at, "lost all for=6 share=0.6"))
+			b.WriteString(scriptLine(at, "lost all for=6 share=0.6"))
 		default:
-			b.WriteString(line(at, "late all for=8 share=0.5") + line(at+r.Float64(), "take %s", anyMach(r)))
+			b.WriteString(scriptLine(at, "late all for=8 share=0.5") + scriptLine(at+r.Float64(), "take %s", anyMachine(r)))
 		}
 	}
 	return b.String() + "until 900\n"
@@ -105,16 +105,16 @@
 					id++
 				}
 			}
-			w, err := Play(script + "at 40 submit job-000001 " + x.job + "\nuntil 400\n")
+			c, err := Play(script + "at 40 submit job-000001 " + x.job + "\nuntil 400\n")
 			if err != nil {
 				t.Fatal(err)
 			}
-			runs := w.firstRuns("job-000001")
+			runs := c.firstRuns("job-000001")
 			if len(runs) != x.n || runs[x.n-1] > 70 {
 				t.Errorf("ran at %v, submitted at 40", runs)
 			}
-			if len(w.Broken) > 0 {
-				t.Errorf("broken %v", w.Broken)
+			if len(c.Broken) > 0 {
+				t.Errorf("broken %v", c.Broken)
 			}
 		})
 	}
@@ -123,13 +123,13 @@
 // TestSmallJobBesideSpreadService: a service spread over zones and a gang for which their
 // team's limit has no room must not keep a small array of that team waiting beside room.
 func TestSmallJobBesideSpreadService(t *testing.T) {
-	w, err := Play("seed 3\nat 1 submit job-000001 service 4 red run=1 gpu=1 spread\n" +
+	c, err := Play("seed 3\nat 1 submit job-000001 service 4 red run=1 gpu=1 spread\n" +
 		"at 20 submit job-000002 gang 3 red run=20 gpu=4\n" +
 		"at 30 submit job-000003 array 4 red run=10 gpu=1 spot\nat 600 cancel job-000001\nuntil 800\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if runs := w.firstRuns("job-000003"); len(runs) != 4 || runs[3] > 240 {
+	if runs := c.firstRuns("job-000003"); len(runs) != 4 || runs[3] > 240 {
 		t.Errorf("ran at %v, submitted at 30", runs)
 	}
 }
