--- /dev/null
+++ b/internal/simulation/cloud.go
@@ -0,0 +1,113 @@
+package simulation
+
+import (
+	"fmt"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+)
+
+// defaultMarketCapacity is how many machines of each zone and kind can be rented unless a test
+// says otherwise.
+const defaultMarketCapacity = 5
+
+// machineCapacity is the size of every machine.
+var machineCapacity = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
+
+// cloud is a provider with one machine type, two zones and a list that lags behind.
+type cloud struct {
+	cluster     *Cluster
+	isUp        bool
+	rentals     map[string][]string // machines by rental, since a rental may be asked for twice
+	lastMachine int
+}
+
+// machineTypes answers what can be rented; nil: no answer.
+func (c *cloud) machineTypes() any {
+	if !c.isUp {
+		return nil
+	}
+	return scheduler.MachineTypesListed{OK: true, Types: []domain.MachineType{{
+		Name:         "box",
+		Capacity:     machineCapacity,
+		ImageCacheGB: 100,
+		FetchGBPerS:  1,
+		Price:        10,
+		SpotPrice:    4,
+		BootSeconds:  10,
+		Zones:        []string{"a", "b"},
+	}}}
+}
+
+// instances answers the rented machines, as they were a little while ago; nil: no answer.
+func (c *cloud) instances() any {
+	if !c.isUp {
+		return nil
+	}
+	now, lag := c.cluster.Now, c.cluster.settings.ListLag
+	listed := scheduler.InstancesListed{OK: true}
+	for _, w := range c.cluster.workers {
+		if w.isGone && now-w.goneAt > lag || now-w.rentedAt < lag {
+			continue
+		}
+		status := "booting"
+		if w.isUp {
+			status = "running"
+		}
+		listed.Instances = append(listed.Instances, domain.Instance{
+			Name:        w.name,
+			Addr:        w.name,
+			Type:        "box",
+			Zone:        w.zone,
+			Spot:        w.isSpot,
+			Status:      status,
+			HeldSeconds: (now - w.rentedAt).Seconds(),
+		})
+	}
+	return listed
+}
+
+// rent gives as many of the machines asked for as there are, the same ones to the same rental.
+func (c *cloud) rent(e scheduler.RentMachines) any {
+	if !c.isUp {
+		return scheduler.RentalAnswered{RentalID: e.RentalID}
+	}
+	if names, ok := c.rentals[e.RentalID]; ok {
+		return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
+	}
+	var names []string
+	for len(names) < e.Count && c.rentedOf(e.Zone, e.Spot) < c.cluster.marketCapacity {
+		c.lastMachine++
+		w := newWorker(c.cluster, fmt.Sprintf("n-%06d", c.lastMachine), e.Zone, e.Spot)
+		names = append(names, w.name)
+	}
+	if len(names) == 0 {
+		return scheduler.RentalAnswered{RentalID: e.RentalID, NoCapacity: true}
+	}
+	c.rentals[e.RentalID] = names
+	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
+}
+
+// rentedOf counts the machines of a zone and kind that are rented now.
+func (c *cloud) rentedOf(zone string, spot bool) int {
+	n := 0
+	for _, w := range c.cluster.workers {
+		if !w.isGone && w.zone == zone && w.isSpot == spot {
+			n++
+		}
+	}
+	return n
+}
+
+// returnMachines takes machines back; nil: no answer.
+func (c *cloud) returnMachines(names []string) any {
+	if !c.isUp {
+		return nil
+	}
+	for _, name := range names {
+		if w := c.cluster.worker(name); w != nil && !w.isGone {
+			w.vanish("returned")
+		}
+	}
+	return scheduler.ReturnAnswered{Names: names, OK: true}
+}
--- /dev/null
+++ b/internal/simulation/effects.go
@@ -0,0 +1,120 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+	"brassglade/internal/tuning"
+)
+
+// carryOut does what the scheduler decided.
+func (p *controllerProcess) carryOut(effect scheduler.Effect) {
+	c := p.cluster
+	if c.onEffect != nil {
+		c.onEffect(p, effect)
+	}
+	switch e := effect.(type) {
+	case scheduler.HeartbeatReply:
+		p.reply(e.RequestID, e)
+	case scheduler.UserReply:
+		p.reply(e.RequestID, e)
+	case scheduler.ConfirmView:
+		askState(p, func() any { return c.state.confirm(p.name, e) }, scheduler.ConfirmationAnswered{})
+	case scheduler.Commit:
+		inDoubt := scheduler.CommitAnswered{ID: e.ID, Result: domain.InDoubt}
+		ask(p, "state", tuning.StateTimeout, func(reply func(any)) { c.state.commitAmidTroubles(p, e, reply) }, inDoubt)
+	case scheduler.ReadKeys:
+		askState(p, func() any { return c.state.read(p.name, e) }, scheduler.KeysRead{ID: e.ID})
+	case scheduler.GrantLease:
+		askState(p, func() any { return c.state.grant(p.name, e.TTL) }, scheduler.LeaseGranted{})
+	case scheduler.RenewLease:
+		askState(p, func() any { return c.state.renew(p.name, e.LeaseID) }, scheduler.LeaseRenewalAnswered{})
+	case scheduler.ListMachineTypes:
+		askCloud(p, c.cloud.machineTypes, scheduler.MachineTypesListed{})
+	case scheduler.ListInstances:
+		askCloud(p, c.cloud.instances, scheduler.InstancesListed{})
+	case scheduler.RentMachines:
+		askCloud(p, func() any { return c.cloud.rent(e) }, scheduler.RentalAnswered{RentalID: e.RentalID})
+	case scheduler.ReturnMachines:
+		askCloud(p, func() any { return c.cloud.returnMachines(e.Names) }, scheduler.ReturnAnswered{Names: e.Names})
+	case scheduler.SendPeerMessage:
+		p.sendToPeer(e)
+	case scheduler.SendCommands:
+		p.sendCommands(e)
+	case scheduler.LogLine:
+		p.noteLogLine(e)
+	}
+}
+
+// ask puts a request to a service. The scheduler gets its answer, or noAnswer when none came in
+// time, unless the process has ended meanwhile.
+func ask[A scheduler.Event](p *controllerProcess, service string, limit time.Duration, serve func(reply func(any)), noAnswer A) {
+	generation := p.generation
+	p.cluster.call(p.name, service, limit, serve, func(answer any) {
+		if p.generation != generation {
+			return
+		}
+		answered, ok := answer.(A)
+		if !ok {
+			answered = noAnswer
+		}
+		p.step(answered)
+	})
+}
+
+// askState asks the state service, which may be slow.
+func askState[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
+	ask(p, "state", tuning.StateTimeout, func(reply func(any)) { p.cluster.answerSlowly(reply, serve()) }, noAnswer)
+}
+
+// askCloud asks the cloud's provider.
+func askCloud[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
+	ask(p, "cloud", tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noAnswer)
+}
+
+func (p *controllerProcess) sendToPeer(e scheduler.SendPeerMessage) {
+	for _, peer := range p.cluster.processes {
+		if peer.name == e.To {
+			p.cluster.send(p.name, peer.name, func() {
+				peer.step(scheduler.PeerMessageReceived{From: p.name, Message: e.Message})
+			})
+		}
+	}
+}
+
+// sendCommands sends commands straight to a machine, which answers with a heartbeat.
+func (p *controllerProcess) sendCommands(e scheduler.SendCommands) {
+	w := p.cluster.worker(e.Machine)
+	if w == nil {
+		return
+	}
+	generation := p.generation
+	p.cluster.call(p.name, w.name, tuning.DirectTimeout, func(reply func(any)) { w.receiveCommands(e, reply) }, func(answer any) {
+		answered := scheduler.CommandsAnswered{Machine: e.Machine}
+		if heartbeat, ok := answer.(domain.Heartbeat); ok {
+			answered.Heartbeat = &heartbeat
+		}
+		if p.generation == generation {
+			p.step(answered)
+		}
+	})
+}
+
+// noteLogLine counts or traces the log lines that tests look at.
+func (p *controllerProcess) noteLogLine(line scheduler.LogLine) {
+	c := p.cluster
+	switch line.Message {
+	case "value made smaller":
+		c.shrunkValues++
+	case "format on":
+		if c.startsAsPreviousVersion {
+			c.log("%s reads that all know the new format", p.name)
+		}
+	case "machine marked":
+		c.cordons = append(c.cordons, fmt.Sprint(line.Args...))
+	case "view":
+		c.log("%s sees view %v", p.name, line.Args)
+	}
+}
--- /dev/null
+++ b/internal/simulation/faults.go
@@ -0,0 +1,114 @@
+package simulation
+
+import (
+	"time"
+
+	json "github.com/goccy/go-json"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+)
+
+// trouble is on for a while and strikes a share of what it may strike.
+type trouble struct {
+	until time.Duration
+	share float64       // chance to strike; 1: always
+	delay time.Duration // how much later answers come at the most, for "slow" alone
+}
+
+// startTrouble puts a trouble on from now.
+func (c *Cluster) startTrouble(name string, lasting time.Duration, share float64) {
+	c.troubles[name] = trouble{until: c.Now + lasting, share: share}
+}
+
+// strikes tells whether a trouble is on and chance wills it.
+func (c *Cluster) strikes(name string) bool {
+	t, isOn := c.troubles[name]
+	return isOn && c.Now < t.until && (t.share >= 1 || c.rng.Float64() < t.share)
+}
+
+// occurred counts something that troubles brought about.
+func (c *Cluster) occurred(what string) {
+	c.occurrences[what]++
+}
+
+// answerSlowly answers, later than usual while the state service is slow.
+func (c *Cluster) answerSlowly(reply func(any), answer any) {
+	if slow := c.troubles["slow"]; c.Now < slow.until {
+		c.occurred("slow answer")
+		c.after(time.Duration(c.rng.Int64N(int64(slow.delay))), func() { reply(answer) })
+		return
+	}
+	reply(answer)
+}
+
+// noticeLeader notices a change of leader: kept heartbeats reach every controller then.
+func (c *Cluster) noticeLeader(value []byte) {
+	var view domain.View
+	if json.Unmarshal(value, &view) != nil || view.Leader == c.leader {
+		return
+	}
+	if c.leader != "" {
+		c.occurred("new leader")
+	}
+	c.leader = view.Leader
+	kept := c.keptHeartbeats
+	c.keptHeartbeats = nil
+	for _, heartbeat := range kept {
+		for _, p := range c.processes {
+			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
+				w := c.worker(heartbeat.Machine)
+				if !w.isGone && (heartbeat.AgentEpoch < w.agentEpoch || heartbeat.Sequence < w.sequence) {
+					c.occurred("old report under a new leader")
+				}
+				p.request(heartbeatRequest(heartbeat), ignoreReply)
+			})
+		}
+	}
+}
+
+// heartbeatRequest is a machine's heartbeat as a controller receives it.
+func heartbeatRequest(heartbeat domain.Heartbeat) func(uint64) scheduler.Event {
+	return func(requestID uint64) scheduler.Event {
+		return scheduler.HeartbeatReceived{RequestID: requestID, Heartbeat: heartbeat}
+	}
+}
+
+func ignoreReply(scheduler.Effect) {}
+
+// hang makes a machine stand still for a while; what was to happen on it follows then.
+func (w *worker) hang(lasting time.Duration) {
+	w.cluster.log("%s hangs", w.name)
+	w.isHung = true
+	w.cluster.after(lasting, func() {
+		if w.isGone {
+			return
+		}
+		w.cluster.log("%s goes on", w.name)
+		w.isHung = false
+		paused := w.paused
+		w.paused = nil
+		for _, f := range paused {
+			w.whenResponsive(f)
+		}
+	})
+}
+
+// preempt gives notice that the provider takes the machine back.
+func (w *worker) preempt(notice time.Duration) {
+	w.cluster.log("%s is recalled", w.name)
+	w.preemptedAt = w.cluster.Now + notice
+	w.heartbeatSoon()
+	w.cluster.after(notice, func() {
+		if !w.isGone {
+			w.vanish("is taken")
+		}
+	})
+}
+
+// vanish ends a machine with all that is on it.
+func (w *worker) vanish(how string) {
+	w.cluster.log("%s %s", w.name, how)
+	w.isGone, w.goneAt = true, w.cluster.Now
+	w.tasks = map[domain.TaskID]*task{}
+}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -276,8 +276,8 @@
 	for at := 32 * time.Second; at < 80*time.Second; at += 11 * time.Second {
 		c.after(at, func() { c.process("leader").crash(300 * time.Millisecond) })
 		c.after(at+4*time.Second, func() {
-			c.troubles["late"] = trouble{c.Now + 3*time.Second, 0.3, 0}
-			c.troubles["lost"] = trouble{c.Now + 5*time.Second, 0.3, 0}
+			c.startTrouble("late", 3*time.Second, 0.3)
+			c.startTrouble("lost", 5*time.Second, 0.3)
 		})
 	}
 	c.after(84*time.Second, func() { c.state.outage(6 * time.Second) })
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("seed %d: only %d idle tasks ran", seed, n)
 		}
 		for _, w := range c.workers {
-			if !w.spot {
+			if !w.isSpot {
 				t.Errorf("seed %d: an ordinary machine was rented for idle work", seed)
 			}
 		}
--- /dev/null
+++ b/internal/simulation/process.go
@@ -0,0 +1,208 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"brassglade/internal/scheduler"
+	"brassglade/internal/tuning"
+)
+
+// wallStart is the time of day at which clusters begin, ms.
+const wallStart = 1_800_000_000_000
+
+// controllerProcess is one controller process around a real scheduler.
+type controllerProcess struct {
+	cluster           *Cluster
+	name              string
+	controller        *scheduler.Controller // nil: the process is not running
+	generation        int                   // counts starts and ends, so that what was meant for an earlier process is dropped
+	startedAt         time.Duration
+	clockRate         float64 // how fast its clock goes
+	lastRequest       uint64
+	pendingReplies    map[uint64]func(scheduler.Effect) // who waits for an answer, by request
+	watchRevision     uint64                            // up to which it has seen the state service's changes
+	isPreviousVersion bool                              // runs the version before, as far as that concerns the upgrade
+
+	// A frozen process stands still in the middle of a step, while its clock goes on: what it
+	// decided goes out when it wakes, and then it hears all that it missed.
+	frozenUntil     time.Duration
+	withheldEffects []scheduler.Effect
+	unheardEvents   []scheduler.Event
+}
+
+// clock is the time since the process started, as its own clock has it.
+func (p *controllerProcess) clock() time.Duration {
+	return time.Duration(float64(p.cluster.Now-p.startedAt) * p.clockRate)
+}
+
+// boot starts the process with a new scheduler, its ticks and its watch of the state service.
+func (p *controllerProcess) boot() {
+	c := p.cluster
+	p.generation++
+	p.startedAt = c.Now
+	settings := c.settings
+	settings.Node, settings.Seed = p.name, uint64(p.generation)
+	settings.WallClockMS = wallStart + c.Now.Milliseconds()
+	if p.isPreviousVersion {
+		settings.PreviousFormat = true
+		settings.ValueLimit = max(settings.ValueLimit, settings.ValueLimitNow)
+		settings.TransactionLimit = max(settings.TransactionLimit, c.initialTransactionLimit)
+	}
+	p.controller = scheduler.New(settings, fmt.Sprintf("%s.%d", p.name, p.generation))
+	p.pendingReplies = map[uint64]func(scheduler.Effect){}
+	generation := p.generation
+	var tick func()
+	tick = func() {
+		if p.generation == generation && p.controller != nil {
+			p.step(scheduler.Tick{})
+			c.after(tuning.Tick, tick)
+		}
+	}
+	c.after(time.Duration(c.rng.IntN(100))*time.Millisecond, tick)
+	p.loadSnapshot(generation)
+}
+
+// crash ends the process; it starts again after a while.
+func (p *controllerProcess) crash(downtime time.Duration) {
+	if p.controller == nil {
+		return
+	}
+	p.cluster.log("%s ends", p.name)
+	p.controller, p.pendingReplies = nil, nil
+	p.frozenUntil, p.withheldEffects, p.unheardEvents = 0, nil, nil
+	p.generation++
+	p.cluster.after(downtime, func() {
+		if p.controller == nil {
+			p.cluster.log("%s starts", p.name)
+			p.boot()
+		}
+	})
+}
+
+// step gives the scheduler an event and carries out what it decides.
+func (p *controllerProcess) step(event scheduler.Event) {
+	if p.controller == nil {
+		return
+	}
+	isFrozen := p.cluster.Now < p.frozenUntil
+	if isFrozen && len(p.withheldEffects) > 0 {
+		p.unheardEvents = append(p.unheardEvents, event)
+		return
+	}
+	effects := p.timedStep(event)
+	if isFrozen {
+		p.withheldEffects = effects
+		return
+	}
+	for _, e := range effects {
+		p.carryOut(e)
+	}
+}
+
+// timedStep is a step of the scheduler, timed where a benchmark asks for it.
+func (p *controllerProcess) timedStep(event scheduler.Event) []scheduler.Effect {
+	if !p.cluster.timesSteps {
+		return p.controller.Step(p.clock(), event)
+	}
+	start := time.Now()
+	effects := p.controller.Step(p.clock(), event)
+	took := time.Since(start)
+	p.cluster.stepTime += took
+	p.cluster.longestStep = max(p.cluster.longestStep, took)
+	return effects
+}
+
+// freeze stops the process at its next step that decides something.
+func (p *controllerProcess) freeze(lasting time.Duration) {
+	if p.controller == nil {
+		return
+	}
+	p.cluster.log("%s stands still, its clock goes on", p.name)
+	p.frozenUntil = p.cluster.Now + lasting
+	generation := p.generation
+	p.cluster.after(lasting, func() {
+		if p.generation == generation {
+			p.wake()
+		}
+	})
+}
+
+// wake lets a frozen process go on: what it decided before goes out first.
+func (p *controllerProcess) wake() {
+	p.cluster.log("%s goes on, %d events late", p.name, len(p.unheardEvents))
+	p.cluster.occurred("woken")
+	effects, events := p.withheldEffects, p.unheardEvents
+	p.withheldEffects, p.unheardEvents = nil, nil
+	for _, e := range effects {
+		if reply, ok := e.(scheduler.HeartbeatReply); ok && reply.Status == 200 {
+			p.cluster.occurred("answer decided before a freeze")
+		}
+		p.carryOut(e)
+	}
+	for _, e := range events {
+		p.step(e)
+	}
+}
+
+// request puts a request to the scheduler; done gets the effect that answers it.
+func (p *controllerProcess) request(event func(requestID uint64) scheduler.Event, done func(scheduler.Effect)) {
+	if p.controller == nil {
+		return
+	}
+	p.lastRequest++
+	p.pendingReplies[p.lastRequest] = done
+	p.step(event(p.lastRequest))
+}
+
+// reply gives the answer to a request to whoever waits for it.
+func (p *controllerProcess) reply(requestID uint64, e scheduler.Effect) {
+	if done := p.pendingReplies[requestID]; done != nil {
+		delete(p.pendingReplies, requestID)
+		done(e)
+	}
+}
+
+// loadSnapshot loads the whole state, again and again until the state service answers, and
+// watches it from there.
+func (p *controllerProcess) loadSnapshot(generation int) {
+	if p.generation != generation {
+		return
+	}
+	c := p.cluster
+	c.call(p.name, "state", 2*tuning.StateTimeout, func(reply func(any)) { reply(c.state.snapshot(p.name)) }, func(answer any) {
+		if p.generation != generation {
+			return
+		}
+		loaded, ok := answer.(scheduler.SnapshotLoaded)
+		if !ok {
+			c.after(tuning.ConfirmationRetry, func() { p.loadSnapshot(generation) })
+			return
+		}
+		p.watchRevision = loaded.Revision
+		p.step(loaded)
+		p.watch(generation)
+	})
+}
+
+// watch asks for changes since the revision that the process has seen, over and over.
+func (p *controllerProcess) watch(generation int) {
+	if p.generation != generation {
+		return
+	}
+	c := p.cluster
+	sent := p.clock()
+	c.call(p.name, "state", tuning.WatchWait+tuning.StateTimeout, func(reply func(any)) { c.state.watch(p.name, p.watchRevision, reply) }, func(answer any) {
+		if p.generation != generation {
+			return
+		}
+		pause := tuning.ConfirmationRetry
+		if advanced, ok := answer.(scheduler.WatchAdvanced); ok {
+			p.watchRevision = max(p.watchRevision, advanced.Revision)
+			advanced.Sent = sent
+			p.step(advanced)
+			pause = tuning.WatchGap
+		}
+		c.after(pause, func() { p.watch(generation) })
+	})
+}
--- /dev/null
+++ b/internal/simulation/script_actions.go
@@ -0,0 +1,317 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"brassglade/internal/domain"
+)
+
+// action is one action of a script: its words, and its options (name=value, or a name alone).
+type action struct {
+	words   []string
+	options map[string]string
+}
+
+// newAction reads the words of an action; "leader" stands for the controller that leads now,
+// and is replaced in the words themselves.
+func (c *Cluster) newAction(words []string) action {
+	a := action{words, map[string]string{}}
+	for i, word := range words {
+		if word == "leader" && i > 0 {
+			words[i] = c.leader
+		}
+		name, value, _ := strings.Cut(word, "=")
+		a.options[name] = value
+	}
+	return a
+}
+
+// number is an option's value, or the default when it has none or no number.
+func (a action) number(name string, byDefault float64) float64 {
+	if v, err := strconv.ParseFloat(a.options[name], 64); err == nil {
+		return v
+	}
+	return byDefault
+}
+
+// seconds is an option's value as a duration.
+func (a action) seconds(name string, byDefault float64) time.Duration {
+	return time.Duration(a.number(name, byDefault) * float64(time.Second))
+}
+
+// lasting is how long an action goes on.
+func (a action) lasting() time.Duration { return a.seconds("for", 20) }
+
+func (a action) has(name string) bool {
+	_, ok := a.options[name]
+	return ok
+}
+
+// list is an option's values between commas.
+func (a action) list(name string) []string {
+	if l := a.options[name]; l != "" {
+		return strings.Split(l, ",")
+	}
+	return nil
+}
+
+// actionKind says how an action is played.
+type actionKind struct {
+	play func(*Cluster, action) error
+	// What users do is no trouble, so that the checker excuses nothing for it.
+	isUsers bool
+}
+
+var errUnknownAction = errors.New("unknown action")
+
+// actionKinds are the actions by their first word. The table of Play says what each does.
+var actionKinds = map[string]actionKind{
+	"submit":  {(*Cluster).playSubmit, true},
+	"cancel":  {(*Cluster).playCancel, true},
+	"calloff": {(*Cluster).playCallOff, true},
+	"looks":   {(*Cluster).playNamedTrouble, true},
+	"endings": {(*Cluster).playNamedTrouble, true},
+	"storm":   {(*Cluster).playNamedTrouble, true},
+	"quick":   {(*Cluster).playNamedTrouble, true},
+	"odd":     {(*Cluster).playOdd, true},
+
+	"crash":   {(*Cluster).playCrash, false},
+	"upgrade": {(*Cluster).playUpgrade, false},
+	"freeze":  {(*Cluster).playFreeze, false},
+	"limits":  {(*Cluster).playLimits, false},
+	"cut":     {(*Cluster).playCut, false},
+	"cutzone": {(*Cluster).playCutZone, false},
+	"state":   {(*Cluster).playState, false},
+	"late":    {(*Cluster).playLate, false},
+	"lost":    {(*Cluster).playLost, false},
+	"slow":    {(*Cluster).playSlow, false},
+	"boots":   {(*Cluster).playBoots, false},
+	"cloud":   {(*Cluster).playCloud, false},
+
+	"hang":   {onMachine(func(_ *Cluster, w *worker, a action) { w.hang(a.lasting()) }), false},
+	"take":   {onMachine(func(_ *Cluster, w *worker, _ action) { w.vanish("is taken") }), false},
+	"notice": {onMachine(func(_ *Cluster, w *worker, a action) { w.preempt(a.seconds("in", 8)) }), false},
+	"sick":   {onMachine((*Cluster).playSick), false},
+	"deaf":   {onMachine((*Cluster).playDeaf), false},
+	"mute":   {onMachine((*Cluster).playMute), false},
+	"copies": {onMachine((*Cluster).playCopies), false},
+	"keep":   {onMachine((*Cluster).playKeep), false},
+}
+
+// playAction carries out one action of a script.
+func (c *Cluster) playAction(words []string) error {
+	a := c.newAction(words)
+	kind, ok := actionKinds[words[0]]
+	if !kind.isUsers && !c.excusesNothing {
+		c.calmSince = max(c.calmSince, c.Now+max(a.seconds("for", 0), a.seconds("back", 0), a.seconds("in", 0)))
+	}
+	if !ok {
+		return errUnknownAction
+	}
+	return kind.play(c, a)
+}
+
+func (c *Cluster) playSubmit(a action) error {
+	tasks, err := strconv.Atoi(a.words[3])
+	if err != nil {
+		return err
+	}
+	id := a.words[1]
+	c.Submit(domain.JobSpec{
+		ID:           id,
+		Class:        "c",
+		Team:         a.words[4],
+		Shape:        domain.Shape(a.words[2]),
+		Priority:     int(a.number("prio", 1)),
+		TaskCount:    tasks,
+		Dependencies: a.list("awaits"),
+		Request: domain.Resources{
+			CPU:    int64(1000 * a.number("cpu", 2)),
+			GPU:    int64(1000 * a.number("gpu", 1)),
+			Memory: 4000,
+		},
+		Spot:               a.has("spot"),
+		OneZone:            a.has("onezone"),
+		Spread:             a.has("spread"),
+		Zone:               a.options["zone"],
+		MachineTypes:       a.list("types"),
+		Image:              "img",
+		ImageGB:            1,
+		EstimatedRuntime:   a.number("run", 20),
+		Deadline:           a.number("due", 0),
+		CheckpointInterval: a.number("ckpt", 0),
+		CheckpointCost:     2,
+	}, a.seconds("run", 20))
+	c.jobs[id].failsEverywhere = a.has("mistake")
+	return nil
+}
+
+func (c *Cluster) playCancel(a action) error {
+	id := a.words[1]
+	if c.jobs[id] == nil {
+		c.log("no job %s", id)
+		return nil
+	}
+	c.Cancel(id)
+	return nil
+}
+
+func (c *Cluster) playCallOff(a action) error {
+	count, err := strconv.Atoi(a.words[1])
+	if err != nil {
+		return err
+	}
+	c.cancelRunningJobs(count, a.seconds("hang", 0))
+	return nil
+}
+
+// playNamedTrouble puts a trouble on that has the action's name.
+func (c *Cluster) playNamedTrouble(a action) error {
+	c.startTrouble(a.words[0], a.lasting(), a.number("share", 1))
+	return nil
+}
+
+func (c *Cluster) playOdd(a action) error {
+	c.startTrouble("odd", a.lasting(), 1)
+	c.submitOddRequests()
+	return nil
+}
+
+func (c *Cluster) playCrash(a action) error {
+	for _, p := range c.processes {
+		if a.words[1] == "all" || a.words[1] == p.name {
+			p.crash(a.seconds("back", 4))
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) playUpgrade(a action) error {
+	p := c.process(a.words[1])
+	p.isPreviousVersion = false
+	c.log("%s is upgraded", p.name)
+	p.crash(a.seconds("back", 4))
+	return nil
+}
+
+func (c *Cluster) playFreeze(a action) error {
+	c.process(a.words[1]).freeze(a.seconds("for", 10))
+	return nil
+}
+
+func (c *Cluster) playLimits(action) error {
+	c.state.lowerLimits(c.settings.ValueLimit, c.settings.TransactionLimit)
+	return nil
+}
+
+// playCut cuts two participants off from each other, or one from all machines, also those that
+// are not rented yet.
+func (c *Cluster) playCut(a action) error {
+	from, to, mode := a.words[1], a.words[2], a.words[3]
+	c.log("cut %s - %s (%s)", from, to, mode)
+	if to != "*" {
+		c.cutLink(from, to, mode, a.lasting())
+		return nil
+	}
+	for i := 1; i <= 60; i++ {
+		c.cutLink(from, fmt.Sprintf("n-%06d", i), mode, a.lasting())
+	}
+	return nil
+}
+
+func (c *Cluster) playCutZone(a action) error {
+	c.cutZone(a.words[1], a.words[2], a.lasting())
+	return nil
+}
+
+func (c *Cluster) playState(a action) error {
+	if a.words[1] == "down" {
+		c.state.outage(a.lasting())
+		return nil
+	}
+	c.state.refuse(a.words[2], a.lasting())
+	return nil
+}
+
+func (c *Cluster) playLate(a action) error {
+	c.log("transactions of %s: carried out late, without an answer", a.words[1])
+	c.strikeTransactions(a)
+	return nil
+}
+
+func (c *Cluster) playLost(a action) error {
+	c.log("transactions of %s: their answers are lost", a.words[1])
+	c.strikeTransactions(a)
+	return nil
+}
+
+// strikeTransactions puts a trouble on with the transactions of all controllers, or of one.
+// Late ones come up to 12 s after its end.
+func (c *Cluster) strikeTransactions(a action) {
+	name := a.words[0]
+	if a.words[1] != "all" {
+		name += " " + a.words[1]
+	}
+	c.startTrouble(name, a.lasting(), a.number("share", 0.5))
+	c.calmSince = max(c.calmSince, c.Now+a.lasting()+12*time.Second)
+}
+
+func (c *Cluster) playSlow(a action) error {
+	c.log("the state service is slow")
+	c.troubles["slow"] = trouble{until: c.Now + a.lasting(), share: 1, delay: a.seconds("by", 1)}
+	return nil
+}
+
+func (c *Cluster) playBoots(a action) error {
+	zone, how := a.words[1], a.words[2]
+	c.startTrouble("boots "+how+" "+zone, a.lasting(), 1)
+	return nil
+}
+
+func (c *Cluster) playCloud(a action) error {
+	c.cloud.isUp = false
+	c.after(a.lasting(), func() { c.cloud.isUp = true })
+	return nil
+}
+
+// onMachine plays what strikes one machine, if it is there.
+func onMachine(strike func(*Cluster, *worker, action)) func(*Cluster, action) error {
+	return func(c *Cluster, a action) error {
+		w := c.worker(a.words[1])
+		if w == nil || w.isGone {
+			c.log("no machine %s", a.words[1])
+			return nil
+		}
+		strike(c, w, a)
+		return nil
+	}
+}
+
+func (c *Cluster) playSick(w *worker, _ action) {
+	c.log("%s fails all it starts", w.name)
+	w.isSick = true
+}
+
+func (c *Cluster) playDeaf(w *worker, a action) {
+	c.log("nothing reaches %s", w.name)
+	w.deafUntil = c.Now + a.seconds("for", 60)
+}
+
+func (c *Cluster) playMute(w *worker, a action) {
+	c.log("%s reaches no controller", w.name)
+	w.muteUntil = c.Now + a.seconds("for", 60)
+}
+
+func (c *Cluster) playCopies(w *worker, a action) {
+	c.log("copies of reports of %s come late", w.name)
+	w.copyUntil, w.copyDelay = c.Now+a.seconds("for", 30), a.seconds("most", 30)
+	c.calmSince = max(c.calmSince, w.copyUntil+w.copyDelay)
+}
+
+func (c *Cluster) playKeep(w *worker, a action) {
+	w.keepUntil = c.Now + a.seconds("for", 30)
+}
--- /dev/null
+++ b/internal/simulation/state_service.go
@@ -0,0 +1,357 @@
+package simulation
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+	"time"
+
+	"brassglade/internal/codec"
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+)
+
+// formatKey says that all controllers know the new format.
+const formatKey = "b/format"
+
+// viewKey has the view: the epoch, its leader and the members that serve.
+const viewKey = "b/view"
+
+// stateEntry is a value with the revision that wrote it and the lease that it hangs on.
+type stateEntry struct {
+	value       []byte
+	modRevision uint64
+	leaseID     uint64 // 0: none
+}
+
+// stateLease is a lease; what hangs on it goes when it expires.
+type stateLease struct {
+	ttl       time.Duration
+	expiresAt time.Duration
+}
+
+// stateWatcher waits for changes after a revision.
+type stateWatcher struct {
+	revision uint64
+	reply    func(any)
+	process  string
+}
+
+// stateService is a consensus-backed key-value store as its clients see it: one map with
+// revisions, compare-and-swap transactions, leases and watches.
+type stateService struct {
+	cluster   *Cluster
+	entries   map[string]stateEntry
+	revision  uint64
+	history   []domain.KeyValue // all changes in order
+	leases    map[uint64]*stateLease
+	lastLease uint64
+	watchers  []stateWatcher
+
+	isDown  bool
+	refused map[string]bool // controllers that alone get no answer
+
+	valueLimit       int // the limits in force: bytes of a value, changes of a transaction
+	transactionLimit int
+	limitsFell       bool
+
+	changes           int // puts and deletes asked for
+	requests          int
+	refusedAsTooLarge int // transactions beyond the limits since these fell
+}
+
+func newStateService(c *Cluster) *stateService {
+	s := &stateService{
+		cluster:          c,
+		valueLimit:       max(c.settings.ValueLimit, c.settings.ValueLimitNow),
+		transactionLimit: max(c.settings.TransactionLimit, c.initialTransactionLimit),
+		entries:          map[string]stateEntry{},
+		leases:           map[uint64]*stateLease{},
+		refused:          map[string]bool{},
+	}
+	var sweep func()
+	sweep = func() {
+		s.expireLeases()
+		c.after(100*time.Millisecond, sweep)
+	}
+	c.after(0, sweep)
+	return s
+}
+
+// isOffFor counts a request and tells whether its sender gets no answer to it.
+func (s *stateService) isOffFor(process string) bool {
+	s.requests++
+	return s.isDown || s.refused[process]
+}
+
+// outage takes the service down for a while; leases live on from its end.
+func (s *stateService) outage(lasting time.Duration) {
+	c := s.cluster
+	c.log("state service down for %v", lasting)
+	for _, id := range c.jobIDs() {
+		if job := c.jobs[id]; job.cancelToldAt >= 0 && c.tasksOnMachines(id) > 0 {
+			c.occurred("outage while cancelled tasks are on")
+		}
+	}
+	s.isDown = true
+	c.after(lasting, func() {
+		s.isDown = false
+		for _, lease := range s.leases {
+			lease.expiresAt = c.Now + lease.ttl
+		}
+		c.log("state service up")
+		s.answerWatches()
+	})
+}
+
+// refuse leaves one controller alone without answers for a while.
+func (s *stateService) refuse(process string, lasting time.Duration) {
+	s.cluster.log("state service refuses %s", process)
+	s.refused[process] = true
+	s.cluster.after(lasting, func() {
+		delete(s.refused, process)
+		s.answerWatches()
+	})
+}
+
+// lowerLimits lowers the limits, without notice.
+func (s *stateService) lowerLimits(valueLimit, transactionLimit int) {
+	s.cluster.log("limits fall to %d bytes a value and %d changes", valueLimit, transactionLimit)
+	s.valueLimit, s.transactionLimit, s.limitsFell = valueLimit, transactionLimit, true
+}
+
+// expireLeases ends leases that were not renewed in time, and deletes what hangs on them.
+func (s *stateService) expireLeases() {
+	if s.isDown {
+		return
+	}
+	var expired []uint64
+	for id, lease := range s.leases {
+		if s.cluster.Now > lease.expiresAt {
+			expired = append(expired, id)
+		}
+	}
+	sort.Slice(expired, func(a, b int) bool { return expired[a] < expired[b] })
+	for _, id := range expired {
+		delete(s.leases, id)
+		s.deleteOfLease(id)
+	}
+	if len(expired) > 0 {
+		s.answerWatches()
+	}
+}
+
+func (s *stateService) deleteOfLease(id uint64) {
+	var keys []string
+	for key, e := range s.entries {
+		if e.leaseID == id {
+			keys = append(keys, key)
+		}
+	}
+	sort.Strings(keys)
+	for _, key := range keys {
+		s.revision++
+		delete(s.entries, key)
+		s.history = append(s.history, domain.KeyValue{Key: key, ModRevision: s.revision})
+	}
+}
+
+// confirm answers whether a value is still of the revision named.
+func (s *stateService) confirm(process string, e scheduler.ConfirmView) any {
+	if s.isOffFor(process) {
+		return scheduler.ConfirmationAnswered{}
+	}
+	return scheduler.ConfirmationAnswered{OK: true, Same: s.entries[e.Key].modRevision == e.ModRevision, Revision: s.revision}
+}
+
+// commitAmidTroubles carries a transaction out, unless a trouble strikes: late, after newer
+// ones of the same controller, or at once with only the answer lost.
+func (s *stateService) commitAmidTroubles(p *controllerProcess, e scheduler.Commit, reply func(any)) {
+	c := s.cluster
+	switch {
+	case c.strikes("late") || c.strikes("late "+p.name):
+		c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(10*time.Second))), func() {
+			answered := s.commit(p.name, e)
+			c.occurred("late transaction")
+			if answered.Result == domain.Committed {
+				c.occurred("late transaction that changed something")
+			}
+		})
+	case c.strikes("lost") || c.strikes("lost "+p.name):
+		s.commit(p.name, e)
+		c.occurred("answer lost")
+	default:
+		c.answerSlowly(reply, s.commit(p.name, e))
+	}
+}
+
+// commit carries a transaction out if its conditions hold and the service takes it.
+func (s *stateService) commit(process string, e scheduler.Commit) scheduler.CommitAnswered {
+	if s.isOffFor(process) {
+		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
+	}
+	malformed := scheduler.CommitAnswered{ID: e.ID, Revision: s.revision, Result: domain.Refused, Malformed: true}
+	s.changes += len(e.Transaction.Puts)
+	if excess := s.excess(&e); excess != "" {
+		// Values that are larger are known to all; that the limit fell shows only by the refusal.
+		if !s.limitsFell {
+			s.cluster.violated(ruleLimit, "%s", excess)
+		}
+		s.refusedAsTooLarge++
+		return malformed
+	}
+	for _, put := range e.Transaction.Puts {
+		s.checkReadableByPrevious(put)
+		if put.LeaseID != 0 && s.leases[put.LeaseID] == nil {
+			return malformed
+		}
+	}
+	answered := scheduler.CommitAnswered{ID: e.ID, Revision: s.revision}
+	for _, condition := range e.Transaction.Conditions {
+		if s.entries[condition.Key].modRevision != condition.ModRevision {
+			answered.Result = domain.Conflict
+			answered.Failed = append(answered.Failed, condition.Key)
+		}
+	}
+	if answered.Result == domain.Conflict {
+		return answered
+	}
+	s.apply(e.Transaction.Puts)
+	answered.Revision = s.revision
+	s.answerWatches()
+	return answered
+}
+
+// excess says how a transaction is larger than the limits allow; "": it is not.
+func (s *stateService) excess(e *scheduler.Commit) string {
+	puts, conditions := e.Transaction.Puts, e.Transaction.Conditions
+	excess := ""
+	if len(puts) > s.transactionLimit || len(conditions) > 4*s.transactionLimit {
+		excess = fmt.Sprintf("transaction of %d changes, %d conditions", len(puts), len(conditions))
+	}
+	for _, put := range puts {
+		if len(put.Value) > s.valueLimit {
+			excess = fmt.Sprintf("%s has %d bytes", put.Key, len(put.Value))
+		}
+	}
+	return excess
+}
+
+// apply carries out the changes of a transaction as one revision.
+func (s *stateService) apply(puts []domain.Put) {
+	s.revision++
+	for _, put := range puts {
+		if put.Value == nil {
+			delete(s.entries, put.Key)
+		} else {
+			s.entries[put.Key] = stateEntry{put.Value, s.revision, put.LeaseID}
+		}
+		s.history = append(s.history, domain.KeyValue{Key: put.Key, Value: put.Value, ModRevision: s.revision})
+		if put.Key == viewKey {
+			s.cluster.noticeLeader(put.Value)
+		}
+	}
+}
+
+// read answers the values of some keys.
+func (s *stateService) read(process string, e scheduler.ReadKeys) any {
+	if s.isOffFor(process) {
+		return scheduler.KeysRead{ID: e.ID}
+	}
+	read := scheduler.KeysRead{ID: e.ID, OK: true}
+	for _, key := range e.Keys {
+		if x, ok := s.entries[key]; ok {
+			read.Items = append(read.Items, domain.KeyValue{Key: key, Value: x.value, ModRevision: x.modRevision})
+		}
+	}
+	return read
+}
+
+// grant gives out a new lease.
+func (s *stateService) grant(process string, ttl time.Duration) any {
+	if s.isOffFor(process) {
+		return scheduler.LeaseGranted{}
+	}
+	s.lastLease++
+	s.leases[s.lastLease] = &stateLease{ttl, s.cluster.Now + ttl}
+	return scheduler.LeaseGranted{OK: true, LeaseID: s.lastLease}
+}
+
+// renew lets a lease live on from now.
+func (s *stateService) renew(process string, id uint64) any {
+	if s.isOffFor(process) {
+		return scheduler.LeaseRenewalAnswered{}
+	}
+	lease := s.leases[id]
+	if lease == nil {
+		return scheduler.LeaseRenewalAnswered{Gone: true}
+	}
+	lease.expiresAt = s.cluster.Now + lease.ttl
+	return scheduler.LeaseRenewalAnswered{OK: true}
+}
+
+// snapshot answers all values, as the process that asks understands them; nil: no answer.
+func (s *stateService) snapshot(process string) any {
+	if s.isOffFor(process) {
+		return nil
+	}
+	loaded := scheduler.SnapshotLoaded{Revision: s.revision}
+	for key, e := range s.entries {
+		if strings.HasPrefix(key, codec.Root) {
+			loaded.Items = append(loaded.Items, domain.KeyValue{Key: key, Value: e.value, ModRevision: e.modRevision})
+		}
+	}
+	loaded.Items = s.seenBy(process, loaded.Items)
+	sort.Slice(loaded.Items, func(a, b int) bool { return loaded.Items[a].Key < loaded.Items[b].Key })
+	return loaded
+}
+
+// watch answers as soon as there are changes after a revision.
+func (s *stateService) watch(process string, revision uint64, reply func(any)) {
+	if s.isOffFor(process) {
+		reply(nil)
+		return
+	}
+	s.watchers = append(s.watchers, stateWatcher{revision, reply, process})
+	s.answerWatches()
+}
+
+// answerWatches answers all watchers for whom there is something new.
+func (s *stateService) answerWatches() {
+	if s.isDown {
+		return
+	}
+	var waiting []stateWatcher
+	for _, watcher := range s.watchers {
+		if s.revision <= watcher.revision || s.refused[watcher.process] {
+			waiting = append(waiting, watcher)
+			continue
+		}
+		advanced := scheduler.WatchAdvanced{Revision: s.revision}
+		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision > watcher.revision })
+		advanced.Items = s.seenBy(watcher.process, s.history[from:])
+		watcher.reply(advanced)
+	}
+	s.watchers = waiting
+}
+
+// seenBy is what a controller makes of changes: one of the version before drops what it
+// doesn't know.
+func (s *stateService) seenBy(process string, changes []domain.KeyValue) []domain.KeyValue {
+	p := s.cluster.process(process)
+	if p == nil || !p.isPreviousVersion {
+		return append([]domain.KeyValue(nil), changes...)
+	}
+	var seen []domain.KeyValue
+	for _, change := range changes {
+		if change.Value != nil {
+			value, _, ok := asPreviousVersion(change.Key, change.Value)
+			if !ok {
+				continue
+			}
+			change.Value = value
+		}
+		seen = append(seen, change)
+	}
+	return seen
+}
--- /dev/null
+++ b/internal/simulation/users.go
@@ -0,0 +1,250 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
+)
+
+// userRequest makes the event of a user's request from the ID that a controller gives it.
+type userRequest func(requestID uint64) scheduler.Event
+
+// submission submits a job; each time with a specification of its own.
+func submission(id string, spec domain.JobSpec) userRequest {
+	return func(requestID uint64) scheduler.Event {
+		own := spec
+		return scheduler.JobSubmitted{RequestID: requestID, ID: id, Spec: &own}
+	}
+}
+
+func query(id string) userRequest {
+	return func(requestID uint64) scheduler.Event { return scheduler.JobQueried{RequestID: requestID, ID: id} }
+}
+
+func cancellation(id string) userRequest {
+	return func(requestID uint64) scheduler.Event {
+		return scheduler.JobCancelled{RequestID: requestID, ID: id}
+	}
+}
+
+// requestAnywhere sends a request to a live controller through the load balancer; done gets the
+// answer, without a status when none came, and when it was asked for.
+func (c *Cluster) requestAnywhere(request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
+	var live []*controllerProcess
+	for _, p := range c.processes {
+		if p.controller != nil {
+			live = append(live, p)
+		}
+	}
+	if len(live) == 0 {
+		done(scheduler.UserReply{}, c.Now)
+		return
+	}
+	c.requestAt(live[c.rng.IntN(len(live))], request, done)
+}
+
+// requestAt is the same at one controller.
+func (c *Cluster) requestAt(p *controllerProcess, request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
+	asked := c.Now
+	c.call("users", p.name, 2*time.Second, func(reply func(any)) {
+		p.request(request, func(e scheduler.Effect) { reply(e) })
+	}, func(answer any) {
+		reply, _ := answer.(scheduler.UserReply)
+		done(reply, asked)
+	})
+}
+
+// Submit sends a job, again and again until it is accepted; then it polls. Tasks run for the
+// time given.
+func (c *Cluster) Submit(spec domain.JobSpec, runtime time.Duration) {
+	job := c.jobs[spec.ID]
+	if job == nil {
+		job = newJobRecord(spec, runtime)
+		c.jobs[spec.ID] = job
+	}
+	for _, id := range spec.Dependencies { // users name only what was accepted
+		if earlier := c.jobs[id]; earlier == nil || !earlier.accepted {
+			c.after(100*time.Millisecond, func() { c.Submit(spec, runtime) })
+			return
+		}
+	}
+	job.isSubmitted = true
+	c.requestAnywhere(submission(spec.ID, spec), func(reply scheduler.UserReply, asked time.Duration) {
+		c.checkReply(spec.ID, reply, asked)
+		if reply.Status == 200 || reply.Status == 201 {
+			c.log("%s accepted", spec.ID)
+			c.poll(spec.ID)
+			return
+		}
+		c.after(time.Second, func() { c.Submit(spec, runtime) })
+	})
+}
+
+// poll asks about a job until it is over.
+func (c *Cluster) poll(id string) {
+	c.requestAnywhere(query(id), func(reply scheduler.UserReply, asked time.Duration) {
+		c.checkReply(id, reply, asked)
+		pause := 5 * time.Second
+		if c.strikes("storm") {
+			pause /= 10
+			c.occurred(fmt.Sprintf("poll answered %d", reply.Status))
+		}
+		if c.jobs[id].finalState == "" {
+			c.after(pause, func() { c.poll(id) })
+		}
+	})
+}
+
+// Cancel cancels a job, again and again until its user is told that it is over.
+func (c *Cluster) Cancel(id string) {
+	job := c.jobs[id]
+	job.cancelRequested = true
+	c.requestAnywhere(cancellation(id), func(reply scheduler.UserReply, asked time.Duration) {
+		c.checkReply(id, reply, asked)
+		if job.finalState == "" {
+			c.after(time.Second, func() { c.Cancel(id) })
+		}
+	})
+}
+
+// lookClosely asks all controllers about a job within milliseconds of news about it, again and
+// again, and submits it anew.
+func (c *Cluster) lookClosely(id string) {
+	job := c.jobs[id]
+	if !c.strikes("looks") || !job.isSubmitted {
+		return
+	}
+	for _, p := range c.processes {
+		for k := 0; k < 4; k++ {
+			request := query(id)
+			if k == 3 {
+				again := job.spec
+				again.TaskCount++ // whatever the other fields say now
+				request = submission(id, again)
+			}
+			c.after(time.Duration(c.rng.IntN(40*(k+1)))*time.Millisecond, func() {
+				c.requestAt(p, request, func(reply scheduler.UserReply, asked time.Duration) {
+					c.closeLookAnswered(id, reply, asked)
+				})
+			})
+		}
+	}
+}
+
+func (c *Cluster) closeLookAnswered(id string, reply scheduler.UserReply, asked time.Duration) {
+	if reply.Status == 200 {
+		c.occurred("answer to a close look")
+	}
+	if reply.Status == 201 {
+		c.violated(ruleTaken, "%s accepted twice", id)
+	}
+	c.checkReply(id, reply, asked)
+}
+
+// cancelRunningJobs cancels so many running jobs within a fifth of a second; up to eight of the
+// machines that run them hang, if there is a time for that.
+func (c *Cluster) cancelRunningJobs(count int, hang time.Duration) {
+	hung := 0
+	for _, id := range c.jobIDs() {
+		job := c.jobs[id]
+		on := c.firstWorkerOf(id)
+		if count == 0 || on == nil || job.cancelRequested || job.finalState != "" || !job.accepted {
+			continue
+		}
+		count--
+		c.occurred("running job called off")
+		c.after(time.Duration(c.rng.IntN(200))*time.Millisecond, func() { c.Cancel(id) })
+		if hang > 0 && hung < 8 && !on.isHung {
+			hung++
+			on.hang(hang)
+		}
+	}
+}
+
+// firstWorkerOf is the machine rented first of those that have a task of a job; nil: none has.
+func (c *Cluster) firstWorkerOf(job string) *worker {
+	for _, w := range c.workers {
+		if w.isGone {
+			continue
+		}
+		for id, t := range w.tasks {
+			if id.Job == job && t.isOnMachine() {
+				return w
+			}
+		}
+	}
+	return nil
+}
+
+// submitOddRequests sends, once a second, a job that fits no machine or lacks a field, repeats
+// submissions with other fields, and cancels jobs that are done.
+func (c *Cluster) submitOddRequests() {
+	if !c.strikes("odd") {
+		return
+	}
+	c.after(time.Second, c.submitOddRequests)
+	c.submitInvalidJob()
+	for _, id := range c.jobIDs() {
+		job := c.jobs[id]
+		if !job.accepted || job.finalState == "cancelled" || c.rng.IntN(4) != 0 {
+			continue
+		}
+		if job.finalState == "done" {
+			c.requestOddly(id, cancellation(id), func(scheduler.UserReply) { c.occurred("done job cancelled") })
+			continue
+		}
+		again := job.spec
+		again.Request.GPU = machineCapacity.GPU + 1 // a repeat is known by its id alone
+		c.requestOddly(id, submission(id, again), func(reply scheduler.UserReply) {
+			if reply.Status == 200 {
+				c.occurred("repeat answered")
+			}
+		})
+	}
+}
+
+// requestOddly sends a request whose answer is checked as any other.
+func (c *Cluster) requestOddly(id string, request userRequest, done func(scheduler.UserReply)) {
+	c.requestAnywhere(request, func(reply scheduler.UserReply, asked time.Duration) {
+		c.checkReply(id, reply, asked)
+		done(reply)
+	})
+}
+
+// submitInvalidJob submits a job that can't run, in one of four ways in turn; it must be
+// refused with the right status.
+func (c *Cluster) submitInvalidJob() {
+	c.generatedJobs++
+	id := fmt.Sprintf("job-7%06d", c.generatedJobs)
+	spec := domain.JobSpec{ID: id, Class: "odd", Team: "red", Shape: domain.Array, TaskCount: 1,
+		Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 5}
+	lacksSpec := false
+	switch c.generatedJobs % 4 {
+	case 0:
+		spec.Request.GPU = machineCapacity.GPU + 1
+	case 1:
+		spec.Team = "none"
+	case 2:
+		spec.Zone = "nowhere"
+	case 3:
+		lacksSpec = true
+	}
+	request, want := submission(id, spec), 422
+	if lacksSpec {
+		request = func(requestID uint64) scheduler.Event {
+			return scheduler.JobSubmitted{RequestID: requestID, ID: id}
+		}
+		want = 400
+	}
+	c.jobs[id] = newJobRecord(spec, 0)
+	c.jobs[id].isInvalid = true
+	c.requestOddly(id, request, func(reply scheduler.UserReply) {
+		if reply.Status == want {
+			c.occurred("odd submission refused")
+		} else if reply.Status >= 400 && reply.Status < 500 {
+			c.violated(ruleRefused, "%s got %d, not %d", id, reply.Status, want)
+		}
+	})
+}
