--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -19,10 +19,10 @@
 )
 
 // This file compares two commits: `make digest` prints, for each kind of day, a digest of
-// all that leaves the cores. A change that is to leave behaviour alone repeats them to the
+// all that leaves the schedulers. A change that is to leave behaviour alone repeats them to the
 // byte. They are stored nowhere, since changes of behaviour are allowed to change them.
 
-// digest sums up what leaves the cores of one day: transactions with keys, conditions and
+// digest sums up what leaves the schedulers of one day: transactions with keys, conditions and
 // values, commands, answers, messages to peers and cloud requests, in order, each with its
 // time and sender. Log lines don't count. It spells out the fields, so that renamed types
 // leave it as it is.
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -16,13 +16,13 @@
 )
 
 // The tests in this file play fleets of up to 4,000 machines. The race detector
-// has nothing to find in a world of one goroutine and would make them last ten
+// has nothing to find in a cluster of one goroutine and would make them last ten
 // times as long; `make test` runs them without it.
 
 // TestFleetRestarts: with 2,000 machines all controllers end at once, just after
-// an outage of the state service. The world checks the rules and that no value
+// an outage of the state service. The cluster checks the rules and that no value
 // and no transaction is larger than the state service takes. Before, the work
-// for each event must not grow with the fleet: held check-ins were once all
+// for each event must not grow with the fleet: pending heartbeats were once all
 // looked at again for each event, forty times as often as now.
 func TestFleetRestarts(t *testing.T) {
 	c := fleetCluster(500)
@@ -33,10 +33,10 @@
 	c.Run(70 * time.Second)
 	b := c.totalWork()
 	events, machines := float64(b.Events-a.Events), float64(len(c.workers))*10
-	t.Logf("%.0f events a second; held check-ins for each %.2f; looks at each machine a second %.2f, weighed for tasks %.1f",
+	t.Logf("%.0f events a second; pending heartbeats for each %.2f; looks at each machine a second %.2f, weighed for tasks %.1f",
 		events/10, float64(b.PendingHeartbeats-a.PendingHeartbeats)/events, float64(b.Machines-a.Machines)/machines, float64(b.Targets-a.Targets)/machines)
 	if x := float64(b.PendingHeartbeats-a.PendingHeartbeats) / events; x > 10 {
-		t.Errorf("%.1f held check-ins are looked at for each event", x)
+		t.Errorf("%.1f pending heartbeats are looked at for each event", x)
 	}
 	if x := float64(b.Machines-a.Machines) / machines; x > 5 {
 		t.Errorf("each machine is looked at %.1f times a second", x)
@@ -256,7 +256,7 @@
 	return c
 }
 
-// TestFleetZoneBound: no task starts where it must not, machines go on reporting, and the
+// TestFleetZoneBound: no task starts where it must not, machines go on with their heartbeats, and the
 // jobs run, with 1,000 and with 4,000 machines. Without the guard the smaller fleet, whose
 // zones are nearly full, breaks the rule; in the larger one there is room for each array.
 func TestFleetZoneBound(t *testing.T) {
--- a/internal/simulation/grown_clusters_test.go
+++ b/internal/simulation/grown_clusters_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// grown is a deployment of the size that the grown ones have.
+// grownCluster is a deployment of the size that the grown ones have.
 func grownCluster(nodes, fill int, change ...func(*scheduler.Settings)) *Cluster {
 	c := New(1, grownSettings(nodes, fill, change...))
 	c.marketCapacity = fill
 	return c
 }
 
+// grownSettings are those of a grown deployment, with changes.
 func grownSettings(nodes, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
 	settings := Settings()
 	settings.Nodes, settings.ZoneOf = nil, map[string]string{}
@@ -34,8 +35,8 @@
 	return settings
 }
 
-// fleet is a deployment of the size and rates that the fleet ones have; fill is
-// the number of machines a zone and kind.
+// fleetCluster is a deployment of the size and rates that the fleet ones have; fill is
+// the number of machines of each zone and kind.
 func fleetCluster(fill int, change ...func(*scheduler.Settings)) *Cluster {
 	rates := func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -11,7 +11,7 @@
 	"brassglade/internal/domain"
 )
 
-// withGuest is the small deployment with a further team that has neither guarantee
+// clusterWithGuest is the small deployment with a further team that has neither guarantee
 // nor limit.
 func clusterWithGuest(seed uint64, fill int) *Cluster {
 	settings := Settings()
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -8,22 +8,25 @@
 	"time"
 )
 
-// line writes one line of a script at a time that may be a fraction.
+// scriptLine writes one line of a script at a time that may be a fraction.
 func scriptLine(at float64, format string, a ...any) string {
 	return fmt.Sprintf("at %.2f ", at) + fmt.Sprintf(format, a...) + "\n"
 }
 
+// oneOf draws one of some values.
+func oneOf[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
+
 func anyController(r *rand.Rand) string { return fmt.Sprintf("c-%d", r.IntN(3)) }
 
-func anyCutMode(r *rand.Rand) string { return []string{"drop", "hold"}[r.IntN(2)] }
+func anyCutMode(r *rand.Rand) string { return oneOf(r, "drop", "hold") }
 
 func anyMachine(r *rand.Rand) string { return fmt.Sprintf("n-%06d", 1+r.IntN(8)) }
 
-// load is work for a few minutes: long and short arrays, gangs, both teams.
+// mixedLoad is work for a few minutes: long and short arrays, gangs, both teams.
 func mixedLoad(r *rand.Rand, n, within int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
-		at, id, team := 1+r.IntN(within), fmt.Sprintf("job-%06d", 100+i), []string{"red", "blue"}[r.IntN(2)]
+		at, id, team := 1+r.IntN(within), fmt.Sprintf("job-%06d", 100+i), oneOf(r, "red", "blue")
 		switch r.IntN(5) {
 		case 0:
 			fmt.Fprintf(&b, "at %d submit %s gang %d %s run=%d gpu=2 ckpt=10\n", at, id, 1+r.IntN(3), team, 10+r.IntN(30))
@@ -36,16 +39,16 @@
 	return b.String()
 }
 
-// atLimits is more small work than the teams' limits take.
+// loadAtLimits is more small work than the teams' limits take.
 func loadAtLimits(r *rand.Rand) string {
 	s := ""
 	for i := 0; i < 20; i++ {
-		s += fmt.Sprintf("at %d submit job-%06d array %d %s run=%d gpu=%d spot\n", 1+r.IntN(100), 100+i, 4+r.IntN(9), []string{"red", "red", "blue"}[r.IntN(3)], 8+r.IntN(40), 1+r.IntN(2))
+		s += fmt.Sprintf("at %d submit job-%06d array %d %s run=%d gpu=%d spot\n", 1+r.IntN(100), 100+i, 4+r.IntN(9), oneOf(r, "red", "red", "blue"), 8+r.IntN(40), 1+r.IntN(2))
 	}
 	return s
 }
 
-// zoneBound is a load of arrays and services whose tasks must all be in one zone, or at
+// zoneBoundLoad is a load of arrays and services whose tasks must all be in one zone, or at
 // most half of them in each, larger than the room that a zone mostly has.
 func zoneBoundLoad(r *rand.Rand, n, within int) string {
 	var b strings.Builder
@@ -53,14 +56,14 @@
 		at, id := 1+r.IntN(within), fmt.Sprintf("job-%06d", 500+i)
 		switch r.IntN(6) {
 		case 4:
-			fmt.Fprintf(&b, "at %d submit %s gang %d blue run=%d gpu=%d ckpt=10 %s\n", at, id, 2+r.IntN(2), 10+r.IntN(30), 2+2*r.IntN(2), []string{"onezone", "spread"}[r.IntN(2)])
+			fmt.Fprintf(&b, "at %d submit %s gang %d blue run=%d gpu=%d ckpt=10 %s\n", at, id, 2+r.IntN(2), 10+r.IntN(30), 2+2*r.IntN(2), oneOf(r, "onezone", "spread"))
 		case 5:
-			fmt.Fprintf(&b, "at %d submit %s service %d blue run=1 gpu=1 %s\nat %d cancel %s\n", at, id, 2+r.IntN(3), []string{"onezone", "spread"}[r.IntN(2)], 300+r.IntN(200), id)
+			fmt.Fprintf(&b, "at %d submit %s service %d blue run=1 gpu=1 %s\nat %d cancel %s\n", at, id, 2+r.IntN(3), oneOf(r, "onezone", "spread"), 300+r.IntN(200), id)
 			continue
 		case 0:
 			fmt.Fprintf(&b, "at %d submit %s array %d blue run=%d spot spread\n", at, id, 3+r.IntN(11), 10+r.IntN(40))
 		case 1:
-			fmt.Fprintf(&b, "at %d submit %s array %d %s run=%d gpu=2 spot onezone\n", at, id, 2+r.IntN(5), []string{"red", "blue"}[r.IntN(2)], 10+r.IntN(30))
+			fmt.Fprintf(&b, "at %d submit %s array %d %s run=%d gpu=2 spot onezone\n", at, id, 2+r.IntN(5), oneOf(r, "red", "blue"), 10+r.IntN(30))
 		default:
 			fmt.Fprintf(&b, "at %d submit %s array %d blue run=%d spot onezone\n", at, id, 4+r.IntN(17), 10+r.IntN(40))
 		}
@@ -71,13 +74,13 @@
 	return b.String()
 }
 
-// zoneAcross is a load of large zone-bound arrays, each booked in several commits, while
+// zoneBoundAcrossLeaders is a load of large zone-bound arrays, each booked in several commits, while
 // leaders change between these, transactions come late and answers to them are lost.
 func zoneBoundAcrossLeaders(r *rand.Rand) string {
 	var b strings.Builder
 	b.WriteString("fill 4\n")
 	for i := 0; i < 14; i++ {
-		rule := []string{"onezone", "spread"}[r.IntN(2)]
+		rule := oneOf(r, "onezone", "spread")
 		fmt.Fprintf(&b, "at %d submit job-%06d array %d blue run=%d gpu=0.25 cpu=0.5 spot %s\n", 1+r.IntN(120), 600+i, 12+r.IntN(140), 8+r.IntN(25), rule)
 	}
 	b.WriteString("at 3 submit job-000590 gang 3 blue run=30 gpu=2 onezone\n")
@@ -85,7 +88,7 @@
 	for at := 14.0; at < 150; at += 9 {
 		switch r.IntN(4) {
 		case 0:
-			b.WriteString(scriptLine(at+3*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)]))
+			b.WriteString(scriptLine(at+3*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.2, 4)))
 		case 1:
 			b.WriteString(scriptLine(at, "late leader for=6 share=0.6") + scriptLine(at+2+3*r.Float64(), "crash leader back=0.3"))
 		case 2:
@@ -97,12 +100,12 @@
 	return b.String() + "until 900\n"
 }
 
-// pipelines appends random pipelines to a day: chains, diamonds and fans, some
+// writePipelines appends random pipelines to a day: chains, diamonds and fans, some
 // cancelled at their root or midway, some whose last job comes late.
 func writePipelines(b *strings.Builder, r *rand.Rand, from, count int) {
 	for p := 0; p < count; p++ {
 		at, id := from+r.IntN(120), 1000*(p+1)
-		team := []string{"red", "blue"}[r.IntN(2)]
+		team := oneOf(r, "red", "blue")
 		name := func(k int) string { return fmt.Sprintf("job-%06d", id+k) }
 		job := func(k, at int, shape string, needs ...int) {
 			var l []string
@@ -142,7 +145,7 @@
 	}
 }
 
-// feed submits arrays and gangs as they come in a grown deployment.
+// submitGrownLoad submits arrays and gangs as they come in a grown deployment.
 func (c *Cluster) submitGrownLoad(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		c.generatedJobs++
@@ -159,7 +162,7 @@
 	}
 }
 
-// feedZoneBound submits arrays and gangs bound to one zone, or spread over zones.
+// submitZoneBoundLoad submits arrays and gangs bound to one zone, or spread over zones.
 func (c *Cluster) submitZoneBoundLoad(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		c.generatedJobs++
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -15,7 +15,7 @@
 	rule  string
 }
 
-// gap: the state service refuses one controller, others confirm cancellations, then
+// refusalGap: the state service refuses one controller, others confirm cancellations, then
 // it is out for all for longer than a cancellation has.
 func refusalGap(r *rand.Rand, node string) string {
 	at := 60 + 10*r.Float64()
@@ -32,212 +32,332 @@
 
 // meetings are those of the users' list; docs/meetings.md has a row for each.
 var meetings = []meeting{
-	{"gap", func(r *rand.Rand) string { return refusalGap(r, anyController(r)) + "until 320\n" },
-		[]string{"outage while cancelled tasks are on"}, "fence", "ran_cancelled"},
-	{"gap_with_starts_under_way", func(r *rand.Rand) string {
-		// Bookings whose runs the old leader hasn't sent: its machines are cut off from
-		// it for a moment, within their lease.
-		n := anyController(r)
-		s := "at 2 submit job-000100 array 12 blue run=55\n"
-		s += scriptLine(68.8+0.4*r.Float64(), "cut %s * drop for=%d", n, 14+r.IntN(2))
-		for i := 1; i <= 6; i++ {
-			s += scriptLine(69.2, "submit job-%06d array 4 blue run=60", i) + scriptLine(70.1+1.5*r.Float64(), "cancel job-%06d", i)
-		}
-		return s + scriptLine(70, "state refuse %s for=14", n) + scriptLine(72, "state down for=60") + "until 320\n"
-	}, nil, "fence", "late_start"},
-	{"answers_held_up", func(r *rand.Rand) string {
-		s := mixedLoad(r, 16, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
-		for i := 0; i < 6; i++ {
-			at := 30 + 120*r.Float64()
-			s += scriptLine(at, "cut %s %s hold for=%d", anyController(r), anyMachine(r), 2+r.IntN(12)) + scriptLine(at+r.Float64(), "hang %s for=%d", anyMachine(r), 2+r.IntN(22)) +
-				scriptLine(at+1, "crash leader back=%.1f", []float64{0.3, 4}[r.IntN(2)])
-		}
-		return s + scriptLine(100, "calloff 3 hang=15") + "until 600\n"
-	}, []string{"new leader", "running job called off"}, "", ""},
-	{"small_jobs_across_leaders", func(r *rand.Rand) string {
-		s := "fill 1\n"
-		for i := 0; i < 16; i++ {
-			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d gpu=%d spot\n", 1+r.IntN(150), 1+i, 2+r.IntN(2), 8+r.IntN(40), 2+r.IntN(2))
-		}
-		for at := 40; at < 200; at += 25 {
-			s += scriptLine(float64(at)+5*r.Float64(), "crash leader back=%.1f", []float64{0.2, 4, 15}[r.IntN(3)])
-		}
-		return s + "until 700\n"
-	}, []string{"new leader"}, "", ""},
-	{"close_looks", func(r *rand.Rand) string {
-		s := mixedLoad(r, 30, 100) + "at 1 looks for=300\nat 20 endings for=100 share=0.4\n"
-		for i := 0; i < 10; i++ {
-			s += scriptLine(3+110*r.Float64(), "cancel job-%06d", 100+r.IntN(30))
-		}
-		return s + scriptLine(40, "lost all for=60 share=0.3") + scriptLine(60, "cut %s state hold for=5", anyController(r)) + scriptLine(80, "slow for=20 by=0.9") + "until 500\n"
-	}, []string{"answer to a close look", "answer lost", "slow answer", "cancelled at its end"}, "index", "went_back"},
-	{"hand_over_and_back", func(r *rand.Rand) string {
-		s := mixedLoad(r, 20, 150)
-		for at := 30.0; at < 150; at += 20 {
-			s += scriptLine(at, "crash leader back=%.1f", 0.1+r.Float64()) + scriptLine(at+2*r.Float64(), "crash leader back=0.2")
-		}
-		return s + scriptLine(80, "crash all back=0.3") + scriptLine(110, "crash all back=25") + scriptLine(111, "crash c-0 back=0.1") + scriptLine(160, "crash all back=0.1") +
-			scriptLine(160.5, "crash %s back=3", anyController(r)) + "until 700\n"
-	}, []string{"new leader"}, "", ""},
-	{"quick_machines_late_writes", func(r *rand.Rand) string {
-		s := "at 0 quick for=200\n" + mixedLoad(r, 20, 60)
-		for at := 5.0; at < 60; at += 12 {
-			s += scriptLine(at, "late all for=6 share=0.5") + scriptLine(at+2+3*r.Float64(), "crash leader back=4")
-		}
-		return s + "until 500\n"
-	}, []string{"up within two seconds", "late transaction", "new leader"}, "", ""},
-	{"cancelled_at_the_end", func(r *rand.Rand) string {
-		return mixedLoad(r, 30, 150) + "at 1 endings for=250 share=0.6\nat 1 looks for=300\nuntil 700\n"
-	}, []string{"cancelled at its end", "answer to a close look"}, "", ""},
-	{"zone_cut_off", func(r *rand.Rand) string {
-		return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyCutMode(r), 25+r.IntN(40)) +
-			scriptLine(60, "calloff 4") + scriptLine(120, "crash leader back=4") + "until 600\n"
-	}, []string{"running job called off"}, "", ""},
-	{"old_reports_under_a_new_leader", func(r *rand.Rand) string {
-		s := mixedLoad(r, 24, 150)
-		for i := 1; i <= 8; i++ { // some from an earlier session, too
-			s += fmt.Sprintf("at 25 keep n-%06d for=150\nat 30 copies n-%06d for=120 most=45\n", i, i)
-		}
-		for at := 45.0; at < 190; at += 28 {
-			s += scriptLine(at, "hang %s for=24", anyMachine(r)) + scriptLine(at+10*r.Float64(), "crash leader back=%.1f", []float64{0.3, 6}[r.IntN(2)])
-		}
-		return s + scriptLine(90, "calloff 3 hang=18") + "until 700\n"
-	}, []string{"old report under a new leader", "new leader"}, "", ""},
-	{"teams_at_their_limits", func(r *rand.Rand) string {
-		s := "fill 4\n" + loadAtLimits(r)
-		for at := 45.0; at < 160; at += 30 {
-			s += scriptLine(at, "cut leader %s hold for=%d", anyMachine(r), 8+r.IntN(20)) + scriptLine(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
-				scriptLine(at+1.5+3*r.Float64(), "crash leader back=4") + scriptLine(at+2, "deaf %s for=12", anyMachine(r))
-		}
-		return s + "until 700\n"
-	}, []string{"a team at its limit", "running job called off", "new leader"}, "quota", "quota"},
-	{"refused_then_out", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 16, 60)
-		at := 60 + 10*r.Float64()
-		s += scriptLine(at, "calloff 4") + scriptLine(at, "state refuse leader for=30") + scriptLine(at+1, "state down for=55") + scriptLine(at-10, "slow for=80 by=1.2")
-		return s + scriptLine(at+20, "calloff 2 hang=10") + "until 600\n"
-	}, []string{"running job called off", "slow answer"}, "", ""},
-	{"cancelled_while_work_changes_hands", func(r *rand.Rand) string {
-		s := mixedLoad(r, 24, 120)
-		for at := 40.0; at < 160; at += 30 {
-			s += scriptLine(at, "crash %s back=%.1f", anyController(r), []float64{0.3, 8}[r.IntN(2)])
-			for k := 0; k < 5; k++ {
-				s += scriptLine(at+8*r.Float64(), "calloff 1")
+	{
+		name:  "gap",
+		play:  func(r *rand.Rand) string { return refusalGap(r, anyController(r)) + "until 320\n" },
+		want:  []string{"outage while cancelled tasks are on"},
+		guard: "fence",
+		rule:  ruleRanCancelled,
+	},
+	{
+		name: "gap_with_starts_under_way",
+		play: func(r *rand.Rand) string {
+			// Bookings whose runs the old leader hasn't sent: its machines are cut off from
+			// it for a moment, within their lease.
+			n := anyController(r)
+			s := "at 2 submit job-000100 array 12 blue run=55\n"
+			s += scriptLine(68.8+0.4*r.Float64(), "cut %s * drop for=%d", n, 14+r.IntN(2))
+			for i := 1; i <= 6; i++ {
+				s += scriptLine(69.2, "submit job-%06d array 4 blue run=60", i) + scriptLine(70.1+1.5*r.Float64(), "cancel job-%06d", i)
 			}
-		}
-		return s + "until 600\n"
-	}, []string{"running job called off"}, "", ""},
-	{"late_transactions", func(r *rand.Rand) string {
-		s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
-		for at := 20.0; at < 200; at += 20 {
-			s += scriptLine(at, "late %s for=12 share=0.5", []string{"all", anyController(r)}[r.IntN(2)]) + scriptLine(at+15*r.Float64(), "crash %s back=%.1f", anyController(r), []float64{0.2, 4}[r.IntN(2)]) +
-				scriptLine(at+5*r.Float64(), "calloff 1")
-		}
-		return s + scriptLine(210, "state refuse %s for=20", anyController(r)) + "until 700\n"
-	}, []string{"late transaction that changed something", "a team at its limit", "running job called off"}, "", ""},
-	{"swarm", func(r *rand.Rand) string {
-		s := "rates\nat 30 looks for=60\n"
-		for i := 0; i < 4*150; i++ {
-			at := 10 + float64(i)/4
-			s += scriptLine(at, "submit job-%06d array 1 %s run=%d gpu=0 cpu=1 spot", 1000+i, []string{"red", "blue"}[i%2], 5+r.IntN(15))
-			if r.IntN(4) == 0 {
-				s += scriptLine(at+12*r.Float64(), "cancel job-%06d", 1000+i)
+			return s + scriptLine(70, "state refuse %s for=14", n) + scriptLine(72, "state down for=60") + "until 320\n"
+		},
+		guard: "fence",
+		rule:  ruleLateStart,
+	},
+	{
+		name: "answers_held_up",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 16, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
+			for i := 0; i < 6; i++ {
+				at := 30 + 120*r.Float64()
+				s += scriptLine(at, "cut %s %s hold for=%d", anyController(r), anyMachine(r), 2+r.IntN(12)) + scriptLine(at+r.Float64(), "hang %s for=%d", anyMachine(r), 2+r.IntN(22)) +
+					scriptLine(at+1, "crash leader back=%.1f", oneOf(r, 0.3, 4))
 			}
-		}
-		return s + scriptLine(80, "crash leader back=4") + "until 500\n"
-	}, []string{"new leader"}, "", ""},
-	{"mute_machines", func(r *rand.Rand) string {
-		s := mixedLoad(r, 20, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
-		for i := 1; i <= 4; i++ {
-			s += scriptLine(40+3*r.Float64(), "mute n-%06d for=%d", i, 30+r.IntN(40)) + scriptLine(90+r.Float64(), "mute n-%06d for=12", i+4)
-		}
-		return s + scriptLine(44, "calloff 6") + scriptLine(93, "calloff 3") + scriptLine(50, "crash leader back=4") + "until 600\n"
-	}, []string{"orders to a mute machine", "running job called off"}, "", ""},
-	{"leader_cut_from_state_and_peers", func(r *rand.Rand) string {
-		s := mixedLoad(r, 20, 100) + "at 2 submit job-000001 array 9 blue run=250 spot\n"
-		for k, at := range []float64{45, 130} {
-			at += 10 * r.Float64()
-			n := fmt.Sprintf("c-%d", (k+r.IntN(2))%3)
-			for _, o := range []string{"state", "c-0", "c-1", "c-2"} {
-				if o != n {
-					s += scriptLine(at, "cut %s %s %s for=50", n, o, anyCutMode(r))
+			return s + scriptLine(100, "calloff 3 hang=15") + "until 600\n"
+		},
+		want: []string{"new leader", "running job called off"},
+	},
+	{
+		name: "small_jobs_across_leaders",
+		play: func(r *rand.Rand) string {
+			s := "fill 1\n"
+			for i := 0; i < 16; i++ {
+				s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d gpu=%d spot\n", 1+r.IntN(150), 1+i, 2+r.IntN(2), 8+r.IntN(40), 2+r.IntN(2))
+			}
+			for at := 40; at < 200; at += 25 {
+				s += scriptLine(float64(at)+5*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.2, 4, 15))
+			}
+			return s + "until 700\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name: "close_looks",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 30, 100) + "at 1 looks for=300\nat 20 endings for=100 share=0.4\n"
+			for i := 0; i < 10; i++ {
+				s += scriptLine(3+110*r.Float64(), "cancel job-%06d", 100+r.IntN(30))
+			}
+			return s + scriptLine(40, "lost all for=60 share=0.3") + scriptLine(60, "cut %s state hold for=5", anyController(r)) + scriptLine(80, "slow for=20 by=0.9") + "until 500\n"
+		},
+		want:  []string{"answer to a close look", "answer lost", "slow answer", "cancelled at its end"},
+		guard: "index",
+		rule:  ruleWentBack,
+	},
+	{
+		name: "hand_over_and_back",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 20, 150)
+			for at := 30.0; at < 150; at += 20 {
+				s += scriptLine(at, "crash leader back=%.1f", 0.1+r.Float64()) + scriptLine(at+2*r.Float64(), "crash leader back=0.2")
+			}
+			return s + scriptLine(80, "crash all back=0.3") + scriptLine(110, "crash all back=25") + scriptLine(111, "crash c-0 back=0.1") + scriptLine(160, "crash all back=0.1") +
+				scriptLine(160.5, "crash %s back=3", anyController(r)) + "until 700\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name: "quick_machines_late_writes",
+		play: func(r *rand.Rand) string {
+			s := "at 0 quick for=200\n" + mixedLoad(r, 20, 60)
+			for at := 5.0; at < 60; at += 12 {
+				s += scriptLine(at, "late all for=6 share=0.5") + scriptLine(at+2+3*r.Float64(), "crash leader back=4")
+			}
+			return s + "until 500\n"
+		},
+		want: []string{"up within two seconds", "late transaction", "new leader"},
+	},
+	{
+		name: "cancelled_at_the_end",
+		play: func(r *rand.Rand) string {
+			return mixedLoad(r, 30, 150) + "at 1 endings for=250 share=0.6\nat 1 looks for=300\nuntil 700\n"
+		},
+		want: []string{"cancelled at its end", "answer to a close look"},
+	},
+	{
+		name: "zone_cut_off",
+		play: func(r *rand.Rand) string {
+			return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", oneOf(r, "a", "b"), anyCutMode(r), 25+r.IntN(40)) +
+				scriptLine(60, "calloff 4") + scriptLine(120, "crash leader back=4") + "until 600\n"
+		},
+		want: []string{"running job called off"},
+	},
+	{
+		name: "old_reports_under_a_new_leader",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 24, 150)
+			for i := 1; i <= 8; i++ { // some from an earlier session, too
+				s += fmt.Sprintf("at 25 keep n-%06d for=150\nat 30 copies n-%06d for=120 most=45\n", i, i)
+			}
+			for at := 45.0; at < 190; at += 28 {
+				s += scriptLine(at, "hang %s for=24", anyMachine(r)) + scriptLine(at+10*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.3, 6))
+			}
+			return s + scriptLine(90, "calloff 3 hang=18") + "until 700\n"
+		},
+		want: []string{"old report under a new leader", "new leader"},
+	},
+	{
+		name: "teams_at_their_limits",
+		play: func(r *rand.Rand) string {
+			s := "fill 4\n" + loadAtLimits(r)
+			for at := 45.0; at < 160; at += 30 {
+				s += scriptLine(at, "cut leader %s hold for=%d", anyMachine(r), 8+r.IntN(20)) + scriptLine(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
+					scriptLine(at+1.5+3*r.Float64(), "crash leader back=4") + scriptLine(at+2, "deaf %s for=12", anyMachine(r))
+			}
+			return s + "until 700\n"
+		},
+		want:  []string{"a team at its limit", "running job called off", "new leader"},
+		guard: "quota",
+		rule:  ruleQuota,
+	},
+	{
+		name: "refused_then_out",
+		play: func(r *rand.Rand) string {
+			s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 16, 60)
+			at := 60 + 10*r.Float64()
+			s += scriptLine(at, "calloff 4") + scriptLine(at, "state refuse leader for=30") + scriptLine(at+1, "state down for=55") + scriptLine(at-10, "slow for=80 by=1.2")
+			return s + scriptLine(at+20, "calloff 2 hang=10") + "until 600\n"
+		},
+		want: []string{"running job called off", "slow answer"},
+	},
+	{
+		name: "cancelled_while_work_changes_hands",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 24, 120)
+			for at := 40.0; at < 160; at += 30 {
+				s += scriptLine(at, "crash %s back=%.1f", anyController(r), oneOf(r, 0.3, 8))
+				for k := 0; k < 5; k++ {
+					s += scriptLine(at+8*r.Float64(), "calloff 1")
 				}
 			}
-			s += scriptLine(at+6, "calloff 3") + scriptLine(at+12, "calloff 2 hang=10")
-		}
-		return s + "until 600\n"
-	}, []string{"running job called off"}, "fence", "ran_twice"},
-	{"ten_leaders", func(r *rand.Rand) string {
-		s := mixedLoad(r, 24, 160)
-		for i := 0; i < 10; i++ {
-			s += scriptLine(40+12*float64(i)+6*r.Float64(), "crash leader back=%.1f", []float64{0.2, 0.8, 4}[r.IntN(3)])
-		}
-		return s + scriptLine(80+20*r.Float64(), "state down for=18") + scriptLine(75, "calloff 2") + "until 700\n"
-	}, []string{"new leader"}, "", ""},
-	{"answers_lost", func(r *rand.Rand) string {
-		s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
-		for at := 20.0; at < 160; at += 25 {
-			s += scriptLine(at, "lost %s for=15 share=0.5", []string{"all", anyController(r)}[r.IntN(2)]) + scriptLine(at+15*r.Float64(), "calloff 1") + scriptLine(at+10, "crash %s back=0.2", anyController(r))
-		}
-		return s + "until 600\n"
-	}, []string{"answer lost", "answer to a close look"}, "", ""},
-	{"more_work_than_room", func(r *rand.Rand) string {
-		s := "fill 1\nrates\nat 20 slow for=120 by=0.8\nat 5 odd for=120\n"
-		for i := 0; i < 24; i++ {
-			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d prio=%d spot\n", 1+r.IntN(60), 100+i, 1+r.IntN(8), 10+r.IntN(20), r.IntN(4))
-		}
-		return s + scriptLine(70, "crash leader back=4") + "until 900\n"
-	}, []string{"slow answer", "odd submission refused", "repeat answered"}, "never", "taken"},
-	{"zone_bound_jobs_lose_machines", func(r *rand.Rand) string {
-		s := ""
-		for i := 0; i < 14; i++ {
-			s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d zone=%s\n", 1+r.IntN(60), 100+i, 2+r.IntN(9), 20+r.IntN(60), []string{"a", "b"}[r.IntN(2)])
-		}
-		for i := 0; i < 8; i++ {
-			s += scriptLine(30+90*r.Float64(), "take %s", anyMachine(r)) + scriptLine(40+80*r.Float64(), "notice %s in=5", anyMachine(r))
-		}
-		return s + scriptLine(70, "crash leader back=4") + scriptLine(72, "cloud down for=25") + "until 700\n"
-	}, []string{"new leader"}, "", ""},
-	{"zone_bound_arrays_across_leaders", zoneBoundAcrossLeaders,
-		[]string{"new leader", "answer lost", "late transaction that changed something"}, "draft", "wrong_place"},
-	{"all_away_longer_than_a_lease", func(r *rand.Rand) string {
-		return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", anyMachine(r)) + "until 700\n"
-	}, []string{"new leader", "running job called off"}, "", ""},
-	{"leader_ends_beside_unreachable_machines", func(r *rand.Rand) string {
-		s := "at 2 submit job-000001 array 12 blue run=150 ckpt=10\n" + mixedLoad(r, 16, 100)
-		for at := 40.0; at < 150; at += 35 {
-			for i := 0; i < 4; i++ {
-				what := []string{"deaf %s for=%d", "hang %s for=%d", "mute %s for=%d", "cut c-1 %s drop for=%d", "cut c-2 %s hold for=%d"}[r.IntN(5)]
-				s += scriptLine(at+r.Float64(), what, anyMachine(r), 10+r.IntN(20))
+			return s + "until 600\n"
+		},
+		want: []string{"running job called off"},
+	},
+	{
+		name: "late_transactions",
+		play: func(r *rand.Rand) string {
+			s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
+			for at := 20.0; at < 200; at += 20 {
+				s += scriptLine(at, "late %s for=12 share=0.5", oneOf(r, "all", anyController(r))) + scriptLine(at+15*r.Float64(), "crash %s back=%.1f", anyController(r), oneOf(r, 0.2, 4)) +
+					scriptLine(at+5*r.Float64(), "calloff 1")
 			}
-			s += scriptLine(at+2, "crash leader back=4") + scriptLine(at+3, "calloff 1")
-		}
-		return s + "until 700\n"
-	}, []string{"new leader"}, "", ""},
-	{"frozen_controllers", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\n" + mixedLoad(r, 24, 150)
-		for at := 35.0; at < 170; at += 30 {
-			s += scriptLine(at+5*r.Float64(), "freeze %s for=%d", []string{"leader", anyController(r)}[r.IntN(2)], 2+r.IntN(40)) + scriptLine(at+3+5*r.Float64(), "calloff 2")
-		}
-		return s + scriptLine(100, "state refuse leader for=15") + "until 700\n"
-	}, []string{"woken", "answer decided before a freeze"}, "", ""},
-	{"frozen_over_a_minute", func(r *rand.Rand) string {
-		s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 20, 120)
-		s += scriptLine(50+5*r.Float64(), "freeze leader for=%d", 62+r.IntN(30)) + scriptLine(56, "calloff 3")
-		return s + scriptLine(150+5*r.Float64(), "freeze leader for=%d", 5+r.IntN(8)) + scriptLine(152, "calloff 1") + "until 700\n"
-	}, []string{"woken", "new leader", "running job called off"}, "", ""},
-	{"two_controllers_cut", func(r *rand.Rand) string {
-		// The second spell begins less than a lease after the first has ended.
-		s := "at 2 submit job-000001 array 9 blue run=200 spot\n" + mixedLoad(r, 20, 120)
-		for at := 45.0; at < 150; at += 40 {
-			a := r.IntN(3)
-			s += scriptLine(at+r.Float64(), "cut c-%d state %s for=%d", a, anyCutMode(r), 10+r.IntN(18)) +
-				scriptLine(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, anyCutMode(r), 10+r.IntN(18)) + scriptLine(at+4, "calloff 2")
-		}
-		return s + "until 700\n"
-	}, []string{"running job called off"}, "", ""},
+			return s + scriptLine(210, "state refuse %s for=20", anyController(r)) + "until 700\n"
+		},
+		want: []string{"late transaction that changed something", "a team at its limit", "running job called off"},
+	},
+	{
+		name: "swarm",
+		play: func(r *rand.Rand) string {
+			s := "rates\nat 30 looks for=60\n"
+			for i := 0; i < 4*150; i++ {
+				at := 10 + float64(i)/4
+				s += scriptLine(at, "submit job-%06d array 1 %s run=%d gpu=0 cpu=1 spot", 1000+i, []string{"red", "blue"}[i%2], 5+r.IntN(15))
+				if r.IntN(4) == 0 {
+					s += scriptLine(at+12*r.Float64(), "cancel job-%06d", 1000+i)
+				}
+			}
+			return s + scriptLine(80, "crash leader back=4") + "until 500\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name: "mute_machines",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 20, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
+			for i := 1; i <= 4; i++ {
+				s += scriptLine(40+3*r.Float64(), "mute n-%06d for=%d", i, 30+r.IntN(40)) + scriptLine(90+r.Float64(), "mute n-%06d for=12", i+4)
+			}
+			return s + scriptLine(44, "calloff 6") + scriptLine(93, "calloff 3") + scriptLine(50, "crash leader back=4") + "until 600\n"
+		},
+		want: []string{"orders to a mute machine", "running job called off"},
+	},
+	{
+		name: "leader_cut_from_state_and_peers",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 20, 100) + "at 2 submit job-000001 array 9 blue run=250 spot\n"
+			for k, at := range []float64{45, 130} {
+				at += 10 * r.Float64()
+				n := fmt.Sprintf("c-%d", (k+r.IntN(2))%3)
+				for _, o := range []string{"state", "c-0", "c-1", "c-2"} {
+					if o != n {
+						s += scriptLine(at, "cut %s %s %s for=50", n, o, anyCutMode(r))
+					}
+				}
+				s += scriptLine(at+6, "calloff 3") + scriptLine(at+12, "calloff 2 hang=10")
+			}
+			return s + "until 600\n"
+		},
+		want:  []string{"running job called off"},
+		guard: "fence",
+		rule:  ruleRanTwice,
+	},
+	{
+		name: "ten_leaders",
+		play: func(r *rand.Rand) string {
+			s := mixedLoad(r, 24, 160)
+			for i := 0; i < 10; i++ {
+				s += scriptLine(40+12*float64(i)+6*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.2, 0.8, 4))
+			}
+			return s + scriptLine(80+20*r.Float64(), "state down for=18") + scriptLine(75, "calloff 2") + "until 700\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name: "answers_lost",
+		play: func(r *rand.Rand) string {
+			s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
+			for at := 20.0; at < 160; at += 25 {
+				s += scriptLine(at, "lost %s for=15 share=0.5", oneOf(r, "all", anyController(r))) + scriptLine(at+15*r.Float64(), "calloff 1") + scriptLine(at+10, "crash %s back=0.2", anyController(r))
+			}
+			return s + "until 600\n"
+		},
+		want: []string{"answer lost", "answer to a close look"},
+	},
+	{
+		name: "more_work_than_room",
+		play: func(r *rand.Rand) string {
+			s := "fill 1\nrates\nat 20 slow for=120 by=0.8\nat 5 odd for=120\n"
+			for i := 0; i < 24; i++ {
+				s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d prio=%d spot\n", 1+r.IntN(60), 100+i, 1+r.IntN(8), 10+r.IntN(20), r.IntN(4))
+			}
+			return s + scriptLine(70, "crash leader back=4") + "until 900\n"
+		},
+		want:  []string{"slow answer", "odd submission refused", "repeat answered"},
+		guard: "never",
+		rule:  ruleTaken,
+	},
+	{
+		name: "zone_bound_jobs_lose_machines",
+		play: func(r *rand.Rand) string {
+			s := ""
+			for i := 0; i < 14; i++ {
+				s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d zone=%s\n", 1+r.IntN(60), 100+i, 2+r.IntN(9), 20+r.IntN(60), oneOf(r, "a", "b"))
+			}
+			for i := 0; i < 8; i++ {
+				s += scriptLine(30+90*r.Float64(), "take %s", anyMachine(r)) + scriptLine(40+80*r.Float64(), "notice %s in=5", anyMachine(r))
+			}
+			return s + scriptLine(70, "crash leader back=4") + scriptLine(72, "cloud down for=25") + "until 700\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name:  "zone_bound_arrays_across_leaders",
+		play:  zoneBoundAcrossLeaders,
+		want:  []string{"new leader", "answer lost", "late transaction that changed something"},
+		guard: "draft",
+		rule:  ruleWrongPlace,
+	},
+	{
+		name: "all_away_longer_than_a_lease",
+		play: func(r *rand.Rand) string {
+			return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", anyMachine(r)) + "until 700\n"
+		},
+		want: []string{"new leader", "running job called off"},
+	},
+	{
+		name: "leader_ends_beside_unreachable_machines",
+		play: func(r *rand.Rand) string {
+			s := "at 2 submit job-000001 array 12 blue run=150 ckpt=10\n" + mixedLoad(r, 16, 100)
+			for at := 40.0; at < 150; at += 35 {
+				for i := 0; i < 4; i++ {
+					what := oneOf(r, "deaf %s for=%d", "hang %s for=%d", "mute %s for=%d", "cut c-1 %s drop for=%d", "cut c-2 %s hold for=%d")
+					s += scriptLine(at+r.Float64(), what, anyMachine(r), 10+r.IntN(20))
+				}
+				s += scriptLine(at+2, "crash leader back=4") + scriptLine(at+3, "calloff 1")
+			}
+			return s + "until 700\n"
+		},
+		want: []string{"new leader"},
+	},
+	{
+		name: "frozen_controllers",
+		play: func(r *rand.Rand) string {
+			s := "at 1 looks for=250\n" + mixedLoad(r, 24, 150)
+			for at := 35.0; at < 170; at += 30 {
+				s += scriptLine(at+5*r.Float64(), "freeze %s for=%d", oneOf(r, "leader", anyController(r)), 2+r.IntN(40)) + scriptLine(at+3+5*r.Float64(), "calloff 2")
+			}
+			return s + scriptLine(100, "state refuse leader for=15") + "until 700\n"
+		},
+		want: []string{"woken", "answer decided before a freeze"},
+	},
+	{
+		name: "frozen_over_a_minute",
+		play: func(r *rand.Rand) string {
+			s := "at 1 looks for=250\nat 2 submit job-000001 array 9 blue run=200\n" + mixedLoad(r, 20, 120)
+			s += scriptLine(50+5*r.Float64(), "freeze leader for=%d", 62+r.IntN(30)) + scriptLine(56, "calloff 3")
+			return s + scriptLine(150+5*r.Float64(), "freeze leader for=%d", 5+r.IntN(8)) + scriptLine(152, "calloff 1") + "until 700\n"
+		},
+		want: []string{"woken", "new leader", "running job called off"},
+	},
+	{
+		name: "two_controllers_cut",
+		play: func(r *rand.Rand) string {
+			// The second trouble begins less than a lease after the first has ended.
+			s := "at 2 submit job-000001 array 9 blue run=200 spot\n" + mixedLoad(r, 20, 120)
+			for at := 45.0; at < 150; at += 40 {
+				a := r.IntN(3)
+				s += scriptLine(at+r.Float64(), "cut c-%d state %s for=%d", a, anyCutMode(r), 10+r.IntN(18)) +
+					scriptLine(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, anyCutMode(r), 10+r.IntN(18)) + scriptLine(at+4, "calloff 2")
+			}
+			return s + "until 700\n"
+		},
+		want: []string{"running job called off"},
+	},
 }
 
+// script is the meeting on the day of a seed, with a guard dropped unless it is "".
 func (m *meeting) script(seed uint64, drop string) string {
 	s := fmt.Sprintf("seed %d\n", seed)
 	if drop != "" {
--- a/internal/simulation/random_days_test.go
+++ b/internal/simulation/random_days_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// day makes a random day of jobs and overlapping troubles.
+// randomDay makes a random day of jobs and overlapping troubles.
 func randomDay(seed uint64, drop string) string {
 	r := rand.New(rand.NewPCG(seed, 99))
 	var b strings.Builder
@@ -32,7 +32,7 @@
 		}
 	}
 	node := func() string { return fmt.Sprintf("c-%d", r.IntN(3)) }
-	mode := func() string { return []string{"drop", "hold"}[r.IntN(2)] }
+	mode := func() string { return oneOf(r, "drop", "hold") }
 	for i := 0; i < 12; i++ {
 		at := 30 + r.IntN(220)
 		m := fmt.Sprintf("n-%06d", 1+r.IntN(10))
@@ -44,7 +44,7 @@
 		case 13:
 			fmt.Fprintf(&b, "at %d cut c-0 state %s for=40\nat %d cut c-0 c-1 drop for=40\nat %d cut c-0 c-2 drop for=40\n", at, mode(), at, at)
 		case 0:
-			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, node(), []float64{0.2, 4}[r.IntN(2)])
+			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, node(), oneOf(r, 0.2, 4))
 		case 1:
 			fmt.Fprintf(&b, "at %d crash all back=3\n", at)
 		case 2:
@@ -105,12 +105,12 @@
 	}
 	for i, n := range r.Perm(3) {
 		at := 60 + 14*i + r.IntN(6)
-		fmt.Fprintf(&b, "at %d upgrade c-%d back=%.1f\n", at, n, []float64{0.2, 4}[r.IntN(2)])
+		fmt.Fprintf(&b, "at %d upgrade c-%d back=%.1f\n", at, n, oneOf(r, 0.2, 4))
 		if r.IntN(2) == 0 { // the next one ends before its turn
-			fmt.Fprintf(&b, "at %d crash c-%d back=%.1f\n", at+5, r.IntN(3), []float64{0.2, 3}[r.IntN(2)])
+			fmt.Fprintf(&b, "at %d crash c-%d back=%.1f\n", at+5, r.IntN(3), oneOf(r, 0.2, 3))
 		}
 	}
-	mode := func() string { return []string{"drop", "hold"}[r.IntN(2)] }
+	mode := func() string { return oneOf(r, "drop", "hold") }
 	for i := 0; i < 4; i++ {
 		at, n := 50+r.IntN(120), fmt.Sprintf("c-%d", r.IntN(3))
 		switch r.IntN(7) {
--- a/internal/simulation/random_meetings_test.go
+++ b/internal/simulation/random_meetings_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// troubles are one line or two each, for days that pair any two of them.
+// pairableTroubles are one line or two each, for days that pair any two of them.
 var pairableTroubles = []func(r *rand.Rand, at float64) string{
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "crash leader back=%.1f", []float64{0.2, 4}[r.IntN(2)])
+		return scriptLine(at, "crash leader back=%.1f", oneOf(r, 0.2, 4))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "crash %s back=%.1f", anyController(r), []float64{0.2, 4}[r.IntN(2)])
+		return scriptLine(at, "crash %s back=%.1f", anyController(r), oneOf(r, 0.2, 4))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "crash all back=%.1f", []float64{0.3, 3, 24}[r.IntN(3)])
+		return scriptLine(at, "crash all back=%.1f", oneOf(r, 0.3, 3, 24))
 	},
 	func(r *rand.Rand, at float64) string {
 		return scriptLine(at, "cut %s state %s for=%d", anyController(r), anyCutMode(r), 5+r.IntN(25))
@@ -57,10 +57,11 @@
 		return scriptLine(at, "odd for=20") + scriptLine(at, "quick for=20")
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "cutzone %s %s for=%d", []string{"a", "b"}[r.IntN(2)], anyCutMode(r), 5+r.IntN(35))
+		return scriptLine(at, "cutzone %s %s for=%d", oneOf(r, "a", "b"), anyCutMode(r), 5+r.IntN(35))
 	},
 }
 
+// pairedTroublesDay is a day of mixed work with five pairs of troubles.
 func pairedTroublesDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 53))
 	s := fmt.Sprintf("seed %d\nat 1 looks for=600\n", seed)
