--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -345,11 +345,11 @@
 	var seen []domain.KeyValue
 	for _, change := range changes {
 		if change.Value != nil {
-			value, _, ok := asPreviousVersion(change.Key, change.Value)
-			if !ok {
+			reading := asPreviousVersion(change.Key, change.Value)
+			if !reading.ok {
 				continue
 			}
-			change.Value = value
+			change.Value = reading.value
 		}
 		seen = append(seen, change)
 	}
