--- a/internal/simulation/checker_progress.go
+++ b/internal/simulation/checker_progress.go
@@ -90,5 +90,5 @@
 
 // wasServed: the job is told done, or is a service that began.
 func (j *jobRecord) wasServed() bool {
-	return j.finalState == "done" || j.spec.Shape == domain.Service && j.hasBegun
+	return j.finalState == stateDone || j.spec.Shape == domain.Service && j.hasBegun
 }
--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -1,20 +1,27 @@
 package simulation
 
 import (
+	"net/http"
 	"time"
 
 	"brassglade/internal/scheduler"
 )
 
+// The final states of a job, as users are told.
+const (
+	stateDone      = "done"
+	stateCancelled = "cancelled"
+)
+
 // checkReply checks an answer against the rules that concern users. A request that was under
 // way when its user was told otherwise may still bring the older state.
 func (c *Cluster) checkReply(id string, reply scheduler.UserReply, asked time.Duration) {
 	job := c.jobs[id]
 	switch reply.Status {
-	case 404, 400, 422:
+	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		c.checkKnown(id, job, reply, asked)
 		c.checkRefusal(id, job, reply)
-	case 200, 201:
+	case http.StatusOK, http.StatusCreated:
 		c.checkAcceptable(id, job, reply)
 		isNews := !job.accepted
 		if isNews {
@@ -37,7 +44,7 @@
 
 // checkRefusal (refused): only what can't run is refused.
 func (c *Cluster) checkRefusal(id string, job *jobRecord, reply scheduler.UserReply) {
-	if reply.Status != 404 && !job.isInvalid {
+	if reply.Status != http.StatusNotFound && !job.isInvalid {
 		c.violated(ruleRefused, "%s got %d: %s", id, reply.Status, reply.Reason)
 	}
 }
@@ -56,9 +63,9 @@
 func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	c.checkFinalStateStays(id, job, reply, asked)
 	switch reply.State {
-	case "done":
+	case stateDone:
 		c.checkDone(id, job)
-	case "cancelled":
+	case stateCancelled:
 		c.checkCancelAsked(id, job)
 		if job.cancelToldAt < 0 {
 			job.cancelToldAt = c.Now
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -105,7 +105,7 @@
 		return nil
 	}
 	for _, name := range names {
-		if w := c.cluster.worker(name); w != nil && !w.isGone {
+		if w := c.cluster.workersByName[name]; w != nil && !w.isGone {
 			w.vanish("returned")
 		}
 	}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -28,8 +28,8 @@
 	processes     []*controllerProcess
 	state         *stateService
 	cloud         *cloud
-	workers       []*worker // in the order in which they were rented, those that are gone included
-	workersByName map[string]*worker
+	workers       []*worker             // in the order in which they were rented, those that are gone included
+	workersByName map[string]*worker    // those rented so far
 	jobs          map[string]*jobRecord // by ID
 
 	marketCapacity          int  // machines that can be rented of each zone and kind (spot or not)
@@ -122,8 +122,3 @@
 	}
 	return nil
 }
-
-// worker finds a machine by name; nil: it was never rented.
-func (c *Cluster) worker(name string) *worker {
-	return c.workersByName[name]
-}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -13,9 +13,8 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/scheduler"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
 // This file compares two commits: `make digest` prints, for each kind of day, a digest of
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -24,7 +24,7 @@
 		askState(p, func() any { return c.state.confirm(p.name, e) }, scheduler.ConfirmationAnswered{})
 	case scheduler.Commit:
 		inDoubt := scheduler.CommitAnswered{ID: e.ID, Result: domain.InDoubt}
-		ask(p, "state", tuning.StateTimeout, func(reply func(any)) { c.state.commitAmidTroubles(p, e, reply) }, inDoubt)
+		ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { c.state.commitAmidTroubles(p, e, reply) }, inDoubt)
 	case scheduler.ReadKeys:
 		askState(p, func() any { return c.state.read(p.name, e) }, scheduler.KeysRead{ID: e.ID})
 	case scheduler.GrantLease:
@@ -66,12 +66,12 @@
 
 // askState asks the state service, which may be slow.
 func askState[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
-	ask(p, "state", tuning.StateTimeout, func(reply func(any)) { p.cluster.answerSlowly(reply, serve()) }, noAnswer)
+	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.answerSlowly(reply, serve()) }, noAnswer)
 }
 
 // askCloud asks the cloud's provider.
 func askCloud[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
-	ask(p, "cloud", tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noAnswer)
+	ask(p, participantCloud, tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noAnswer)
 }
 
 func (p *controllerProcess) sendToPeer(e scheduler.SendPeerMessage) {
@@ -86,7 +86,7 @@
 
 // sendCommands sends commands straight to a machine, which answers with a heartbeat.
 func (p *controllerProcess) sendCommands(e scheduler.SendCommands) {
-	w := p.cluster.worker(e.Machine)
+	w := p.cluster.workersByName[e.Machine]
 	if w == nil {
 		return
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -57,7 +57,7 @@
 	for _, heartbeat := range kept {
 		for _, p := range c.processes {
 			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
-				w := c.worker(heartbeat.Machine)
+				w := c.workersByName[heartbeat.Machine]
 				if !w.isGone && (heartbeat.AgentEpoch < w.agentEpoch || heartbeat.Sequence < w.sequence) {
 					c.occurred("old report under a new leader")
 				}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -10,9 +10,8 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/scheduler"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
 // The tests in this file play fleets of up to 4,000 machines. The race detector
@@ -41,7 +40,7 @@
 	if x := float64(b.Machines-a.Machines) / machines; x > 5 {
 		t.Errorf("each machine is looked at %.1f times a second", x)
 	}
-	if _, up := c.answered(0); up < 1900 {
+	if up := c.answers(0).up; up < 1900 {
 		t.Fatalf("only %d machines are up", up)
 	}
 	c.state.outage(12 * time.Second)
@@ -50,7 +49,7 @@
 	for i, p := range c.processes {
 		back := 4*time.Second + time.Duration(i*130)*time.Millisecond
 		if i == 2 {
-			back = 150 * time.Millisecond // its old grant still lives
+			back = 150 * time.Millisecond // its old lease still lives
 		}
 		p.crash(back)
 	}
@@ -59,9 +58,8 @@
 	c.after(4700*time.Millisecond, func() { c.processes[2].crash(100 * time.Millisecond) })
 	c.Run(crash + 12*time.Second)
 	changes, requests := c.state.changes, c.state.requests
-	n, up := c.answered(crash)
-	if 100*n < 95*up {
-		t.Errorf("8 s after the controllers came back %d of %d machines have an answer", n, up)
+	if a := c.answers(crash); !a.isNearlyAll() {
+		t.Errorf("8 s after the controllers came back %d of %d machines have an answer", a.answered, a.up)
 	}
 	c.Run(crash + 30*time.Second)
 	secs := (c.Now - crash - 12*time.Second).Seconds()
@@ -94,16 +92,18 @@
 	c.cordons = nil
 	c.cutZone("b", "hold", 40*time.Second)
 	c.Run(90 * time.Second)
-	n, up := 0, 0
+	var otherZone answerCount
 	for _, w := range c.workers {
-		if w.zone == "a" && w.isUp && !w.isGone {
-			if up++; w.acceptedAt > c.Now-10*time.Second {
-				n++
-			}
+		if w.zone != "a" || !w.isUp || w.isGone {
+			continue
+		}
+		otherZone.up++
+		if w.acceptedAt > c.Now-10*time.Second {
+			otherZone.answered++
 		}
 	}
-	if 100*n < 95*up {
-		t.Errorf("%d of the %d machines of the other zone have an answer", n, up)
+	if !otherZone.isNearlyAll() {
+		t.Errorf("%d of the %d machines of the other zone have an answer", otherZone.answered, otherZone.up)
 	}
 	c.Run(125 * time.Second)
 	given := 0
@@ -115,8 +115,8 @@
 	if given > 20 {
 		t.Errorf("%d machines were given up for the cut, as %s", given, c.cordons[0])
 	}
-	if n, up := c.answered(c.Now - 10*time.Second); 100*n < 95*up {
-		t.Errorf("25 s after the cut %d of %d machines have an answer", n, up)
+	if a := c.answers(c.Now - 10*time.Second); !a.isNearlyAll() {
+		t.Errorf("25 s after the cut %d of %d machines have an answer", a.answered, a.up)
 	}
 	expectNoViolation(t, c)
 }
@@ -274,11 +274,11 @@
 				}
 			}
 			leaders := c.occurrences["new leader"]
-			n, up := c.answered(c.Now - 10*time.Second)
+			answers := c.answers(c.Now - 10*time.Second)
 			t.Logf("%d of %d machines answered in the last 10 s; %d leaders; %d tasks of zone-bound arrays ran, %d starts in all; %d broken rules; %v",
-				n, up, leaders, ran, c.Starts(), len(c.Broken), c.occurrences)
-			if up < 4*x.fill*95/100 || 100*n < 95*up || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
-				t.Errorf("%d of %d machines answered, %d leaders, %d tasks of zone-bound arrays ran", n, up, leaders, ran)
+				answers.answered, answers.up, leaders, ran, c.Starts(), len(c.Broken), c.occurrences)
+			if answers.up < 4*x.fill*95/100 || !answers.isNearlyAll() || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
+				t.Errorf("%d of %d machines answered, %d leaders, %d tasks of zone-bound arrays ran", answers.answered, answers.up, leaders, ran)
 			}
 			broken := slices.ContainsFunc(c.Broken, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
 			if want := x.drop != ""; broken != want || !want && len(c.Broken) > 0 {
--- a/internal/simulation/grown_clusters_test.go
+++ b/internal/simulation/grown_clusters_test.go
@@ -1,10 +1,11 @@
 package simulation
 
 import (
-	"brassglade/internal/domain"
-	"brassglade/internal/scheduler"
 	"fmt"
 	"time"
+
+	"brassglade/internal/domain"
+	"brassglade/internal/scheduler"
 )
 
 // grownCluster is a deployment of the size that the grown ones have.
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -5,10 +5,9 @@
 	"testing"
 	"time"
 
+	"brassglade/internal/domain"
 	"brassglade/internal/scheduler"
 	"brassglade/internal/tuning"
-
-	"brassglade/internal/domain"
 )
 
 // clusterWithGuest is the small deployment with a further team that has neither guarantee
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -110,18 +110,24 @@
 	return clusters
 }
 
-// answered counts the machines that got a 200 since the given time.
-func (c *Cluster) answered(since time.Duration) (n, up int) {
+// answerCount counts machines that are up, and those of them that had an answer.
+type answerCount struct{ answered, up int }
+
+// isNearlyAll: 95 of 100 machines had an answer.
+func (a answerCount) isNearlyAll() bool { return 100*a.answered >= 95*a.up }
+
+// answers counts the machines that got a 200 since the given time.
+func (c *Cluster) answers(since time.Duration) (count answerCount) {
 	for _, w := range c.workers {
 		if w.isGone || !w.isUp {
 			continue
 		}
-		up++
+		count.up++
 		if w.acceptedAt >= since {
-			n++
+			count.answered++
 		}
 	}
-	return n, up
+	return count
 }
 
 // totalWork sums up what all controllers did.
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -1,11 +1,12 @@
 package simulation
 
 import (
-	"brassglade/internal/domain"
 	"fmt"
 	"math/rand/v2"
 	"strings"
 	"time"
+
+	"brassglade/internal/domain"
 )
 
 // scriptLine writes one line of a script at a time that may be a fraction.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,6 +8,13 @@
 	cutHolds = "hold" // they arrive when the cut is over
 )
 
+// Participants beside controllers and machines, which have their own names.
+const (
+	participantState = "state"
+	participantCloud = "cloud"
+	participantUsers = "users"
+)
+
 // network is what stands between the cluster's participants: cuts of links and of a whole zone.
 type network struct {
 	linkCuts   map[string]string   // mode of a cut, by link
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"brassglade/internal/scheduler"
@@ -135,7 +136,7 @@
 	effects, events := p.withheldEffects, p.unheardEvents
 	p.withheldEffects, p.unheardEvents = nil, nil
 	for _, e := range effects {
-		if reply, ok := e.(scheduler.HeartbeatReply); ok && reply.Status == 200 {
+		if reply, ok := e.(scheduler.HeartbeatReply); ok && reply.Status == http.StatusOK {
 			p.cluster.occurred("answer decided before a freeze")
 		}
 		p.carryOut(e)
@@ -170,7 +171,7 @@
 		return
 	}
 	c := p.cluster
-	c.call(p.name, "state", 2*tuning.StateTimeout, func(reply func(any)) { reply(c.state.snapshot(p.name)) }, func(answer any) {
+	c.call(p.name, participantState, 2*tuning.StateTimeout, func(reply func(any)) { reply(c.state.snapshot(p.name)) }, func(answer any) {
 		if p.generation != generation {
 			return
 		}
@@ -192,7 +193,7 @@
 	}
 	c := p.cluster
 	sent := p.clock()
-	c.call(p.name, "state", tuning.WatchWait+tuning.StateTimeout, func(reply func(any)) { c.state.watch(p.name, p.watchRevision, reply) }, func(answer any) {
+	c.call(p.name, participantState, tuning.WatchWait+tuning.StateTimeout, func(reply func(any)) { c.state.watch(p.name, p.watchRevision, reply) }, func(answer any) {
 		if p.generation != generation {
 			return
 		}
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -281,7 +281,7 @@
 // onMachine plays what strikes one machine, if it is there.
 func onMachine(strike func(*Cluster, *worker, action)) func(*Cluster, action) error {
 	return func(c *Cluster, a action) error {
-		w := c.worker(a.words[1])
+		w := c.workersByName[a.words[1]]
 		if w == nil || w.isGone {
 			c.log("no machine %s", a.words[1])
 			return nil
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -11,11 +11,12 @@
 	"brassglade/internal/scheduler"
 )
 
-// formatKey says that all controllers know the new format.
-const formatKey = "b/format"
-
-// viewKey has the view: the epoch, its leader and the members that serve.
-const viewKey = "b/view"
+// Keys that the state service and the checker look at. They stand here once more beside those
+// of package codec, so that the checker notices if these change.
+const (
+	formatKey = "b/format" // says that all controllers know the new format
+	viewKey   = "b/view"   // the epoch, its leader and the members that serve
+)
 
 // stateEntry is a value with the revision that wrote it and the lease that it hangs on.
 type stateEntry struct {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"brassglade/internal/domain"
@@ -48,7 +49,7 @@
 // requestAt is the same at one controller.
 func (c *Cluster) requestAt(p *controllerProcess, request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
 	asked := c.Now
-	c.call("users", p.name, 2*time.Second, func(reply func(any)) {
+	c.call(participantUsers, p.name, 2*time.Second, func(reply func(any)) {
 		p.request(request, func(e scheduler.Effect) { reply(e) })
 	}, func(answer any) {
 		reply, _ := answer.(scheduler.UserReply)
@@ -73,7 +74,7 @@
 	job.isSubmitted = true
 	c.requestAnywhere(submission(spec.ID, spec), func(reply scheduler.UserReply, asked time.Duration) {
 		c.checkReply(spec.ID, reply, asked)
-		if reply.Status == 200 || reply.Status == 201 {
+		if reply.Status == http.StatusOK || reply.Status == http.StatusCreated {
 			c.log("%s accepted", spec.ID)
 			c.poll(spec.ID)
 			return
@@ -134,10 +135,10 @@
 }
 
 func (c *Cluster) closeLookAnswered(id string, reply scheduler.UserReply, asked time.Duration) {
-	if reply.Status == 200 {
+	if reply.Status == http.StatusOK {
 		c.occurred("answer to a close look")
 	}
-	if reply.Status == 201 {
+	if reply.Status == http.StatusCreated {
 		c.violated(ruleTaken, "%s accepted twice", id)
 	}
 	c.checkReply(id, reply, asked)
@@ -188,17 +189,17 @@
 	c.submitInvalidJob()
 	for _, id := range c.jobIDs() {
 		job := c.jobs[id]
-		if !job.accepted || job.finalState == "cancelled" || c.rng.IntN(4) != 0 {
+		if !job.accepted || job.finalState == stateCancelled || c.rng.IntN(4) != 0 {
 			continue
 		}
-		if job.finalState == "done" {
+		if job.finalState == stateDone {
 			c.requestOddly(id, cancellation(id), func(scheduler.UserReply) { c.occurred("done job cancelled") })
 			continue
 		}
 		again := job.spec
 		again.Request.GPU = machineCapacity.GPU + 1 // a repeat is known by its id alone
 		c.requestOddly(id, submission(id, again), func(reply scheduler.UserReply) {
-			if reply.Status == 200 {
+			if reply.Status == http.StatusOK {
 				c.occurred("repeat answered")
 			}
 		})
@@ -231,12 +232,12 @@
 	case 3:
 		lacksSpec = true
 	}
-	request, want := submission(id, spec), 422
+	request, want := submission(id, spec), http.StatusUnprocessableEntity
 	if lacksSpec {
 		request = func(requestID uint64) scheduler.Event {
 			return scheduler.JobSubmitted{RequestID: requestID, ID: id}
 		}
-		want = 400
+		want = http.StatusBadRequest
 	}
 	c.jobs[id] = newJobRecord(spec, 0)
 	c.jobs[id].isInvalid = true
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"sort"
 	"time"
 
@@ -190,14 +191,14 @@
 func (w *worker) takeReply(reply scheduler.HeartbeatReply, sent time.Duration, agentEpoch uint64) {
 	c := w.cluster
 	switch reply.Status {
-	case 200:
+	case http.StatusOK:
 		if agentEpoch != w.agentEpoch || reply.FencingToken < w.fencingToken || c.Now-sent > replyAgeLimit {
 			return
 		}
 		w.fencingToken, w.leaseRenewedAt, w.acceptedAt = reply.FencingToken, sent, c.Now
 		w.carryOut(reply.Commands)
 		return
-	case 421: // misdirected: another controller owns the machine
+	case http.StatusMisdirectedRequest: // another controller owns the machine
 		for i, p := range c.processes {
 			if p.name == reply.Owner && i != w.controller {
 				w.controller = i
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -6,6 +6,9 @@
 	"brassglade/internal/domain"
 )
 
+// causePeers is the cause of an end that the other members of a gang brought about.
+const causePeers = "peers"
+
 // task is an attempt at a task on a machine.
 type task struct {
 	attempt uint64
@@ -239,7 +242,7 @@
 			}
 			w.whenResponsive(func() {
 				if t.state == domain.ReportedRunning {
-					w.endTask(id, t, "peers", false)
+					w.endTask(id, t, causePeers, false)
 				}
 			})
 		}
