--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -59,7 +59,7 @@
 			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
 				w := c.workersByName[heartbeat.Machine]
 				if !w.isGone && (heartbeat.AgentEpoch < w.agentEpoch || heartbeat.Sequence < w.sequence) {
-					c.occurred("old report under a new leader")
+					c.occurred("old heartbeat under a new leader")
 				}
 				p.request(heartbeatRequest(heartbeat), ignoreReply)
 			})
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -14,6 +14,14 @@
 	return fmt.Sprintf("at %.2f ", at) + fmt.Sprintf(format, a...) + "\n"
 }
 
+// dropLine takes a guard away; "": none.
+func dropLine(guard string) string {
+	if guard == "" {
+		return ""
+	}
+	return "drop " + guard + "\n"
+}
+
 // oneOf draws one of some values.
 func oneOf[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -66,7 +66,7 @@
 			}
 			return s + scriptLine(100, "calloff 3 hang=15") + "until 600\n"
 		},
-		want: []string{"new leader", "running job called off"},
+		want: []string{"new leader", "running job cancelled"},
 	},
 	{
 		name: "small_jobs_across_leaders",
@@ -131,7 +131,7 @@
 			return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", oneOf(r, "a", "b"), anyCutMode(r), 25+r.IntN(40)) +
 				scriptLine(60, "calloff 4") + scriptLine(120, "crash leader back=4") + "until 600\n"
 		},
-		want: []string{"running job called off"},
+		want: []string{"running job cancelled"},
 	},
 	{
 		name: "old_reports_under_a_new_leader",
@@ -145,7 +145,7 @@
 			}
 			return s + scriptLine(90, "calloff 3 hang=18") + "until 700\n"
 		},
-		want: []string{"old report under a new leader", "new leader"},
+		want: []string{"old heartbeat under a new leader", "new leader"},
 	},
 	{
 		name: "teams_at_their_limits",
@@ -157,7 +157,7 @@
 			}
 			return s + "until 700\n"
 		},
-		want:  []string{"a team at its limit", "running job called off", "new leader"},
+		want:  []string{"a team at its limit", "running job cancelled", "new leader"},
 		guard: "quota",
 		rule:  ruleQuota,
 	},
@@ -169,7 +169,7 @@
 			s += scriptLine(at, "calloff 4") + scriptLine(at, "state refuse leader for=30") + scriptLine(at+1, "state down for=55") + scriptLine(at-10, "slow for=80 by=1.2")
 			return s + scriptLine(at+20, "calloff 2 hang=10") + "until 600\n"
 		},
-		want: []string{"running job called off", "slow answer"},
+		want: []string{"running job cancelled", "slow answer"},
 	},
 	{
 		name: "cancelled_while_work_changes_hands",
@@ -183,7 +183,7 @@
 			}
 			return s + "until 600\n"
 		},
-		want: []string{"running job called off"},
+		want: []string{"running job cancelled"},
 	},
 	{
 		name: "late_transactions",
@@ -195,7 +195,7 @@
 			}
 			return s + scriptLine(210, "state refuse %s for=20", anyController(r)) + "until 700\n"
 		},
-		want: []string{"late transaction that changed something", "a team at its limit", "running job called off"},
+		want: []string{"late transaction that changed something", "a team at its limit", "running job cancelled"},
 	},
 	{
 		name: "swarm",
@@ -221,7 +221,7 @@
 			}
 			return s + scriptLine(44, "calloff 6") + scriptLine(93, "calloff 3") + scriptLine(50, "crash leader back=4") + "until 600\n"
 		},
-		want: []string{"orders to a mute machine", "running job called off"},
+		want: []string{"commands to a mute machine", "running job cancelled"},
 	},
 	{
 		name: "leader_cut_from_state_and_peers",
@@ -239,7 +239,7 @@
 			}
 			return s + "until 600\n"
 		},
-		want:  []string{"running job called off"},
+		want:  []string{"running job cancelled"},
 		guard: "fence",
 		rule:  ruleRanTwice,
 	},
@@ -304,7 +304,7 @@
 		play: func(r *rand.Rand) string {
 			return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", anyMachine(r)) + "until 700\n"
 		},
-		want: []string{"new leader", "running job called off"},
+		want: []string{"new leader", "running job cancelled"},
 	},
 	{
 		name: "leader_ends_beside_unreachable_machines",
@@ -339,7 +339,7 @@
 			s += scriptLine(50+5*r.Float64(), "freeze leader for=%d", 62+r.IntN(30)) + scriptLine(56, "calloff 3")
 			return s + scriptLine(150+5*r.Float64(), "freeze leader for=%d", 5+r.IntN(8)) + scriptLine(152, "calloff 1") + "until 700\n"
 		},
-		want: []string{"woken", "new leader", "running job called off"},
+		want: []string{"woken", "new leader", "running job cancelled"},
 	},
 	{
 		name: "two_controllers_cut",
@@ -353,17 +353,13 @@
 			}
 			return s + "until 700\n"
 		},
-		want: []string{"running job called off"},
+		want: []string{"running job cancelled"},
 	},
 }
 
 // script is the meeting on the day of a seed, with a guard dropped unless it is "".
 func (m *meeting) script(seed uint64, drop string) string {
-	s := fmt.Sprintf("seed %d\n", seed)
-	if drop != "" {
-		s += "drop " + drop + "\n"
-	}
-	return s + m.play(rand.New(rand.NewPCG(seed, 31)))
+	return fmt.Sprintf("seed %d\n", seed) + dropLine(drop) + m.play(rand.New(rand.NewPCG(seed, 31)))
 }
 
 // TestMeetings brings about each meeting of troubles that the users list, three
--- a/internal/simulation/random_days_test.go
+++ b/internal/simulation/random_days_test.go
@@ -12,9 +12,7 @@
 	r := rand.New(rand.NewPCG(seed, 99))
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d\n", seed)
-	if drop != "" {
-		fmt.Fprintf(&b, "drop %s\n", drop)
-	}
+	b.WriteString(dropLine(drop))
 	team := []string{"red", "blue"}
 	for i := 0; i < 22; i++ {
 		at := 1 + r.IntN(220)
@@ -31,8 +29,6 @@
 			fmt.Fprintf(&b, "at %d cancel %s\n", at+2+r.IntN(40), id)
 		}
 	}
-	node := func() string { return fmt.Sprintf("c-%d", r.IntN(3)) }
-	mode := func() string { return oneOf(r, "drop", "hold") }
 	for i := 0; i < 12; i++ {
 		at := 30 + r.IntN(220)
 		m := fmt.Sprintf("n-%06d", 1+r.IntN(10))
@@ -42,21 +38,21 @@
 		case 12:
 			fmt.Fprintf(&b, "at %d copies %s for=%d most=%d\n", at, m, 20+r.IntN(60), 5+r.IntN(50))
 		case 13:
-			fmt.Fprintf(&b, "at %d cut c-0 state %s for=40\nat %d cut c-0 c-1 drop for=40\nat %d cut c-0 c-2 drop for=40\n", at, mode(), at, at)
+			fmt.Fprintf(&b, "at %d cut c-0 state %s for=40\nat %d cut c-0 c-1 drop for=40\nat %d cut c-0 c-2 drop for=40\n", at, anyCutMode(r), at, at)
 		case 0:
-			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, node(), oneOf(r, 0.2, 4))
+			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, anyController(r), oneOf(r, 0.2, 4))
 		case 1:
 			fmt.Fprintf(&b, "at %d crash all back=3\n", at)
 		case 2:
-			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, node(), mode(), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, anyController(r), anyCutMode(r), 5+r.IntN(40))
 		case 3:
-			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, node(), mode(), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, anyController(r), anyCutMode(r), 5+r.IntN(40))
 		case 4:
-			fmt.Fprintf(&b, "at %d cut c-0 c-1 %s for=30\nat %d cut c-1 c-2 %s for=25\n", at, mode(), at+2, mode())
+			fmt.Fprintf(&b, "at %d cut c-0 c-1 %s for=30\nat %d cut c-1 c-2 %s for=25\n", at, anyCutMode(r), at+2, anyCutMode(r))
 		case 5:
 			fmt.Fprintf(&b, "at %d state down for=%d\n", at, 3+r.IntN(50))
 		case 6:
-			fmt.Fprintf(&b, "at %d state refuse %s for=%d\n", at, node(), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d state refuse %s for=%d\n", at, anyController(r), 5+r.IntN(40))
 		case 7:
 			fmt.Fprintf(&b, "at %d cloud down for=30\n", at)
 		case 8:
@@ -83,9 +79,7 @@
 	r := rand.New(rand.NewPCG(seed, 17))
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d\nold\nnext value=1024 ops=4\n", seed)
-	if drop != "" {
-		fmt.Fprintf(&b, "drop %s\n", drop)
-	}
+	b.WriteString(dropLine(drop))
 	big, cpu := 60, 1
 	if seed%2 == 0 { // a wider fleet, whose packs grow large
 		b.WriteString("fill 40\n")
@@ -110,7 +104,6 @@
 			fmt.Fprintf(&b, "at %d crash c-%d back=%.1f\n", at+5, r.IntN(3), oneOf(r, 0.2, 3))
 		}
 	}
-	mode := func() string { return oneOf(r, "drop", "hold") }
 	for i := 0; i < 4; i++ {
 		at, n := 50+r.IntN(120), fmt.Sprintf("c-%d", r.IntN(3))
 		switch r.IntN(7) {
@@ -119,9 +112,9 @@
 		case 1:
 			fmt.Fprintf(&b, "at %d crash all back=3\n", at)
 		case 2:
-			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, n, mode(), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, n, anyCutMode(r), 5+r.IntN(40))
 		case 3:
-			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, n, mode(), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, n, anyCutMode(r), 5+r.IntN(40))
 		case 4:
 			fmt.Fprintf(&b, "at %d take n-%06d\n", at, 1+r.IntN(10))
 		case 5:
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		count--
-		c.occurred("running job called off")
+		c.occurred("running job cancelled")
 		c.after(time.Duration(c.rng.IntN(200))*time.Millisecond, func() { c.Cancel(id) })
 		if hang > 0 && hung < 8 && !on.isHung {
 			hung++
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -219,7 +219,7 @@
 	w.whenResponsive(func() {
 		if e.FencingToken >= w.fencingToken && e.AgentEpoch == w.agentEpoch {
 			if w.cluster.Now < w.muteUntil {
-				w.cluster.occurred("orders to a mute machine")
+				w.cluster.occurred("commands to a mute machine")
 			}
 			w.fencingToken = e.FencingToken
 			w.carryOut(e.Commands)
