--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 	go tool -modfile=tools/go.mod golangci-lint run ./...
 	go tool staticcheck -checks all $$(go list ./... | grep -v /peer/fb)
 	go tool revive -config revive.toml -exclude internal/peer/fb/... ./cmd/... ./internal/...
-# Digests of all that leaves the cores on fixed days. A change that is to leave behaviour
+# Digests of all that leaves the controllers on fixed days. A change that is to leave behaviour
 # alone prints the same as the commit before it; SHARE=8 plays one day in eight.
 SHARE = 1
 digest:
