--- /dev/null
+++ b/internal/ownership/ownership_test.go
@@ -0,0 +1,113 @@
+package ownership
+
+import (
+	"testing"
+
+	"brassglade/internal/domain"
+)
+
+// TestOnlyMachinesOfALeavingControllerChangeOwner, and each controller owns about an equal
+// share of the machines.
+func TestOnlyMachinesOfALeavingControllerChangeOwner(t *testing.T) {
+	three, two := &domain.View{Serving: []string{"a", "b", "c"}}, &domain.View{Serving: []string{"a", "c"}}
+	count := map[string]int{}
+	for i := range 300 {
+		machine := "n-" + string(rune('a'+i%26)) + string(rune('a'+i/26))
+		owner := OfMachine(three, nil, machine, "")
+		count[owner]++
+		if after := OfMachine(two, nil, machine, ""); owner != "b" && after != owner {
+			t.Fatalf("%s moved from %s to %s", machine, owner, after)
+		}
+	}
+	for _, controller := range three.Serving {
+		if count[controller] < 60 {
+			t.Errorf("%s owns %d of 300", controller, count[controller])
+		}
+	}
+}
+
+// TestOfMachine: overrides go before the hash, and zones that are apart keep their machines.
+func TestOfMachine(t *testing.T) {
+	serving := []string{"c-0", "c-1", "c-2", "c-3"}
+	zoneOf := map[string]string{"c-0": "a", "c-1": "a", "c-2": "b", "c-3": "b"}
+	override := map[string]string{"n-1": "c-3"}
+	for name, x := range map[string]struct {
+		view *domain.View
+		zone string
+		want string
+	}{
+		"no view":                            {nil, "a", ""},
+		"nobody serves":                      {&domain.View{}, "a", ""},
+		"by hash":                            {&domain.View{Serving: serving}, "a", Rendezvous("n-1", serving)},
+		"by hash, of an unknown zone":        {&domain.View{Serving: serving}, "", Rendezvous("n-1", serving)},
+		"by override":                        {&domain.View{Serving: serving, OwnerOverrides: override}, "a", "c-3"},
+		"by override, though zoned":          {&domain.View{Serving: serving, OwnerOverrides: override, Zoned: true}, "a", "c-3"},
+		"override to one that doesn't serve": {&domain.View{Serving: serving[:2], OwnerOverrides: override}, "a", Rendezvous("n-1", serving[:2])},
+		"of another machine's override":      {&domain.View{Serving: serving[:3], OwnerOverrides: map[string]string{"n-2": "c-2"}}, "a", Rendezvous("n-1", serving[:3])},
+		"zoned, in a":                        {&domain.View{Serving: serving, Zoned: true}, "a", Rendezvous("n-1", serving[:2])},
+		"zoned, in b":                        {&domain.View{Serving: serving, Zoned: true}, "b", Rendezvous("n-1", serving[2:])},
+		"zoned, none serves in its zone":     {&domain.View{Serving: serving[:2], Zoned: true}, "b", Rendezvous("n-1", serving[:2])},
+		"zoned, of an unknown zone":          {&domain.View{Serving: serving, Zoned: true}, "", ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := OfMachine(x.view, zoneOf, "n-1", x.zone); got != x.want {
+				t.Errorf("owned by %q, want %q", got, x.want)
+			}
+		})
+	}
+}
+
+// TestOfShard: a shard whose controller doesn't serve falls to the others by the hash.
+func TestOfShard(t *testing.T) {
+	view := &domain.View{Serving: []string{"c-0", "c-2"}}
+	for name, x := range map[string]struct{ shard, key, want string }{
+		"serves":            {"c-2", "job-000001", "c-2"},
+		"serves no longer":  {"c-1", "job-000001", Rendezvous("job-000001", view.Serving)},
+		"another key of it": {"c-1", "job-000002", Rendezvous("job-000002", view.Serving)},
+		"never had a shard": {"", "job-000001", Rendezvous("job-000001", view.Serving)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := OfShard(view, x.shard, x.key); got != x.want {
+				t.Errorf("cared for by %q, want %q", got, x.want)
+			}
+		})
+	}
+	if got := OfShard(&domain.View{}, "c-1", "job-000001"); got != "" {
+		t.Errorf("cared for by %q while nobody serves", got)
+	}
+}
+
+// TestNextLeader: the leader stays while this process of it serves; else the first that
+// serves and was there before follows, and a new one only if there is no other.
+func TestNextLeader(t *testing.T) {
+	members := func(incarnations ...string) map[string]string {
+		m := map[string]string{}
+		for i, incarnation := range incarnations {
+			if incarnation != "" {
+				m[[]string{"c-0", "c-1", "c-2"}[i]] = incarnation
+			}
+		}
+		return m
+	}
+	present := domain.View{Leader: "c-1", Members: members("a", "b", "c"), Serving: []string{"c-0", "c-1", "c-2"}}
+	for name, x := range map[string]struct {
+		members map[string]string
+		serving []string
+		want    string
+	}{
+		"stays":                            {members("a", "b", "c"), []string{"c-0", "c-1", "c-2"}, "c-1"},
+		"left":                             {members("a", "", "c"), []string{"c-0", "c-2"}, "c-0"},
+		"left, and the first is new":       {members("a2", "", "c"), []string{"c-0", "c-2"}, "c-2"},
+		"restarted":                        {members("a", "b2", "c"), []string{"c-0", "c-1", "c-2"}, "c-0"},
+		"no longer serves":                 {members("a", "b", "c"), []string{"c-0", "c-2"}, "c-0"},
+		"all restarted":                    {members("a2", "b2", "c2"), []string{"c-0", "c-1", "c-2"}, "c-0"},
+		"all but one that serves stayed":   {members("a2", "b", "c"), []string{"c-0"}, "c-0"},
+		"left, the first no longer serves": {members("a", "", "c"), []string{"c-2"}, "c-2"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := NextLeader(&present, &domain.View{Members: x.members, Serving: x.serving}); got != x.want {
+				t.Errorf("%s leads, want %s", got, x.want)
+			}
+		})
+	}
+}
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -5,6 +5,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 )
 
 // apply takes one key's newer value into the cache. Older or equal revisions are
@@ -225,4 +226,6 @@
 }
 
 // cordonPageOf is the page that a machine's cordon is on, whoever owns the machine.
-func (c *Controller) cordonPageOf(machine string) string { return rendezvous(machine, c.cfg.Nodes) }
+func (c *Controller) cordonPageOf(machine string) string {
+	return ownership.Rendezvous(machine, c.cfg.Nodes)
+}
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"brassglade/internal/membership"
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 )
 
@@ -54,7 +55,7 @@
 	cfg.ValueLimitNow = max(cfg.ValueLimitNow, cfg.ValueLimit)
 	c := &Controller{
 		cfg:        cfg,
-		rng:        rand.New(rand.NewPCG(cfg.Seed, hash64(cfg.Node))),
+		rng:        rand.New(rand.NewPCG(cfg.Seed, ownership.Hash(cfg.Node))),
 		membership: membership.New(membership.Config{FenceAge: cfg.FenceAge, ReadRate: cfg.ReadRate}, incarnation),
 		views:      newViews(),
 		cache:      newCache(),
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -11,6 +11,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 )
 
 // before reads the kept values of the version before.
@@ -157,7 +158,7 @@
 	overrides := map[string]string{}
 	for i := 0; i < 200; i++ {
 		n := fmt.Sprintf("n-%06d", i)
-		overrides[n] = []string{"c-0", "c-1"}[hash64(n)%2]
+		overrides[n] = []string{"c-0", "c-1"}[ownership.Hash(n)%2]
 	}
 	c.cache.members, c.cache.view = members, &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: []string{"c-0", "c-1"}, OwnerOverrides: overrides}
 	if v := c.desiredView(); v == nil {
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 )
 
@@ -254,7 +255,7 @@
 		return false
 	}
 	_, isMember := next.Members[owner]
-	return isMember && c.cache.cordons[machine].State != domain.CordonGone && rendezvous(machine, next.Serving) != owner
+	return isMember && c.cache.cordons[machine].State != domain.CordonGone && ownership.Rendezvous(machine, next.Serving) != owner
 }
 
 // mayChangeOverrides tells whether overrides alone are reason enough for a view. In a
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -1,41 +1,11 @@
 package scheduler
 
 import (
-	"slices"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 )
 
-// owner of a machine under a view, "" for none: its override, or the rendezvous hash over
-// the serving controllers. While zones are apart it is the hash over those of the machine's
-// own zone, if any serve there. A machine never changes its zone, so whoever knows the zone
-// finds the same owner; whoever doesn't finds none.
-func (c *Controller) owner(v *domain.View, machine, zone string) string {
-	if v == nil {
-		return ""
-	}
-	if o := v.OwnerOverrides[machine]; o != "" && slices.Contains(v.Serving, o) {
-		return o
-	}
-	if !v.Zoned {
-		return rendezvous(machine, v.Serving)
-	}
-	if zone == "" {
-		return ""
-	}
-	var near []string
-	for _, node := range v.Serving {
-		if c.cfg.ZoneOf[node] == zone {
-			near = append(near, node)
-		}
-	}
-	if len(near) == 0 {
-		near = v.Serving
-	}
-	return rendezvous(machine, near)
-}
-
 // zoneOf a machine, as its heartbeats or its bookings name it; "" if neither does.
 func (c *Controller) zoneOf(machine string) string {
 	if m := c.heartbeats.machines[machine]; m != nil && m.Zone != "" {
@@ -61,7 +31,7 @@
 		if v.Zoned && zone == "" {
 			zone = c.zoneOf(machine)
 		}
-		if o = c.owner(v, machine, zone); o != "" {
+		if o = ownership.OfMachine(v, c.cfg.ZoneOf, machine, zone); o != "" {
 			c.views.ownerByMachine[machine] = o
 		}
 	}
@@ -85,11 +55,10 @@
 	if shard == "" {
 		shard = j.Header.Shard
 	}
-	v := c.view
-	if v == nil || slices.Contains(v.Serving, shard) {
+	if c.view == nil {
 		return shard
 	}
-	return rendezvous(j.ID, v.Serving)
+	return ownership.OfShard(c.view, shard, j.ID)
 }
 
 // shardOf is the shard of a job, where its tasks wait unless they were passed on.
@@ -104,7 +73,7 @@
 		switch {
 		case !c.owns(machine):
 			c.endOwnership(machine)
-		case continuous && c.owner(old, machine, c.zoneOf(machine)) == c.cfg.Node:
+		case continuous && ownership.OfMachine(old, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Node:
 		default:
 			c.takeOwnership(machine)
 		}
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
@@ -136,7 +137,7 @@
 	// Several shards have room for all of it. By load alone every controller would
 	// send all small jobs to the same one for seconds, and that one has
 	// only its own part of the changes to book them with.
-	return 1e6 - float64(c.waitingIn(node, spec)) + float64(hash64(spec.ID, node)%1000)/1000
+	return 1e6 - float64(c.waitingIn(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
 }
 
 // waitingIn counts the tasks that wait in a shard and go ahead of those of a job, or may:
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
@@ -391,7 +392,7 @@
 	if kind.spot {
 		price = machineType.SpotPrice / tasks
 	}
-	return price * (1 + 0.001*float64(hash64(kind.zone, sp.ID)%16))
+	return price * (1 + 0.001*float64(ownership.Hash(kind.zone, sp.ID)%16))
 }
 
 // onRentalAnswered takes in what a request brought.
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -6,6 +6,7 @@
 	"slices"
 	"strings"
 
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/codec"
@@ -64,10 +65,7 @@
 // packShard is the shard that cares for a pack.
 func (c *cache) packShard(pack string) string {
 	shard, _, _ := strings.Cut(pack, "/")
-	if slices.Contains(c.view.Serving, shard) {
-		return shard
-	}
-	return rendezvous(pack, c.view.Serving)
+	return ownership.OfShard(c.view, shard, pack)
 }
 
 // shrinkChunk splits a chunk. A value that no job keeps its tasks in any more, since it was
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -7,6 +7,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
@@ -147,7 +148,7 @@
 	}
 	c.chooseZoned(d, &lost)
 	c.chooseOverrides(d, lost.machines)
-	chooseLeader(d)
+	next.Leader = ownership.NextLeader(present, next)
 	if !d.changed && !(d.overridesChanged && c.mayChangeOverrides()) {
 		return nil
 	}
@@ -216,18 +217,3 @@
 	heardFor := c.now - c.views.peersHeardSince.Time()
 	return c.isLeader() && heardFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
 }
-
-// chooseLeader keeps the leader while it stays and serves. Else the first that serves
-// leads, one that stayed before one that is new.
-func chooseLeader(d *viewDraft) {
-	present, next := d.present, d.next
-	stayed := func(node string) bool { return present.Members[node] == next.Members[node] }
-	next.Leader = present.Leader
-	if next.Members[next.Leader] != "" && stayed(next.Leader) && slices.Contains(next.Serving, next.Leader) {
-		return
-	}
-	next.Leader = next.Serving[0]
-	if k := slices.IndexFunc(next.Serving, stayed); k >= 0 {
-		next.Leader = next.Serving[k]
-	}
-}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/codec"
@@ -55,7 +56,7 @@
 			}
 		}
 		for n, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
-			if at := time.Duration(hash64(n)%10) * 500 * time.Millisecond; heard(n) && c.owns(n) && c.now%(5*time.Second) == at {
+			if at := time.Duration(ownership.Hash(n)%10) * 500 * time.Millisecond; heard(n) && c.owns(n) && c.now%(5*time.Second) == at {
 				m.heardAt, m.heartbeatAt = c.now, c.now
 			}
 		}
@@ -82,14 +83,14 @@
 	}
 	c.pass(90*time.Second, func(n string) bool { return !inB(n) })
 	for i := 0; i < 16; i++ { // back one after the other
-		c.pass(500*time.Millisecond, func(n string) bool { return !inB(n) || hash64(n, "back")%16 < uint64(i) })
+		c.pass(500*time.Millisecond, func(n string) bool { return !inB(n) || ownership.Hash(n, "back")%16 < uint64(i) })
 	}
 	c.pass(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.wanted) > 0 {
 		t.Errorf("%d machines of a cut zone were given up", len(c.cordons.wanted))
 	}
 	// A tenth of them hang: these are lost.
-	c.pass(time.Minute, func(n string) bool { return hash64(n)%10 != 0 })
+	c.pass(time.Minute, func(n string) bool { return ownership.Hash(n)%10 != 0 })
 	if n := len(c.cordons.wanted); n < 50 || n > 150 {
 		t.Errorf("of about 100 silent machines %d were given up", n)
 	}
