--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/tardiness"
 	"brassglade/internal/tuning"
 )
 
 // urgent is a job in the order of a shard's pool.
 type urgent struct {
 	job             *Job
-	withinGuarantee bool      // its team is owed it, or it starves
-	run             float64   // s a task, from when it is queued
-	work            float64   // s of the whole fleet
-	goals           []float64 // s left until each aim, the first aim first
-	tier            int       // the aim it is put down for; len(goals): none
+	withinGuarantee bool          // its team is owed it, or it starves
+	goals           []float64     // s left until each aim, the first aim first
+	tier            int           // the aim it is put down for; len(goals): none
+	timing          tardiness.Job // its work for the whole fleet, and its tasks' run time from when they are queued
 }
 
 // jobsByUrgency orders the open jobs that shards place and that may have more tasks in queues:
@@ -56,9 +56,11 @@
 		jobs = append(jobs, &urgent{
 			job:             j,
 			withinGuarantee: isOwed,
-			run:             c.queues.runTime(spec) + tuning.StartLag,
-			work:            float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
 			goals:           c.goals(j),
+			timing: tardiness.Job{
+				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
+				Run:  c.queues.runTime(spec) + tuning.StartLag,
+			},
 		})
 	}
 	return jobs
@@ -124,7 +126,7 @@
 	if u.tier < len(u.goals) {
 		return u.goals[u.tier]
 	}
-	return -u.run
+	return -u.timing.Run
 }
 
 // assignTiers puts each job down for the first aim that it can meet beside the others, by
@@ -137,52 +139,21 @@
 	}
 	begin := 0.0
 	for tier := 0; tier < tiers; tier++ {
-		var candidates []*urgent
+		var candidates []*tardiness.Job
 		for _, u := range jobs {
-			if u.tier == tier && tier < len(u.goals) {
-				candidates = append(candidates, u)
+			if u.isDownFor(tier) {
+				u.timing.Left = u.goals[tier]
+				candidates = append(candidates, &u.timing)
 			}
 		}
-		begin = leastLate(candidates, tier, begin)
-	}
-}
-
-// leastLate moves as few jobs as can be on to the next aim such that all others meet this
-// one, if all work is done one job after the other from a time on (s); it returns the time at
-// which that of the others ends.
-//
-// This is Moore and Hodgson's rule (J. M. Moore, "An n job, one machine sequencing algorithm
-// for minimizing the number of late jobs", Management Science 15, 1968): in order of time left,
-// and whenever one job would be late, the one with the most work so far is taken out. Here the
-// one machine is the whole fleet, and a job's last task needs its run time besides.
-func leastLate(candidates []*urgent, tier int, begin float64) (end float64) {
-	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].left() < candidates[b].left() })
-	end = begin
-	var inTime []*urgent
-	for _, u := range candidates {
-		if u.run > u.goals[tier] {
-			u.tier++ // too late even alone
-			continue
-		}
-		inTime = append(inTime, u)
-		end += u.work
-		if end+u.run > u.goals[tier] {
-			k := mostWork(inTime)
-			end -= inTime[k].work
-			inTime[k].tier++
-			inTime = append(inTime[:k], inTime[k+1:]...)
+		begin = tardiness.FewestLate(candidates, begin)
+		for _, u := range jobs {
+			if u.isDownFor(tier) && u.timing.Late {
+				u.tier++
+			}
 		}
 	}
-	return end
 }
 
-// mostWork is the index of the first job with the most work.
-func mostWork(jobs []*urgent) int {
-	k := 0
-	for i := range jobs {
-		if jobs[i].work > jobs[k].work {
-			k = i
-		}
-	}
-	return k
-}
+// isDownFor tells whether the job is put down for an aim, counted from 0.
+func (u *urgent) isDownFor(aim int) bool { return u.tier == aim && aim < len(u.goals) }
