--- a/internal/domain/machine.go
+++ b/internal/domain/machine.go
@@ -17,10 +17,17 @@
 type Instance struct {
 	Name, Addr, Type, Zone string
 	Spot                   bool    // preemptible, at the spot price
-	Status                 string  // in the cloud's words
+	Status                 string  // as the cloud says it: InstanceBooting and so on
 	HeldSeconds            float64 // since it was rented
 }
 
+// Statuses of an instance as the cloud's list says them; the list may have others.
+const (
+	InstanceBooting = "booting"
+	InstanceRunning = "running"
+	InstanceFailed  = "failed"
+)
+
 // Cordon of a machine: it takes no new bookings. The zero value means none: the machine is in
 // use.
 type Cordon struct {
--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -21,7 +21,7 @@
 		// The pages are read one after the other. What changed after the first
 		// comes with the watch, in order: a chunk taken now without its header
 		// would be dropped, and its revision then hide it for good.
-		if kv.ModRevision <= snapshot.Revision || !c.guard(GuardPage) {
+		if kv.ModRevision <= snapshot.Revision || !c.guard(GuardSnapshot) {
 			c.apply(kv)
 		}
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -133,7 +133,7 @@
 			}
 			continue
 		}
-		if !c.cache.isBooking(m, s) || !c.guard(GuardClear) {
+		if !c.cache.isBooking(m, s) || !c.guard(GuardForget) {
 			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: s.Attempt, Reason: domain.ReasonSettled})
 		}
 	}
@@ -184,7 +184,7 @@
 		return otherEpoch
 	case j.Header.State != domain.StateOpen:
 		return jobClosed
-	case c.planner.pendingReleases[attempt] && c.guard(GuardDoom):
+	case c.planner.pendingReleases[attempt] && c.guard(GuardPendingRelease):
 		return releaseTried
 	case m.preemptionAt >= 0:
 		return machineTaken
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -46,8 +46,7 @@
 // hasCordon tells whether the machine's committed cordon is of the state, or gone, after
 // which nothing comes.
 func (c *cache) hasCordon(machine string, state string) bool {
-	written := c.cordons[machine]
-	return written.State == domain.CordonGone || written.State == state
+	return c.isReturned(machine) || c.cordons[machine].State == state
 }
 
 // writeCordons writes the wanted cordons, many pages in one commit.
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -29,7 +29,7 @@
 
 // mayStart is the one place that says whether tasks of a job may start at all.
 func (c *Controller) mayStart(j *Job) bool {
-	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardNeeds)
+	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardDependencies)
 }
 
 // phaseOf is the phase that a job's header and those before it call for.
@@ -96,9 +96,7 @@
 	if k := slices.Index(c.cache.openJobs, j); k >= 0 {
 		c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
 	}
-	for i := 0; i < j.Header.TaskCount && j.queuedHere > 0; i++ {
-		c.dequeue(domain.TaskID{Job: j.ID, Index: i})
-	}
+	c.dequeueTasks(j, j.Header.TaskCount)
 }
 
 // enterOpen puts a job among those whose tasks may start. Order and ages count from the last
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -3,8 +3,6 @@
 import (
 	"strings"
 
-	json "github.com/goccy/go-json"
-
 	"brassglade/internal/codec"
 )
 
@@ -14,13 +12,13 @@
 // refers to a list that is not there.
 
 // applyDependencyPiece takes a piece of a list. Its header mostly comes later.
-func (c *Controller) applyDependencyPiece(key string, v []byte) {
-	var text string
-	if v == nil || json.Unmarshal(v, &text) != nil {
+func (c *Controller) applyDependencyPiece(key string, value []byte) {
+	text, err := codec.Decode[string](value)
+	if value == nil || err != nil {
 		delete(c.cache.dependencyPieces, key)
 		return
 	}
-	c.cache.dependencyPieces[key] = text
+	c.cache.dependencyPieces[key] = *text
 	id, _, _ := strings.Cut(key[len(codec.PrefixDependencies):], "/")
 	j := c.cache.jobs[id]
 	if j == nil || j.missingPieces == 0 || j.Header.Spec == nil {
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -50,7 +50,7 @@
 	t := d.task(j, i)
 	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
 	*t = domain.Task{State: domain.Booked, Attempt: attempt, Machine: machine, AgentEpoch: agentEpoch, Zone: zone, Shard: d.c.cfg.Node}
-	if d.c.guard(GuardGone) {
+	if d.c.guard(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(machine))
 	}
 	d.machines[machine] = true
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -58,7 +58,7 @@
 	for guard, holds := range map[Guard]func(drop Guard) bool{
 		// A release without an answer may still be carried out: were the start sent
 		// again, as the notice was withdrawn, the task would then start elsewhere.
-		GuardDoom: func(drop Guard) bool {
+		GuardPendingRelease: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			ordered(c, m, 2, 8)
 			c.now += 2 * time.Second
@@ -84,14 +84,14 @@
 			return c.cache.view.Epoch == 1
 		},
 		// A forgotten attempt is unknown to its agent, and a start would run it anew.
-		GuardClear: func(drop Guard) bool {
+		GuardForget: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.commits.blockedUntil = c.now + time.Minute
 			_, kinds := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
 			return !slices.Contains(kinds, domain.ForgetTask)
 		},
 		// A machine may be cordoned and returned between plan and commit.
-		GuardGone: func(drop Guard) bool {
+		GuardCordons: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
 			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
@@ -100,7 +100,7 @@
 		},
 		// Of a snapshot's pages the first is the oldest: a chunk on a later one may
 		// belong to a header that is not there yet, and its revision would hide it.
-		GuardPage: func(drop Guard) bool {
+		GuardSnapshot: func(drop Guard) bool {
 			c := acting()
 			c.cfg.DisabledGuard = drop
 			h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}}
@@ -112,7 +112,7 @@
 		},
 		// The tasks of an agent epoch given up may be on elsewhere: an answer would keep
 		// alive what may still be there.
-		GuardDead: func(drop Guard) bool {
+		GuardAbandonedEpoch: func(drop Guard) bool {
 			c, m := booked(t, drop)
 			c.now += c.cfg.FenceAge + c.cfg.WorkerLease + 5*time.Second
 			c.confirmNow()
@@ -124,18 +124,18 @@
 			return status == 503
 		},
 		// What may change is answered behind a read index.
-		GuardIndex: func(drop Guard) bool {
+		GuardReadIndex: func(drop Guard) bool {
 			c, _ := booked(t, drop)
 			c.effects = nil
 			c.onJobQueried(JobQueried{1, jobName(1)})
 			return said(c).Status == 0
 		},
-		GuardNever: func(drop Guard) bool {
+		GuardNeverRuns: func(drop Guard) bool {
 			c, _ := booked(t, drop)
 			return c.whyNeverRuns(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A controller that was cut off takes a job for unknown that another one accepted.
-		GuardIndex + " ": func(drop Guard) bool {
+		GuardReadIndex + " ": func(drop Guard) bool {
 			c := acting()
 			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(drop)))
 			c.onJobQueried(JobQueried{1, jobName(7)})
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -2,7 +2,7 @@
 
 // Guard names one check that keeps an invariant of docs/design.md. Outside tests all
 // stand; tests take one away and see that the checker of rules notices, so that no check
-// is there for show.
+// is there for show. Scripts know the guards by their strings, which stay as they are.
 type Guard string
 
 // The guards, each with what it keeps.
@@ -18,39 +18,39 @@
 	GuardProof Guard = "proof"
 	// GuardQuota starts tasks only within their team's limit (invariant 9).
 	GuardQuota Guard = "quota"
-	// GuardDead never answers an agent epoch that was given up, whose tasks may run
-	// elsewhere by now (invariant 6).
-	GuardDead Guard = "dead"
+	// GuardAbandonedEpoch never answers an agent epoch that was abandoned, whose tasks may
+	// run elsewhere by now (invariant 6).
+	GuardAbandonedEpoch Guard = "dead"
 
-	// GuardDoom sends no start of a booking whose release was tried: the release may still
+	// GuardPendingRelease sends no start of a booking whose release was tried: the release may still
 	// be carried out (invariant 4).
-	GuardDoom Guard = "doom"
+	GuardPendingRelease Guard = "doom"
 	// GuardView takes the view from the watch alone, so that whoever sees an epoch has seen
 	// every commit of the earlier ones (invariant 7).
 	GuardView Guard = "view"
-	// GuardClear has a machine forget an ended task only once its outcome is committed:
+	// GuardForget has a machine forget an ended task only once its outcome is committed:
 	// the agent no longer knows it, and a start would run it anew (invariant 8).
-	GuardClear Guard = "clear"
-	// GuardGone books under the condition of the machine's page of cordons, since the
+	GuardForget Guard = "clear"
+	// GuardCordons books under the condition of the machine's page of cordons, since the
 	// machine may be returned between plan and commit (invariant 10).
-	GuardGone Guard = "gone"
-	// GuardPage takes nothing from a snapshot that is newer than its first page: a chunk
+	GuardCordons Guard = "gone"
+	// GuardSnapshot takes nothing from a snapshot that is newer than its first page: a chunk
 	// without its header would be dropped, and its revision hide it (invariant 12).
-	GuardPage Guard = "page"
+	GuardSnapshot Guard = "page"
 	// GuardBook books from the queues of machines what waits where there is room; without it
 	// tasks starve.
 	GuardBook Guard = "book"
-	// GuardIndex answers what may still change behind a read index (invariant 11).
-	GuardIndex Guard = "index"
-	// GuardNever accepts nothing that can never run.
-	GuardNever Guard = "never"
+	// GuardReadIndex answers what may still change behind a read index (invariant 11).
+	GuardReadIndex Guard = "index"
+	// GuardNeverRuns accepts nothing that can never run.
+	GuardNeverRuns Guard = "never"
 
 	// GuardDraft counts what a draft holds already where a job's tasks are asked for
 	// (invariant 21).
 	GuardDraft Guard = "draft"
 
-	// GuardNeeds starts nothing before all that it depends on is done (invariant 16).
-	GuardNeeds Guard = "needs"
+	// GuardDependencies starts nothing before all that it depends on is done (invariant 16).
+	GuardDependencies Guard = "needs"
 	// GuardCascade cancels what depends on a cancelled job (invariant 17).
 	GuardCascade Guard = "cascade"
 )
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -134,7 +134,7 @@
 // isAbandoned tells whether an agent epoch of the machine is given up. Such a one stays
 // given up: docs/design.md, invariant 6.
 func (c *Controller) isAbandoned(m *Machine, agentEpoch uint64) bool {
-	return c.guard(GuardDead) && agentEpoch <= m.abandonedEpoch
+	return c.guard(GuardAbandonedEpoch) && agentEpoch <= m.abandonedEpoch
 }
 
 // isReturned tells whether the cloud has confirmed that it took the machine back.
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -31,7 +31,7 @@
 }
 
 // recordFinish counts a task that ended.
-func (l *learner) recordFinish(*Machine) { l.finishes++ }
+func (l *learner) recordFinish() { l.finishes++ }
 
 // endLearningWindow ends windows: learns from the loads of all machines and publishes this
 // controller's part of them for the others.
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -255,7 +255,7 @@
 		return false
 	}
 	_, isMember := next.Members[owner]
-	return isMember && c.cache.cordons[machine].State != domain.CordonGone && ownership.Rendezvous(machine, next.Serving) != owner
+	return isMember && !c.cache.isReturned(machine) && ownership.Rendezvous(machine, next.Serving) != owner
 }
 
 // mayChangeOverrides tells whether overrides alone are reason enough for a view. In a
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -319,5 +319,5 @@
 // and is not gone.
 func (c *Controller) isAlive(m *Machine) bool {
 	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
-		c.cache.cordons[m.Name].State != domain.CordonGone && m.agentEpoch > m.abandonedEpoch
+		!c.cache.isReturned(m.Name) && m.agentEpoch > m.abandonedEpoch
 }
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -94,11 +94,11 @@
 		return
 	}
 	w.askedAt = c.now
-	if !c.guard(GuardIndex) {
+	if !c.guard(GuardReadIndex) {
 		w.askedAt = c.membership.ReadIndex().Time()
 	}
 	c.requests.waiting = append(c.requests.waiting, w)
-	if !c.guard(GuardIndex) {
+	if !c.guard(GuardReadIndex) {
 		c.wakeWaiters()
 	}
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -90,11 +90,10 @@
 	limit := c.cfg.Teams[sp.Team].Limit
 	n := 0
 	for n < j.counts.queued && n < maxPendingTasks {
-		next := used[sp.Team].Plus(sp.Request, 1)
-		if !withinLimit(next, limit) || !claim.allows(sp, used[sp.Team], limit) {
+		if !claim.admits(sp, used[sp.Team], limit) {
 			break
 		}
-		used[sp.Team] = next
+		used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
 		n++
 	}
 	return n
@@ -178,8 +177,8 @@
 	leaving := c.leaving()
 	for i := range machines {
 		m := &machines[i]
-		isLost := !m.heard && m.Status == instanceRunning && m.tasks > 0
-		if m.cordon.State != "" || leaving[m.Name] || m.Status == instanceFailed || isLost {
+		isLost := !m.heard && m.Status == domain.InstanceRunning && m.tasks > 0
+		if m.cordon.State != "" || leaving[m.Name] || m.Status == domain.InstanceFailed || isLost {
 			continue
 		}
 		there = append(there, roomThere{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
@@ -412,7 +411,7 @@
 	kind := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
 	s.pauseIfShort(kind, r.request.Count-len(e.Names), c.now)
 	for _, name := range e.Names {
-		s.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: instanceBooting}
+		s.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting}
 		s.knownSince[name] = c.now
 	}
 	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", r.request.Count, "got", len(e.Names))
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -13,13 +13,6 @@
 	"brassglade/internal/steady"
 )
 
-// States of an instance as the cloud's list says them.
-const (
-	instanceBooting = "booting"
-	instanceRunning = "running"
-	instanceFailed  = "failed"
-)
-
 const (
 	// forgetInstanceAfter is how long an instance that no list has any more is remembered.
 	forgetInstanceAfter = 5 * time.Minute
@@ -178,10 +171,10 @@
 	c.addHeard(all)
 	var machines []machineState
 	for name, m := range all {
-		m.cordon = c.cache.cordons[name]
-		if m.cordon.State == domain.CordonGone {
+		if c.cache.isReturned(name) {
 			continue
 		}
+		m.cordon = c.cache.cordons[name]
 		machineType := c.cache.machineType(m.Type)
 		if machineType == nil {
 			continue
@@ -214,7 +207,7 @@
 	for _, i := range c.inventory() {
 		m := all[i.name]
 		if m == nil {
-			m = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: instanceRunning}}
+			m = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: domain.InstanceRunning}}
 			all[i.name] = m
 		}
 		m.heard = true
@@ -310,7 +303,7 @@
 		switch {
 		case m.heard:
 			heard[m.Zone]++
-		case m.Status == instanceRunning:
+		case m.Status == domain.InstanceRunning:
 			unheard[m.Zone]++
 		}
 	}
@@ -335,13 +328,13 @@
 // isUnheard tells whether nobody hears a running machine, though every controller is heard and
 // nothing else explains it.
 func (r *unheardReview) isUnheard(m *machineState) bool {
-	return r.peersFresh && m.Status == instanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
+	return r.peersFresh && m.Status == domain.InstanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
 // whyDrain is the reason to drain a machine; "": none.
 func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
 	switch {
-	case m.Status == instanceFailed:
+	case m.Status == domain.InstanceFailed:
 		return domain.DrainFailed
 	case c.isStuck(m):
 		return domain.DrainStuck
@@ -355,7 +348,7 @@
 func (c *Controller) isStuck(m *machineState) bool {
 	s := &c.scaling
 	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == instanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
+	if m.Status == domain.InstanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
 		return true
 	}
 	since, unheard := s.unheardSince[m.Name]
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -5,10 +5,9 @@
 	"slices"
 	"strings"
 
-	json "github.com/goccy/go-json"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
 )
 
@@ -72,10 +71,10 @@
 
 // whyNeverRuns tells why a job can never run, "" if it can.
 func (c *Controller) whyNeverRuns(spec *domain.JobSpec) refusal {
-	if !c.guard(GuardNever) {
+	if !c.guard(GuardNeverRuns) {
 		return ""
 	}
-	quota, ok := c.cfg.Teams[spec.Team]
+	team, ok := c.cfg.Teams[spec.Team]
 	if !ok {
 		return unknownTeam
 	}
@@ -83,7 +82,7 @@
 	if spec.Shape == domain.Array {
 		together = 1
 	}
-	if !withinLimit(domain.Resources{}.Plus(spec.Request, together), quota.Limit) {
+	if !quota.Within(domain.Resources{}.Plus(spec.Request, together), team.Limit) {
 		return overTeamLimit
 	}
 	for i := range c.cache.machineTypes {
@@ -144,8 +143,7 @@
 	delete(c.requests.lookups, ev.ID)
 	found := map[string]*codec.JobHeader{}
 	for _, kv := range ev.Items {
-		h := &codec.JobHeader{}
-		if json.Unmarshal(kv.Value, h) == nil {
+		if h, err := codec.Decode[codec.JobHeader](kv.Value); err == nil {
 			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = h
 		}
 	}
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -29,7 +29,7 @@
 			j.failures++
 			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.MaxErrorPause))
 		}
-		c.learner.recordFinish(m)
+		c.learner.recordFinish()
 	})
 }
 
