--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -29,17 +29,19 @@
 		{"drains already", drain(domain.DrainIdle), domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
 		{"gone already", gone, domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
 	} {
-		c := acting()
-		if test.written.State != "" {
-			c.cache.cordons["n"] = test.written
-		}
-		if test.before.State != "" {
-			c.cordons.wanted["n"] = test.before
-		}
-		c.cordon("n", test.now)
-		if got := c.cordons.wanted["n"]; got != test.wanted {
-			t.Errorf("%s: wanted is %v, not %v", test.what, got, test.wanted)
-		}
+		t.Run(test.what, func(t *testing.T) {
+			c := acting()
+			if test.written.State != "" {
+				c.cache.cordons["n"] = test.written
+			}
+			if test.before.State != "" {
+				c.cordons.wanted["n"] = test.before
+			}
+			c.cordon("n", test.now)
+			if got := c.cordons.wanted["n"]; got != test.wanted {
+				t.Errorf("wanted is %v, not %v", got, test.wanted)
+			}
+		})
 	}
 }
 
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,34 +12,37 @@
 	"brassglade/internal/domain"
 )
 
-// open is the value of a new job's header.
-func openHeader(t *testing.T, id string, order uint64, prio int, due float64, needs ...string) domain.KeyValue {
+// openHeader is the header of a new job as it is stored.
+func openHeader(t *testing.T, id string, order uint64, priority int, deadline float64, needs ...string) domain.KeyValue {
 	t.Helper()
-	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(prio), TaskCount: 2, EstimatedRuntime: 10, Deadline: due}}
-	if l := codec.JoinNames(needs, 1<<20); len(l) > 0 {
-		h.Spec.DependencyText = l[0]
+	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(priority), TaskCount: 2, EstimatedRuntime: 10, Deadline: deadline}}
+	if texts := codec.JoinNames(needs, 1<<20); len(texts) > 0 {
+		header.Spec.DependencyText = texts[0]
 	}
-	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(h), ModRevision: order}
+	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(header), ModRevision: order}
 }
 
-func overHeader(id string, s domain.JobState, stamp uint64) domain.KeyValue {
-	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: s, TaskCount: 2, Released: s == domain.StateCancelled}), ModRevision: stamp}
+// overHeader is the header of a job that is over, as it is stored.
+func overHeader(id string, state domain.JobState, revision uint64) domain.KeyValue {
+	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: state, TaskCount: 2, Released: state == domain.StateCancelled}), ModRevision: revision}
 }
 
+// jobName is the ID of the i-th job.
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
 
+// openIDs are the jobs whose tasks may start, in order.
 func openIDs(c *Controller) []string {
-	var l []string
+	var ids []string
 	for _, j := range c.cache.openJobs {
-		l = append(l, j.ID)
+		ids = append(ids, j.ID)
 	}
-	return l
+	return ids
 }
 
-// TestNeedsInAnyOrder: whatever order headers arrive in, as in a snapshot's pages,
+// TestDependenciesArriveInAnyOrder: whatever order headers arrive in, as in a snapshot's pages,
 // the same jobs may start and the same are cancelled.
-func TestNeedsInAnyOrder(t *testing.T) {
+func TestDependenciesArriveInAnyOrder(t *testing.T) {
 	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4;
 	// 6 is cancelled; 7 depends on nothing.
 	kvs := []domain.KeyValue{
@@ -47,9 +50,9 @@
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
 		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), domain.StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
 	}
-	r := rand.New(rand.NewPCG(3, 4))
+	random := rand.New(rand.NewPCG(3, 4))
 	for round := 0; round < 50; round++ {
-		r.Shuffle(len(kvs), func(a, b int) { kvs[a], kvs[b] = kvs[b], kvs[a] })
+		random.Shuffle(len(kvs), func(a, b int) { kvs[a], kvs[b] = kvs[b], kvs[a] })
 		c := New(Settings{Node: "c-0"}, "x")
 		for _, kv := range kvs {
 			c.apply(kv)
@@ -139,12 +142,12 @@
 // do, by the times that the headers tell.
 func TestAgesSurviveRestarts(t *testing.T) {
 	wall := int64(1_700_000_000_000)
-	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
+	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
 	c := New(Settings{Node: "c-0", WallClockMS: wall}, "x")
 	c.now = 2 * time.Second
 	c.loadSnapshot(SnapshotLoaded{Revision: 9, Items: []domain.KeyValue{
 		{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(codec.JobHeader{State: domain.StateDone, TaskCount: 1, DoneAtMS: wall - 30_000}), ModRevision: 5},
-		{Key: codec.KeyJob(jobName(2)), Value: codec.Encode(h), ModRevision: 3},
+		{Key: codec.KeyJob(jobName(2)), Value: codec.Encode(header), ModRevision: 3},
 	}})
 	j := c.cache.jobs[jobName(2)]
 	if age := (c.now - time.Duration(j.readyAt)).Seconds(); age != 32 {
@@ -170,15 +173,16 @@
 }
 
 // said returns the last answer to a user.
-func said(c *Controller) (u UserReply) {
-	for _, e := range c.effects {
-		if x, ok := e.(UserReply); ok {
-			u = x
+func said(c *Controller) (reply UserReply) {
+	for _, effect := range c.effects {
+		if answer, ok := effect.(UserReply); ok {
+			reply = answer
 		}
 	}
-	return u
+	return reply
 }
 
+// submission is one of a job of one task that depends on the needed ones.
 func submission(id string, needs ...string) JobSubmitted {
 	return JobSubmitted{RequestID: 1, ID: id, Spec: &domain.JobSpec{ID: id, Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, Dependencies: needs}}
 }
@@ -188,18 +192,18 @@
 	t.Helper()
 	for len(c.commits.pending) > 0 {
 		for _, id := range []uint64{c.commits.nextID} {
-			p := c.commits.pending[id]
-			if p == nil {
+			pending := c.commits.pending[id]
+			if pending == nil {
 				t.Fatal("an older commit is still under way")
 			}
-			if len(p.transaction.Puts) > c.cfg.TransactionLimit || len(p.transaction.Conditions) > 4*c.cfg.TransactionLimit {
-				t.Fatalf("%d changes, %d conditions", len(p.transaction.Puts), len(p.transaction.Conditions))
+			if len(pending.transaction.Puts) > c.cfg.TransactionLimit || len(pending.transaction.Conditions) > 4*c.cfg.TransactionLimit {
+				t.Fatalf("%d changes, %d conditions", len(pending.transaction.Puts), len(pending.transaction.Conditions))
 			}
-			for _, a := range p.transaction.Puts {
-				if len(a.Value) > c.cfg.ValueLimit {
-					t.Fatalf("%s has %d bytes", a.Key, len(a.Value))
+			for _, put := range pending.transaction.Puts {
+				if len(put.Value) > c.cfg.ValueLimit {
+					t.Fatalf("%s has %d bytes", put.Key, len(put.Value))
 				}
-				keys = append(keys, a.Key)
+				keys = append(keys, put.Key)
 			}
 			c.cache.revision++
 			c.onCommit(CommitAnswered{ID: id, Result: domain.Committed, Revision: c.cache.revision})
@@ -208,10 +212,10 @@
 	return keys
 }
 
-// TestThousandsAwaited: a submission may name thousands of jobs. The list lies in
+// TestAJobMayDependOnThousands: a submission may name thousands of jobs. The list lies in
 // pieces beside the header, which comes last; another controller that reads them in any
 // order knows the same jobs, and a job none of whose pieces is there yet waits.
-func TestThousandsAwaited(t *testing.T) {
+func TestAJobMayDependOnThousands(t *testing.T) {
 	c := acting()
 	var needs []string
 	for i := 0; i < 4000; i++ {
@@ -219,46 +223,63 @@
 		needs = append(needs, jobName(i))
 	}
 	c.cache.revision = 5000
-	e := submission("job-999999", append(needs, needs...)...) // duplicates count once
 	c.effects = nil
-	c.onJobSubmitted(e)
+	c.onJobSubmitted(submission("job-999999", append(needs, needs...)...)) // duplicates count once
 	keys := commitAll(t, c)
 	if len(keys) < 10 || keys[len(keys)-1] != "b/job/job-999999" || said(c).Status != 201 {
 		t.Fatalf("%d keys written, %+v", len(keys), said(c))
 	}
 	j := c.cache.jobs["job-999999"]
 	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
-		t.Fatalf("%d jobs awaited, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
+		t.Fatalf("%d jobs needed, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
 	// Another controller, the header first.
-	o := New(Settings{Node: "c-1"}, "y")
-	o.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
-	if o.cache.jobs[j.ID].phase != phaseWaiting {
+	other := New(Settings{Node: "c-1"}, "y")
+	other.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
+	if other.cache.jobs[j.ID].phase != phaseWaiting {
 		t.Fatal("starts without its list")
 	}
 	for k, text := range codec.JoinNames(needs, c.cfg.ValueLimit-400) {
-		o.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
+		other.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
 	}
-	if o.cache.jobs[j.ID].unfinishedDependencies != 4000 {
-		t.Fatalf("the other controller knows of %d", o.cache.jobs[j.ID].unfinishedDependencies)
+	if other.cache.jobs[j.ID].unfinishedDependencies != 4000 {
+		t.Fatalf("the other controller knows of %d", other.cache.jobs[j.ID].unfinishedDependencies)
 	}
 	for i, id := range needs {
-		if o.cache.jobs[j.ID].phase != phaseWaiting {
+		if other.cache.jobs[j.ID].phase != phaseWaiting {
 			t.Fatalf("starts with %d of 4000 done", i)
 		}
-		o.apply(overHeader(id, domain.StateDone, uint64(10000+i)))
+		other.apply(overHeader(id, domain.StateDone, uint64(10000+i)))
 	}
-	if o.cache.jobs[j.ID].phase != phaseOpen {
+	if other.cache.jobs[j.ID].phase != phaseOpen {
 		t.Error("never opens")
 	}
 }
 
-// TestWhatMayBeAwaited: what the answer to a submission is, and from which
+// submitAndAnswer has the controller take a submission and answer it once it has reached a
+// read index and read the header that its cache lacks.
+func submitAndAnswer(t *testing.T, c *Controller, submitted JobSubmitted, elsewhere domain.KeyValue) {
+	t.Helper()
+	c.effects = nil
+	c.onJobSubmitted(submitted)
+	for id := range c.requests.lookups {
+		c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
+	}
+	if len(c.requests.waiting) > 0 && said(c).Status != 0 {
+		t.Errorf("answered %d before its read index", said(c).Status)
+	}
+	c.reachReadIndex()
+	c.wakeWaiters()
+	commitAll(t, c)
+}
+
+// TestWhatAJobMayDependOn: what the answer to a submission is, and from which
 // knowledge.
-func TestWhatMayBeAwaited(t *testing.T) {
+func TestWhatAJobMayDependOn(t *testing.T) {
 	service := openHeader(t, jobName(3), 8, 0, 0)
 	service.Value = []byte(strings.Replace(string(service.Value), `"array"`, `"service"`, 1))
-	for name, x := range map[string]struct {
+	elsewhere := openHeader(t, jobName(5), 90, 0, 0) // the state service has it, the cache lacks it
+	for name, test := range map[string]struct {
 		needs  []string
 		status int
 		open   bool
@@ -272,41 +293,29 @@
 		"one accepted elsewhere":  {[]string{jobName(5)}, 201, false},
 		"nothing but known names": {nil, 201, true},
 	} {
-		c := acting()
-		for _, kv := range []domain.KeyValue{overHeader(jobName(1), domain.StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), domain.StateCancelled, 9)} {
-			c.apply(kv)
-		}
-		c.effects = nil
-		c.onJobSubmitted(submission(jobName(9), x.needs...))
-		for id := range c.requests.lookups { // the state service has what the cache lacks
-			elsewhere := openHeader(t, jobName(5), 90, 0, 0)
-			c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
-		}
-		if len(c.requests.waiting) > 0 && said(c).Status != 0 {
-			t.Errorf("%s: answered %d before its read index", name, said(c).Status)
-		}
-		c.reachReadIndex()
-		c.wakeWaiters()
-		commitAll(t, c)
-		if u := said(c); u.Status != x.status {
-			t.Errorf("%s: %+v", name, u)
-		}
-		if got := slices.Contains(openIDs(c), jobName(9)); got != x.open {
-			t.Errorf("%s: may start %v", name, got)
-		}
-		if j := c.cache.jobs[jobName(9)]; name == "a cancelled one" && (j == nil || !j.cancelled()) {
-			t.Error("accepted, but not cancelled")
-		}
-		// A repeat gets 200 whatever it names now.
-		if x.status == 201 {
-			c.effects = nil
-			c.onJobSubmitted(submission(jobName(9), jobName(8)))
-			c.reachReadIndex()
-			c.wakeWaiters()
-			if u := said(c); u.Status != 200 {
-				t.Errorf("%s: a repeat gets %d", name, u.Status)
+		t.Run(name, func(t *testing.T) {
+			c := acting()
+			for _, kv := range []domain.KeyValue{overHeader(jobName(1), domain.StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), domain.StateCancelled, 9)} {
+				c.apply(kv)
 			}
-		}
+			submitAndAnswer(t, c, submission(jobName(9), test.needs...), elsewhere)
+			if reply := said(c); reply.Status != test.status {
+				t.Errorf("%+v", reply)
+			}
+			if got := slices.Contains(openIDs(c), jobName(9)); got != test.open {
+				t.Errorf("may start %v", got)
+			}
+			if j := c.cache.jobs[jobName(9)]; name == "a cancelled one" && (j == nil || !j.cancelled()) {
+				t.Error("accepted, but not cancelled")
+			}
+			// A repeat gets 200 whatever it names now.
+			if test.status == 201 {
+				submitAndAnswer(t, c, submission(jobName(9), jobName(8)), elsewhere)
+				if reply := said(c); reply.Status != 200 {
+					t.Errorf("a repeat gets %d", reply.Status)
+				}
+			}
+		})
 	}
 	// Before all controllers know what dependencies are.
 	c := acting()
@@ -314,7 +323,7 @@
 	c.apply(overHeader(jobName(1), domain.StateDone, 5))
 	c.effects = nil
 	c.onJobSubmitted(submission(jobName(9), jobName(1)))
-	if u := said(c); u.Status != 503 {
-		t.Errorf("before the switch: %+v", u)
+	if reply := said(c); reply.Status != 503 {
+		t.Errorf("before the switch: %+v", reply)
 	}
 }
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -8,10 +8,10 @@
 	"brassglade/internal/domain"
 )
 
-// TestNewSessionIsNotGivenUpForTheOld: after an outage longer than the lease a machine
+// TestNewAgentEpochIsNotAbandonedForTheOldOne: after an outage longer than the lease a machine
 // comes back in a new agent epoch. Its lease runs from the beginning of that epoch, not
 // from the last answer to the old one.
-func TestNewSessionIsNotGivenUpForTheOld(t *testing.T) {
+func TestNewAgentEpochIsNotAbandonedForTheOldOne(t *testing.T) {
 	c := New(Settings{Node: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
 	c.now = 10 * time.Second
@@ -38,15 +38,16 @@
 	c.Step(0, Tick{})
 	c.Step(time.Millisecond, LeaseGranted{OK: true, LeaseID: 1})
 	writes := 0
-	for ms := 2; ms < 300; ms++ {
-		for id, p := range c.commits.pending {
-			if p.transaction.Puts[0].Key == codec.PrefixMember+"c-0" {
+	for milliseconds := 2; milliseconds < 300; milliseconds++ {
+		now := time.Duration(milliseconds) * time.Millisecond
+		for id, pending := range c.commits.pending {
+			if pending.transaction.Puts[0].Key == codec.PrefixMember+"c-0" {
 				writes++
-				c.Step(time.Duration(ms)*time.Millisecond, CommitAnswered{ID: id, Result: domain.Refused})
+				c.Step(now, CommitAnswered{ID: id, Result: domain.Refused})
 				break
 			}
 		}
-		c.Step(time.Duration(ms)*time.Millisecond, Tick{})
+		c.Step(now, Tick{})
 	}
 	if writes != 1 {
 		t.Errorf("written %d times in 300 ms", writes)
@@ -100,13 +101,15 @@
 	task := c.cache.jobs[id.Job].task(0)
 	attempt := attemptID{id, task.Attempt}
 	said := func(change func(*domain.Heartbeat), isHeartbeat bool) bool {
-		r := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
-		change(r)
-		c.recordHeartbeat(m, r, isHeartbeat)
+		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
+		change(heartbeat)
+		c.recordHeartbeat(m, heartbeat, isHeartbeat)
 		return c.provenOff(m, id, task)
 	}
 	reports := func(attempt uint64, state string) func(*domain.Heartbeat) {
-		return func(r *domain.Heartbeat) { r.Tasks = []domain.TaskReport{{Task: id, Attempt: attempt, State: state}} }
+		return func(heartbeat *domain.Heartbeat) {
+			heartbeat.Tasks = []domain.TaskReport{{Task: id, Attempt: attempt, State: state}}
+		}
 	}
 	m.startsSent[attempt] = 4
 	for _, test := range []struct {
@@ -121,13 +124,15 @@
 		{"another attempt ended", reports(task.Attempt+1, domain.ReportedEnded), true, false},
 		{"its start got lost", func(*domain.Heartbeat) {}, true, true},
 		{"a direct answer lacks it", func(*domain.Heartbeat) {}, false, false},
-		{"its start may be under way", func(r *domain.Heartbeat) { r.Sequence = 4 }, true, false},
-		{"an earlier owner's answer may be under way", func(r *domain.Heartbeat) { r.FencingToken = 0 }, true, false},
-		{"a later agent epoch", func(r *domain.Heartbeat) { r.AgentEpoch, r.Sequence = 2, 1 }, true, true},
+		{"its start may be under way", func(heartbeat *domain.Heartbeat) { heartbeat.Sequence = 4 }, true, false},
+		{"an earlier owner's answer may be under way", func(heartbeat *domain.Heartbeat) { heartbeat.FencingToken = 0 }, true, false},
+		{"a later agent epoch", func(heartbeat *domain.Heartbeat) { heartbeat.AgentEpoch, heartbeat.Sequence = 2, 1 }, true, true},
 	} {
-		if got := said(test.change, test.isHeartbeat); got != test.proven {
-			t.Errorf("%s: proven off: %v", test.what, got)
-		}
+		t.Run(test.what, func(t *testing.T) {
+			if got := said(test.change, test.isHeartbeat); got != test.proven {
+				t.Errorf("proven off: %v", got)
+			}
+		})
 	}
 	m.agentEpoch = 0
 	if c.provenOff(m, id, task) {
@@ -149,15 +154,15 @@
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for want, change := range map[startRefusal]func(*Controller, *Machine, *Job, attemptID){
 		startAllowed: func(*Controller, *Machine, *Job, attemptID) {},
-		alreadyThere: func(_ *Controller, m *Machine, _ *Job, a attemptID) {
-			m.reported[id] = domain.TaskReport{Task: id, Attempt: a.Attempt}
+		alreadyThere: func(_ *Controller, m *Machine, _ *Job, attempt attemptID) {
+			m.reported[id] = domain.TaskReport{Task: id, Attempt: attempt.Attempt}
 		},
-		gangStopped:      func(_ *Controller, _ *Machine, j *Job, a attemptID) { j.Header.StopThrough = a.Attempt },
+		gangStopped:      func(_ *Controller, _ *Machine, j *Job, attempt attemptID) { j.Header.StopThrough = attempt.Attempt },
 		otherEpoch:       func(_ *Controller, m *Machine, _ *Job, _ attemptID) { m.agentEpoch++ },
 		jobClosed:        func(_ *Controller, _ *Machine, j *Job, _ attemptID) { j.Header.State = domain.StateCancelled },
-		releaseTried:     func(c *Controller, _ *Machine, _ *Job, a attemptID) { c.planner.pendingReleases[a] = true },
+		releaseTried:     func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.pendingReleases[attempt] = true },
 		machineTaken:     func(c *Controller, m *Machine, _ *Job, _ attemptID) { m.preemptionAt = c.now },
-		attemptPreempted: func(c *Controller, _ *Machine, _ *Job, a attemptID) { c.planner.preempted[a] = true },
+		attemptPreempted: func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.preempted[attempt] = true },
 	} {
 		c, m := booked(t, "")
 		j := c.cache.jobs[id.Job]
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -13,7 +13,7 @@
 func TestWhyDrain(t *testing.T) {
 	const long = time.Hour
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}
-	idle := func(s *scaling) { s.idleSince["n"] = 0 }
+	idle := func(state *scaling) { state.idleSince["n"] = 0 }
 	for _, test := range []struct {
 		what    string
 		machine machineState
@@ -21,33 +21,35 @@
 		pending []pendingWork
 		reason  string
 	}{
-		{"failed", machineState{Instance: domain.Instance{Status: "failed"}}, nil, nil, domain.DrainFailed},
-		{"boots for too long", machineState{Instance: domain.Instance{Status: "booting"}}, nil, nil, domain.DrainStuck},
-		{"boots, and is heard", machineState{Instance: domain.Instance{Status: "booting"}, heard: true}, nil, nil, ""},
-		{"unheard for long", machineState{Instance: domain.Instance{Status: "running"}}, func(s *scaling) { s.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
-		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: "running"}}, nil, nil, ""},
-		{"idle", machineState{Instance: domain.Instance{Status: "running"}, heard: true}, idle, nil, domain.DrainIdle},
-		{"idle for a moment", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
-			func(s *scaling) { s.idleSince["n"] = long }, nil, ""},
-		{"idle, and just rented", machineState{Instance: domain.Instance{Status: "running"}, heard: true},
-			func(s *scaling) { idle(s); s.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
-		{"idle, and wanted", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
+		{"failed", machineState{Instance: domain.Instance{Status: domain.InstanceFailed}}, nil, nil, domain.DrainFailed},
+		{"boots for too long", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}}, nil, nil, domain.DrainStuck},
+		{"boots, and is heard", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}, heard: true}, nil, nil, ""},
+		{"unheard for long", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, func(state *scaling) { state.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
+		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, nil, nil, ""},
+		{"idle", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true}, idle, nil, domain.DrainIdle},
+		{"idle for a moment", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true},
+			func(state *scaling) { state.idleSince["n"] = long }, nil, ""},
+		{"idle, and just rented", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true},
+			func(state *scaling) { idle(state); state.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
+		{"idle, and wanted", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 16000}},
 			idle, []pendingWork{{spec: spec, tasks: 1}}, ""},
-		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: "running"}, heard: true, free: domain.Resources{CPU: 16000}},
-			func(s *scaling) { idle(s); s.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
-		{"busy", machineState{Instance: domain.Instance{Status: "running"}, heard: true, tasks: 1}, nil, nil, ""},
+		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 16000}},
+			func(state *scaling) { idle(state); state.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
+		{"busy", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, tasks: 1}, nil, nil, ""},
 	} {
-		c := acting()
-		c.now = long
-		c.scaling.knownSince["n"] = 0
-		if test.change != nil {
-			test.change(&c.scaling)
-		}
-		m := test.machine
-		m.Name, m.Type, m.Zone = "n", "box", "a"
-		if got := c.whyDrain(&m, test.pending); got != test.reason {
-			t.Errorf("%s: drained for %q, not %q", test.what, got, test.reason)
-		}
+		t.Run(test.what, func(t *testing.T) {
+			c := acting()
+			c.now = long
+			c.scaling.knownSince["n"] = 0
+			if test.change != nil {
+				test.change(&c.scaling)
+			}
+			m := test.machine
+			m.Name, m.Type, m.Zone = "n", "box", "a"
+			if got := c.whyDrain(&m, test.pending); got != test.reason {
+				t.Errorf("drained for %q, not %q", got, test.reason)
+			}
+		})
 	}
 }
 
@@ -71,14 +73,16 @@
 		{"lost, with a booking", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost},
 			func(c *Controller) { c.cache.bookedOn["n"] = map[domain.TaskID]bool{id: true} }, true},
 	} {
-		c := acting()
-		c.cache.cordons["n"] = test.cordon
-		if test.change != nil {
-			test.change(c)
-		}
-		if got := c.mayReturn("n"); got != test.may {
-			t.Errorf("%s: may be returned: %v", test.what, got)
-		}
+		t.Run(test.what, func(t *testing.T) {
+			c := acting()
+			c.cache.cordons["n"] = test.cordon
+			if test.change != nil {
+				test.change(c)
+			}
+			if got := c.mayReturn("n"); got != test.may {
+				t.Errorf("may be returned: %v", got)
+			}
+		})
 	}
 }
 
@@ -88,25 +92,25 @@
 	c := acting()
 	c.cache.machineTypes[0].Price = 1
 	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
-	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: "running"}, heard: true, free: domain.Resources{CPU: 8000}}
+	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 8000}}
 	plan := scaleOutPlan{there: c.roomToCountOn([]machineState{there})}
-	w := unplacedWork{pendingWork: pendingWork{spec: spec}, left: 7}
-	c.packThere(&plan, &w)
-	if w.left != 5 || plan.there[0].free.CPU != 0 {
-		t.Errorf("%d of 7 tasks are left after a machine with room for two", w.left)
+	unplaced := unplacedWork{pendingWork: pendingWork{spec: spec}, left: 7}
+	c.packThere(&plan, &unplaced)
+	if unplaced.left != 5 || plan.there[0].free.CPU != 0 {
+		t.Errorf("%d of 7 tasks are left after a machine with room for two", unplaced.left)
 	}
-	c.planMachines(&plan, &w)
-	if w.left != 0 || len(plan.planned) != 2 {
-		t.Errorf("%d machines are planned for 5 tasks of which 4 fit on one, %d tasks are left", len(plan.planned), w.left)
+	c.planMachines(&plan, &unplaced)
+	if unplaced.left != 0 || len(plan.planned) != 2 {
+		t.Errorf("%d machines are planned for 5 tasks of which 4 fit on one, %d tasks are left", len(plan.planned), unplaced.left)
 	}
-	w.left = 4
-	c.packPlanned(&plan, &w)
-	if w.left != 1 {
-		t.Errorf("%d of 4 tasks are left after planned machines with room for three", w.left)
+	unplaced.left = 4
+	c.packPlanned(&plan, &unplaced)
+	if unplaced.left != 1 {
+		t.Errorf("%d of 4 tasks are left after planned machines with room for three", unplaced.left)
 	}
 	c.scaling.reserved["n"] = true
-	plan, w.left = scaleOutPlan{there: c.roomToCountOn([]machineState{there})}, 1
-	if c.packThere(&plan, &w); w.left != 1 {
+	plan, unplaced.left = scaleOutPlan{there: c.roomToCountOn([]machineState{there})}, 1
+	if c.packThere(&plan, &unplaced); unplaced.left != 1 {
 		t.Error("a machine kept for other jobs counts as room")
 	}
 }
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -28,7 +28,7 @@
 // those that would wait in the queue of their machine, and never those that start at once.
 func TestStealAnswer(t *testing.T) {
 	id := func(job, index int) domain.TaskID { return domain.TaskID{Job: jobName(job), Index: index} }
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		from    string
 		request StealRequest
@@ -58,25 +58,27 @@
 			change:  func(c *Controller) { c.cache.jobs[jobName(2)].pausedUntil = int64(c.now) + 1 },
 			want:    []domain.TaskID{id(1, 2)}},
 	} {
-		c := stealing(t, 1)
-		m := c.heartbeats.machines["n-000000"]
-		c.apply(openJob(t, 1, 3, 1, 6000)) // in the queue: two start at once, one has to wait
-		c.apply(openJob(t, 2, 2, 1, 1000)) // in no queue
-		for i := 0; i < 3; i++ {
-			c.enqueue(id(1, i), m)
-		}
-		if x.change != nil {
-			x.change(c)
-		}
-		c.onSteal(x.from, &x.request)
-		if got := sortedTasks(maps.Clone(c.planner.taskHandovers)); !slices.Equal(got, x.want) {
-			t.Errorf("%s: %v handed over, not %v", x.name, got, x.want)
-		}
-		for task, to := range c.planner.taskHandovers {
-			if to != x.from {
-				t.Errorf("%s: %v goes to %s", x.name, task, to)
+		t.Run(test.name, func(t *testing.T) {
+			c := stealing(t, 1)
+			m := c.heartbeats.machines["n-000000"]
+			c.apply(openJob(t, 1, 3, 1, 6000)) // in the queue: two start at once, one has to wait
+			c.apply(openJob(t, 2, 2, 1, 1000)) // in no queue
+			for i := 0; i < 3; i++ {
+				c.enqueue(id(1, i), m)
 			}
-		}
+			if test.change != nil {
+				test.change(c)
+			}
+			c.onSteal(test.from, &test.request)
+			if got := sortedTasks(maps.Clone(c.planner.taskHandovers)); !slices.Equal(got, test.want) {
+				t.Errorf("%v handed over, not %v", got, test.want)
+			}
+			for task, to := range c.planner.taskHandovers {
+				if to != test.from {
+					t.Errorf("%v goes to %s", task, to)
+				}
+			}
+		})
 	}
 }
 
@@ -84,7 +86,7 @@
 // nothing is booked or queued, and that haven't wandered far.
 func TestStealJobs(t *testing.T) {
 	request := &StealRequest{Type: "box", Zone: "a", Room: domain.Resources{CPU: 5000}, MaxTasks: 100}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name   string
 		tasks  int
 		change func(*Controller, *Job)
@@ -101,20 +103,22 @@
 		{name: "of another shard", tasks: 5, change: func(_ *Controller, j *Job) { j.Header.Shard = "c-1" }},
 		{name: "on its way already", tasks: 5, change: func(c *Controller, j *Job) { c.planner.jobHandovers[j.ID] = "elsewhere" }},
 	} {
-		c := stealing(t, 1)
-		c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, 1500), fits: map[fitKey]bool{}}
-		c.apply(openJob(t, 1, x.tasks, 1, 1000))
-		j := c.cache.jobs[jobName(1)]
-		if x.change != nil {
-			x.change(c, j)
-		}
-		c.onSteal("c-1", request)
-		if got := c.planner.jobHandovers[j.ID] == "c-1"; got != x.want {
-			t.Errorf("%s: given: %t", x.name, got)
-		}
-		if len(c.planner.taskHandovers) > 0 {
-			t.Errorf("%s: single tasks were given", x.name)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			c := stealing(t, 1)
+			c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, 1500), fits: map[fitKey]bool{}}
+			c.apply(openJob(t, 1, test.tasks, 1, 1000))
+			j := c.cache.jobs[jobName(1)]
+			if test.change != nil {
+				test.change(c, j)
+			}
+			c.onSteal("c-1", request)
+			if got := c.planner.jobHandovers[j.ID] == "c-1"; got != test.want {
+				t.Errorf("given: %t", got)
+			}
+			if len(c.planner.taskHandovers) > 0 {
+				t.Errorf("single tasks were given")
+			}
+		})
 	}
 }
 
--- a/internal/scheduler/targets_test.go
+++ b/internal/scheduler/targets_test.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"fmt"
 	"math"
 	"slices"
 	"testing"
@@ -16,7 +17,7 @@
 		{Name: "a", Load: 5, Ref: 0}, masked, {Name: "b", Load: 1, Cost: 1, Ref: 2},
 		{Name: "c", Load: 0, Ref: 3}, {Name: "d", Load: 2, Ref: 4}, {Name: "e", Load: 2, Ref: 5},
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		most int
 		want []string
 	}{
@@ -27,13 +28,15 @@
 		{5, []string{"a", "b", "c", "d", "e"}},
 		{16, []string{"a", "b", "c", "d", "e"}},
 	} {
-		var names []string
-		for _, choice := range leastLoaded(all, x.most) {
-			names = append(names, choice.Name)
-		}
-		if !slices.Equal(names, x.want) {
-			t.Errorf("%d least loaded: %v, not %v", x.most, names, x.want)
-		}
+		t.Run(fmt.Sprint(test.most), func(t *testing.T) {
+			var names []string
+			for _, choice := range leastLoaded(all, test.most) {
+				names = append(names, choice.Name)
+			}
+			if !slices.Equal(names, test.want) {
+				t.Errorf("%d least loaded: %v, not %v", test.most, names, test.want)
+			}
+		})
 	}
 	if got := leastLoaded([]policy.Choice{masked}, 4); got != nil {
 		t.Errorf("all masked: %v", got)
--- a/internal/scheduler/urgency_test.go
+++ b/internal/scheduler/urgency_test.go
@@ -6,8 +6,8 @@
 	"brassglade/internal/tardiness"
 )
 
-// TestTiers: when not all can be in time, the largest job gives way.
-func TestTiers(t *testing.T) {
+// TestTheLargestJobGivesWay: when not all can be in time, the largest job gives way.
+func TestTheLargestJobGivesWay(t *testing.T) {
 	newJob := func(work, goal float64) *urgent {
 		return &urgent{timing: tardiness.Job{Run: 10, Work: work}, goals: []float64{goal, 2 * goal}}
 	}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -21,23 +21,23 @@
 	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
 		ZoneOf:   map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
 		FenceAge: 7 * time.Second, HeartbeatInterval: 5 * time.Second, WorkerLease: 31 * time.Second}, "c-0.1")
-	m := map[string]string{}
-	for _, n := range nodes {
-		m[n] = n + ".1"
+	members := map[string]string{}
+	for _, node := range nodes {
+		members[node] = node + ".1"
 	}
-	c.cache.members = m
-	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: m, Serving: nodes}
+	c.cache.members = members
+	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: nodes}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
 	c.membership.CacheLoaded()
 	for i := 0; i < 2000; i++ {
-		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
-		if o := c.ownerIn(n, z); o == "c-0" {
-			c.recordHeartbeat(c.heartbeats.addMachine(n), &domain.Heartbeat{Machine: n, Type: "box", Zone: z, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+		name, zone := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
+		if owner := c.ownerIn(name, zone); owner == "c-0" {
+			c.recordHeartbeat(c.heartbeats.addMachine(name), &domain.Heartbeat{Machine: name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		} else {
-			if c.peers.byName[o] == nil {
-				c.peers.byName[o] = &peerState{fits: map[fitKey]bool{}}
+			if c.peers.byName[owner] == nil {
+				c.peers.byName[owner] = &peerState{fits: map[fitKey]bool{}}
 			}
-			c.peers.byName[o].machines = append(c.peers.byName[o].machines, PeerMachine{Name: n, Zone: z, AgentEpoch: 1})
+			c.peers.byName[owner].machines = append(c.peers.byName[owner].machines, PeerMachine{Name: name, Zone: zone, AgentEpoch: 1})
 		}
 	}
 	c.pass(time.Minute, func(string) bool { return true })
@@ -46,17 +46,17 @@
 
 // pass lets time go by, with heartbeats of the machines and gossip of the peers for
 // which heard says so; state service and fence are well.
-func (c *Controller) pass(d time.Duration, heard func(string) bool) {
-	for end := c.now + d; c.now < end; {
+func (c *Controller) pass(duration time.Duration, heard func(string) bool) {
+	for end := c.now + duration; c.now < end; {
 		c.now += 500 * time.Millisecond
 		c.confirmNow()
-		for n, p := range c.peers.byName {
-			if heard(n) {
-				p.heardAt = c.now
+		for name, peer := range c.peers.byName {
+			if heard(name) {
+				peer.heardAt = c.now
 			}
 		}
-		for n, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
-			if at := time.Duration(ownership.Hash(n)%10) * 500 * time.Millisecond; heard(n) && c.owns(n) && c.now%(5*time.Second) == at {
+		for name, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
+			if at := time.Duration(ownership.Hash(name)%10) * 500 * time.Millisecond; heard(name) && c.owns(name) && c.now%(5*time.Second) == at {
 				m.heardAt, m.heartbeatAt = c.now, c.now
 			}
 		}
@@ -69,30 +69,30 @@
 // 40 s, since those just taken over counted as heard.
 func TestCutZoneIsKept(t *testing.T) {
 	c := largeFleetLeader()
-	inB := func(n string) bool { return c.cfg.ZoneOf[n] == "b" || c.zoneOf(n) == "b" }
-	c.pass(6*time.Second, func(n string) bool { return !inB(n) })
-	v := *c.cache.view
-	v.Epoch, v.Serving = 4, []string{"c-0", "c-2"}
-	v.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
-	c.adoptView(&v)
+	inB := func(name string) bool { return c.cfg.ZoneOf[name] == "b" || c.zoneOf(name) == "b" }
+	c.pass(6*time.Second, func(name string) bool { return !inB(name) })
+	view := *c.cache.view
+	view.Epoch, view.Serving = 4, []string{"c-0", "c-2"}
+	view.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
+	c.adoptView(&view)
 	for i := 0; i < 2000; i++ { // machines of controllers that left come here by their bookings
-		if n := fmt.Sprintf("n-%06d", i); c.owns(n) && c.heartbeats.machines[n] == nil {
-			c.takeOwnership(n)
-			c.heartbeats.machines[n].Zone, c.heartbeats.machines[n].heardOnce = []string{"a", "b"}[i%2], true
+		if name := fmt.Sprintf("n-%06d", i); c.owns(name) && c.heartbeats.machines[name] == nil {
+			c.takeOwnership(name)
+			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].heardOnce = []string{"a", "b"}[i%2], true
 		}
 	}
-	c.pass(90*time.Second, func(n string) bool { return !inB(n) })
+	c.pass(90*time.Second, func(name string) bool { return !inB(name) })
 	for i := 0; i < 16; i++ { // back one after the other
-		c.pass(500*time.Millisecond, func(n string) bool { return !inB(n) || ownership.Hash(n, "back")%16 < uint64(i) })
+		c.pass(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
 	}
 	c.pass(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.wanted) > 0 {
-		t.Errorf("%d machines of a cut zone were given up", len(c.cordons.wanted))
+		t.Errorf("%d machines of a cut zone were drained", len(c.cordons.wanted))
 	}
 	// A tenth of them hang: these are lost.
-	c.pass(time.Minute, func(n string) bool { return ownership.Hash(n)%10 != 0 })
+	c.pass(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
 	if n := len(c.cordons.wanted); n < 50 || n > 150 {
-		t.Errorf("of about 100 silent machines %d were given up", n)
+		t.Errorf("of about 100 silent machines %d were drained", n)
 	}
 }
 
@@ -101,54 +101,54 @@
 // of their own zone, by one change of the view, until all hear each other again.
 func TestZonesApart(t *testing.T) {
 	c := largeFleetLeader()
-	sameZone := func(n string) bool { return c.cfg.ZoneOf[n] != "b" }
+	sameZone := func(name string) bool { return c.cfg.ZoneOf[name] != "b" }
 	c.pass(5*time.Second, sameZone)
 	visits := func(sequence uint64) {
 		for i := 0; i < 2000; i += 2 {
-			n := fmt.Sprintf("n-%06d", i)
-			if o := c.ownerIn(n, "a"); c.cfg.ZoneOf[o] == "b" {
-				c.recordRedirect(&domain.Heartbeat{Machine: n, Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 3}, o)
+			name := fmt.Sprintf("n-%06d", i)
+			if owner := c.ownerIn(name, "a"); c.cfg.ZoneOf[owner] == "b" {
+				c.recordRedirect(&domain.Heartbeat{Machine: name, Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 3}, owner)
 			}
 		}
 	}
 	visits(2)
-	if v := c.desiredView(); v != nil {
-		t.Fatalf("one visit moved machines: %+v", v)
+	if view := c.desiredView(); view != nil {
+		t.Fatalf("one visit moved machines: %+v", view)
 	}
 	c.pass(7*time.Second, sameZone)
-	if v := c.desiredView(); v != nil {
-		t.Fatalf("machines sent to and fro once by a new view were moved: %+v", v)
+	if view := c.desiredView(); view != nil {
+		t.Fatalf("machines sent to and fro once by a new view were moved: %+v", view)
 	}
 	visits(3)
 	c.pass(time.Second, sameZone)
-	v := c.desiredView()
-	if v == nil || !v.Zoned || len(v.OwnerOverrides) > 0 || len(v.Serving) != 4 {
-		t.Fatalf("view %+v", v)
+	view := c.desiredView()
+	if view == nil || !view.Zoned || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
+		t.Fatalf("view %+v", view)
 	}
-	v.Epoch = 4
-	c.adoptView(v)
+	view.Epoch = 4
+	c.adoptView(view)
 	for i := 0; i < 2000; i++ {
-		n, z := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
-		if o := c.ownerIn(n, z); c.cfg.ZoneOf[o] != z {
-			t.Fatalf("%s in zone %s belongs to %s", n, z, o)
+		name, zone := fmt.Sprintf("n-%06d", i), []string{"a", "b"}[i%2]
+		if owner := c.ownerIn(name, zone); c.cfg.ZoneOf[owner] != zone {
+			t.Fatalf("%s in zone %s belongs to %s", name, zone, owner)
 		}
 	}
 	// Whoever knows no zone finds no owner, and owns nothing by mistake.
-	if o := c.ownerOf("n-999999"); o != "" {
-		t.Errorf("a machine of no known zone belongs to %s", o)
+	if owner := c.ownerOf("n-999999"); owner != "" {
+		t.Errorf("a machine of no known zone belongs to %s", owner)
 	}
 	c.pass(20*time.Second, sameZone)
-	if v := c.desiredView(); v != nil && !v.Zoned {
+	if view := c.desiredView(); view != nil && !view.Zoned {
 		t.Error("the zones were joined while apart")
 	}
 	for i := 0; i < 30; i++ {
 		c.pass(time.Second, func(string) bool { return true })
-		if v = c.desiredView(); v != nil {
+		if view = c.desiredView(); view != nil {
 			break
 		}
 	}
-	if v == nil || v.Zoned {
-		t.Errorf("all heard each other again, view %+v", v)
+	if view == nil || view.Zoned {
+		t.Errorf("all heard each other again, view %+v", view)
 	}
 }
 
@@ -158,21 +158,21 @@
 func TestOverridesArePaced(t *testing.T) {
 	c := largeFleetLeader()
 	loseMachines := func() {
-		n := 0
-		for i := 0; n < 5 && i < 2000; i++ {
-			m := fmt.Sprintf("n-%06d", i)
-			if o := c.ownerIn(m, "a"); o == "c-2" && c.views.redirects[m] == nil {
-				n++
-				c.views.redirects[m] = []redirect{{c.now - 8*time.Second, "c-2/c-2.1", 1, "a"}, {c.now - 2*time.Second, "c-2/c-2.1", 1, "a"}}
+		lost := 0
+		for i := 0; lost < 5 && i < 2000; i++ {
+			name := fmt.Sprintf("n-%06d", i)
+			if owner := c.ownerIn(name, "a"); owner == "c-2" && c.views.redirects[name] == nil {
+				lost++
+				c.views.redirects[name] = []redirect{{c.now - 8*time.Second, "c-2/c-2.1", 1, "a"}, {c.now - 2*time.Second, "c-2/c-2.1", 1, "a"}}
 			}
 		}
 	}
 	views := 0
 	for i := 0; i < 24; i++ {
 		loseMachines()
-		if v := c.desiredView(); v != nil {
-			v.Epoch = c.cache.view.Epoch + 1
-			c.adoptView(v)
+		if view := c.desiredView(); view != nil {
+			view.Epoch = c.cache.view.Epoch + 1
+			c.adoptView(view)
 			views++
 		}
 		c.pass(500*time.Millisecond, func(string) bool { return true })
@@ -182,37 +182,37 @@
 	}
 }
 
-// TestHeldReportsAreNoSign: reports that a cut held back come all at once. None
+// TestHeldHeartbeatsDontCountAsUnheeded: heartbeats that a cut held back come all at once. None
 // of them can show the answer to the one before, yet 31 machines were cordoned as
 // reached by nothing and returned.
-func TestHeldReportsAreNoSign(t *testing.T) {
+func TestHeldHeartbeatsDontCountAsUnheeded(t *testing.T) {
 	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
-		r := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
-		c.checkRepliesHeeded(m, r)
-		c.recordHeartbeat(m, r, true)
+		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
+		c.checkRepliesHeeded(m, heartbeat)
+		c.recordHeartbeat(m, heartbeat, true)
 		m.answeredAt = c.now
 		c.now += time.Millisecond
 	}
 	if m.unheededReplies != 0 {
-		t.Errorf("%d reports count as unheeded", m.unheededReplies)
+		t.Errorf("%d heartbeats count as unheeded", m.unheededReplies)
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
 		c.checkRepliesHeeded(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
 	if m.unheededReplies != 2 {
-		t.Errorf("%d reports count as unheeded, each 5 s after an answer", m.unheededReplies)
+		t.Errorf("%d heartbeats count as unheeded, each 5 s after an answer", m.unheededReplies)
 	}
 }
 
-// TestOthersValuesInTurns: outcomes of tasks whose records are in other shards'
+// TestValuesOfOtherShardsAreCommittedInTurns: outcomes of tasks whose records are in other shards'
 // values go into commits of their own, one value each. In one commit with the
 // rest they failed it each time their owners wrote first: after a zone's return
 // its controllers had not one commit through for the rest of the day.
-func TestOthersValuesInTurns(t *testing.T) {
+func TestValuesOfOtherShardsAreCommittedInTurns(t *testing.T) {
 	c := largeFleetLeader()
 	revision := c.ended("c-0/0", "c-1/0", "c-2/3", "c-0/1")
 	var seen []string
@@ -225,9 +225,9 @@
 			continue
 		}
 		packs := ""
-		for _, a := range c.commits.taskCommit.transaction.Puts {
-			if strings.HasPrefix(a.Key, codec.PrefixPack) {
-				packs += a.Key[len(codec.PrefixPack):] + " "
+		for _, put := range c.commits.taskCommit.transaction.Puts {
+			if strings.HasPrefix(put.Key, codec.PrefixPack) {
+				packs += put.Key[len(codec.PrefixPack):] + " "
 			}
 		}
 		seen = append(seen, packs)
@@ -243,25 +243,25 @@
 // ended gives the controller a job in each of the packs, one of whose tasks has ended
 // on a machine of its own; it returns the revision.
 func (c *Controller) ended(packs ...string) uint64 {
-	var mine []string
-	for _, n := range c.heartbeats.machineNames() {
-		if c.owns(n) && len(mine) < len(packs) {
-			mine = append(mine, n)
+	var own []string
+	for _, name := range c.heartbeats.machineNames() {
+		if c.owns(name) && len(own) < len(packs) {
+			own = append(own, name)
 		}
 	}
 	revision := uint64(10)
-	put := func(key string, v any) {
+	put := func(key string, value any) {
 		revision++
-		c.apply(domain.KeyValue{Key: key, Value: codec.Encode(v), ModRevision: revision})
+		c.apply(domain.KeyValue{Key: key, Value: codec.Encode(value), ModRevision: revision})
 	}
 	for i, pack := range packs {
 		id := fmt.Sprintf("job-00000%d", i)
 		put(codec.KeyJob(id), &codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
 			Spec: &domain.JobSpec{Class: "x", Team: "red", Shape: domain.Array, TaskCount: 2, Request: domain.Resources{CPU: 1000}}})
-		v := &codec.ChunkValue{Texts: map[string]string{}}
-		v.Put(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: mine[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(mine[i])}, {State: domain.Done}})
-		put(codec.PrefixPack+pack, v)
-		c.recordHeartbeat(c.heartbeats.machines[mine[i]], &domain.Heartbeat{Machine: mine[i], Type: "box", Zone: c.zoneOf(mine[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
+		chunk := &codec.ChunkValue{Texts: map[string]string{}}
+		chunk.Put(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: own[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(own[i])}, {State: domain.Done}})
+		put(codec.PrefixPack+pack, chunk)
+		c.recordHeartbeat(c.heartbeats.machines[own[i]], &domain.Heartbeat{Machine: own[i], Type: "box", Zone: c.zoneOf(own[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
 			Tasks: []domain.TaskReport{{Task: domain.TaskID{Job: id, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}}}, true)
 	}
 	c.cache.revision = revision
@@ -274,7 +274,7 @@
 	c := largeFleetLeader()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
 	c.ended("c-0/0")
-	turn := func(r domain.CommitResult) {
+	turn := func(result domain.CommitResult) {
 		c.now += 2 * time.Second
 		c.confirmNow()
 		c.planner.dirty = true
@@ -282,7 +282,7 @@
 		if c.commits.taskCommit == nil {
 			t.Fatalf("no commit at %v", c.now)
 		}
-		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: r})
+		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: result})
 	}
 	for i := 0; i < 12; i++ {
 		turn(domain.Refused)
