--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -15,7 +15,7 @@
 	saveSlackSeconds = 2
 	// preemptionSaveSlackSeconds is the same before the cloud takes the machine.
 	preemptionSaveSlackSeconds = 4
-	// smallTaskShare: a task that needs one part in so many of a machine is small.
+	// smallTaskShare: a task that needs a machine's resources divided by this is small.
 	smallTaskShare = 8
 )
 
@@ -60,8 +60,8 @@
 
 // hasUncommittedEnds tells whether m reports ended tasks whose outcome isn't committed yet.
 func (c *cache) hasUncommittedEnds(m *Machine) bool {
-	for _, s := range m.reported {
-		if s.State == domain.ReportedEnded && c.isBooking(m, s) {
+	for _, report := range m.reported {
+		if report.State == domain.ReportedEnded && c.isBooking(m, report) {
 			return true
 		}
 	}
@@ -80,35 +80,35 @@
 
 // answerHeartbeat says 200 with the commands that follow from committed state alone, or 503
 // if that may not be said any more.
-func (c *Controller) answerHeartbeat(h *pendingHeartbeat) {
-	if c.heartbeats.pending[h.machine] == h {
-		delete(c.heartbeats.pending, h.machine)
+func (c *Controller) answerHeartbeat(pending *pendingHeartbeat) {
+	if c.heartbeats.pending[pending.machine] == pending {
+		delete(c.heartbeats.pending, pending.machine)
 	}
-	m := c.heartbeats.machines[h.machine]
-	if m == nil || !c.mayAnswer(m, h) {
-		c.emit(HeartbeatReply{RequestID: h.requestID, Status: 503})
+	m := c.heartbeats.machines[pending.machine]
+	if m == nil || !c.mayAnswer(m, pending) {
+		c.emit(HeartbeatReply{RequestID: pending.requestID, Status: 503})
 		return
 	}
-	commands := c.commandsFor(m, h.sequence)
+	commands := c.commandsFor(m, pending.sequence)
 	m.answeredAt, m.sentToken = c.now, c.cache.view.Epoch
 	c.logCommands(m, commands)
-	c.emit(HeartbeatReply{RequestID: h.requestID, Status: 200, FencingToken: c.cache.view.Epoch, Commands: commands})
+	c.emit(HeartbeatReply{RequestID: pending.requestID, Status: 200, FencingToken: c.cache.view.Epoch, Commands: commands})
 }
 
 // mayAnswer tells whether a heartbeat that was accepted may still be answered with 200.
-func (c *Controller) mayAnswer(m *Machine, h *pendingHeartbeat) bool {
-	return c.mayAct() && c.owns(h.machine) && !c.isAbandoned(m, h.agentEpoch) &&
-		h.agentEpoch == m.agentEpoch && !c.cache.isReturned(h.machine)
+func (c *Controller) mayAnswer(m *Machine, pending *pendingHeartbeat) bool {
+	return c.mayAct() && c.owns(pending.machine) && !c.isAbandoned(m, pending.agentEpoch) &&
+		pending.agentEpoch == m.agentEpoch && !c.cache.isReturned(pending.machine)
 }
 
 // logCommands says for each start and stop why it was allowed: under which view, as of
 // which revision, and how long ago both were confirmed.
 func (c *Controller) logCommands(m *Machine, commands []domain.Command) {
-	for _, o := range commands {
-		if o.Kind == domain.ForgetTask {
+	for _, command := range commands {
+		if command.Kind == domain.ForgetTask {
 			continue
 		}
-		c.debug("command", "kind", o.Kind, "task", o.Task, "machine", m.Name, "attempt", o.Attempt, "reason", o.Reason,
+		c.debug("command", "kind", command.Kind, "task", command.Task, "machine", m.Name, "attempt", command.Attempt, "reason", command.Reason,
 			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
 			"confirmed_s", (c.now - c.membership.Confirmed().Time()).Seconds())
 	}
@@ -126,15 +126,15 @@
 // start, sent again to an agent that doesn't know it any more, would begin it anew.
 func (c *Controller) commandsForReported(m *Machine) (stops, forgets []domain.Command) {
 	for _, id := range sortedTasks(m.reported) {
-		s := m.reported[id]
-		if s.State != domain.ReportedEnded {
-			if stop, ok := c.stopCommand(m, s); ok {
+		report := m.reported[id]
+		if report.State != domain.ReportedEnded {
+			if stop, ok := c.stopCommand(m, report); ok {
 				stops = append(stops, stop)
 			}
 			continue
 		}
-		if !c.cache.isBooking(m, s) || !c.guard(GuardForget) {
-			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: s.Attempt, Reason: domain.ReasonSettled})
+		if !c.cache.isBooking(m, report) || !c.guard(GuardForget) {
+			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: report.Attempt, Reason: domain.ReasonSettled})
 		}
 	}
 	return stops, forgets
@@ -145,12 +145,12 @@
 	var starts []domain.Command
 	for _, id := range sortedTasks(c.cache.bookedOn[m.Name]) {
 		j := c.cache.jobs[id.Job]
-		t := j.task(id.Index)
-		if c.whyNotStart(m, j, id, t) != startAllowed {
+		task := j.task(id.Index)
+		if c.whyNotStart(m, j, id, task) != startAllowed {
 			continue
 		}
-		m.startsSent[attemptID{id, t.Attempt}] = sequence
-		starts = append(starts, domain.Command{Kind: domain.StartTask, Task: id, Attempt: t.Attempt, Reason: domain.ReasonBooked})
+		m.startsSent[attemptID{id, task.Attempt}] = sequence
+		starts = append(starts, domain.Command{Kind: domain.StartTask, Task: id, Attempt: task.Attempt, Reason: domain.ReasonBooked})
 	}
 	return starts
 }
@@ -171,16 +171,16 @@
 	gangBroken                    // not all tasks of the gang's attempt are booked
 )
 
-// whyNotStart tells whether t, which is booked on m, may be started there. Only a committed
+// whyNotStart tells whether a task that is booked on m may be started there. Only a committed
 // booking of the present agent epoch is, and only if its release was never tried.
-func (c *Controller) whyNotStart(m *Machine, j *Job, id domain.TaskID, t domain.Task) startRefusal {
-	attempt := attemptID{id, t.Attempt}
+func (c *Controller) whyNotStart(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
+	attempt := attemptID{id, task.Attempt}
 	switch {
 	case m.lists(attempt):
 		return alreadyThere
-	case j.isStopped(t):
+	case j.isStopped(task):
 		return gangStopped
-	case t.AgentEpoch != m.agentEpoch:
+	case task.AgentEpoch != m.agentEpoch:
 		return otherEpoch
 	case j.Header.State != domain.StateOpen:
 		return jobClosed
@@ -192,68 +192,68 @@
 		return attemptPreempted
 	case c.isEvictedFrom(m, j.Header.Spec):
 		return machineCleared
-	case !gangIntact(j, t):
+	case !gangIntact(j, task):
 		return gangBroken
 	}
 	return startAllowed
 }
 
-// isStopped tells whether the job's header stops the attempt that t is booked for.
-func (j *Job) isStopped(t domain.Task) bool {
-	return j.Header.StopThrough > 0 && j.Header.StopThrough >= t.Attempt
+// isStopped tells whether the job's header stops the attempt that the task is booked for.
+func (j *Job) isStopped(task domain.Task) bool {
+	return j.Header.StopThrough > 0 && j.Header.StopThrough >= task.Attempt
 }
 
 // isEvictedFrom tells whether the machine is emptied of the job's tasks for a task that
 // needs all of it.
-func (c *Controller) isEvictedFrom(m *Machine, sp *domain.JobSpec) bool {
-	return c.isEvicting(m.Name) && !reservesMachines(sp)
+func (c *Controller) isEvictedFrom(m *Machine, spec *domain.JobSpec) bool {
+	return c.isEvicting(m.Name) && !reservesMachines(spec)
 }
 
 // stopCommand tells whether a live task on m has to be stopped, and how. What is being
 // saved is not told to save once more.
-func (c *Controller) stopCommand(m *Machine, s domain.TaskReport) (domain.Command, bool) {
-	stop := domain.Command{Kind: domain.StopTask, Task: s.Task, Attempt: s.Attempt, Reason: domain.ReasonNotBooked}
-	j := c.cache.jobs[s.Task.Job]
-	if j == nil || j.final() || !c.cache.isBooking(m, s) {
+func (c *Controller) stopCommand(m *Machine, report domain.TaskReport) (domain.Command, bool) {
+	stop := domain.Command{Kind: domain.StopTask, Task: report.Task, Attempt: report.Attempt, Reason: domain.ReasonNotBooked}
+	j := c.cache.jobs[report.Task.Job]
+	if j == nil || j.final() || !c.cache.isBooking(m, report) {
 		return stop, true // nobody has any use for it
 	}
-	t, sp := j.task(s.Task.Index), j.Header.Spec
-	saves := s.State == domain.ReportedSaving
+	task, spec := j.task(report.Task.Index), j.Header.Spec
+	saves := report.State == domain.ReportedSaving
 	switch {
-	case !gangIntact(j, t):
+	case !gangIntact(j, task):
 		stop.Reason = domain.ReasonGangBroken
 		return stop, !saves
-	case isTogether(sp):
+	case isTogether(spec):
 		// Its progress is saved only if all are told together: the header tells
 		// every owner (planGangStops).
-		return saveAndStop(stop, sp, domain.ReasonGangStop), j.Header.StopThrough >= t.Attempt && !saves
-	case c.isEvictedFrom(m, sp), c.planner.preempted[attemptID{s.Task, s.Attempt}]:
-		return saveAndStop(stop, sp, domain.ReasonPreempted), !saves
+		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopThrough >= task.Attempt && !saves
+	case c.isEvictedFrom(m, spec), c.planner.preempted[attemptID{report.Task, report.Attempt}]:
+		return saveAndStop(stop, spec, domain.ReasonPreempted), !saves
 	case m.preemptionAt >= 0:
-		return c.stopBeforePreemption(m, stop, sp, saves)
+		return c.stopBeforePreemption(m, stop, spec, saves)
 	case c.cache.drainsRunning(m) && !saves:
-		return saveAndStop(stop, sp, domain.ReasonDraining), true
+		return saveAndStop(stop, spec, domain.ReasonDraining), true
 	}
 	return stop, false
 }
 
 // saveAndStop gives a stop its reason and a grace in which the task can save its progress.
-func saveAndStop(stop domain.Command, sp *domain.JobSpec, reason domain.CommandReason) domain.Command {
-	stop.GraceSeconds, stop.Reason = sp.CheckpointCost+saveSlackSeconds, reason
+func saveAndStop(stop domain.Command, spec *domain.JobSpec, reason domain.CommandReason) domain.Command {
+	stop.GraceSeconds, stop.Reason = spec.CheckpointCost+saveSlackSeconds, reason
 	return stop
 }
 
 // stopBeforePreemption tells whether a task has to save now since the cloud takes its
 // machine. One without checkpoints runs on, since it may still finish; another for as long
 // as saving still fits before the end, which may come after half of what was said.
-func (c *Controller) stopBeforePreemption(m *Machine, stop domain.Command, sp *domain.JobSpec, saves bool) (domain.Command, bool) {
+func (c *Controller) stopBeforePreemption(m *Machine, stop domain.Command, spec *domain.JobSpec, saves bool) (domain.Command, bool) {
 	stop.Reason = domain.ReasonPreemptionNotice
-	if saves || sp.CheckpointInterval <= 0 || sp.CheckpointCost <= 0 {
+	if saves || spec.CheckpointInterval <= 0 || spec.CheckpointCost <= 0 {
 		return stop, false
 	}
 	left := (m.preemptionAt - c.now - tuning.PreemptionMargin).Seconds()
-	stop.GraceSeconds = max(left, sp.CheckpointCost)
-	return stop, left/2 <= sp.CheckpointCost+preemptionSaveSlackSeconds
+	stop.GraceSeconds = max(left, spec.CheckpointCost)
+	return stop, left/2 <= spec.CheckpointCost+preemptionSaveSlackSeconds
 }
 
 // drainsRunning tells whether m is drained for a reason for which its tasks have to go.
@@ -263,18 +263,18 @@
 }
 
 // isTogether tells whether the job's tasks start and end together: a gang of several.
-func isTogether(sp *domain.JobSpec) bool {
-	return sp.Shape == domain.Gang && sp.TaskCount > 1
+func isTogether(spec *domain.JobSpec) bool {
+	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
-// gangIntact tells whether all tasks of t's attempt are booked, or done. A gang's task is on
+// gangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task is on
 // only while they are; otherwise the rest is stopped, and a new attempt starts all.
-func gangIntact(j *Job, t domain.Task) bool {
+func gangIntact(j *Job, task domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
 	}
 	for i := range j.Tasks {
-		if o := j.Tasks[i]; o.State == domain.Queued || o.State == domain.Booked && o.Attempt != t.Attempt {
+		if other := j.Tasks[i]; other.State == domain.Queued || other.State == domain.Booked && other.Attempt != task.Attempt {
 			return false
 		}
 	}
@@ -287,13 +287,13 @@
 func (c *Controller) answerPendingHeartbeats() {
 	names := c.heartbeatsToReview()
 	c.Work.PendingHeartbeats += len(names)
-	for _, n := range names {
-		h := c.heartbeats.pending[n]
-		if h == nil {
+	for _, name := range names {
+		pending := c.heartbeats.pending[name]
+		if pending == nil {
 			continue
 		}
-		if m := c.heartbeats.machines[n]; m == nil || c.now >= h.answerBy || !c.worthDelaying(m) {
-			c.answerHeartbeat(h)
+		if m := c.heartbeats.machines[name]; m == nil || c.now >= pending.answerBy || !c.worthDelaying(m) {
+			c.answerHeartbeat(pending)
 		}
 	}
 }
@@ -301,18 +301,18 @@
 // heartbeatsToReview lists the machines whose pending heartbeats, if any, are to be looked at
 // now, in order: those touched since the last time, or all of them once a pace.
 func (c *Controller) heartbeatsToReview() []string {
-	h := &c.heartbeats
-	defer clear(h.touched)
+	heartbeats := &c.heartbeats
+	defer clear(heartbeats.touched)
 	switch {
-	case len(h.pending) == 0:
+	case len(heartbeats.pending) == 0:
 		return nil
-	case h.nextReview.IsOpen(c.now):
-		h.nextReview.Close(c.now + c.pace())
-		return slices.Sorted(maps.Keys(h.pending))
-	case len(h.touched) == 0:
+	case heartbeats.nextReview.IsOpen(c.now):
+		heartbeats.nextReview.Close(c.now + c.pace())
+		return slices.Sorted(maps.Keys(heartbeats.pending))
+	case len(heartbeats.touched) == 0:
 		return nil
 	}
-	return slices.Sorted(maps.Keys(h.touched))
+	return slices.Sorted(maps.Keys(heartbeats.touched))
 }
 
 // sendDirectStops sends stops straight to the agent, for work that is cancelled or has to
@@ -323,11 +323,11 @@
 	}
 	var stops []domain.Command
 	for _, id := range sortedTasks(m.reported) {
-		s := m.reported[id]
-		if s.State == domain.ReportedEnded {
+		report := m.reported[id]
+		if report.State == domain.ReportedEnded {
 			continue
 		}
-		if stop, ok := c.stopCommand(m, s); ok && !(s.State == domain.ReportedSaving && stop.GraceSeconds > 0) {
+		if stop, ok := c.stopCommand(m, report); ok && !(report.State == domain.ReportedSaving && stop.GraceSeconds > 0) {
 			stops = append(stops, stop)
 		}
 	}
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -73,19 +73,19 @@
 }
 
 // Step takes one event and returns the effects to carry out, in order.
-func (c *Controller) Step(now time.Duration, ev Event) []Effect {
+func (c *Controller) Step(now time.Duration, event Event) []Effect {
 	c.now = max(c.now, now)
 	c.effects = c.effects[:0:0]
 	c.Work.Events++
 	c.commits.refill(c.now, c.fullWriteRate(), c.isLeader())
-	c.take(ev)
+	c.take(event)
 	c.doWhatIsDue()
 	return c.effects
 }
 
-// take tells the component that it concerns of an event.
-func (c *Controller) take(ev Event) {
-	switch e := ev.(type) {
+// take hands an event to the component that it concerns.
+func (c *Controller) take(event Event) {
+	switch e := event.(type) {
 	case Tick:
 	case SnapshotLoaded:
 		c.onSnapshot(e)
@@ -122,12 +122,12 @@
 	case PeerMessageReceived:
 		c.onPeerMessage(e)
 	default:
-		panic(fmt.Sprintf("an event that take doesn't know: %T", ev))
+		panic(fmt.Sprintf("an event that take doesn't know: %T", event))
 	}
 }
 
-// doWhatIsDue does what is due now, whatever the event was. Each part decides for itself
-// whether anything is. First comes what keeps this controller in its place, then what
+// doWhatIsDue does what is due now, whatever the event was. Each component decides for
+// itself whether anything is. First comes what keeps this controller in its place, then what
 // others learn from it, then its decisions, and last the answers that tell machines.
 func (c *Controller) doWhatIsDue() {
 	c.maintainLease() // without lease and member key nothing else counts
@@ -145,13 +145,13 @@
 	c.planCommit()              // takes what tokens are left
 	c.scale()                   // the leader's; what is here is booked before more is rented
 	c.endLearningWindow()       // after placing, whose loads it records
-	c.answerPendingHeartbeats() // after planCommit: a heartbeat is held for the bookings it may bring
+	c.answerPendingHeartbeats() // after planCommit: an answer is delayed for the bookings that the plan may bring
 	c.reviewMachines()          // last: an answer just given renews its machine's lease
 }
 
-// weight is this controller's part of the changes a second, compared with an equal one.
-// In a large fleet the leader writes gangs and cordons besides its own shard; with an
-// equal part of the changes its own jobs waited for minutes beside machines that were
+// weight is this controller's share of the changes a second, where an equal one is 1. In a
+// large fleet the leader writes gangs and cordons besides its own shard; with an equal
+// share of the changes its own jobs waited for minutes beside machines that were
 // free, and looked like those with most room.
 func (c *Controller) weight() float64 {
 	controllers := float64(len(c.cfg.Nodes))
@@ -165,22 +165,23 @@
 }
 
 // onSnapshot replaces the cache.
-func (c *Controller) onSnapshot(e SnapshotLoaded) {
-	c.loadSnapshot(e)
+func (c *Controller) onSnapshot(snapshot SnapshotLoaded) {
+	c.loadSnapshot(snapshot)
 	c.settleConfirmations()
 }
 
 // onWatch brings the cache up to the watch's revision.
-func (c *Controller) onWatch(e WatchAdvanced) {
-	c.membership.WatchBegins(e.Sent)
-	for _, kv := range e.Items {
+func (c *Controller) onWatch(watch WatchAdvanced) {
+	c.membership.WatchBegins(watch.Sent)
+	for _, kv := range watch.Items {
 		c.apply(kv)
 	}
 	c.membership.WatchEnds()
-	c.cache.revision = max(c.cache.revision, e.Revision)
+	c.cache.revision = max(c.cache.revision, watch.Revision)
 	c.settleConfirmations()
 }
 
+// emit adds an effect to those of the present step.
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // debug, info and error add a line to the log; args are pairs of key and value.
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -61,8 +61,8 @@
 
 // isDue tells whether there is anything to write, no other write is under way, and none was
 // just before.
-func (cs *cordons) isDue(now time.Duration) bool {
-	return !cs.writing && len(cs.wanted) > 0 && cs.nextWrite.IsOpen(now)
+func (c *cordons) isDue(now time.Duration) bool {
+	return !c.writing && len(c.wanted) > 0 && c.nextWrite.IsOpen(now)
 }
 
 // mayWriteCordons tells whether a commit of cordons may be sent. Task commits spend the changes
@@ -89,8 +89,8 @@
 }
 
 // hasUrgent tells whether a machine is to be drained for another reason than being idle.
-func (cs *cordons) hasUrgent() bool {
-	for _, cordon := range cs.wanted {
+func (c *cordons) hasUrgent() bool {
+	for _, cordon := range c.wanted {
 		if cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle {
 			return true
 		}
@@ -157,14 +157,14 @@
 
 // commitCordons writes changed pages under the condition of the view and of each page.
 func (c *Controller) commitCordons(changed cordonPages) {
-	t := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
+	transaction := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
 	for _, name := range slices.Sorted(maps.Keys(changed.pages)) {
 		key := codec.PrefixCordons + name
-		t.Conditions = append(t.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
-		t.Puts = append(t.Puts, domain.Put{Key: key, Value: codec.Encode(changed.pages[name])})
+		transaction.Conditions = append(transaction.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
+		transaction.Puts = append(transaction.Puts, domain.Put{Key: key, Value: codec.Encode(changed.pages[name])})
 	}
 	c.cordons.writing = true
-	c.commit(LaneTask, t, func(result domain.CommitResult, _ CommitAnswered) {
+	c.commit(LaneTask, transaction, func(result domain.CommitResult, _ CommitAnswered) {
 		c.cordons.writing = false
 		if result != domain.Committed {
 			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
@@ -176,29 +176,29 @@
 
 // settle forgets the wanted cordons of machines that are written as wanted. Another one may
 // have been wanted meanwhile.
-func (cs *cordons) settle(machines []string, written map[string]domain.Cordon) {
+func (c *cordons) settle(machines []string, written map[string]domain.Cordon) {
 	for _, machine := range machines {
-		if written[machine].State == cs.wanted[machine].State {
-			delete(cs.wanted, machine)
+		if written[machine].State == c.wanted[machine].State {
+			delete(c.wanted, machine)
 		}
 	}
 }
 
 // dropDraining drops draining machines from a page written under larger limits until it fits
 // again, idle ones first: such a machine takes bookings once more, until it is cordoned anew.
-func (c *Controller) dropDraining(p *codec.CordonPage) {
-	if c.trimCordonPage(p) {
+func (c *Controller) dropDraining(page *codec.CordonPage) {
+	if c.trimCordonPage(page) {
 		return
 	}
-	machines := slices.SortedFunc(maps.Keys(p.Draining), func(a, b string) int {
-		if order := trueFirst(p.Draining[a] == domain.DrainIdle, p.Draining[b] == domain.DrainIdle); order != 0 {
+	machines := slices.SortedFunc(maps.Keys(page.Draining), func(a, b string) int {
+		if order := trueFirst(page.Draining[a] == domain.DrainIdle, page.Draining[b] == domain.DrainIdle); order != 0 {
 			return order
 		}
 		return strings.Compare(b, a)
 	})
 	for _, machine := range machines {
-		delete(p.Draining, machine)
-		if c.trimCordonPage(p) {
+		delete(page.Draining, machine)
+		if c.trimCordonPage(page) {
 			return
 		}
 	}
@@ -206,27 +206,27 @@
 
 // trimCordonPage forgets the machines gone longest until the page fits its value, but none
 // with bookings left to release; false: it doesn't fit even so.
-func (c *Controller) trimCordonPage(p *codec.CordonPage) bool {
-	for i := 0; cordonPageSize(p) > c.cfg.ValueLimit; {
-		for i < len(p.Gone) && len(c.cache.bookedOn[p.Gone[i]]) > 0 {
+func (c *Controller) trimCordonPage(page *codec.CordonPage) bool {
+	for i := 0; cordonPageSize(page) > c.cfg.ValueLimit; {
+		for i < len(page.Gone) && len(c.cache.bookedOn[page.Gone[i]]) > 0 {
 			i++
 		}
-		if i == len(p.Gone) {
+		if i == len(page.Gone) {
 			return false
 		}
-		p.Gone = slices.Delete(p.Gone, i, i+1)
+		page.Gone = slices.Delete(page.Gone, i, i+1)
 	}
 	return true
 }
 
 // cordonPageSize is an upper bound of a page's size as a value, in bytes.
-func cordonPageSize(p *codec.CordonPage) int {
+func cordonPageSize(page *codec.CordonPage) int {
 	const quotes, separators = 2, 1
 	size := tuning.PackSlack
-	for machine, reason := range p.Draining {
+	for machine, reason := range page.Draining {
 		size += len(machine) + quotes + len(reason) + quotes + 2*separators
 	}
-	for _, machine := range p.Gone {
+	for _, machine := range page.Gone {
 		size += len(machine) + quotes + separators
 	}
 	return size
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -51,42 +51,42 @@
 func (c *Controller) settlePhase(j *Job) {
 	work := []*Job{j}
 	for len(work) > 0 {
-		x := work[len(work)-1]
+		job := work[len(work)-1]
 		work = work[:len(work)-1]
-		was := x.phase
-		c.setPhase(x, c.phaseOf(x))
-		if x.phase == was || x.phase < phaseDone {
+		was := job.phase
+		c.setPhase(job, c.phaseOf(job))
+		if job.phase == was || job.phase < phaseDone {
 			continue
 		}
-		for _, d := range c.cache.dependents[x.ID] {
-			if x.phase == phaseDone {
-				d.unfinishedDependencies--
-				d.dependenciesDoneAt = max(d.dependenciesDoneAt, c.endOf(x))
+		for _, dependent := range c.cache.dependents[job.ID] {
+			if job.phase == phaseDone {
+				dependent.unfinishedDependencies--
+				dependent.dependenciesDoneAt = max(dependent.dependenciesDoneAt, c.endOf(job))
 			} else if c.guard(GuardCascade) {
-				d.dependencyFailed = true
+				dependent.dependencyFailed = true
 			}
-			work = append(work, d)
+			work = append(work, dependent)
 		}
-		delete(c.cache.dependents, x.ID)
+		delete(c.cache.dependents, job.ID)
 	}
 }
 
 // setPhase is the one change of a job's phase.
-func (c *Controller) setPhase(j *Job, p phase) {
+func (c *Controller) setPhase(j *Job, next phase) {
 	old := j.phase
-	if old == phaseOpen && p != old {
+	if old == phaseOpen && next != old {
 		c.leaveOpen(j)
 	}
-	if p == phaseOpen && p != old {
+	if next == phaseOpen && next != old {
 		c.enterOpen(j)
 	}
-	if p == phaseCancelled && !j.Header.Released {
+	if next == phaseCancelled && !j.Header.Released {
 		c.cache.awaitingRelease[j.ID] = j
-	} else if p >= phaseDone {
+	} else if next >= phaseDone {
 		delete(c.cache.awaitingRelease, j.ID)
 	}
-	j.phase = p
-	if p >= phaseDone && p != old {
+	j.phase = next
+	if next >= phaseDone && next != old {
 		c.wakeWaiters()
 	}
 }
@@ -122,22 +122,22 @@
 
 // linkDependencies reads what a job just met depends on and joins it to those jobs.
 func (c *Controller) linkDependencies(j *Job) {
-	sp := j.Header.Spec
-	if sp == nil {
+	spec := j.Header.Spec
+	if spec == nil {
 		return
 	}
-	j.priority, j.deadlineSeconds = sp.Priority, sp.Deadline
-	j.deadlineAt = j.submittedAt + int64(sp.Deadline*float64(time.Second))
-	if j.missingPieces = sp.DependencyListPieces; j.missingPieces > 0 {
+	j.priority, j.deadlineSeconds = spec.Priority, spec.Deadline
+	j.deadlineAt = j.submittedAt + int64(spec.Deadline*float64(time.Second))
+	if j.missingPieces = spec.DependencyListPieces; j.missingPieces > 0 {
 		c.cache.countMissingPieces(j)
 	}
-	sp.Dependencies = codec.ParseNames(sp.DependencyText)
-	c.dependOn(j, sp.Dependencies)
+	spec.Dependencies = codec.ParseNames(spec.DependencyText)
+	c.dependOn(j, spec.Dependencies)
 	if j.missingPieces == 0 {
 		c.takeDependencyPieces(j)
 	}
-	for _, d := range c.cache.dependents[j.ID] {
-		c.queues.inheritUrgency(j, d)
+	for _, dependent := range c.cache.dependents[j.ID] {
+		c.queues.inheritUrgency(j, dependent)
 	}
 	c.propagateUrgency(j)
 }
@@ -145,11 +145,11 @@
 // dependOn joins a job to those that it depends on, as far as they are not over.
 func (c *Controller) dependOn(j *Job, ids []string) {
 	for _, id := range ids {
-		n := c.cache.jobs[id]
+		needed := c.cache.jobs[id]
 		switch {
-		case n != nil && n.phase == phaseDone:
-			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.endOf(n))
-		case n != nil && n.phase == phaseCancelled:
+		case needed != nil && needed.phase == phaseDone:
+			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.endOf(needed))
+		case needed != nil && needed.phase == phaseCancelled:
 			j.dependencyFailed = c.guard(GuardCascade)
 			if !j.dependencyFailed {
 				j.unfinishedDependencies++
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -50,6 +50,7 @@
 	}
 }
 
+// takeDependencyPiece joins a job to those that the k-th piece of its list names.
 func (c *Controller) takeDependencyPiece(j *Job, k int) {
 	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
 	ids := codec.ParseNames(c.cache.dependencyPieces[key])
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -65,7 +65,7 @@
 
 // What machines say.
 type (
-	// HeartbeatReceived is an agent's report, to be answered by HeartbeatReply.
+	// HeartbeatReceived is an agent's heartbeat, to be answered by HeartbeatReply.
 	HeartbeatReceived struct {
 		RequestID uint64
 		Heartbeat domain.Heartbeat
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -10,21 +10,21 @@
 
 // checkRepliesHeeded notices a machine whose heartbeats arrive while answers don't reach it: a
 // heartbeat newer than an answer must show the answer's token and tasks.
-func (c *Controller) checkRepliesHeeded(m *Machine, r *domain.Heartbeat) {
-	if !m.shouldShowAnswer(r, c.now) {
+func (c *Controller) checkRepliesHeeded(m *Machine, heartbeat *domain.Heartbeat) {
+	if !m.shouldShowAnswer(heartbeat, c.now) {
 		return
 	}
-	unheeded := r.FencingToken < m.sentToken
-	listed := make(map[domain.TaskID]bool, len(r.Tasks))
-	for _, s := range r.Tasks {
-		listed[s.Task] = true
+	unheeded := heartbeat.FencingToken < m.sentToken
+	listed := make(map[domain.TaskID]bool, len(heartbeat.Tasks))
+	for _, report := range heartbeat.Tasks {
+		listed[report.Task] = true
 	}
 	for attempt, sequence := range m.startsSent {
 		if !c.cache.bookedOn[m.Name][attempt.Task] {
 			delete(m.startsSent, attempt)
 			continue
 		}
-		wasSentBefore := sequence > 0 && sequence < r.Sequence
+		wasSentBefore := sequence > 0 && sequence < heartbeat.Sequence
 		if wasSentBefore && !listed[attempt.Task] && c.cache.jobs[attempt.Task.Job].task(attempt.Task.Index).Attempt == attempt.Attempt {
 			unheeded = true
 		}
@@ -34,8 +34,8 @@
 
 // shouldShowAnswer tells whether a heartbeat would show the last answer had it arrived. Those
 // that a cut held back come all at once, and none of them can show an answer given a moment ago.
-func (m *Machine) shouldShowAnswer(r *domain.Heartbeat, now time.Duration) bool {
-	return m.isInEpoch(r.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplySettleTime
+func (m *Machine) shouldShowAnswer(heartbeat *domain.Heartbeat, now time.Duration) bool {
+	return m.isInEpoch(heartbeat.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplySettleTime
 }
 
 // countUnheeded counts heartbeats in a row that show that an answer had no effect.
@@ -101,14 +101,14 @@
 	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.FaultyErrors
 }
 
-// failsElsewhere tells of a job of which nothing was ever done whether a good part of its
+// failsElsewhere tells of a job of which nothing was ever done whether a good many of its
 // attempts came to nothing beside the errors here. The records say so to all controllers alike.
 func (j *Job) failsElsewhere(errorsHere int) bool {
 	elsewhere := -errorsHere
 	for i := range j.Tasks {
-		t := &j.Tasks[i]
-		elsewhere += int(t.Attempt)
-		if t.State == domain.Booked {
+		task := &j.Tasks[i]
+		elsewhere += int(task.Attempt)
+		if task.State == domain.Booked {
 			elsewhere-- // this one may still succeed
 		}
 		isGang := j.Header.Spec != nil && j.Header.Spec.Shape == domain.Gang
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -22,8 +22,8 @@
 	// run elsewhere by now (invariant 6).
 	GuardAbandonedEpoch Guard = "dead"
 
-	// GuardPendingRelease sends no start of a booking whose release was tried: the release may still
-	// be carried out (invariant 4).
+	// GuardPendingRelease sends no start of a booking whose release was tried: the release may
+	// still be carried out (invariant 4).
 	GuardPendingRelease Guard = "doom"
 	// GuardView takes the view from the watch alone, so that whoever sees an epoch has seen
 	// every commit of the earlier ones (invariant 7).
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -37,7 +37,7 @@
 
 const (
 	heartbeatAccepted heartbeatRefusal = iota
-	// controllerMayNotAct: its view, lease or revision were not confirmed lately.
+	// controllerMayNotAct: its view, lease or revision was not confirmed lately.
 	controllerMayNotAct
 	// newerViewSeen: the agent was answered under a later view than this controller knows.
 	newerViewSeen
@@ -46,31 +46,31 @@
 	// agentEpochAbandoned: the tasks of the agent epoch may already run elsewhere, so no
 	// answer may keep it alive.
 	agentEpochAbandoned
-	// machineReturned: the cloud took the machine back, and the same holds.
+	// machineReturned: the cloud took the machine back: its tasks may run elsewhere as well.
 	machineReturned
-	// lateCopy: the agent has given this heartbeat up, and its list of tasks is old.
+	// lateCopy: the agent waits for no answer to this heartbeat any more, and its list of tasks is old.
 	lateCopy
 )
 
 // onHeartbeat answers a machine's heartbeat. 200 is said only by the machine's owner behind
 // its fence; everyone else names the owner (421) or says 503.
-func (c *Controller) onHeartbeat(e HeartbeatReceived) {
-	r := e.Heartbeat
-	if refusal := c.refusalByController(&r); refusal != heartbeatAccepted {
-		c.refuseHeartbeat(e.RequestID, &r, refusal)
+func (c *Controller) onHeartbeat(received HeartbeatReceived) {
+	heartbeat := received.Heartbeat
+	if refusal := c.refusalByController(&heartbeat); refusal != heartbeatAccepted {
+		c.refuseHeartbeat(received.RequestID, &heartbeat, refusal)
 		return
 	}
-	m := c.heartbeats.machines[r.Machine]
+	m := c.heartbeats.machines[heartbeat.Machine]
 	if m == nil {
-		m = c.heartbeats.addMachine(r.Machine)
+		m = c.heartbeats.addMachine(heartbeat.Machine)
 		m.ownedEpoch, m.ownedSince = c.cache.view.Epoch, c.now
 	}
-	if refusal := c.refusalByMachine(m, &r); refusal != heartbeatAccepted {
-		c.refuseHeartbeat(e.RequestID, &r, refusal)
+	if refusal := c.refusalByMachine(m, &heartbeat); refusal != heartbeatAccepted {
+		c.refuseHeartbeat(received.RequestID, &heartbeat, refusal)
 		return
 	}
-	c.checkRepliesHeeded(m, &r)
-	c.recordHeartbeat(m, &r, true)
+	c.checkRepliesHeeded(m, &heartbeat)
+	c.recordHeartbeat(m, &heartbeat, true)
 	if given := c.heartbeats.pending[m.Name]; given != nil { // the agent gave it up and sent this one
 		delete(c.heartbeats.pending, m.Name)
 		c.emit(HeartbeatReply{RequestID: given.requestID, Status: 503})
@@ -78,52 +78,52 @@
 	c.planner.dirty = true
 	c.placeTasks()
 	c.planCommit()
-	h := &pendingHeartbeat{
-		machine: m.Name, requestID: e.RequestID, sequence: r.Sequence, agentEpoch: r.AgentEpoch,
+	pending := &pendingHeartbeat{
+		machine: m.Name, requestID: received.RequestID, sequence: heartbeat.Sequence, agentEpoch: heartbeat.AgentEpoch,
 		answerBy: c.now + tuning.HeartbeatHold,
 	}
 	if c.worthDelaying(m) {
-		c.heartbeats.pending[m.Name] = h
+		c.heartbeats.pending[m.Name] = pending
 		return
 	}
-	c.answerHeartbeat(h)
+	c.answerHeartbeat(pending)
 }
 
-// refusalByController tells why this controller may not answer the machine, whatever it reports.
-func (c *Controller) refusalByController(r *domain.Heartbeat) heartbeatRefusal {
+// refusalByController tells why this controller may not answer the machine, whatever the heartbeat lists.
+func (c *Controller) refusalByController(heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case !c.mayAct():
 		return controllerMayNotAct
-	case r.FencingToken > c.cache.view.Epoch:
+	case heartbeat.FencingToken > c.cache.view.Epoch:
 		return newerViewSeen
-	case c.ownerIn(r.Machine, r.Zone) != c.cfg.Node:
+	case c.ownerIn(heartbeat.Machine, heartbeat.Zone) != c.cfg.Node:
 		return ownedElsewhere
 	}
 	return heartbeatAccepted
 }
 
 // refusalByMachine tells why the owner of a machine may not answer this heartbeat of it.
-func (c *Controller) refusalByMachine(m *Machine, r *domain.Heartbeat) heartbeatRefusal {
+func (c *Controller) refusalByMachine(m *Machine, heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
-	case c.isAbandoned(m, r.AgentEpoch):
+	case c.isAbandoned(m, heartbeat.AgentEpoch):
 		return agentEpochAbandoned
-	case c.cache.isReturned(r.Machine):
+	case c.cache.isReturned(heartbeat.Machine):
 		return machineReturned
-	case !m.isNewer(r.AgentEpoch, r.Sequence):
+	case !m.isNewer(heartbeat.AgentEpoch, heartbeat.Sequence):
 		return lateCopy
 	}
 	return heartbeatAccepted
 }
 
 // refuseHeartbeat answers a heartbeat without commands, and does what the refusal calls for.
-func (c *Controller) refuseHeartbeat(requestID uint64, r *domain.Heartbeat, refusal heartbeatRefusal) {
+func (c *Controller) refuseHeartbeat(requestID uint64, heartbeat *domain.Heartbeat, refusal heartbeatRefusal) {
 	switch refusal {
 	case newerViewSeen:
 		c.membership.ConfirmSoon(c.now)
 	case ownedElsewhere:
-		owner := c.ownerIn(r.Machine, r.Zone)
-		if !c.cache.isReturned(r.Machine) {
-			c.recordRedirect(r, owner)
+		owner := c.ownerIn(heartbeat.Machine, heartbeat.Zone)
+		if !c.cache.isReturned(heartbeat.Machine) {
+			c.recordRedirect(heartbeat, owner)
 		}
 		c.emit(HeartbeatReply{RequestID: requestID, Status: 421, Owner: owner})
 		return
@@ -131,8 +131,8 @@
 	c.emit(HeartbeatReply{RequestID: requestID, Status: 503})
 }
 
-// isAbandoned tells whether an agent epoch of the machine is given up. Such a one stays
-// given up: docs/design.md, invariant 6.
+// isAbandoned tells whether an agent epoch of the machine is abandoned. Such a one stays
+// so: docs/design.md, invariant 6.
 func (c *Controller) isAbandoned(m *Machine, agentEpoch uint64) bool {
 	return c.guard(GuardAbandonedEpoch) && agentEpoch <= m.abandonedEpoch
 }
@@ -143,58 +143,58 @@
 }
 
 // isBooking tells whether a reported attempt is the committed booking of its task.
-func (c *cache) isBooking(m *Machine, s domain.TaskReport) bool {
-	j := c.jobs[s.Task.Job]
-	if j == nil || s.Task.Index < 0 || s.Task.Index >= j.Header.TaskCount {
+func (c *cache) isBooking(m *Machine, report domain.TaskReport) bool {
+	j := c.jobs[report.Task.Job]
+	if j == nil || report.Task.Index < 0 || report.Task.Index >= j.Header.TaskCount {
 		return false
 	}
-	t := j.task(s.Task.Index)
-	return t.State == domain.Booked && t.Machine == m.Name && t.Attempt == s.Attempt && t.AgentEpoch == m.agentEpoch
+	task := j.task(report.Task.Index)
+	return task.State == domain.Booked && task.Machine == m.Name && task.Attempt == report.Attempt && task.AgentEpoch == m.agentEpoch
 }
 
 // recordHeartbeat takes a report that is newer than what m said before: a heartbeat, or a
 // direct answer to commands.
-func (c *Controller) recordHeartbeat(m *Machine, r *domain.Heartbeat, isHeartbeat bool) {
+func (c *Controller) recordHeartbeat(m *Machine, heartbeat *domain.Heartbeat, isHeartbeat bool) {
 	if m.Addr == "" || m.Type == "" {
-		c.debug("machine", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot)
+		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
-	if m.heardOnce && r.AgentEpoch > m.agentEpoch {
-		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", r.AgentEpoch)
+	if m.heardOnce && heartbeat.AgentEpoch > m.agentEpoch {
+		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
 		clear(m.images)
 	}
-	m.recordReport(r, isHeartbeat, c.now)
-	c.recordPreemptionNotice(m, r)
-	c.recordReportedTasks(m, r)
+	m.recordReport(heartbeat, isHeartbeat, c.now)
+	c.recordPreemptionNotice(m, heartbeat)
+	c.recordReportedTasks(m, heartbeat)
 }
 
 // recordPreemptionNotice takes over whether, and when, the cloud takes the machine back. A
 // negative notice is none, which may be one withdrawn.
-func (c *Controller) recordPreemptionNotice(m *Machine, r *domain.Heartbeat) {
-	if r.PreemptionNotice < 0 {
+func (c *Controller) recordPreemptionNotice(m *Machine, heartbeat *domain.Heartbeat) {
+	if heartbeat.PreemptionNotice < 0 {
 		m.preemptionAt = -1
 		return
 	}
 	if m.preemptionAt < 0 {
-		c.info("preemption notice", "machine", m.Name, "in_s", r.PreemptionNotice)
+		c.info("preemption notice", "machine", m.Name, "in_s", heartbeat.PreemptionNotice)
 		c.dequeueAll(m.Name)
 	}
-	m.preemptionAt = c.now + time.Duration(r.PreemptionNotice*float64(time.Second))
+	m.preemptionAt = c.now + time.Duration(heartbeat.PreemptionNotice*float64(time.Second))
 }
 
 // recordReportedTasks takes over the list of tasks, and when each was first seen to run.
-func (c *Controller) recordReportedTasks(m *Machine, r *domain.Heartbeat) {
+func (c *Controller) recordReportedTasks(m *Machine, heartbeat *domain.Heartbeat) {
 	clear(m.reported)
-	for _, s := range r.Tasks {
-		m.reported[s.Task] = s
-		j := c.cache.jobs[s.Task.Job]
-		if s.State != domain.ReportedRunning || j == nil || j.Header.Spec == nil {
+	for _, report := range heartbeat.Tasks {
+		m.reported[report.Task] = report
+		j := c.cache.jobs[report.Task.Job]
+		if report.State != domain.ReportedRunning || j == nil || j.Header.Spec == nil {
 			continue
 		}
 		m.images[j.Header.Spec.Image] = c.now
-		attempt := attemptID{s.Task, s.Attempt}
+		attempt := attemptID{report.Task, report.Attempt}
 		if _, known := m.runningSince[attempt]; !known {
 			m.runningSince[attempt] = c.now
-			c.debug("task runs", "task", s.Task, "machine", m.Name, "attempt", s.Attempt)
+			c.debug("task runs", "task", report.Task, "machine", m.Name, "attempt", report.Attempt)
 		}
 	}
 	m.forgetEnded()
@@ -203,16 +203,16 @@
 // onCommandsAnswered takes an agent's direct answer to commands. It obeys (agent epoch,
 // sequence) like any report, but never proves that a start got lost: an answer to a
 // heartbeat may still be under way (Machine.neverReceived).
-func (c *Controller) onCommandsAnswered(e CommandsAnswered) {
-	m := c.heartbeats.machines[e.Machine]
-	if e.Heartbeat == nil || m == nil || !c.owns(e.Machine) {
+func (c *Controller) onCommandsAnswered(answer CommandsAnswered) {
+	m := c.heartbeats.machines[answer.Machine]
+	if answer.Heartbeat == nil || m == nil || !c.owns(answer.Machine) {
 		return
 	}
-	if !m.isNewer(e.Heartbeat.AgentEpoch, e.Heartbeat.Sequence) || e.Heartbeat.AgentEpoch <= m.abandonedEpoch {
+	if !m.isNewer(answer.Heartbeat.AgentEpoch, answer.Heartbeat.Sequence) || answer.Heartbeat.AgentEpoch <= m.abandonedEpoch {
 		return
 	}
 	graceUntil := m.heardAt
-	c.recordHeartbeat(m, e.Heartbeat, false)
+	c.recordHeartbeat(m, answer.Heartbeat, false)
 	m.heardAt = max(graceUntil, c.now)
 	c.planner.dirty = true
 }
@@ -233,26 +233,26 @@
 	return ids
 }
 
-// provenOff tells whether the booking t of task id is proven off its machine, as far as this
+// provenOff tells whether a booked task is proven off its machine, as far as this
 // controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
 // only once its attempt can't run any more, nor be started by an answer still under way.
-func (c *Controller) provenOff(m *Machine, id domain.TaskID, t domain.Task) bool {
+func (c *Controller) provenOff(m *Machine, id domain.TaskID, task domain.Task) bool {
 	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true // tests take the proof away
 	}
-	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(t.AgentEpoch) {
+	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(task.AgentEpoch) {
 		return true
 	}
-	if !m.isInEpoch(t.AgentEpoch) {
+	if !m.isInEpoch(task.AgentEpoch) {
 		return false // its last word is older than the booking
 	}
-	attempt := attemptID{id, t.Attempt}
+	attempt := attemptID{id, task.Attempt}
 	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
 // leaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
 // agent epoch heard of may have begun just then: without that term a new one, heard but
-// not yet answered, would be given up for the age of the last one's answer, and its live
+// not yet answered, would be abandoned for the age of the last one's answer, and its live
 // tasks started elsewhere later on.
 func (c *Controller) leaseExpired(m *Machine) bool {
 	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
@@ -268,25 +268,26 @@
 	silent int                     // machines to be drained, if only they are silent
 }
 
-// zoneSilence is the part of a silenceReview that concerns one zone.
+// zoneSilence is what a silenceReview finds in one zone.
 type zoneSilence struct {
 	machines int        // all of the zone that this controller owns
 	punctual int        // of them those whose heartbeat isn't even late
 	silent   []*Machine // of them those that are lost and not yet cordoned
 }
 
+// zone is what the review finds in a zone so far.
 func (r *silenceReview) zone(name string) *zoneSilence {
-	z := r.zones[name]
-	if z == nil {
-		z = &zoneSilence{}
-		r.zones[name] = z
+	zone := r.zones[name]
+	if zone == nil {
+		zone = &zoneSilence{}
+		r.zones[name] = zone
 	}
-	return z
+	return zone
 }
 
 // areFew tells whether the zone's silent machines are too few to look like a cut.
-func (r *silenceReview) areFew(z *zoneSilence) bool {
-	return z.machines <= tuning.SilentFew && r.silent <= r.heard || r.silent == 1 && r.heard == 0
+func (r *silenceReview) areFew(zone *zoneSilence) bool {
+	return zone.machines <= tuning.SilentFew && r.silent <= r.heard || r.silent == 1 && r.heard == 0
 }
 
 // reviewMachines walks over all machines once a pace: it abandons agent epochs whose lease
@@ -339,7 +340,7 @@
 	c.heartbeats.dropMachine(m.Name)
 }
 
-// abandonExpiredEpoch gives up the agent epochs of a machine with bookings whose lease can't
+// abandonExpiredEpoch abandons the agent epochs of a machine with bookings whose lease can't
 // have been renewed: an agent stops its tasks when its lease ends.
 func (c *Controller) abandonExpiredEpoch(m *Machine) {
 	if len(c.cache.bookedOn[m.Name]) == 0 || !c.leaseExpired(m) {
@@ -431,8 +432,8 @@
 
 // peersFresh tells whether all other serving controllers were heard just now.
 func (c *Controller) peersFresh() bool {
-	for _, n := range c.cache.view.Serving {
-		if p := c.peers.byName[n]; n != c.cfg.Node && (p == nil || c.now-p.heardAt > tuning.PeerFresh) {
+	for _, node := range c.cache.view.Serving {
+		if peer := c.peers.byName[node]; node != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
 			return false
 		}
 	}
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -34,23 +34,23 @@
 func (l *learner) recordFinish() { l.finishes++ }
 
 // endLearningWindow ends windows: learns from the loads of all machines and publishes this
-// controller's part of them for the others.
+// controller's loads for the others.
 func (c *Controller) endLearningWindow() {
-	l := &c.learner
-	if !c.mayAct() || c.now < l.windowEndedAt+tuning.Window {
+	learner := &c.learner
+	if !c.mayAct() || c.now < learner.windowEndedAt+tuning.Window {
 		return
 	}
-	l.windowEndedAt = c.now
-	l.sequence++
+	learner.windowEndedAt = c.now
+	learner.sequence++
 	loads := c.ownLoads()
 	all, passes := c.allLoads(loads)
 	features, imbalance := policy.Features(all)
-	if l.critic.HasWindow() && c.cfg.Learn {
+	if learner.critic.HasWindow() && c.cfg.Learn {
 		c.learn(features, imbalance, passes, len(all))
 	}
-	l.critic.Begin(features)
+	learner.critic.Begin(features)
 	c.publishWindow(loads)
-	l.passes, l.finishes = 0, 0
+	learner.passes, learner.finishes = 0, 0
 }
 
 // ownLoads are the loads of this controller's machines that take tasks, rounded to 0.1 s.
@@ -100,18 +100,18 @@
 // learn takes the temporal-difference step of critic and actors, and the consensus step of
 // the critic every ConsensusEvery windows.
 func (c *Controller) learn(features []float64, imbalance float64, passes, machines int) {
-	l := &c.learner
-	delta := l.critic.TemporalDifference(policy.Payoff(imbalance, passes, machines), features)
-	for _, i := range l.critic.Step(delta) {
+	learner := &c.learner
+	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, passes, machines), features)
+	for _, i := range learner.critic.Step(delta) {
 		c.info("critic weight reset", "i", i)
 	}
 	alive := c.choicesAlive()
-	if n := l.arrivals.Step(delta, alive) + l.steals.Step(delta, alive); n > 0 {
+	if n := learner.arrivals.Step(delta, alive) + learner.steals.Step(delta, alive); n > 0 {
 		c.info("policy weights reset", "count", n)
 	}
-	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", l.finishes, "theta", l.critic.Weights())
-	if l.sequence%tuning.ConsensusEvery == 0 {
-		l.critic.Average(c.othersCriticWeights())
+	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishes, "theta", learner.critic.Weights())
+	if learner.sequence%tuning.ConsensusEvery == 0 {
+		learner.critic.Average(c.othersCriticWeights())
 	}
 }
 
@@ -129,9 +129,9 @@
 // publishWindow writes this controller's record of the window that ended. Nothing depends
 // on whether the write succeeds: the next one comes soon.
 func (c *Controller) publishWindow(loads []float64) {
-	l := &c.learner
+	learner := &c.learner
 	value := c.encodeWindow(codec.WindowRecord{
-		Sequence: l.sequence, Loads: loads, Passes: l.passes, CriticWeights: l.critic.Weights(),
+		Sequence: learner.sequence, Loads: loads, Passes: learner.passes, CriticWeights: learner.critic.Weights(),
 	})
 	c.commit(LaneIdle, domain.Transaction{
 		Puts: []domain.Put{{Key: codec.PrefixWindow + c.cfg.Node, Value: value}},
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -33,8 +33,8 @@
 	if sum.tasks == 0 {
 		return 0
 	}
-	n := int64(sum.tasks)
-	mean := domain.Resources{CPU: sum.used.CPU / n, GPU: sum.used.GPU / n, Memory: sum.used.Memory / n}
+	tasks := int64(sum.tasks)
+	mean := domain.Resources{CPU: sum.used.CPU / tasks, GPU: sum.used.GPU / tasks, Memory: sum.used.Memory / tasks}
 	slots := max(machineType.Capacity.CountFitting(mean, 64), 1)
 	runTime := float64(sum.runTimeMS) / 1000 / float64(sum.tasks)
 	if m.runTime.samples >= 3 {
@@ -71,16 +71,16 @@
 	if c.queues.meanLoadTakenAt.Within(c.pace(), c.now) {
 		return c.queues.meanLoad
 	}
-	sum, n := 0.0, 0
+	sum, machines := 0.0, 0
 	for _, name := range c.heartbeats.machineNames() {
 		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
 			sum += c.load(m)
-			n++
+			machines++
 		}
 	}
 	c.queues.meanLoad, c.queues.meanLoadTakenAt = 0, steady.At(c.now)
-	if n > 0 {
-		c.queues.meanLoad = (sum + c.queues.poolRunTime) / float64(n)
+	if machines > 0 {
+		c.queues.meanLoad = (sum + c.queues.poolRunTime) / float64(machines)
 	}
 	return c.queues.meanLoad
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -27,7 +27,7 @@
 	epochHeardAt time.Duration                       // when agentEpoch was first heard of here
 	preemptionAt time.Duration                       // when the cloud takes the machine back; < 0: no notice
 
-	// abandonedEpoch: agent epochs up to it are given up. Their tasks may run elsewhere, so
+	// abandonedEpoch: agent epochs up to it are abandoned. Their tasks may run elsewhere, so
 	// they are never answered again.
 	abandonedEpoch uint64
 
@@ -42,12 +42,12 @@
 	// an attempt. A later heartbeat without the attempt shows that the start got lost.
 	startsSent map[attemptID]uint64
 
-	unheededReplies int           // reports in a row that show that an answer had no effect
+	unheededReplies int           // heartbeats in a row that show that an answer had no effect
 	unheededAt      time.Duration // when the first of them came
 
 	// Placing.
 
-	queue            []domain.TaskID          // tasks that wait for room here; some may have left (trimQueue)
+	queue            []domain.TaskID          // tasks that wait for room here; some may have left (queues.trim)
 	noBookingsUntil  time.Duration            // it refused or failed tasks, and gets none before
 	failures         map[string]failureCount  // errors since a task was last done here, by job
 	nextDirectStopAt time.Duration            // no direct stop commands before
@@ -58,6 +58,7 @@
 	runningSince map[attemptID]time.Duration
 }
 
+// newMachine is a machine that said nothing yet.
 func newMachine(name string) *Machine {
 	return &Machine{
 		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
@@ -108,12 +109,12 @@
 
 // recordReport takes what a report newer than the last one says of the agent and its tasks
 // as such; what follows for the jobs is Controller.recordHeartbeat's.
-func (m *Machine) recordReport(r *domain.Heartbeat, isHeartbeat bool, now time.Duration) {
-	m.Addr, m.Type, m.Zone, m.Spot = r.Addr, r.Type, r.Zone, r.Spot
-	if !m.heardOnce || r.AgentEpoch > m.agentEpoch {
+func (m *Machine) recordReport(heartbeat *domain.Heartbeat, isHeartbeat bool, now time.Duration) {
+	m.Addr, m.Type, m.Zone, m.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
+	if !m.heardOnce || heartbeat.AgentEpoch > m.agentEpoch {
 		m.epochHeardAt = now
 	}
-	m.heardOnce, m.agentEpoch, m.sequence, m.fencingToken = true, r.AgentEpoch, r.Sequence, r.FencingToken
+	m.heardOnce, m.agentEpoch, m.sequence, m.fencingToken = true, heartbeat.AgentEpoch, heartbeat.Sequence, heartbeat.FencingToken
 	m.heardAt, m.heartbeatAt, m.byHeartbeat = now, now, isHeartbeat
 }
 
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -34,19 +34,21 @@
 	}
 }
 
-func (c *Controller) onLeaseGranted(e LeaseGranted) {
+// onLeaseGranted hands in the answer to GrantLease.
+func (c *Controller) onLeaseGranted(answer LeaseGranted) {
 	before := c.membership.Lease()
-	c.membership.LeaseGranted(c.now, e.OK, e.LeaseID)
+	c.membership.LeaseGranted(c.now, answer.OK, answer.LeaseID)
 	c.logLease(before)
 }
 
-func (c *Controller) onLeaseRenewal(e LeaseRenewalAnswered) {
+// onLeaseRenewal hands in the answer to RenewLease.
+func (c *Controller) onLeaseRenewal(answer LeaseRenewalAnswered) {
 	before := c.membership.Lease()
 	outcome := membership.RenewalFailed
 	switch {
-	case e.Gone:
+	case answer.Gone:
 		outcome = membership.LeaseGone
-	case e.OK:
+	case answer.OK:
 		outcome = membership.Renewed
 	}
 	c.membership.RenewalAnswered(c.now, outcome)
@@ -57,9 +59,9 @@
 // deletes when the lease expires.
 func (c *Controller) writeMemberKey() {
 	key := domain.Put{Key: codec.PrefixMember + c.cfg.Node, Value: codec.Encode(c.membership.Incarnation()), LeaseID: c.membership.LeaseID()}
-	c.commit(LaneView, domain.Transaction{Puts: []domain.Put{key}}, func(r domain.CommitResult, _ CommitAnswered) {
+	c.commit(LaneView, domain.Transaction{Puts: []domain.Put{key}}, func(result domain.CommitResult, _ CommitAnswered) {
 		before := c.membership.Lease()
-		c.membership.MemberKeyAnswered(c.now, r == domain.Committed)
+		c.membership.MemberKeyAnswered(c.now, result == domain.Committed)
 		c.logLease(before)
 	})
 }
@@ -75,8 +77,8 @@
 }
 
 // isMemberOf tells whether a view has this incarnation.
-func (c *Controller) isMemberOf(v *domain.View) bool {
-	return v != nil && v.Members[c.cfg.Node] == c.membership.Incarnation()
+func (c *Controller) isMemberOf(view *domain.View) bool {
+	return view != nil && view.Members[c.cfg.Node] == c.membership.Incarnation()
 }
 
 // confirmView asks the state service whether the view still holds, and for a read index.
@@ -90,13 +92,15 @@
 	}
 }
 
-func (c *Controller) onConfirmation(e ConfirmationAnswered) {
-	if !e.OK {
+// onConfirmation hands in the answer to ConfirmView. Without one, users who wait for a read
+// index are sent away.
+func (c *Controller) onConfirmation(answer ConfirmationAnswered) {
+	if !answer.OK {
 		c.membership.ConfirmationFailed(c.now)
 		c.failWaiters()
 		return
 	}
-	c.membership.ConfirmationAnswered(c.now, e.Same, e.Revision)
+	c.membership.ConfirmationAnswered(c.now, answer.Same, answer.Revision)
 	c.settleConfirmations()
 }
 
@@ -135,11 +139,11 @@
 // the state service alone the peers still talk.
 func (c *Controller) anotherCanTakeRequests() bool {
 	heard := false
-	for _, p := range c.peers.byName {
-		if c.now-p.heardAt >= tuning.PeerFresh {
+	for _, peer := range c.peers.byName {
+		if c.now-peer.heardAt >= tuning.PeerFresh {
 			continue
 		}
-		if p.usable {
+		if peer.usable {
 			return true
 		}
 		heard = true
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -12,7 +12,7 @@
 )
 
 // A machine that can't reach its owner comes to other controllers, which send it on: a
-// redirect. Redirects that repeat show that machine and owner are parted, and whoever sees
+// redirect. Redirects that repeat show that the machine can't reach its owner, and whoever sees
 // them proposes a view that gives the machine to itself (an override), takes an owner that
 // many machines miss out of service, or keeps machines in their own zones.
 
@@ -67,30 +67,30 @@
 // recordRedirect remembers that a heartbeat was sent on to the machine's owner. A machine
 // that had an answer in this epoch has lost its owner for certain; another may only just
 // be looking for it.
-func (c *Controller) recordRedirect(h *domain.Heartbeat, owner string) {
+func (c *Controller) recordRedirect(heartbeat *domain.Heartbeat, owner string) {
 	// A late copy of a heartbeat says nothing about the machine now, and a machine that
 	// answers don't reach comes round to all controllers: neither may move it again and
 	// again.
-	last := c.views.lastRedirect[h.Machine]
-	if h.AgentEpoch < last.agentEpoch || h.AgentEpoch == last.agentEpoch && h.Sequence <= last.sequence {
+	last := c.views.lastRedirect[heartbeat.Machine]
+	if heartbeat.AgentEpoch < last.agentEpoch || heartbeat.AgentEpoch == last.agentEpoch && heartbeat.Sequence <= last.sequence {
 		return
 	}
-	c.views.lastRedirect[h.Machine] = redirectMark{h.AgentEpoch, h.Sequence}
-	if c.views.overrideChanges[h.Machine].isRestless(c.now) {
+	c.views.lastRedirect[heartbeat.Machine] = redirectMark{heartbeat.AgentEpoch, heartbeat.Sequence}
+	if c.views.overrideChanges[heartbeat.Machine].isRestless(c.now) {
 		return
 	}
 	owner = c.cache.withIncarnation(owner)
 	weight := 1
-	if h.FencingToken == c.cache.view.Epoch {
+	if heartbeat.FencingToken == c.cache.view.Epoch {
 		weight = tuning.RedirectCount
 	}
-	recent := c.views.redirects[h.Machine][:0]
-	for _, r := range c.views.redirects[h.Machine] {
-		if r.isRecent(owner, c.now) {
-			recent = append(recent, r)
+	recent := c.views.redirects[heartbeat.Machine][:0]
+	for _, earlier := range c.views.redirects[heartbeat.Machine] {
+		if earlier.isRecent(owner, c.now) {
+			recent = append(recent, earlier)
 		}
 	}
-	c.views.redirects[h.Machine] = append(recent, redirect{c.now, owner, weight, h.Zone})
+	c.views.redirects[heartbeat.Machine] = append(recent, redirect{c.now, owner, weight, heartbeat.Zone})
 }
 
 // withIncarnation is a controller's name together with its incarnation in the view.
@@ -130,12 +130,12 @@
 		case !across && c.peers.isMissedByMany(owner, len(machines)):
 			lost.owners[owner] = true
 		case across && !c.hearsPeer(owner):
-			for _, m := range machines {
-				lost.apart = append(lost.apart, m.name)
+			for _, machine := range machines {
+				lost.apart = append(lost.apart, machine.name)
 			}
 		default:
-			for _, m := range machines {
-				lost.machines[m.name] = true
+			for _, machine := range machines {
+				lost.machines[machine.name] = true
 			}
 		}
 	}
@@ -166,13 +166,15 @@
 	zone        string // the machine's, as it last named it
 }
 
+// recentRedirects sums up those redirects of a machine that still count for an owner, which is
+// given with its incarnation.
 func (c *Controller) recentRedirects(redirects []redirect, owner string) redirectSum {
 	sum := redirectSum{first: c.now}
-	for _, r := range redirects {
-		if r.isRecent(owner, c.now) {
-			sum.weight += r.weight
-			sum.first, sum.last = min(sum.first, r.at), max(sum.last, r.at)
-			sum.zone = r.zone
+	for _, earlier := range redirects {
+		if earlier.isRecent(owner, c.now) {
+			sum.weight += earlier.weight
+			sum.first, sum.last = min(sum.first, earlier.at), max(sum.last, earlier.at)
+			sum.zone = earlier.zone
 		}
 	}
 	return sum
@@ -193,23 +195,23 @@
 func (c *Controller) areAcrossZones(owner string, machines []strandedMachine) bool {
 	own := c.cfg.ZoneOf[c.cfg.Node]
 	return c.cfg.ZoneOf[owner] != own &&
-		!slices.ContainsFunc(machines, func(m strandedMachine) bool { return m.zone != own })
+		!slices.ContainsFunc(machines, func(machine strandedMachine) bool { return machine.zone != own })
 }
 
 // isMissedByMany tells whether so many machines can't reach the owner, of those that it
 // last said to hear, that it should not serve.
 func (p *peers) isMissedByMany(owner string, count int) bool {
 	owned := 0
-	if p := p.byName[owner]; p != nil {
-		owned = len(p.machines)
+	if peer := p.byName[owner]; peer != nil {
+		owned = len(peer.machines)
 	}
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
 }
 
 // hearsPeer tells whether this controller heard another lately.
 func (c *Controller) hearsPeer(node string) bool {
-	p := c.peers.byName[node]
-	return p != nil && c.now-p.heardAt <= tuning.PeerFresh
+	peer := c.peers.byName[node]
+	return peer != nil && c.now-peer.heardAt <= tuning.PeerFresh
 }
 
 // chooseOverrides keeps what overrides still have a reason, and gives this controller the
@@ -217,18 +219,18 @@
 // it could never change again: overrides have room up to a bound, and machines beyond it
 // wait. Those of a view written under larger limits are dropped beyond it: any controller
 // may own a machine after a change of epoch.
-func (c *Controller) chooseOverrides(d *viewDraft, wanted map[string]bool) {
+func (c *Controller) chooseOverrides(proposal *viewDraft, wanted map[string]bool) {
 	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
-	if len(d.present.OwnerOverrides) > most && (c.cache.formatOn() || c.formats.limitsFell) {
-		d.changed = true
+	if len(proposal.present.OwnerOverrides) > most && (c.cache.formatOn() || c.formats.limitsFell) {
+		proposal.changed = true
 	}
-	overrides := d.next.OwnerOverrides
-	if !d.next.Zoned {
-		for _, machine := range slices.Sorted(maps.Keys(d.present.OwnerOverrides)) {
+	overrides := proposal.next.OwnerOverrides
+	if !proposal.next.Zoned {
+		for _, machine := range slices.Sorted(maps.Keys(proposal.present.OwnerOverrides)) {
 			if len(overrides) >= most {
 				break
 			}
-			if owner := d.present.OwnerOverrides[machine]; c.keepsOverride(d.next, machine, owner) {
+			if owner := proposal.present.OwnerOverrides[machine]; c.keepsOverride(proposal.next, machine, owner) {
 				overrides[machine] = owner
 			}
 		}
@@ -239,11 +241,11 @@
 		}
 		if overrides[machine] != c.cfg.Node {
 			overrides[machine] = c.cfg.Node
-			d.overridesChanged = true
+			proposal.overridesChanged = true
 			delete(c.views.redirects, machine)
 		}
 	}
-	if d.next.Zoned && !d.present.Zoned {
+	if proposal.next.Zoned && !proposal.present.Zoned {
 		clear(c.views.redirects)
 	}
 }
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -19,23 +19,23 @@
 
 // ownerIn is ownerOf where the machine's zone is at hand.
 func (c *Controller) ownerIn(machine, zone string) string {
-	v := c.cache.view
-	if v == nil {
+	view := c.cache.view
+	if view == nil {
 		return ""
 	}
-	if c.views.ownersView != v {
-		c.views.ownersView, c.views.ownerByMachine = v, map[string]string{}
+	if c.views.ownersView != view {
+		c.views.ownersView, c.views.ownerByMachine = view, map[string]string{}
 	}
-	o, ok := c.views.ownerByMachine[machine]
+	owner, ok := c.views.ownerByMachine[machine]
 	if !ok {
-		if v.Zoned && zone == "" {
+		if view.Zoned && zone == "" {
 			zone = c.zoneOf(machine)
 		}
-		if o = ownership.OfMachine(v, c.cfg.ZoneOf, machine, zone); o != "" {
-			c.views.ownerByMachine[machine] = o
+		if owner = ownership.OfMachine(view, c.cfg.ZoneOf, machine, zone); owner != "" {
+			c.views.ownerByMachine[machine] = owner
 		}
 	}
-	return o
+	return owner
 }
 
 // owns tells whether this controller owns a machine under the current view.
@@ -50,8 +50,8 @@
 
 // taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
 // serve falls to a hash over the view without any write.
-func (c *cache) taskShard(j *Job, t domain.Task) string {
-	shard := t.Shard
+func (c *cache) taskShard(j *Job, task domain.Task) string {
+	shard := task.Shard
 	if shard == "" {
 		shard = j.Header.Shard
 	}
--- a/internal/scheduler/peer_messages.go
+++ b/internal/scheduler/peer_messages.go
@@ -9,8 +9,8 @@
 	Load     float64       // mean load of the sender's machines, seconds
 	Usable   bool          // the state service answered the sender just now
 	Machines []PeerMachine // that the sender owns and hears
-	Reserved []string      // machines that the leader holds for whole jobs
-	Evicting []string      // of these, the ones to be emptied for work of higher priority
+	Reserved []string      // machines that the leader reserves for jobs that it places, or lets rest
+	Evicting []string      // of these, those to be emptied for work of higher priority
 	Steal    *StealRequest // nil in gossip
 }
 
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -13,7 +13,7 @@
 	"brassglade/internal/tuning"
 )
 
-// peers is what the other controllers last told, and what is summed up over all shards.
+// peers is what the other controllers told in their last messages, and what is summed up over all shards.
 type peers struct {
 	byName         map[string]*peerState
 	nextGossip     steady.Gate
@@ -32,7 +32,7 @@
 	return peers{byName: map[string]*peerState{}}
 }
 
-// peerState is what another controller last told.
+// peerState is what another controller told in its last message.
 type peerState struct {
 	heardAt  time.Duration
 	epoch    uint64
@@ -53,13 +53,13 @@
 }
 
 // onPeerMessage takes what a peer tells, or its request for work.
-func (c *Controller) onPeerMessage(e PeerMessageReceived) {
-	message := e.Message
+func (c *Controller) onPeerMessage(received PeerMessageReceived) {
+	message := received.Message
 	if message.Steal != nil {
-		c.onSteal(e.From, message.Steal)
+		c.onSteal(received.From, message.Steal)
 		return
 	}
-	c.peers.byName[e.From] = &peerState{
+	c.peers.byName[received.From] = &peerState{
 		heardAt:  c.now,
 		epoch:    message.Epoch,
 		usable:   message.Usable,
@@ -136,7 +136,7 @@
 	}
 	// Several shards have room for all of it. By load alone every controller would
 	// send all small jobs to the same one for seconds, and that one has
-	// only its own part of the changes to book them with.
+	// only its own share of the changes to book them with.
 	return 1e6 - float64(c.waitingIn(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
 }
 
@@ -260,16 +260,16 @@
 
 // machineCount is how many machines this controller knows or was told of.
 func (c *Controller) machineCount() int {
-	n := len(c.heartbeats.machines)
+	machines := len(c.heartbeats.machines)
 	for _, peer := range c.peers.byName {
-		n += len(peer.machines)
+		machines += len(peer.machines)
 	}
-	return n
+	return machines
 }
 
 // pace is the least time between two plans, and between two walks over all
 // machines: both take time in proportion to their number, and a controller has a
-// small part of a processor.
+// small share of a processor.
 func (c *Controller) pace() time.Duration {
 	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
 }
@@ -315,7 +315,7 @@
 	return machines
 }
 
-// isAlive tells whether a machine was heard lately, in an agent epoch that was not given up,
+// isAlive tells whether a machine was heard lately, in an agent epoch that was not abandoned,
 // and is not gone.
 func (c *Controller) isAlive(m *Machine) bool {
 	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -9,19 +9,19 @@
 	"brassglade/internal/tuning"
 )
 
-// placeTasks queues the tasks of this shard on its machines, passes them to other shards
+// placeTasks queues the tasks of this shard on its machines, hands some over to other shards
 // and steals from these.
 func (c *Controller) placeTasks() {
 	if !c.mayAct() || !c.beginPlacing() {
 		return
 	}
 	machines := c.placementMachines()
-	p := c.newPlacing(machines)
+	run := c.newPlacing(machines)
 	jobs := c.jobsByUrgency()
-	for _, round := range placeRounds(p.largeFleet && len(p.targets) > 0 && p.targets[0].scarce) {
+	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].scarce) {
 		for _, j := range jobs {
 			if round.includes(j) && c.planner.jobHandovers[j.ID] == "" {
-				p.placeJob(j, round)
+				run.placeJob(j, round)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 	cached bool // only on machines that have the image or are fetching it
 }
 
-// placeRounds: where every slot is wanted, what can still be in time goes first,
+// placeRounds lists the rounds of one run. Where every slot is wanted, what can still be in time goes first,
 // and within that a task whose image is there goes before one that would keep
 // the slot waiting for a fetch as long as a quarter of a run.
 func placeRounds(scarce bool) []placeRound {
@@ -96,7 +96,7 @@
 type placing struct {
 	c          *Controller
 	targets    []target
-	largeFleet bool // jobs are passed whole
+	largeFleet bool // jobs are handed over as a whole
 	teams      *teamRoom
 	roomy      map[taskKind][]int // the targets whose queues still take a task of that kind
 }
@@ -104,18 +104,18 @@
 // newPlacing looks at the machines as they are. It also takes off their queues what its
 // team has no room for any more.
 func (c *Controller) newPlacing(machines []*Machine) *placing {
-	p := &placing{c: c, targets: make([]target, len(machines)), roomy: map[taskKind][]int{}}
+	run := &placing{c: c, targets: make([]target, len(machines)), roomy: map[taskKind][]int{}}
 	for i, m := range machines {
-		p.targets[i] = c.newTarget(m)
+		run.targets[i] = c.newTarget(m)
 	}
-	c.setScarce(p.targets)
-	p.largeFleet = c.isLargeFleet()
+	c.setScarce(run.targets)
+	run.largeFleet = c.isLargeFleet()
 	c.queues.poolRunTime = 0
-	p.teams = c.newTeamRoom()
-	return p
+	run.teams = c.newTeamRoom()
+	return run
 }
 
-// placeJob queues tasks of one job, or has it passed to another shard as a whole.
+// placeJob queues tasks of one job, or has it handed over to another shard as a whole.
 func (p *placing) placeJob(j *Job, round placeRound) {
 	c, spec := p.c, j.Header.Spec
 	isHome := c.cache.shardOf(j) == c.cfg.Node
@@ -174,12 +174,12 @@
 	if machineType == nil || j.beyondAims {
 		return
 	}
-	n := 1
+	tasks := 1
 	if p.largeFleet {
-		n = j.counts.queued - j.queuedHere
+		tasks = j.counts.queued - j.queuedHere
 	}
 	slots := max(machineType.Capacity.CountFitting(spec.Request, 64), 1)
-	p.c.queues.poolRunTime += float64(n) * p.c.queues.runTime(spec) / float64(slots)
+	p.c.queues.poolRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
 }
 
 // anyFittingType is the first machine type that can run tasks of the job; nil: none.
@@ -197,7 +197,7 @@
 func (p *placing) place(j *Job, id domain.TaskID, task domain.Task, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
-	// A task is passed once at most, so that it can't wander.
+	// A task is handed over once at most, so that it can't wander.
 	if task.Shard == "" && !c.queues.tasksStaying[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
@@ -241,13 +241,13 @@
 
 // enqueue puts a task last in a target's queue and brings the target up to date.
 func (p *placing) enqueue(j *Job, id domain.TaskID, index int) {
-	t, image := &p.targets[index], j.Header.Spec.Image
-	p.c.enqueue(id, t.machine)
-	t.queued++
-	if image != "" && !t.hasImage(image) && !slices.Contains(t.pendingImages, image) {
-		t.pendingImages = append(t.pendingImages, image)
+	target, image := &p.targets[index], j.Header.Spec.Image
+	p.c.enqueue(id, target.machine)
+	target.queued++
+	if image != "" && !target.hasImage(image) && !slices.Contains(target.pendingImages, image) {
+		target.pendingImages = append(target.pendingImages, image)
 	}
-	t.load = p.c.load(t.machine)
+	target.load = p.c.load(target.machine)
 }
 
 // reweigh brings a job's choices up to date after a target took a task.
@@ -270,10 +270,12 @@
 	used   map[string]domain.Resources
 }
 
+// newTeamRoom sums up what teams use by bookings and by the queues here, and takes off the queues
+// what its team has no room for any more.
 func (c *Controller) newTeamRoom() *teamRoom {
-	r := &teamRoom{c, c.claims(nil), map[string]domain.Resources{}}
+	room := &teamRoom{c, c.claims(nil), map[string]domain.Resources{}}
 	for name := range c.cfg.Teams {
-		r.used[name] = c.teamUsed(name, nil)
+		room.used[name] = c.teamUsed(name, nil)
 	}
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
@@ -282,14 +284,14 @@
 			if !c.queues.isIn(id, m) || j == nil || j.Header.Spec == nil {
 				continue
 			}
-			if !r.fits(j.Header.Spec) {
+			if !room.fits(j.Header.Spec) {
 				c.dequeue(id) // another shard took the room meanwhile
 				continue
 			}
-			r.take(j.Header.Spec)
+			room.take(j.Header.Spec)
 		}
 	}
-	return r
+	return room
 }
 
 // fits tells whether the team of a job may start one more task of it.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -10,8 +10,8 @@
 
 // preemptible tells whether tasks of the job may be stopped for any task that isn't
 // preemptible itself: single tasks of idle priority are.
-func preemptible(sp *domain.JobSpec) bool {
-	return sp.Priority == tuning.PriorityIdle && sp.Shape == domain.Array
+func preemptible(spec *domain.JobSpec) bool {
+	return spec.Priority == tuning.PriorityIdle && spec.Shape == domain.Array
 }
 
 // roomBeside is the room that a task can have on a machine: what is free and, unless the task
@@ -45,8 +45,8 @@
 	if j == nil || j.final() {
 		return false
 	}
-	t := j.task(attempt.Task.Index)
-	return t.State == domain.Booked && t.Attempt == attempt.Attempt
+	task := j.task(attempt.Task.Index)
+	return task.State == domain.Booked && task.Attempt == attempt.Attempt
 }
 
 // preemptOn stops as many preemptible tasks on a machine as its queue needs to start, beside
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -13,7 +13,7 @@
 	waiting         []waiter                // for a read index, in the order in which they asked
 	accepting       map[string]bool         // jobs whose submission is being committed
 	lookups         map[uint64]JobSubmitted // submissions that wait for a read, by its ID
-	dependencyLists int                     // lists of dependencies kept in pieces so far
+	dependencyLists int                     // lists of dependencies written in pieces so far
 }
 
 func newRequests() requests {
@@ -62,16 +62,16 @@
 
 // replyState answers with the job's state as the cache has it.
 func (c *Controller) replyState(requestID uint64, status int, j *Job) {
-	u := UserReply{RequestID: requestID, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
+	reply := UserReply{RequestID: requestID, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
 	case j.Header.State == domain.StateDone:
-		u.State, u.Done, u.Running = "done", j.Header.TaskCount, 0
+		reply.State, reply.Done, reply.Running = "done", j.Header.TaskCount, 0
 	case j.cancelled():
-		u.State, u.Running = "cancelled", 0
+		reply.State, reply.Running = "cancelled", 0
 	case j.counts.booked > 0:
-		u.State = "running"
+		reply.State = "running"
 	}
-	c.emit(u)
+	c.emit(reply)
 }
 
 // --- waiting for a read index ---
@@ -88,16 +88,16 @@
 }
 
 // awaitReadIndex keeps a request until the cache has everything committed before now.
-func (c *Controller) awaitReadIndex(w waiter) {
+func (c *Controller) awaitReadIndex(request waiter) {
 	if !c.membership.IsSynced() || !c.membership.IsStateReachable() {
-		c.retryLater(w.requestID, stateUnreachable)
+		c.retryLater(request.requestID, stateUnreachable)
 		return
 	}
-	w.askedAt = c.now
+	request.askedAt = c.now
 	if !c.guard(GuardReadIndex) {
-		w.askedAt = c.membership.ReadIndex().Time()
+		request.askedAt = c.membership.ReadIndex().Time()
 	}
-	c.requests.waiting = append(c.requests.waiting, w)
+	c.requests.waiting = append(c.requests.waiting, request)
 	if !c.guard(GuardReadIndex) {
 		c.wakeWaiters()
 	}
@@ -110,38 +110,38 @@
 	}
 	waiting := c.requests.waiting
 	c.requests.waiting = nil
-	for _, w := range waiting {
-		if !c.membership.HasReadIndex(w.askedAt) {
-			c.requests.waiting = append(c.requests.waiting, w)
+	for _, request := range waiting {
+		if !c.membership.HasReadIndex(request.askedAt) {
+			c.requests.waiting = append(c.requests.waiting, request)
 			continue
 		}
-		c.answerWaiter(w)
+		c.answerWaiter(request)
 	}
 }
 
 // answerWaiter answers a request by the cache, which has everything committed before it.
-func (c *Controller) answerWaiter(w waiter) {
-	j := c.cache.jobs[w.id]
+func (c *Controller) answerWaiter(request waiter) {
+	j := c.cache.jobs[request.id]
 	switch {
-	case w.cancel:
-		c.cancel(w.requestID, w.id)
+	case request.cancel:
+		c.cancel(request.requestID, request.id)
 	case j != nil: // a query, or a submission that repeats an accepted one
-		c.replyState(w.requestID, 200, j)
-	case w.submit == nil:
-		c.replyUnknown(w.requestID, w.id)
-	case w.submit.Spec == nil:
-		c.refuse(w.requestID, 400, w.id, w.refusal)
-	case w.refusal != "":
-		c.refuse(w.requestID, 422, w.id, w.refusal)
+		c.replyState(request.requestID, 200, j)
+	case request.submit == nil:
+		c.replyUnknown(request.requestID, request.id)
+	case request.submit.Spec == nil:
+		c.refuse(request.requestID, 400, request.id, request.refusal)
+	case request.refusal != "":
+		c.refuse(request.requestID, 422, request.id, request.refusal)
 	default:
-		c.accept(*w.submit, nil)
+		c.accept(*request.submit, nil)
 	}
 }
 
 // failWaiters sends all who wait away: the state service doesn't answer.
 func (c *Controller) failWaiters() {
-	for _, w := range c.requests.waiting {
-		c.retryLater(w.requestID, stateUnreachable)
+	for _, request := range c.requests.waiting {
+		c.retryLater(request.requestID, stateUnreachable)
 	}
 	c.requests.waiting = nil
 }
@@ -149,12 +149,12 @@
 // expireWaiters sends those away who waited too long.
 func (c *Controller) expireWaiters() {
 	patient := c.requests.waiting[:0]
-	for _, w := range c.requests.waiting {
-		if c.now-w.askedAt > tuning.PollPatience {
-			c.retryLater(w.requestID, stateSlow)
+	for _, request := range c.requests.waiting {
+		if c.now-request.askedAt > tuning.PollPatience {
+			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
-		patient = append(patient, w)
+		patient = append(patient, request)
 	}
 	c.requests.waiting = patient
 }
@@ -162,21 +162,21 @@
 // --- queries and cancellations ---
 
 // onJobQueried answers a query. A final state never changes, so it needs no read index.
-func (c *Controller) onJobQueried(e JobQueried) {
-	if j := c.cache.jobs[e.ID]; j != nil && j.final() {
-		c.replyState(e.RequestID, 200, j)
+func (c *Controller) onJobQueried(query JobQueried) {
+	if j := c.cache.jobs[query.ID]; j != nil && j.final() {
+		c.replyState(query.RequestID, 200, j)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
+	c.awaitReadIndex(waiter{requestID: query.RequestID, id: query.ID})
 }
 
 // onJobCancelled cancels a job, once a read index shows whether there is one.
-func (c *Controller) onJobCancelled(e JobCancelled) {
-	if c.cache.jobs[e.ID] == nil {
-		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, cancel: true})
+func (c *Controller) onJobCancelled(cancellation JobCancelled) {
+	if c.cache.jobs[cancellation.ID] == nil {
+		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, id: cancellation.ID, cancel: true})
 		return
 	}
-	c.cancel(e.RequestID, e.ID)
+	c.cancel(cancellation.RequestID, cancellation.ID)
 }
 
 // cancel commits the cancellation of a job that the cache has, and answers the user.
@@ -190,14 +190,14 @@
 		c.replyState(requestID, 200, j)
 		return
 	}
-	h := *j.Header
-	h.State = domain.StateCancelled
+	header := *j.Header
+	header.State = domain.StateCancelled
 	key := codec.KeyJob(id)
 	c.commit(LaneUser, domain.Transaction{
 		Conditions: []domain.Condition{{Key: key, ModRevision: c.cache.modRevisions[key]}},
-		Puts:       []domain.Put{{Key: key, Value: codec.Encode(&h)}},
-	}, func(r domain.CommitResult, _ CommitAnswered) {
-		switch r {
+		Puts:       []domain.Put{{Key: key, Value: codec.Encode(&header)}},
+	}, func(result domain.CommitResult, _ CommitAnswered) {
+		switch result {
 		case domain.Committed:
 			c.debug("job cancelled", "job", id)
 			c.replyState(requestID, 200, j)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -38,44 +38,44 @@
 // jobs wait than are idle, those that will be empty soonest, and where all that runs there
 // has lower priority, they are emptied.
 func (c *Controller) planReservations(machines []machineState, pending []pendingWork) {
-	s := &c.scaling
-	before := s.reserved
-	s.reserved, s.evicting = map[string]bool{}, map[string]bool{}
-	for _, class := range slices.Sorted(maps.Keys(s.gangClasses)) {
-		known := s.gangClasses[class]
+	scaling := &c.scaling
+	before := scaling.reserved
+	scaling.reserved, scaling.evicting = map[string]bool{}, map[string]bool{}
+	for _, class := range slices.Sorted(maps.Keys(scaling.gangClasses)) {
+		known := scaling.gangClasses[class]
 		if c.now-known.seenAt > tuning.GangClassMemory {
-			delete(s.gangClasses, class)
+			delete(scaling.gangClasses, class)
 			continue
 		}
 		demand := c.classDemand(known.spec, pending)
 		candidates := c.reservationCandidates(known.spec, machines, before)
-		idle := s.keepAfterGang(candidates, c.now)
-		s.reserve(demand, candidates, idle)
+		idle := scaling.keepAfterGang(candidates, c.now)
+		scaling.reserve(demand, candidates, idle)
 	}
 }
 
 // classDemand counts the machines that the class of a job needs.
-func (c *Controller) classDemand(sp *domain.JobSpec, pending []pendingWork) classDemand {
-	demand := classDemand{spec: sp}
+func (c *Controller) classDemand(spec *domain.JobSpec, pending []pendingWork) classDemand {
+	demand := classDemand{spec: spec}
 	for i := range pending {
-		if work := &pending[i]; work.spec.Class == sp.Class && placedByLeader(work.spec) {
+		if work := &pending[i]; work.spec.Class == spec.Class && placedByLeader(work.spec) {
 			demand.waiting += work.tasks
 		}
 	}
-	demand.needed = demand.waiting + c.spareMachines(sp)
+	demand.needed = demand.waiting + c.spareMachines(spec)
 	return demand
 }
 
 // reservationCandidates lists the machines that may be kept for jobs like this one, those
 // first that are empty soonest.
-func (c *Controller) reservationCandidates(sp *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
+func (c *Controller) reservationCandidates(spec *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
 	var candidates []reservationCandidate
 	for i := range machines {
 		m := &machines[i]
-		if !c.mayReserve(m, sp) {
+		if !c.mayReserve(m, spec) {
 			continue
 		}
-		candidate, ok := c.reservationCandidate(m, sp)
+		candidate, ok := c.reservationCandidate(m, spec)
 		if !ok {
 			continue
 		}
@@ -92,14 +92,14 @@
 
 // mayReserve tells whether a machine is in use, not yet kept for another class, and could take
 // a task of the job if it were empty.
-func (c *Controller) mayReserve(m *machineState, sp *domain.JobSpec) bool {
+func (c *Controller) mayReserve(m *machineState, spec *domain.JobSpec) bool {
 	return m.heard && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
-		allowsMachine(sp, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(sp.Request)
+		allowsMachine(spec, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(spec.Request)
 }
 
 // reservationCandidate tells when a machine will be empty, and whether it may be emptied for
 // the job; false: something on it is not to be waited for, a service or another such job.
-func (c *Controller) reservationCandidate(m *machineState, sp *domain.JobSpec) (reservationCandidate, bool) {
+func (c *Controller) reservationCandidate(m *machineState, spec *domain.JobSpec) (reservationCandidate, bool) {
 	candidate := reservationCandidate{machine: m, isLowerPriority: true}
 	for id := range c.cache.bookedOn[m.Name] {
 		j := c.cache.jobs[id.Job]
@@ -110,14 +110,14 @@
 		if running == nil || reservesMachines(running) || running.Shape == domain.Service {
 			return candidate, false
 		}
-		candidate.isLowerPriority = candidate.isLowerPriority && j.priority < sp.Priority
+		candidate.isLowerPriority = candidate.isLowerPriority && j.priority < spec.Priority
 		left := c.queues.runTime(running) - (c.now - c.cache.bookings[id].seenAt).Seconds()
 		candidate.wait = max(candidate.wait, left, shortestRest)
 	}
 	return candidate, true
 }
 
-// keepAfterGang keeps the idle candidates where a job that needs whole machines ran lately:
+// keepAfterGang reserves the idle candidates where a job that needs whole machines ran lately:
 // they have the image, and the next such job is likely soon. It returns how many these are.
 func (s *scaling) keepAfterGang(candidates []reservationCandidate, now time.Duration) int {
 	kept := 0
@@ -262,9 +262,9 @@
 }
 
 // withHeadroom adds the headroom to what is wanted.
-func withHeadroom(r domain.Resources) domain.Resources {
+func withHeadroom(room domain.Resources) domain.Resources {
 	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
-	return domain.Resources{CPU: grow(r.CPU), GPU: grow(r.GPU), Memory: grow(r.Memory)}
+	return domain.Resources{CPU: grow(room.CPU), GPU: grow(room.GPU), Memory: grow(room.Memory)}
 }
 
 // logMachines adds a debug line about all machines once a while: how many tasks each has, with
@@ -314,51 +314,51 @@
 		if placedByLeader(work.spec) || work.job == nil {
 			continue
 		}
-		w := shardWork{spec: work.spec, left: int64(work.tasks)}
+		unplaced := shardWork{spec: work.spec, left: int64(work.tasks)}
 		if isLarge {
-			w.shard = c.cache.shardOf(work.job)
+			unplaced.shard = c.cache.shardOf(work.job)
 		}
-		c.packAmong(candidates, &w, false)
-		c.packAmong(candidates, &w, true)
+		c.packAmong(candidates, &unplaced, false)
+		c.packAmong(candidates, &unplaced, true)
 	}
 }
 
 // packAmong places work on the candidates that rest, or on those that don't, and ends the rest
 // of those that it uses.
-func (c *Controller) packAmong(candidates []restCandidate, w *shardWork, resting bool) {
+func (c *Controller) packAmong(candidates []restCandidate, unplaced *shardWork, resting bool) {
 	for i := range candidates {
-		if w.left == 0 {
+		if unplaced.left == 0 {
 			return
 		}
 		candidate := &candidates[i]
 		m := candidate.machine
-		if c.scaling.resting[m.Name] != resting || candidate.shard != w.shard || !allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
+		if c.scaling.resting[m.Name] != resting || candidate.shard != unplaced.shard || !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		n := candidate.free.CountFitting(w.spec.Request, w.left)
-		if n > 0 && resting {
+		placed := candidate.free.CountFitting(unplaced.spec.Request, unplaced.left)
+		if placed > 0 && resting {
 			delete(c.scaling.resting, m.Name)
 		}
-		candidate.free = candidate.free.Plus(w.spec.Request, -n)
-		w.left -= n
+		candidate.free = candidate.free.Plus(unplaced.spec.Request, -placed)
+		unplaced.left -= placed
 	}
 }
 
 // spareMachines is how many machines are kept ready for the class of a job, whose tasks should
 // start sooner than a machine boots and fetches their image.
-func (c *Controller) spareMachines(sp *domain.JobSpec) int {
-	startWithin, ok := c.cfg.StartWithin[sp.Class]
+func (c *Controller) spareMachines(spec *domain.JobSpec) int {
+	startWithin, ok := c.cfg.StartWithin[spec.Class]
 	if !ok || c.cfg.SpareMachines == 0 {
 		return 0
 	}
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
-		if !machineTypeFits(sp, machineType) {
+		if !machineTypeFits(spec, machineType) {
 			continue
 		}
-		toStart := machineType.BootSeconds + sp.ImageGB/max(machineType.FetchGBPerS, 0.01)
+		toStart := machineType.BootSeconds + spec.ImageGB/max(machineType.FetchGBPerS, 0.01)
 		if startWithin < tuning.SpareReach*toStart {
-			arriving := c.scaling.gangTaskRate[sp.Class] * tuning.SpareSeconds
+			arriving := c.scaling.gangTaskRate[spec.Class] * tuning.SpareSeconds
 			return max(c.cfg.SpareMachines, int(math.Ceil(arriving)))
 		}
 	}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -60,25 +60,25 @@
 	var pending []pendingWork
 	arrived := map[string]int{}
 	for _, j := range c.cache.openJobs {
-		sp := j.Header.Spec
-		if reservesMachines(sp) {
-			c.scaling.gangClasses[sp.Class] = gangClass{sp, c.now}
+		spec := j.Header.Spec
+		if reservesMachines(spec) {
+			c.scaling.gangClasses[spec.Class] = gangClass{spec, c.now}
 			if c.now-time.Duration(j.readyAt) < tuning.RateWindow {
-				arrived[sp.Class] += j.Header.TaskCount
+				arrived[spec.Class] += j.Header.TaskCount
 			}
 		}
 		if j.counts.queued == 0 || j.failures > maxPendingFailures {
 			continue
 		}
-		n := c.claimForPending(j, used, claims[sp.Team])
-		if n == 0 || sp.Shape == domain.Gang && n < sp.TaskCount {
+		tasks := c.claimForPending(j, used, claims[spec.Team])
+		if tasks == 0 || spec.Shape == domain.Gang && tasks < spec.TaskCount {
 			continue
 		}
-		pending = append(pending, pendingWork{spec: sp, tasks: n, job: j, zones: c.zoneAllowance(j, n, machines)})
+		pending = append(pending, pendingWork{spec: spec, tasks: tasks, job: j, zones: c.zoneAllowance(j, tasks, machines)})
 	}
 	c.scaling.gangTaskRate = map[string]float64{}
-	for class, n := range arrived {
-		c.scaling.gangTaskRate[class] = float64(n) / tuning.RateWindow.Seconds()
+	for class, tasks := range arrived {
+		c.scaling.gangTaskRate[class] = float64(tasks) / tuning.RateWindow.Seconds()
 	}
 	return pending
 }
@@ -86,17 +86,17 @@
 // claimForPending counts the queued tasks of a job that its team's limit lets run beside what
 // the team uses, and adds them to that.
 func (c *Controller) claimForPending(j *Job, used map[string]domain.Resources, claim quotaClaim) int {
-	sp := j.Header.Spec
-	limit := c.cfg.Teams[sp.Team].Limit
-	n := 0
-	for n < j.counts.queued && n < maxPendingTasks {
-		if !claim.admits(sp, used[sp.Team], limit) {
+	spec := j.Header.Spec
+	limit := c.cfg.Teams[spec.Team].Limit
+	claimed := 0
+	for claimed < j.counts.queued && claimed < maxPendingTasks {
+		if !claim.admits(spec, used[spec.Team], limit) {
 			break
 		}
-		used[sp.Team] = used[sp.Team].Plus(sp.Request, 1)
-		n++
+		used[spec.Team] = used[spec.Team].Plus(spec.Request, 1)
+		claimed++
 	}
-	return n
+	return claimed
 }
 
 // scaleOutPlan packs what waits on what is there, boots or is to be rented.
@@ -126,7 +126,7 @@
 	zonesLeft zoneAllowance // what remains of the work's
 }
 
-// take counts n tasks as placed in a zone.
+// take counts tasks as placed in a zone.
 func (w *unplacedWork) take(zone string, n int64) {
 	w.zonesLeft.take(zone, n)
 	w.left -= n
@@ -148,11 +148,11 @@
 	plan := scaleOutPlan{there: c.roomToCountOn(machines)}
 	plan.turnoverCredit = c.scaling.turnoverCredit(plan.there)
 	for _, work := range c.workToPlace(pending) {
-		w := unplacedWork{pendingWork: work, left: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
-		c.packThere(&plan, &w)
-		c.packPlanned(&plan, &w)
-		c.creditTurnover(&plan, &w)
-		c.planMachines(&plan, &w)
+		unplaced := unplacedWork{pendingWork: work, left: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
+		c.packThere(&plan, &unplaced)
+		c.packPlanned(&plan, &unplaced)
+		c.creditTurnover(&plan, &unplaced)
+		c.planMachines(&plan, &unplaced)
 	}
 	c.rentPlanned(plan.planned)
 }
@@ -160,13 +160,13 @@
 // repeatRentals asks again for what the cloud left unanswered for too long. The request's name
 // is the same, so that a repeat rents nothing more.
 func (c *Controller) repeatRentals() {
-	s := &c.scaling
-	for _, id := range slices.Sorted(maps.Keys(s.rentals)) {
-		r := s.rentals[id]
-		if c.now-r.sentAt > tuning.CloudTimeout+time.Second {
-			r.sentAt = c.now
-			s.rentals[id] = r
-			c.emit(r.request)
+	scaling := &c.scaling
+	for _, id := range slices.Sorted(maps.Keys(scaling.rentals)) {
+		rental := scaling.rentals[id]
+		if c.now-rental.sentAt > tuning.CloudTimeout+time.Second {
+			rental.sentAt = c.now
+			scaling.rentals[id] = rental
+			c.emit(rental.request)
 		}
 	}
 }
@@ -205,8 +205,8 @@
 	work := slices.Clone(pending)
 	classes := c.scaling.gangClasses
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		if n := c.spareMachines(classes[class].spec); n > 0 {
-			work = append(work, pendingWork{spec: classes[class].spec, tasks: n})
+		if spare := c.spareMachines(classes[class].spec); spare > 0 {
+			work = append(work, pendingWork{spec: classes[class].spec, tasks: spare})
 		}
 	}
 	slices.SortStableFunc(work, func(a, b pendingWork) int { return a.packingRank() - b.packingRank() })
@@ -225,61 +225,61 @@
 }
 
 // packThere places work on machines that are there or boot.
-func (c *Controller) packThere(plan *scaleOutPlan, w *unplacedWork) {
-	mayUseReserved := reservesMachines(w.spec)
+func (c *Controller) packThere(plan *scaleOutPlan, unplaced *unplacedWork) {
+	mayUseReserved := reservesMachines(unplaced.spec)
 	for i := range plan.there {
-		if w.left == 0 {
+		if unplaced.left == 0 {
 			return
 		}
 		slot := &plan.there[i]
 		m := slot.machine
-		if !allowsMachine(w.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
+		if !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
 			continue
 		}
-		n := w.fitting(roomBeside(slot.free, slot.preemptible, preemptible(w.spec)), m.Zone)
-		slot.free = slot.free.Plus(w.spec.Request, -n)
-		w.take(m.Zone, n)
+		placed := unplaced.fitting(roomBeside(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
+		slot.free = slot.free.Plus(unplaced.spec.Request, -placed)
+		unplaced.take(m.Zone, placed)
 	}
 }
 
 // packPlanned places work on machines that are to be rented for other work.
-func (c *Controller) packPlanned(plan *scaleOutPlan, w *unplacedWork) {
+func (c *Controller) packPlanned(plan *scaleOutPlan, unplaced *unplacedWork) {
 	for i := range plan.planned {
-		if w.left == 0 {
+		if unplaced.left == 0 {
 			return
 		}
-		p := &plan.planned[i]
-		if !allowsMachine(w.spec, p.kind.machineType, p.kind.zone, p.kind.spot) {
+		machine := &plan.planned[i]
+		if !allowsMachine(unplaced.spec, machine.kind.machineType, machine.kind.zone, machine.kind.spot) {
 			continue
 		}
-		n := w.fitting(p.free, p.kind.zone)
-		p.free = p.free.Plus(w.spec.Request, -n)
-		w.take(p.kind.zone, n)
+		placed := unplaced.fitting(machine.free, machine.kind.zone)
+		machine.free = machine.free.Plus(unplaced.spec.Request, -placed)
+		unplaced.take(machine.kind.zone, placed)
 	}
 }
 
 // creditTurnover leaves work to the slots that fall free soon, unless it needs a whole machine
 // or its job waits for too long.
-func (c *Controller) creditTurnover(plan *scaleOutPlan, w *unplacedWork) {
-	if reservesMachines(w.spec) || w.job != nil && c.isStarving(w.job, placementOf(w.job, nil)) {
+func (c *Controller) creditTurnover(plan *scaleOutPlan, unplaced *unplacedWork) {
+	if reservesMachines(unplaced.spec) || unplaced.job != nil && c.isStarving(unplaced.job, placementOf(unplaced.job, nil)) {
 		return
 	}
-	n := min(w.left, int64(plan.turnoverCredit))
+	n := min(unplaced.left, int64(plan.turnoverCredit))
 	plan.turnoverCredit -= int(n)
-	w.left -= n
+	unplaced.left -= n
 }
 
 // planMachines adds machines to the plan for the work that is left.
-func (c *Controller) planMachines(plan *scaleOutPlan, w *unplacedWork) {
-	for w.left > 0 && len(plan.planned) < tuning.MaxRentalPlans {
-		kind, ok := c.cheapest(w.spec, int(w.left), w.zonesLeft)
+func (c *Controller) planMachines(plan *scaleOutPlan, unplaced *unplacedWork) {
+	for unplaced.left > 0 && len(plan.planned) < tuning.MaxRentalPlans {
+		kind, ok := c.cheapest(unplaced.spec, int(unplaced.left), unplaced.zonesLeft)
 		if !ok {
 			return
 		}
 		capacity := c.cache.machineType(kind.machineType).Capacity
-		n := max(w.fitting(capacity, kind.zone), 1)
-		plan.planned = append(plan.planned, plannedMachine{kind, capacity.Plus(w.spec.Request, -n)})
-		w.take(kind.zone, n)
+		placed := max(unplaced.fitting(capacity, kind.zone), 1)
+		plan.planned = append(plan.planned, plannedMachine{kind, capacity.Plus(unplaced.spec.Request, -placed)})
+		unplaced.take(kind.zone, placed)
 	}
 }
 
@@ -289,11 +289,11 @@
 func (c *Controller) rentPlanned(planned []plannedMachine) {
 	count := map[machineKind]int{}
 	var kinds []machineKind
-	for _, p := range planned {
-		if count[p.kind] == 0 {
-			kinds = append(kinds, p.kind)
+	for _, machine := range planned {
+		if count[machine.kind] == 0 {
+			kinds = append(kinds, machine.kind)
 		}
-		count[p.kind]++
+		count[machine.kind]++
 	}
 	requests := 0
 	for _, kind := range kinds {
@@ -310,11 +310,11 @@
 
 // rent asks the cloud for machines of a kind.
 func (c *Controller) rent(kind machineKind, count int) {
-	s := &c.scaling
-	s.rentalCount++
-	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), s.rentalCount)
+	scaling := &c.scaling
+	scaling.rentalCount++
+	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), scaling.rentalCount)
 	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
-	s.rentals[id] = rental{request, c.now}
+	scaling.rentals[id] = rental{request, c.now}
 	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
 	c.emit(request)
 }
@@ -328,29 +328,29 @@
 			leaving[name] = true
 		}
 	}
-	for _, p := range c.peers.byName {
-		if c.now-p.heardAt > 4*tuning.DrawEvery {
+	for _, peer := range c.peers.byName {
+		if c.now-peer.heardAt > 4*tuning.DrawEvery {
 			continue
 		}
-		for i := range p.machines {
-			if p.machines[i].Leaving {
-				leaving[p.machines[i].Name] = true
+		for i := range peer.machines {
+			if peer.machines[i].Leaving {
+				leaving[peer.machines[i].Name] = true
 			}
 		}
 	}
 	return leaving
 }
 
-// cheapest is the kind of machine with the least price per task, of which n are left, in the
+// cheapest is the kind of machine with the least price per task, of which tasksLeft are left, in the
 // zones that may take any; false: none may be rented now.
-func (c *Controller) cheapest(sp *domain.JobSpec, n int, zones zoneAllowance) (machineKind, bool) {
+func (c *Controller) cheapest(spec *domain.JobSpec, tasksLeft int, zones zoneAllowance) (machineKind, bool) {
 	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
-		if !machineTypeFits(sp, machineType) {
+		if !machineTypeFits(spec, machineType) {
 			continue
 		}
-		tasks := float64(machineType.Capacity.CountFitting(sp.Request, int64(max(n, 1))))
+		tasks := float64(machineType.Capacity.CountFitting(spec.Request, int64(max(tasksLeft, 1))))
 		if tasks < 1 {
 			continue
 		}
@@ -360,10 +360,10 @@
 			}
 			for _, spot := range [2]bool{true, false} {
 				kind := machineKind{machineType.Name, zone, spot}
-				if !c.scaling.mayRent(sp, kind, c.now) {
+				if !c.scaling.mayRent(spec, kind, c.now) {
 					continue
 				}
-				if price := pricePerTask(sp, machineType, kind, tasks); price < bestPrice {
+				if price := pricePerTask(spec, machineType, kind, tasks); price < bestPrice {
 					best, bestPrice, found = kind, price, true
 				}
 			}
@@ -374,47 +374,47 @@
 
 // mayRent tells whether a kind of machine may be rented for a job now. Preemptible work takes
 // ordinary machines only while others leave them empty.
-func (s *scaling) mayRent(sp *domain.JobSpec, kind machineKind, now time.Duration) bool {
-	if sp.Zone != "" && kind.zone != sp.Zone || now < s.pauses[kind].until {
+func (s *scaling) mayRent(spec *domain.JobSpec, kind machineKind, now time.Duration) bool {
+	if spec.Zone != "" && kind.zone != spec.Zone || now < s.pauses[kind].until {
 		return false
 	}
 	if kind.spot {
-		return sp.Spot
+		return spec.Spot
 	}
-	return !sp.Spot || !preemptible(sp)
+	return !spec.Spot || !preemptible(spec)
 }
 
 // pricePerTask is what a machine of the kind costs per task of a job if it has that many. Among
 // equals it spreads jobs over zones.
-func pricePerTask(sp *domain.JobSpec, machineType *domain.MachineType, kind machineKind, tasks float64) float64 {
+func pricePerTask(spec *domain.JobSpec, machineType *domain.MachineType, kind machineKind, tasks float64) float64 {
 	price := machineType.Price / tasks
 	if kind.spot {
 		price = machineType.SpotPrice / tasks
 	}
-	return price * (1 + 0.001*float64(ownership.Hash(kind.zone, sp.ID)%16))
+	return price * (1 + 0.001*float64(ownership.Hash(kind.zone, spec.ID)%16))
 }
 
 // onRentalAnswered takes in what a request brought.
-func (c *Controller) onRentalAnswered(e RentalAnswered) {
-	s := &c.scaling
-	r, ok := s.rentals[e.RentalID]
+func (c *Controller) onRentalAnswered(answer RentalAnswered) {
+	scaling := &c.scaling
+	rental, ok := scaling.rentals[answer.RentalID]
 	if !ok {
 		return // an earlier leadership's; the list will show what came of it
 	}
-	if !e.OK && !e.NoCapacity {
+	if !answer.OK && !answer.NoCapacity {
 		// Unknown or refused for now: the same name again, later.
-		r.sentAt = c.now + cloudRetry - (tuning.CloudTimeout + time.Second)
-		s.rentals[e.RentalID] = r
+		rental.sentAt = c.now + cloudRetry - (tuning.CloudTimeout + time.Second)
+		scaling.rentals[answer.RentalID] = rental
 		return
 	}
-	delete(s.rentals, e.RentalID)
-	kind := machineKind{r.request.Type, r.request.Zone, r.request.Spot}
-	s.pauseIfShort(kind, r.request.Count-len(e.Names), c.now)
-	for _, name := range e.Names {
-		s.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting}
-		s.knownSince[name] = c.now
+	delete(scaling.rentals, answer.RentalID)
+	kind := machineKind{rental.request.Type, rental.request.Zone, rental.request.Spot}
+	scaling.pauseIfShort(kind, rental.request.Count-len(answer.Names), c.now)
+	for _, name := range answer.Names {
+		scaling.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting}
+		scaling.knownSince[name] = c.now
 	}
-	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", r.request.Count, "got", len(e.Names))
+	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", rental.request.Count, "got", len(answer.Names))
 }
 
 // pauseIfShort keeps a kind from being rented for a while, longer each time, when machines of
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -17,7 +17,7 @@
 	// forgetInstanceAfter is how long an instance that no list has any more is remembered.
 	forgetInstanceAfter = 5 * time.Minute
 	// unlistedPatience, with twice the list's lag, is when a rented instance that was
-	// never listed is given up.
+	// never listed is forgotten.
 	unlistedPatience = 2 * time.Minute
 	// returnRetry is the pause after a return that failed.
 	returnRetry = 2 * time.Second
@@ -88,27 +88,27 @@
 // once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
 // in which each decision uses those before.
 func (c *Controller) scale() {
-	s := &c.scaling
+	scaling := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !s.listingTypes && c.now >= s.nextTypesAt {
-		s.listingTypes = true
+	if !scaling.listingTypes && c.now >= scaling.nextTypesAt {
+		scaling.listingTypes = true
 		c.emit(ListMachineTypes{})
 	}
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !s.listing && s.nextList.IsOpen(c.now) {
-		s.listing = true
+	if !scaling.listing && scaling.nextList.IsOpen(c.now) {
+		scaling.listing = true
 		c.emit(ListInstances{})
 	}
-	if !s.nextDecision.IsOpen(c.now) {
+	if !scaling.nextDecision.IsOpen(c.now) {
 		return
 	}
-	s.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
+	scaling.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
 	c.planScaleIn()
-	if !s.listed {
+	if !scaling.listed {
 		return
 	}
 	machines := c.machines()
@@ -120,23 +120,23 @@
 }
 
 // onInstancesListed takes the cloud's list of this deployment's instances.
-func (c *Controller) onInstancesListed(e InstancesListed) {
-	s := &c.scaling
-	s.listing = false
-	s.nextList.Close(c.now + tuning.InstanceListInterval)
-	if !e.OK {
+func (c *Controller) onInstancesListed(answer InstancesListed) {
+	scaling := &c.scaling
+	scaling.listing = false
+	scaling.nextList.Close(c.now + tuning.InstanceListInterval)
+	if !answer.OK {
 		return
 	}
-	s.listed = true
-	s.instances = map[string]domain.Instance{}
-	for _, instance := range e.Instances {
-		s.instances[instance.Name] = instance
-		delete(s.unlisted, instance.Name)
-		if _, known := s.knownSince[instance.Name]; !known {
-			s.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
+	scaling.listed = true
+	scaling.instances = map[string]domain.Instance{}
+	for _, instance := range answer.Instances {
+		scaling.instances[instance.Name] = instance
+		delete(scaling.unlisted, instance.Name)
+		if _, known := scaling.knownSince[instance.Name]; !known {
+			scaling.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
 		}
 	}
-	s.forgetInstances(c.now)
+	scaling.forgetInstances(c.now)
 }
 
 // forgetInstances forgets what is in no list any more and was known long ago.
@@ -190,12 +190,12 @@
 // addUnlisted adds the rented instances that no list has yet, and forgets those that no list
 // ever had: they are gone again.
 func (c *Controller) addUnlisted(all map[string]*machineState) {
-	s := &c.scaling
-	for name, instance := range s.unlisted {
+	scaling := &c.scaling
+	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-s.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
-			delete(s.unlisted, name)
+		case c.now-scaling.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
+			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
 		}
@@ -204,15 +204,15 @@
 
 // addHeard adds the machines that any controller hears, and notes which these are.
 func (c *Controller) addHeard(all map[string]*machineState) {
-	for _, i := range c.inventory() {
-		m := all[i.name]
+	for _, heard := range c.inventory() {
+		m := all[heard.name]
 		if m == nil {
-			m = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: domain.InstanceRunning}}
-			all[i.name] = m
+			m = &machineState{Instance: domain.Instance{Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot, Status: domain.InstanceRunning}}
+			all[heard.name] = m
 		}
 		m.heard = true
-		if _, known := c.scaling.knownSince[i.name]; !known {
-			c.scaling.knownSince[i.name] = c.now
+		if _, known := c.scaling.knownSince[heard.name]; !known {
+			c.scaling.knownSince[heard.name] = c.now
 		}
 	}
 }
@@ -220,8 +220,8 @@
 // planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
 // cordoned as gone, which proves its tasks off.
 func (c *Controller) planScaleIn() {
-	s := &c.scaling
-	if s.returning || !s.nextReturn.IsOpen(c.now) {
+	scaling := &c.scaling
+	if scaling.returning || !scaling.nextReturn.IsOpen(c.now) {
 		return
 	}
 	var names []string
@@ -234,7 +234,7 @@
 		}
 	}
 	if len(names) > 0 {
-		s.returning = true
+		scaling.returning = true
 		c.emit(ReturnMachines{Names: names})
 	}
 }
@@ -258,17 +258,17 @@
 }
 
 // onReturnAnswered cordons as gone what the cloud took back.
-func (c *Controller) onReturnAnswered(e ReturnAnswered) {
-	s := &c.scaling
-	s.returning = false
-	if !e.OK {
-		s.nextReturn.Close(c.now + returnRetry)
+func (c *Controller) onReturnAnswered(answer ReturnAnswered) {
+	scaling := &c.scaling
+	scaling.returning = false
+	if !answer.OK {
+		scaling.nextReturn.Close(c.now + returnRetry)
 		return
 	}
-	for _, name := range e.Names {
+	for _, name := range answer.Names {
 		c.cordon(name, domain.Cordon{State: domain.CordonGone})
 	}
-	c.info("machines returned", "machines", e.Names)
+	c.info("machines returned", "machines", answer.Names)
 }
 
 // unheardReview is what tells whether a machine that nobody hears is at fault itself.
@@ -346,23 +346,23 @@
 
 // isStuck tells whether a machine boots for too long, or is unheard for too long.
 func (c *Controller) isStuck(m *machineState) bool {
-	s := &c.scaling
+	scaling := &c.scaling
 	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == domain.InstanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
+	if m.Status == domain.InstanceBooting && !m.heard && c.now-scaling.knownSince[m.Name] > bootPatience {
 		return true
 	}
-	since, unheard := s.unheardSince[m.Name]
+	since, unheard := scaling.unheardSince[m.Name]
 	return unheard && c.now-since > tuning.UnheardPatience
 }
 
 // isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
 // held for less than the least time that is charged isn't.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
-	s := &c.scaling
-	if !m.heard || m.tasks > 0 || c.now-s.knownSince[m.Name] <= tuning.MinHeld {
+	scaling := &c.scaling
+	if !m.heard || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinHeld {
 		return false
 	}
-	since, idle := s.idleSince[m.Name]
+	since, idle := scaling.idleSince[m.Name]
 	return idle && c.now-since > c.idleKeep(m)
 }
 
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -27,7 +27,7 @@
 	TransactionLimit int // changes; the least that a transaction's bound is or will be
 
 	WriteRate     float64 // changes a second that this controller plans to make; 0: no bound
-	FairWriteRate float64 // an equal part of the deployment's changes a second; WriteRate may be more
+	FairWriteRate float64 // an equal share of the deployment's changes a second; WriteRate may be more
 	ReadRate      float64 // requests a second that this controller plans to make; 0: no bound
 
 	StartWithin       map[string]float64   // class -> seconds within which its tasks should start
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -9,7 +9,7 @@
 const (
 	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's shard
 	PassCached                         // the leader's, over jobs whose image is on a machine with room
-	PassAny                            // the leader's, over all jobs that it places whole
+	PassAny                            // the leader's, over all jobs that it places
 	PassLargeArray                     // the leader's, over large arrays
 	passCount
 )
@@ -39,12 +39,12 @@
 
 // Status returns the controller's status as of the last step.
 func (c *Controller) Status() Status {
-	s := Status{Acts: c.mayAct(), Revision: c.cache.revision, Confirmed: -1, Machines: len(c.heartbeats.machines), OpenJobs: len(c.cache.openJobs), Work: c.Work}
+	status := Status{Acts: c.mayAct(), Revision: c.cache.revision, Confirmed: -1, Machines: len(c.heartbeats.machines), OpenJobs: len(c.cache.openJobs), Work: c.Work}
 	if c.cache.view != nil {
-		s.Epoch, s.Leader, s.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
+		status.Epoch, status.Leader, status.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
 	if confirmed := c.membership.Confirmed(); confirmed.IsKnown() {
-		s.Confirmed = c.now - confirmed.Time()
+		status.Confirmed = c.now - confirmed.Time()
 	}
-	return s
+	return status
 }
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -11,20 +11,20 @@
 	"brassglade/internal/tuning"
 )
 
-// isLargeFleet: the shards are so large that jobs are passed and stolen whole, as long as
-// none of their tasks was booked. One by one, tasks of most jobs would lie in
-// shards other than the one whose value holds them, and two controllers' commits of
-// one value at a time keep failing each other.
+// isLargeFleet tells whether the shards are so large that jobs are handed over and stolen as a
+// whole, as long as none of their tasks was booked. One by one, tasks of most jobs would wait in
+// shards other than the one whose value has their records, and commits of one value by two
+// controllers at a time keep failing each other.
 func (c *Controller) isLargeFleet() bool {
 	c.countWaiting()
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
-// isUntouched: nothing of the job was booked or handed over yet.
+// isUntouched tells whether nothing of the job was booked or handed over yet.
 func isUntouched(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
-// isSettling: the job's shard was chosen for its room a moment ago, so the job first gets
-// a chance there.
+// isSettling tells whether the job's shard was chosen for its room a moment ago, so that the job
+// first gets a chance there.
 func (c *Controller) isSettling(j *Job) bool {
 	return c.now-time.Duration(j.readyAt) < tuning.StealAfter
 }
@@ -59,8 +59,8 @@
 // couldRun tells whether some target, were it empty, could run a task of the job.
 func (p *placing) couldRun(spec *domain.JobSpec) bool {
 	for i := range p.targets {
-		t := &p.targets[i]
-		if t.machineType.Capacity.Fits(spec.Request) && allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) {
+		target := &p.targets[i]
+		if target.machineType.Capacity.Fits(spec.Request) && allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) {
 			return true
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // peerFits tells whether a peer has a machine that may take a task of the job. The answer
-// is kept for as long as the peer's word.
+// is cached until the peer's next message.
 func (c *Controller) peerFits(peer *peerState, spec *domain.JobSpec) bool {
 	key := fitKey{spec.Request, spec.Zone, strings.Join(spec.MachineTypes, ","), spec.Spot}
 	fits, known := peer.fits[key]
@@ -117,8 +117,8 @@
 	return j.Header.State == domain.StateOpen && j.task(index).State == domain.Queued && int64(c.now) >= j.pausedUntil
 }
 
-// stealLocal: a machine with idle room and an empty queue takes waiting tasks
-// from other queues of this shard.
+// stealLocal moves waiting tasks from the queues of this shard's machines to those that have
+// room and an empty queue.
 func (c *Controller) stealLocal(machines []*Machine) {
 	from := c.machinesBehind(machines)
 	if len(from) == 0 {
@@ -249,8 +249,8 @@
 		sent++
 		most := tuning.MaxHandovers
 		if large {
-			n := idle[machineKind{m.Type, m.Zone, m.Spot}]
-			free, most = domain.Resources{}.Plus(free, n), tuning.MaxHandovers*int(n)
+			alike := idle[machineKind{m.Type, m.Zone, m.Spot}]
+			free, most = domain.Resources{}.Plus(free, alike), tuning.MaxHandovers*int(alike)
 			sent = tuning.MaxStealRequests // one for all alike
 		}
 		c.emit(SendPeerMessage{To: offers[k].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
@@ -296,9 +296,9 @@
 // shardsToAsk are the shards, in order of name, that have work for an idle machine.
 func (c *Controller) shardsToAsk(work []stealableWork, m *Machine, free domain.Resources) []policy.Choice {
 	shards := map[string]bool{}
-	for _, w := range work {
-		if free.Fits(w.spec.Request) && allowsMachine(w.spec, m.Type, m.Zone, m.Spot) {
-			maps.Copy(shards, w.shards)
+	for _, stealable := range work {
+		if free.Fits(stealable.spec.Request) && allowsMachine(stealable.spec, m.Type, m.Zone, m.Spot) {
+			maps.Copy(shards, stealable.shards)
 		}
 	}
 	var offers []policy.Choice
@@ -325,14 +325,14 @@
 	if !c.mayAct() || !slices.Contains(c.cache.view.Serving, from) {
 		return
 	}
-	s := &stealAnswer{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
+	answer := &stealAnswer{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
 	if c.isLargeFleet() {
-		s.giveJobs()
+		answer.giveJobs()
 		return
 	}
 	// Unplaced ones first, then those that can't start where they queue.
-	s.giveUnplaced()
-	s.giveQueued()
+	answer.giveUnplaced()
+	answer.giveQueued()
 }
 
 // allows tells whether the peer's machine may run tasks of a job.
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -14,56 +14,56 @@
 // onJobSubmitted takes a submission. One that repeats an accepted one is answered with the
 // job's state, whatever it says now; so a refusal must wait for a read index, which shows
 // that there is no such job.
-func (c *Controller) onJobSubmitted(e JobSubmitted) {
-	if c.cache.jobs[e.ID] != nil && e.ID != "" {
-		c.onJobQueried(JobQueried{e.RequestID, e.ID})
+func (c *Controller) onJobSubmitted(submission JobSubmitted) {
+	if c.cache.jobs[submission.ID] != nil && submission.ID != "" {
+		c.onJobQueried(JobQueried{submission.RequestID, submission.ID})
 		return
 	}
-	if e.Spec == nil {
-		c.refuseMalformed(e)
+	if submission.Spec == nil {
+		c.refuseMalformed(submission)
 		return
 	}
 	if !c.canTakeRequests() {
-		c.retryLater(e.RequestID, notReady)
+		c.retryLater(submission.RequestID, notReady)
 		return
 	}
-	if why := c.whyNeverRuns(e.Spec); why != "" {
-		c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: why})
+	if why := c.whyNeverRuns(submission.Spec); why != "" {
+		c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission, refusal: why})
 		return
 	}
-	if len(e.Spec.Dependencies) > 0 {
+	if len(submission.Spec.Dependencies) > 0 {
 		// Until all controllers know what dependencies are, one that doesn't might start
 		// the job; the user comes back.
 		if !c.cache.formatOn() {
-			c.retryLater(e.RequestID, dependenciesNotYet)
+			c.retryLater(submission.RequestID, dependenciesNotYet)
 			return
 		}
-		c.lookUpDependencies(e)
+		c.lookUpDependencies(submission)
 		return
 	}
-	if c.startAccepting(e) {
-		c.putJob(e, c.newHeader(e.Spec))
+	if c.startAccepting(submission) {
+		c.putJob(submission, c.newHeader(submission.Spec))
 	}
 }
 
 // refuseMalformed answers a submission that can't be read, at once if not even its job's
 // ID can.
-func (c *Controller) refuseMalformed(e JobSubmitted) {
-	if e.ID == "" {
-		c.refuse(e.RequestID, 400, "", malformed)
+func (c *Controller) refuseMalformed(submission JobSubmitted) {
+	if submission.ID == "" {
+		c.refuse(submission.RequestID, 400, "", malformed)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e, refusal: malformed})
+	c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission, refusal: malformed})
 }
 
 // startAccepting reserves the job's ID for one submission; the user of another, which came
 // before the first is committed, comes back.
-func (c *Controller) startAccepting(e JobSubmitted) bool {
-	if c.requests.accepting[e.ID] {
-		c.retryLater(e.RequestID, beingAccepted)
+func (c *Controller) startAccepting(submission JobSubmitted) bool {
+	if c.requests.accepting[submission.ID] {
+		c.retryLater(submission.RequestID, beingAccepted)
 		return false
 	}
-	c.requests.accepting[e.ID] = true
+	c.requests.accepting[submission.ID] = true
 	return true
 }
 
@@ -94,11 +94,11 @@
 }
 
 // machineTypeFits tells whether a task of the job can run on an empty machine of the type.
-func machineTypeFits(spec *domain.JobSpec, t *domain.MachineType) bool {
-	if !t.Capacity.Fits(spec.Request) || spec.ImageGB > t.ImageCacheGB && t.ImageCacheGB > 0 {
+func machineTypeFits(spec *domain.JobSpec, machineType *domain.MachineType) bool {
+	if !machineType.Capacity.Fits(spec.Request) || spec.ImageGB > machineType.ImageCacheGB && machineType.ImageCacheGB > 0 {
 		return false
 	}
-	return listAllows(spec.MachineTypes, t.Name) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone))
+	return listAllows(spec.MachineTypes, machineType.Name) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone))
 }
 
 // listAllows tells whether a list, which if empty allows all, allows the name.
@@ -112,48 +112,48 @@
 // accepted; what it lacks another controller may have accepted a moment ago, so the state
 // service is asked for those, if they are few. Only a read index shows that a job was never
 // accepted: by then everything accepted before the submission came is in the cache.
-func (c *Controller) lookUpDependencies(e JobSubmitted) {
+func (c *Controller) lookUpDependencies(submission JobSubmitted) {
 	var keys []string
-	for _, id := range e.Spec.Dependencies {
+	for _, id := range submission.Spec.Dependencies {
 		if c.cache.jobs[id] != nil || slices.Contains(keys, codec.KeyJob(id)) {
 			continue
 		}
 		keys = append(keys, codec.KeyJob(id))
 		if len(keys) > tuning.MaxLookups {
-			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission})
 			return
 		}
 	}
 	if len(keys) == 0 {
-		c.accept(e, nil)
+		c.accept(submission, nil)
 		return
 	}
 	c.commits.nextID++
-	c.requests.lookups[c.commits.nextID] = e
+	c.requests.lookups[c.commits.nextID] = submission
 	c.emit(ReadKeys{c.commits.nextID, keys})
 }
 
 // onRead takes up a submission whose dependencies were looked up. One of which some are
 // still missing, also since the read failed, waits for a read index.
-func (c *Controller) onRead(ev KeysRead) {
-	e, ok := c.requests.lookups[ev.ID]
+func (c *Controller) onRead(answer KeysRead) {
+	submission, ok := c.requests.lookups[answer.ID]
 	if !ok {
 		return
 	}
-	delete(c.requests.lookups, ev.ID)
+	delete(c.requests.lookups, answer.ID)
 	found := map[string]*codec.JobHeader{}
-	for _, kv := range ev.Items {
-		if h, err := codec.Decode[codec.JobHeader](kv.Value); err == nil {
-			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = h
+	for _, kv := range answer.Items {
+		if header, err := codec.Decode[codec.JobHeader](kv.Value); err == nil {
+			found[strings.TrimPrefix(kv.Key, codec.PrefixJob)] = header
 		}
 	}
-	for _, id := range e.Spec.Dependencies {
+	for _, id := range submission.Spec.Dependencies {
 		if c.cache.jobs[id] == nil && found[id] == nil {
-			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID, submit: &e})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission})
 			return
 		}
 	}
-	c.accept(e, found)
+	c.accept(submission, found)
 }
 
 // dependencyCheck is what the jobs that a submission names mean for it.
@@ -171,8 +171,8 @@
 	var check dependencyCheck
 	for _, id := range slices.Compact(ids) {
 		j := c.jobs[id]
-		if h := found[id]; j == nil && h != nil {
-			j = &Job{ID: id, Header: h}
+		if header := found[id]; j == nil && header != nil {
+			j = &Job{ID: id, Header: header}
 		}
 		switch {
 		case j == nil:
@@ -190,27 +190,27 @@
 
 // accept takes a submission that names jobs; found are the headers of those that the cache
 // may lack, as the state service had them a moment ago.
-func (c *Controller) accept(e JobSubmitted, found map[string]*codec.JobHeader) {
-	check := c.cache.checkDependencies(e.Spec.Dependencies, found)
+func (c *Controller) accept(submission JobSubmitted, found map[string]*codec.JobHeader) {
+	check := c.cache.checkDependencies(submission.Spec.Dependencies, found)
 	if check.refusal != "" {
-		c.refuse(e.RequestID, 422, e.ID, check.refusal)
+		c.refuse(submission.RequestID, 422, submission.ID, check.refusal)
 		return
 	}
 	if !c.canTakeRequests() {
-		c.retryLater(e.RequestID, notReady)
+		c.retryLater(submission.RequestID, notReady)
 		return
 	}
-	if !c.startAccepting(e) {
+	if !c.startAccepting(submission) {
 		return
 	}
-	spec := *e.Spec
+	spec := *submission.Spec
 	spec.Dependencies = nil
 	if check.cancelled { // accepted all the same, and over
-		c.putJob(e, &codec.JobHeader{State: domain.StateCancelled, TaskCount: spec.TaskCount, Released: true})
+		c.putJob(submission, &codec.JobHeader{State: domain.StateCancelled, TaskCount: spec.TaskCount, Released: true})
 		return
 	}
-	h := c.newHeader(&spec) // which refers to spec
-	c.putPieces(e, h, c.nameDependencies(e.ID, &spec, check.open))
+	header := c.newHeader(&spec) // which refers to spec
+	c.putPieces(submission, header, c.nameDependencies(submission.ID, &spec, check.open))
 }
 
 // nameDependencies puts the names of the jobs into the job's spec if they are few. Longer
@@ -239,9 +239,9 @@
 // newHeader is that of a new job, which keeps spec.
 func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
 	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
-	h := &codec.JobHeader{State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount, Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1}
+	header := &codec.JobHeader{State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount, Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1}
 	if c.cache.formatOn() {
-		h.AcceptedAtMS = c.wallMS()
+		header.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked at once, so its chunks have room for all of
 	// them; in others bookings wait where a chunk is full (draft.room).
@@ -249,13 +249,13 @@
 	if spec.Shape == domain.Gang {
 		size = tuning.TaskBytes
 	}
-	h.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
-	if pack, ok := c.packFor(spec, h.Shard); ok {
-		h.Pack, h.ChunkSize = pack, h.TaskCount
-	} else if placedByLeader(spec) && h.TaskCount <= tuning.MaxInlineTasks {
-		h.Inline, h.ChunkSize = true, h.TaskCount
+	header.ChunkSize = max(1, (c.cfg.ValueLimit-tuning.PackSlack)/size)
+	if pack, ok := c.packFor(spec, header.Shard); ok {
+		header.Pack, header.ChunkSize = pack, header.TaskCount
+	} else if placedByLeader(spec) && header.TaskCount <= tuning.MaxInlineTasks {
+		header.Inline, header.ChunkSize = true, header.TaskCount
 	}
-	return h
+	return header
 }
 
 // packFor is the pack of a shard that a new job's tasks go to: the first with room for all
@@ -289,46 +289,46 @@
 // putPieces writes the pieces of a job's list of dependencies, if there are any, some in
 // each commit, and then the header, so that a header never refers to a list that is not
 // there.
-func (c *Controller) putPieces(e JobSubmitted, h *codec.JobHeader, pieces []domain.Put) {
+func (c *Controller) putPieces(submission JobSubmitted, header *codec.JobHeader, pieces []domain.Put) {
 	if len(pieces) == 0 {
-		c.putJob(e, h)
+		c.putJob(submission, header)
 		return
 	}
 	now := min(len(pieces), c.cfg.TransactionLimit)
-	t := domain.Transaction{Puts: pieces[:now]}
-	for _, p := range t.Puts {
-		t.Conditions = append(t.Conditions, domain.Condition{Key: p.Key, ModRevision: 0})
-	}
-	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
-		if r != domain.Committed { // a later try uses another name
-			delete(c.requests.accepting, e.ID)
-			c.retryLater(e.RequestID, commitFailed)
+	transaction := domain.Transaction{Puts: pieces[:now]}
+	for _, piece := range transaction.Puts {
+		transaction.Conditions = append(transaction.Conditions, domain.Condition{Key: piece.Key, ModRevision: 0})
+	}
+	c.commit(LaneUser, transaction, func(result domain.CommitResult, _ CommitAnswered) {
+		if result != domain.Committed { // a later attempt uses another name
+			delete(c.requests.accepting, submission.ID)
+			c.retryLater(submission.RequestID, commitFailed)
 			return
 		}
-		c.putPieces(e, h, pieces[now:])
+		c.putPieces(submission, header, pieces[now:])
 	})
 }
 
 // putJob writes the header of a new job and tells its user.
-func (c *Controller) putJob(e JobSubmitted, h *codec.JobHeader) {
-	t := domain.Transaction{
-		Conditions: []domain.Condition{{Key: codec.KeyJob(e.ID), ModRevision: 0}},
-		Puts:       []domain.Put{{Key: codec.KeyJob(e.ID), Value: codec.Encode(h)}},
-	}
-	c.commit(LaneUser, t, func(r domain.CommitResult, _ CommitAnswered) {
-		delete(c.requests.accepting, e.ID)
-		switch r {
+func (c *Controller) putJob(submission JobSubmitted, header *codec.JobHeader) {
+	transaction := domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyJob(submission.ID), ModRevision: 0}},
+		Puts:       []domain.Put{{Key: codec.KeyJob(submission.ID), Value: codec.Encode(header)}},
+	}
+	c.commit(LaneUser, transaction, func(result domain.CommitResult, _ CommitAnswered) {
+		delete(c.requests.accepting, submission.ID)
+		switch result {
 		case domain.Committed:
-			c.debug("job accepted", "job", e.ID, "class", e.Spec.Class, "tasks", e.Spec.TaskCount, "shard", h.Shard,
-				"team", e.Spec.Team, "image", e.Spec.Image, "image_gb", e.Spec.ImageGB, "waiting", c.peers.waitingByShard,
-				"estimated_s", e.Spec.EstimatedRuntime, "deadline_s", e.Spec.Deadline, "dependencies", e.Spec.Dependencies)
-			if j := c.cache.jobs[e.ID]; j != nil {
-				c.replyState(e.RequestID, 201, j)
+			c.debug("job accepted", "job", submission.ID, "class", submission.Spec.Class, "tasks", submission.Spec.TaskCount, "shard", header.Shard,
+				"team", submission.Spec.Team, "image", submission.Spec.Image, "image_gb", submission.Spec.ImageGB, "waiting", c.peers.waitingByShard,
+				"estimated_s", submission.Spec.EstimatedRuntime, "deadline_s", submission.Spec.Deadline, "dependencies", submission.Spec.Dependencies)
+			if j := c.cache.jobs[submission.ID]; j != nil {
+				c.replyState(submission.RequestID, 201, j)
 			}
 		case domain.Conflict: // somebody else took it: a repeat
-			c.awaitReadIndex(waiter{requestID: e.RequestID, id: e.ID})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID})
 		default:
-			c.retryLater(e.RequestID, commitFailed)
+			c.retryLater(submission.RequestID, commitFailed)
 		}
 	})
 }
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -79,7 +79,7 @@
 	return roomBeside(t.free, t.preemptible, kind.preemptible)
 }
 
-// isFull: queues are small; what can't start soon waits in the shard's pool, where
+// isFull tells whether the queue takes no more tasks of a kind. Queues are small; what can't start soon waits in the shard's pool, where
 // the order can still change. A preemptible task is queued only where it starts
 // at once: waiting there it would go ahead of others that come later.
 func (t *target) isFull(kind taskKind) bool {
@@ -120,14 +120,14 @@
 	choices := []policy.Choice{}
 	c.Work.Targets += len(roomy)
 	for _, i := range roomy {
-		t := &p.targets[i]
-		if !allowsMachine(spec, t.machine.Type, t.machine.Zone, t.machine.Spot) || t.machine.failedHere(j) {
+		target := &p.targets[i]
+		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.failedHere(j) {
 			continue
 		}
-		if cached && !t.hasImage(spec.Image) && !slices.Contains(t.pendingImages, spec.Image) {
+		if cached && !target.hasImage(spec.Image) && !slices.Contains(target.pendingImages, spec.Image) {
 			continue
 		}
-		choice := policy.Choice{Name: t.machine.Name, Ref: i}
+		choice := policy.Choice{Name: target.machine.Name, Ref: i}
 		if p.weigh(&choice, j, cheapest) {
 			choices = append(choices, choice)
 		}
@@ -138,13 +138,13 @@
 // weigh fills in what a choice's target costs a task of the job now; false: the mask
 // takes it out. Cheapest is the least price of a slot for such a task.
 func (p *placing) weigh(choice *policy.Choice, j *Job, cheapest float64) bool {
-	t, spec, kind := &p.targets[choice.Ref], j.Header.Spec, p.c.kindOf(j)
-	if t.isFull(kind) {
+	target, spec, kind := &p.targets[choice.Ref], j.Header.Spec, p.c.kindOf(j)
+	if target.isFull(kind) {
 		return false
 	}
-	choice.Load = t.load
-	choice.Cost = t.fetchCost(spec)
-	choice.Cost += p.c.queues.packCost(t, spec, kind, cheapest)
+	choice.Load = target.load
+	choice.Cost = target.fetchCost(spec)
+	choice.Cost += p.c.queues.packCost(target, spec, kind, cheapest)
 	return true
 }
 
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -88,20 +88,20 @@
 // slots is how many tasks like this the machines heard of can run at once.
 func (c *Controller) slots(spec *domain.JobSpec) float64 {
 	c.inventory() // brings machinesByKind up to date
-	n := int64(0)
+	total := int64(0)
 	for kind, count := range c.peers.machinesByKind {
-		if f := c.cache.machineType(kind.machineType); f != nil && allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
-			n += count * f.Capacity.CountFitting(spec.Request, 64)
+		if machineType := c.cache.machineType(kind.machineType); machineType != nil && allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
+			total += count * machineType.Capacity.CountFitting(spec.Request, 64)
 		}
 	}
-	return float64(max(n, 1))
+	return float64(max(total, 1))
 }
 
-// isDoubtful: all tries so far failed, several times over. Such a job is tried one task
-// at a time, or a mistaken one would take machines and changes from all others.
+// isDoubtful tells whether all attempts so far failed, several times over. Such a job runs one
+// task at a time, or a mistaken one would take machines and changes from all others.
 func (j *Job) isDoubtful() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
 
-// isStarving: it could have begun long ago, and has nothing to show for it. A job
+// isStarving tells whether a job could have begun long ago, and has nothing to show for it. One
 // whose bookings came to nothing is no better off than one that never had any.
 func (c *Controller) isStarving(j *Job, at placement) bool {
 	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -41,21 +41,21 @@
 // --- a new view arrives ---
 
 // adoptView takes a newer view from the watch.
-func (c *Controller) adoptView(v *domain.View) {
+func (c *Controller) adoptView(view *domain.View) {
 	old := c.cache.view
-	c.cache.view, c.views.adoptedAt = v, c.now
+	c.cache.view, c.views.adoptedAt = view, c.now
 	c.membership.ViewChanged()
 	c.settleOwnership(old)
 	c.clearQueues()
-	c.views.noteOverrides(old, v, c.now)
+	c.views.noteOverrides(old, view, c.now)
 	c.planner.pendingReleases = map[attemptID]bool{} // their transactions named the old view
 	c.commits.inDoubt = inDoubtCommit{}
 	c.reportShareOverruns()
-	if old == nil || old.Leader != v.Leader {
+	if old == nil || old.Leader != view.Leader {
 		c.scaling = newScaling(c.scaling.rentalCount)
 	}
-	args := []any{"epoch", v.Epoch, "leader", v.Leader, "serving", v.Serving, "overrides", len(v.OwnerOverrides)}
-	if v.Zoned {
+	args := []any{"epoch", view.Epoch, "leader", view.Leader, "serving", view.Serving, "overrides", len(view.OwnerOverrides)}
+	if view.Zoned {
 		args = append(args, "zoned", true)
 	}
 	c.info("view", args...)
@@ -139,27 +139,27 @@
 		next.Serving, next.Leader = members, members[0]
 		return next
 	}
-	d := &viewDraft{present: present, next: next, changed: !maps.Equal(present.Members, next.Members)}
-	c.chooseServing(d, members)
+	proposal := &viewDraft{present: present, next: next, changed: !maps.Equal(present.Members, next.Members)}
+	c.chooseServing(proposal, members)
 	lost := c.unreachableOwners()
-	c.excludeUnreachable(d, lost.owners)
+	c.excludeUnreachable(proposal, lost.owners)
 	if len(next.Serving) == 0 {
 		next.Serving = members
 	}
-	c.chooseZoned(d, &lost)
-	c.chooseOverrides(d, lost.machines)
+	c.chooseZoned(proposal, &lost)
+	c.chooseOverrides(proposal, lost.machines)
 	next.Leader = ownership.NextLeader(present, next)
-	if !d.changed && !(d.overridesChanged && c.mayChangeOverrides()) {
+	if !proposal.changed && !(proposal.overridesChanged && c.mayChangeOverrides()) {
 		return nil
 	}
 	return next
 }
 
 // chooseServing has all members serve, less those that no machine reached lately.
-func (c *Controller) chooseServing(d *viewDraft, members []string) {
+func (c *Controller) chooseServing(proposal *viewDraft, members []string) {
 	for _, node := range members {
-		stayed := d.present.Members[node] == d.next.Members[node]
-		if stayed && !slices.Contains(d.present.Serving, node) {
+		stayed := proposal.present.Members[node] == proposal.next.Members[node]
+		if stayed && !slices.Contains(proposal.present.Serving, node) {
 			since, ok := c.views.notServingSince[node]
 			if !ok {
 				c.views.notServingSince[node], since = c.now, c.now
@@ -167,34 +167,34 @@
 			if c.now-since < tuning.ServeAgainAfter {
 				continue
 			}
-			d.changed = true
+			proposal.changed = true
 		}
 		delete(c.views.notServingSince, node)
-		d.next.Serving = append(d.next.Serving, node)
+		proposal.next.Serving = append(proposal.next.Serving, node)
 	}
 }
 
 // excludeUnreachable takes owners that many machines can't reach out of service, but never
 // the last one.
-func (c *Controller) excludeUnreachable(d *viewDraft, owners map[string]bool) {
+func (c *Controller) excludeUnreachable(proposal *viewDraft, owners map[string]bool) {
 	for owner := range owners {
-		if len(d.next.Serving) > 1 && slices.Contains(d.next.Serving, owner) {
-			d.next.Serving = slices.DeleteFunc(d.next.Serving, func(node string) bool { return node == owner })
-			d.changed = true
+		if len(proposal.next.Serving) > 1 && slices.Contains(proposal.next.Serving, owner) {
+			proposal.next.Serving = slices.DeleteFunc(proposal.next.Serving, func(node string) bool { return node == owner })
+			proposal.changed = true
 			clear(c.views.redirects)
 		}
 	}
 }
 
 // chooseZoned decides whether machines belong to the controllers of their own zones.
-// Overrides have room for some of the machines that zones apart from each other part from
-// their owners, and each would be a change of the view.
-func (c *Controller) chooseZoned(d *viewDraft, lost *lostOwners) {
-	d.next.Zoned = d.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
-	if d.next.Zoned != d.present.Zoned {
-		d.changed = true
-	}
-	if d.next.Zoned {
+// Overrides have room for only some of the machines that can't reach their owners while
+// zones are apart, and each would be a change of the view.
+func (c *Controller) chooseZoned(proposal *viewDraft, lost *lostOwners) {
+	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
+	if proposal.next.Zoned != proposal.present.Zoned {
+		proposal.changed = true
+	}
+	if proposal.next.Zoned {
 		clear(lost.machines)
 		return
 	}
