--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -5,9 +5,8 @@
 	"slices"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 const (
@@ -267,8 +266,8 @@
 	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
-// gangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task is on
-// only while they are; otherwise the rest is stopped, and a new attempt starts all.
+// gangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task
+// is on only while they are; otherwise the rest is stopped, and a new attempt starts all.
 func gangIntact(j *Job, task domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
@@ -318,7 +317,7 @@
 // sendDirectStops sends stops straight to the agent, for work that is cancelled or has to
 // go soon. They may arrive late, which does no harm, and heartbeats repeat them.
 func (c *Controller) sendDirectStops(m *Machine) {
-	if c.now < m.nextDirectStopAt || m.Addr == "" {
+	if !m.nextDirectStop.IsOpen(c.now) || m.Addr == "" {
 		return
 	}
 	var stops []domain.Command
@@ -332,7 +331,7 @@
 		}
 	}
 	if len(stops) > 0 {
-		m.nextDirectStopAt = c.now + tuning.StopRepeat
+		m.nextDirectStop.Close(c.now + tuning.StopRepeat)
 		c.logCommands(m, stops)
 		c.emit(SendCommands{Machine: m.Name, Addr: m.Addr, FencingToken: c.cache.view.Epoch, AgentEpoch: m.agentEpoch, Commands: stops})
 	}
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -6,11 +6,10 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // cordons are the cordons that this controller wants written. Those that are written are the
@@ -157,7 +156,9 @@
 
 // commitCordons writes changed pages under the condition of the view and of each page.
 func (c *Controller) commitCordons(changed cordonPages) {
-	transaction := domain.Transaction{Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}}}
+	transaction := domain.Transaction{
+		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
+	}
 	for _, name := range slices.Sorted(maps.Keys(changed.pages)) {
 		key := codec.PrefixCordons + name
 		transaction.Conditions = append(transaction.Conditions, domain.Condition{Key: key, ModRevision: c.cache.modRevisions[key]})
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -43,8 +43,8 @@
 // TestDependenciesArriveInAnyOrder: whatever order headers arrive in, as in a snapshot's pages,
 // the same jobs may start and the same are cancelled.
 func TestDependenciesArriveInAnyOrder(t *testing.T) {
-	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4;
-	// 6 is cancelled; 7 depends on nothing.
+	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4; 6 is cancelled; 7
+	// depends on nothing.
 	kvs := []domain.KeyValue{
 		overHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -3,9 +3,8 @@
 import (
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // checkRepliesHeeded notices a machine whose heartbeats arrive while answers don't reach it: a
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -7,10 +7,9 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // booked is an acting controller with one machine that it heard, and a task of job 1
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -6,10 +6,9 @@
 	"sort"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
 	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // forgetMachineAfter is the silence after which a machine that another controller owns, or
@@ -48,7 +47,8 @@
 	agentEpochAbandoned
 	// machineReturned: the cloud took the machine back: its tasks may run elsewhere as well.
 	machineReturned
-	// lateCopy: the agent waits for no answer to this heartbeat any more, and its list of tasks is old.
+	// lateCopy: the agent waits for no answer to this heartbeat any more, and its list of tasks
+	// is old.
 	lateCopy
 )
 
@@ -89,7 +89,8 @@
 	c.answerHeartbeat(pending)
 }
 
-// refusalByController tells why this controller may not answer the machine, whatever the heartbeat lists.
+// refusalByController tells why this controller may not answer the machine, whatever the
+// heartbeat lists.
 func (c *Controller) refusalByController(heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case !c.mayAct():
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -58,8 +58,12 @@
 // writeMemberKey writes this incarnation under the member key, which the state service
 // deletes when the lease expires.
 func (c *Controller) writeMemberKey() {
-	key := domain.Put{Key: codec.PrefixMember + c.cfg.Node, Value: codec.Encode(c.membership.Incarnation()), LeaseID: c.membership.LeaseID()}
-	c.commit(LaneView, domain.Transaction{Puts: []domain.Put{key}}, func(result domain.CommitResult, _ CommitAnswered) {
+	memberKey := domain.Put{
+		Key:     codec.PrefixMember + c.cfg.Node,
+		Value:   codec.Encode(c.membership.Incarnation()),
+		LeaseID: c.membership.LeaseID(),
+	}
+	c.commit(LaneView, domain.Transaction{Puts: []domain.Put{memberKey}}, func(result domain.CommitResult, _ CommitAnswered) {
 		before := c.membership.Lease()
 		c.membership.MemberKeyAnswered(c.now, result == domain.Committed)
 		c.logLease(before)
--- a/internal/scheduler/membership_test.go
+++ b/internal/scheduler/membership_test.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"time"
+
 	"brassglade/internal/membership"
 	"brassglade/internal/steady"
-	"time"
 )
 
 // confirmNow gives the controller a fresh lease and member key, and confirms its view by a
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -13,7 +13,8 @@
 	"brassglade/internal/tuning"
 )
 
-// peers is what the other controllers told in their last messages, and what is summed up over all shards.
+// peers is what the other controllers told in their last messages, and what is summed up over
+// all shards.
 type peers struct {
 	byName         map[string]*peerState
 	nextGossip     steady.Gate
@@ -80,8 +81,7 @@
 	return set
 }
 
-// roomiest is the shard with the most room for a job: slots free, else the
-// least load.
+// roomiest is the shard with the most room for a job: slots free, else the least load.
 func (c *Controller) roomiest(spec *domain.JobSpec) string {
 	roomByShard, slotsByShard := c.roomByShard(spec)
 	best, bestScore := c.cfg.Node, math.Inf(-1)
@@ -134,9 +134,9 @@
 	case left < tasks:
 		return float64(left) / float64(max(slots, 1))
 	}
-	// Several shards have room for all of it. By load alone every controller would
-	// send all small jobs to the same one for seconds, and that one has
-	// only its own share of the changes to book them with.
+	// Several shards have room for all of it. By load alone every controller would send all
+	// small jobs to the same one for seconds, and that one has only its own share of the
+	// changes to book them with.
 	return 1e6 - float64(c.waitingIn(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
 }
 
@@ -193,10 +193,10 @@
 	return slices.Contains(m.toldImages, image)
 }
 
-// inventory lists the machines that take bookings, own ones and those that
-// peers told of lately; the leader's is sorted by name. It is kept for as long as the pace of
-// planning: what it says of others is older anyway, and a booking for an agent epoch
-// or a cordon that changed meanwhile is never carried out.
+// inventory lists the machines that take bookings, own ones and those that peers told of
+// lately; the leader's is sorted by name. It is kept for as long as the pace of planning: what
+// it says of others is older anyway, and a booking for an agent epoch or a cordon that changed
+// meanwhile is never carried out.
 func (c *Controller) inventory() []inventoryMachine {
 	if c.peers.inventoryAt.Within(c.pace(), c.now) && c.peers.inventoryEpoch == c.cache.view.Epoch {
 		return c.peers.inventory
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -74,8 +74,8 @@
 	cached bool // only on machines that have the image or are fetching it
 }
 
-// placeRounds lists the rounds of one run. Where every slot is wanted, what can still be in time goes first,
-// and within that a task whose image is there goes before one that would keep
+// placeRounds lists the rounds of one run. Where every slot is wanted, what can still be in
+// time goes first, and within that a task whose image is there goes before one that would keep
 // the slot waiting for a fetch as long as a quarter of a run.
 func placeRounds(scarce bool) []placeRound {
 	if !scarce {
@@ -261,9 +261,8 @@
 	}
 }
 
-// teamRoom is what teams may still start beside what is booked and queued
-// here. Tasks that can't start would fill the small queues and keep others
-// from idle machines.
+// teamRoom is what teams may still start beside what is booked and queued here. Tasks that
+// can't start would fill the small queues and keep others from idle machines.
 type teamRoom struct {
 	c      *Controller
 	claims map[string]quotaClaim
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -3,9 +3,8 @@
 import (
 	"slices"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // preemptible tells whether tasks of the job may be stopped for any task that isn't
@@ -66,13 +65,13 @@
 	}
 }
 
-// preempt has an attempt on m stopped, by a direct command at once, unless it is already.
+// preempt has an attempt on m stopped, by a direct command at once, unless it is being stopped.
 func (c *Controller) preempt(m *Machine, attempt attemptID) {
 	if c.planner.preempted[attempt] {
 		return
 	}
 	c.planner.preempted[attempt] = true
-	m.nextDirectStopAt = c.now
+	m.nextDirectStop.Close(c.now)
 	c.debug("task preempted", "task", attempt.Task, "machine", m.Name, "attempt", attempt.Attempt)
 }
 
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -8,9 +8,8 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 const (
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -7,10 +7,9 @@
 	"slices"
 	"time"
 
+	"brassglade/internal/domain"
 	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
-
-	"brassglade/internal/domain"
 )
 
 const (
@@ -341,8 +340,8 @@
 	return leaving
 }
 
-// cheapest is the kind of machine with the least price per task, of which tasksLeft are left, in the
-// zones that may take any; false: none may be rented now.
+// cheapest is the kind of machine with the least price per task, of which tasksLeft are left,
+// in the zones that may take any; false: none may be rented now.
 func (c *Controller) cheapest(spec *domain.JobSpec, tasksLeft int, zones zoneAllowance) (machineKind, bool) {
 	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
@@ -411,7 +410,9 @@
 	kind := machineKind{rental.request.Type, rental.request.Zone, rental.request.Spot}
 	scaling.pauseIfShort(kind, rental.request.Count-len(answer.Names), c.now)
 	for _, name := range answer.Names {
-		scaling.unlisted[name] = domain.Instance{Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting}
+		scaling.unlisted[name] = domain.Instance{
+			Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting,
+		}
 		scaling.knownSince[name] = c.now
 	}
 	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", rental.request.Count, "got", len(answer.Names))
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -6,11 +6,10 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 const (
@@ -207,7 +206,10 @@
 	for _, heard := range c.inventory() {
 		m := all[heard.name]
 		if m == nil {
-			m = &machineState{Instance: domain.Instance{Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot, Status: domain.InstanceRunning}}
+			m = &machineState{Instance: domain.Instance{
+				Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot,
+				Status: domain.InstanceRunning,
+			}}
 			all[heard.name] = m
 		}
 		m.heard = true
@@ -383,7 +385,8 @@
 func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
-		if work.zones.left(m.Zone, int64(work.tasks)) > 0 && allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
+		hasZone := work.zones.left(m.Zone, int64(work.tasks)) > 0
+		if hasZone && allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
 			return true
 		}
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -39,7 +39,14 @@
 
 // Status returns the controller's status as of the last step.
 func (c *Controller) Status() Status {
-	status := Status{Acts: c.mayAct(), Revision: c.cache.revision, Confirmed: -1, Machines: len(c.heartbeats.machines), OpenJobs: len(c.cache.openJobs), Work: c.Work}
+	status := Status{
+		Acts:      c.mayAct(),
+		Revision:  c.cache.revision,
+		Confirmed: -1,
+		Machines:  len(c.heartbeats.machines),
+		OpenJobs:  len(c.cache.openJobs),
+		Work:      c.Work,
+	}
 	if c.cache.view != nil {
 		status.Epoch, status.Leader, status.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -239,7 +239,10 @@
 // newHeader is that of a new job, which keeps spec.
 func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
 	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
-	header := &codec.JobHeader{State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount, Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1}
+	header := &codec.JobHeader{
+		State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount,
+		Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1,
+	}
 	if c.cache.formatOn() {
 		header.AcceptedAtMS = c.wallMS()
 	}
@@ -319,9 +322,10 @@
 		delete(c.requests.accepting, submission.ID)
 		switch result {
 		case domain.Committed:
-			c.debug("job accepted", "job", submission.ID, "class", submission.Spec.Class, "tasks", submission.Spec.TaskCount, "shard", header.Shard,
-				"team", submission.Spec.Team, "image", submission.Spec.Image, "image_gb", submission.Spec.ImageGB, "waiting", c.peers.waitingByShard,
-				"estimated_s", submission.Spec.EstimatedRuntime, "deadline_s", submission.Spec.Deadline, "dependencies", submission.Spec.Dependencies)
+			spec := submission.Spec
+			c.debug("job accepted", "job", submission.ID, "class", spec.Class, "tasks", spec.TaskCount, "shard", header.Shard,
+				"team", spec.Team, "image", spec.Image, "image_gb", spec.ImageGB, "waiting", c.peers.waitingByShard,
+				"estimated_s", spec.EstimatedRuntime, "deadline_s", spec.Deadline, "dependencies", spec.Dependencies)
 			if j := c.cache.jobs[submission.ID]; j != nil {
 				c.replyState(submission.RequestID, 201, j)
 			}
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -79,9 +79,10 @@
 	return roomBeside(t.free, t.preemptible, kind.preemptible)
 }
 
-// isFull tells whether the queue takes no more tasks of a kind. Queues are small; what can't start soon waits in the shard's pool, where
-// the order can still change. A preemptible task is queued only where it starts
-// at once: waiting there it would go ahead of others that come later.
+// isFull tells whether the queue takes no more tasks of a kind. Queues are small; what can't
+// start soon waits in the shard's pool, where the order can still change. A preemptible task is
+// queued only where it starts at once: waiting there it would go ahead of others that come
+// later.
 func (t *target) isFull(kind taskKind) bool {
 	depth := int64(tuning.QueueDepth)
 	if kind.preemptible {
@@ -161,9 +162,9 @@
 	return fetch * (1 + tuning.FetchShare*others)
 }
 
-// packCost makes draws prefer fuller and cheaper machines among those where a task starts
-// at once: it runs as fast on any of them, but a machine that stays empty can
-// be returned, and a full one fetches each image once for many.
+// packCost makes draws prefer fuller and cheaper machines among those where a task starts at
+// once: it runs as fast on any of them, but a machine that stays empty can be returned, and a
+// full one fetches each image once for many.
 func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
 	slots := t.machineType.Capacity.CountFitting(spec.Request, 64)
 	room := t.roomFor(kind).CountFitting(spec.Request, 64) - t.queued
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -7,11 +7,10 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/ownership"
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
+	"brassglade/internal/tuning"
 )
 
 // largeFleetLeader leads a fleet of 2,000 machines in two zones. The settings have the
