--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -27,9 +27,9 @@
 	answerBy   time.Duration // steady time at which it is answered in any case
 }
 
-// worthDelaying tells whether an answer given now would soon have had commands in it. A
+// isWorthDelaying tells whether an answer given now would soon have had commands in it. A
 // machine that has to wait for its next heartbeat starts its next task seconds later.
-func (c *Controller) worthDelaying(m *Machine) bool {
+func (c *Controller) isWorthDelaying(m *Machine) bool {
 	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
 		return true // the commit in flight concerns it
 	}
@@ -191,7 +191,7 @@
 		return attemptPreempted
 	case c.isEvictedFrom(m, j.Header.Spec):
 		return machineCleared
-	case !gangIntact(j, task):
+	case !isGangIntact(j, task):
 		return gangBroken
 	}
 	return startAllowed
@@ -219,7 +219,7 @@
 	task, spec := j.task(report.Task.Index), j.Header.Spec
 	saves := report.State == domain.ReportedSaving
 	switch {
-	case !gangIntact(j, task):
+	case !isGangIntact(j, task):
 		stop.Reason = domain.ReasonGangBroken
 		return stop, !saves
 	case isTogether(spec):
@@ -266,9 +266,9 @@
 	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
-// gangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task
+// isGangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task
 // is on only while they are; otherwise the rest is stopped, and a new attempt starts all.
-func gangIntact(j *Job, task domain.Task) bool {
+func isGangIntact(j *Job, task domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
 	}
@@ -291,7 +291,7 @@
 		if pending == nil {
 			continue
 		}
-		if m := c.heartbeats.machines[name]; m == nil || c.now >= pending.answerBy || !c.worthDelaying(m) {
+		if m := c.heartbeats.machines[name]; m == nil || c.now >= pending.answerBy || !c.isWorthDelaying(m) {
 			c.answerHeartbeat(pending)
 		}
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -82,7 +82,7 @@
 		machine: m.Name, requestID: received.RequestID, sequence: heartbeat.Sequence, agentEpoch: heartbeat.AgentEpoch,
 		answerBy: c.now + tuning.HeartbeatHold,
 	}
-	if c.worthDelaying(m) {
+	if c.isWorthDelaying(m) {
 		c.heartbeats.pending[m.Name] = pending
 		return
 	}
@@ -234,10 +234,10 @@
 	return ids
 }
 
-// provenOff tells whether a booked task is proven off its machine, as far as this
+// isProvenOff tells whether a booked task is proven off its machine, as far as this
 // controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
 // only once its attempt can't run any more, nor be started by an answer still under way.
-func (c *Controller) provenOff(m *Machine, id domain.TaskID, task domain.Task) bool {
+func (c *Controller) isProvenOff(m *Machine, id domain.TaskID, task domain.Task) bool {
 	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true // tests take the proof away
 	}
@@ -251,11 +251,11 @@
 	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
-// leaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
+// hasLeaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
 // agent epoch heard of may have begun just then: without that term a new one, heard but
 // not yet answered, would be abandoned for the age of the last one's answer, and its live
 // tasks started elsewhere later on.
-func (c *Controller) leaseExpired(m *Machine) bool {
+func (c *Controller) hasLeaseExpired(m *Machine) bool {
 	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > renewedAt+lease+tuning.DriftMargin
@@ -301,7 +301,7 @@
 	c.heartbeats.nextWalk.Close(c.now + c.pace())
 	c.adoptBookedMachines()
 	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
-	if !c.peersFresh() {
+	if !c.arePeersFresh() {
 		review.limit = tuning.SilentCut
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
@@ -344,7 +344,7 @@
 // abandonExpiredEpoch abandons the agent epochs of a machine with bookings whose lease can't
 // have been renewed: an agent stops its tasks when its lease ends.
 func (c *Controller) abandonExpiredEpoch(m *Machine) {
-	if len(c.cache.bookedOn[m.Name]) == 0 || !c.leaseExpired(m) {
+	if len(c.cache.bookedOn[m.Name]) == 0 || !c.hasLeaseExpired(m) {
 		return
 	}
 	last := max(m.agentEpoch, m.abandonedEpoch)
@@ -431,8 +431,8 @@
 	return c.owns(m.Name) && c.cache.cordons[m.Name].State == ""
 }
 
-// peersFresh tells whether all other serving controllers were heard just now.
-func (c *Controller) peersFresh() bool {
+// arePeersFresh tells whether all other serving controllers were heard just now.
+func (c *Controller) arePeersFresh() bool {
 	for _, node := range c.cache.view.Serving {
 		if peer := c.peers.byName[node]; node != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
 			return false
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -18,15 +18,15 @@
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 1, Sequence: 5}, true)
 	m.answeredAt = c.now
 	c.now = 100 * time.Second
-	if !c.leaseExpired(m) {
+	if !c.hasLeaseExpired(m) {
 		t.Error("the lease of the old agent epoch has not expired")
 	}
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 2, Sequence: 1}, true)
-	if c.leaseExpired(m) {
+	if c.hasLeaseExpired(m) {
 		t.Error("the new agent epoch is abandoned before it was answered")
 	}
 	c.now += 22 * time.Second
-	if !c.leaseExpired(m) {
+	if !c.hasLeaseExpired(m) {
 		t.Error("the new agent epoch, never answered, outlives its lease")
 	}
 }
@@ -104,7 +104,7 @@
 		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
 		change(heartbeat)
 		c.recordHeartbeat(m, heartbeat, isHeartbeat)
-		return c.provenOff(m, id, task)
+		return c.isProvenOff(m, id, task)
 	}
 	reports := func(attempt uint64, state string) func(*domain.Heartbeat) {
 		return func(heartbeat *domain.Heartbeat) {
@@ -135,16 +135,16 @@
 		})
 	}
 	m.agentEpoch = 0
-	if c.provenOff(m, id, task) {
+	if c.isProvenOff(m, id, task) {
 		t.Error("proven off by a word older than its agent epoch")
 	}
 	m.abandonedEpoch = 1
-	if !c.provenOff(m, id, task) {
+	if !c.isProvenOff(m, id, task) {
 		t.Error("not proven off by an abandoned agent epoch")
 	}
 	m.abandonedEpoch = 0
 	c.cache.cordons[m.Name] = domain.Cordon{State: domain.CordonGone}
-	if !c.provenOff(m, id, task) {
+	if !c.isProvenOff(m, id, task) {
 		t.Error("not proven off by the machine's return")
 	}
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -8,7 +8,7 @@
 // as committed). Every rule about a job's tasks together asks it:
 //
 //   - Committed bookings count as the cache has them, until their release is committed.
-//     A release is drafted only for what is proven off its machine (provenOff).
+//     A release is drafted only for what is proven off its machine (isProvenOff).
 //   - What the draft holds counts in place of the committed record: one plan may look at
 //     a job several times, and its commit is carried out as a whole or not at all.
 //   - A commit of this controller that is in doubt doesn't count. The draft and that commit
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -73,7 +73,7 @@
 func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
-		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.provenOff(m, id, j.task(id.Index)) {
+		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.isProvenOff(m, id, j.task(id.Index)) {
 			ids = append(ids, id)
 		}
 	}
@@ -115,7 +115,7 @@
 	switch {
 	case h.State != domain.StateOpen,
 		h.StopThrough != 0 && h.StopThrough >= t.Attempt,
-		!gangIntact(j, t):
+		!isGangIntact(j, t):
 		return false
 	case m.preemptionAt >= 0,
 		c.isEvicting(m.Name) && !reservesMachines(h.Spec),
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -282,7 +282,7 @@
 
 // planCordons drains machines that failed, are stuck or were idle for long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.peersFresh(), c.leaving(), c.zonesCutOff(machines)}
+	review := unheardReview{c.arePeersFresh(), c.leaving(), c.zonesCutOff(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
