--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -1,41 +1,11 @@
 package scheduler
 
 import (
-	"slices"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
 	"brassglade/internal/tuning"
 )
 
-// owner of a machine under a view, "" for none: its override, or the rendezvous hash over
-// the serving controllers. While zones are apart it is the hash over those of the machine's
-// own zone, if any serve there. A machine never changes its zone, so whoever knows the zone
-// finds the same owner; whoever doesn't finds none.
-func (c *Controller) owner(v *domain.View, machine, zone string) string {
-	if v == nil {
-		return ""
-	}
-	if o := v.OwnerOverrides[machine]; o != "" && slices.Contains(v.Serving, o) {
-		return o
-	}
-	if !v.Zoned {
-		return rendezvous(machine, v.Serving)
-	}
-	if zone == "" {
-		return ""
-	}
-	var near []string
-	for _, node := range v.Serving {
-		if c.cfg.ZoneOf[node] == zone {
-			near = append(near, node)
-		}
-	}
-	if len(near) == 0 {
-		near = v.Serving
-	}
-	return rendezvous(machine, near)
-}
-
 // zoneOf a machine, as its heartbeats or its bookings name it; "" if neither does.
 func (c *Controller) zoneOf(machine string) string {
 	if m := c.heartbeats.machines[machine]; m != nil && m.Zone != "" {
@@ -49,23 +19,23 @@
 
 // ownerIn is ownerOf where the machine's zone is at hand.
 func (c *Controller) ownerIn(machine, zone string) string {
-	v := c.cache.view
-	if v == nil {
+	view := c.cache.view
+	if view == nil {
 		return ""
 	}
-	if c.views.ownersView != v {
-		c.views.ownersView, c.views.ownerByMachine = v, map[string]string{}
+	if c.views.ownersView != view {
+		c.views.ownersView, c.views.ownerByMachine = view, map[string]string{}
 	}
-	o, ok := c.views.ownerByMachine[machine]
+	owner, ok := c.views.ownerByMachine[machine]
 	if !ok {
-		if v.Zoned && zone == "" {
+		if view.Zoned && zone == "" {
 			zone = c.zoneOf(machine)
 		}
-		if o = c.owner(v, machine, zone); o != "" {
-			c.views.ownerByMachine[machine] = o
+		if owner = ownership.OfMachine(view, c.cfg.ZoneOf, machine, zone); owner != "" {
+			c.views.ownerByMachine[machine] = owner
 		}
 	}
-	return o
+	return owner
 }
 
 // owns tells whether this controller owns a machine under the current view.
@@ -80,16 +50,15 @@
 
 // taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
 // serve falls to a hash over the view without any write.
-func (c *cache) taskShard(j *Job, t domain.Task) string {
-	shard := t.Shard
+func (c *cache) taskShard(j *Job, task domain.Task) string {
+	shard := task.Shard
 	if shard == "" {
 		shard = j.Header.Shard
 	}
-	v := c.view
-	if v == nil || slices.Contains(v.Serving, shard) {
+	if c.view == nil {
 		return shard
 	}
-	return rendezvous(j.ID, v.Serving)
+	return ownership.OfShard(c.view, shard, j.ID)
 }
 
 // shardOf is the shard of a job, where its tasks wait unless they were passed on.
@@ -104,7 +73,7 @@
 		switch {
 		case !c.owns(machine):
 			c.endOwnership(machine)
-		case continuous && c.owner(old, machine, c.zoneOf(machine)) == c.cfg.Node:
+		case continuous && ownership.OfMachine(old, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Node:
 		default:
 			c.takeOwnership(machine)
 		}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -3,15 +3,14 @@
 import (
 	"slices"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // preemptible tells whether tasks of the job may be stopped for any task that isn't
 // preemptible itself: single tasks of idle priority are.
-func preemptible(sp *domain.JobSpec) bool {
-	return sp.Priority == tuning.PriorityIdle && sp.Shape == domain.Array
+func preemptible(spec *domain.JobSpec) bool {
+	return spec.Priority == tuning.PriorityIdle && spec.Shape == domain.Array
 }
 
 // roomBeside is the room that a task can have on a machine: what is free and, unless the task
@@ -45,8 +44,8 @@
 	if j == nil || j.final() {
 		return false
 	}
-	t := j.task(attempt.Task.Index)
-	return t.State == domain.Booked && t.Attempt == attempt.Attempt
+	task := j.task(attempt.Task.Index)
+	return task.State == domain.Booked && task.Attempt == attempt.Attempt
 }
 
 // preemptOn stops as many preemptible tasks on a machine as its queue needs to start, beside
@@ -66,13 +65,13 @@
 	}
 }
 
-// preempt has an attempt on m stopped, by a direct command at once, unless it is already.
+// preempt has an attempt on m stopped, by a direct command at once, unless it is being stopped.
 func (c *Controller) preempt(m *Machine, attempt attemptID) {
 	if c.planner.preempted[attempt] {
 		return
 	}
 	c.planner.preempted[attempt] = true
-	m.nextDirectStopAt = c.now
+	m.nextDirectStop.Close(c.now)
 	c.debug("task preempted", "task", attempt.Task, "machine", m.Name, "attempt", attempt.Attempt)
 }
 
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -6,25 +6,17 @@
 	"strings"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/steady"
-)
-
-// States of an instance as the cloud's list says them.
-const (
-	instanceBooting = "booting"
-	instanceRunning = "running"
-	instanceFailed  = "failed"
+	"brassglade/internal/tuning"
 )
 
 const (
 	// forgetInstanceAfter is how long an instance that no list has any more is remembered.
 	forgetInstanceAfter = 5 * time.Minute
 	// unlistedPatience, with twice the list's lag, is when a rented instance that was
-	// never listed is given up.
+	// never listed is forgotten.
 	unlistedPatience = 2 * time.Minute
 	// returnRetry is the pause after a return that failed.
 	returnRetry = 2 * time.Second
@@ -95,27 +87,27 @@
 // once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
 // in which each decision uses those before.
 func (c *Controller) scale() {
-	s := &c.scaling
+	scaling := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !s.listingTypes && c.now >= s.nextTypesAt {
-		s.listingTypes = true
+	if !scaling.listingTypes && c.now >= scaling.nextTypesAt {
+		scaling.listingTypes = true
 		c.emit(ListMachineTypes{})
 	}
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !s.listing && s.nextList.IsOpen(c.now) {
-		s.listing = true
+	if !scaling.listing && scaling.nextList.IsOpen(c.now) {
+		scaling.listing = true
 		c.emit(ListInstances{})
 	}
-	if !s.nextDecision.IsOpen(c.now) {
+	if !scaling.nextDecision.IsOpen(c.now) {
 		return
 	}
-	s.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
+	scaling.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
 	c.planScaleIn()
-	if !s.listed {
+	if !scaling.listed {
 		return
 	}
 	machines := c.machines()
@@ -127,23 +119,23 @@
 }
 
 // onInstancesListed takes the cloud's list of this deployment's instances.
-func (c *Controller) onInstancesListed(e InstancesListed) {
-	s := &c.scaling
-	s.listing = false
-	s.nextList.Close(c.now + tuning.InstanceListInterval)
-	if !e.OK {
+func (c *Controller) onInstancesListed(answer InstancesListed) {
+	scaling := &c.scaling
+	scaling.listing = false
+	scaling.nextList.Close(c.now + tuning.InstanceListInterval)
+	if !answer.OK {
 		return
 	}
-	s.listed = true
-	s.instances = map[string]domain.Instance{}
-	for _, instance := range e.Instances {
-		s.instances[instance.Name] = instance
-		delete(s.unlisted, instance.Name)
-		if _, known := s.knownSince[instance.Name]; !known {
-			s.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
+	scaling.listed = true
+	scaling.instances = map[string]domain.Instance{}
+	for _, instance := range answer.Instances {
+		scaling.instances[instance.Name] = instance
+		delete(scaling.unlisted, instance.Name)
+		if _, known := scaling.knownSince[instance.Name]; !known {
+			scaling.knownSince[instance.Name] = c.now - time.Duration(instance.HeldSeconds*float64(time.Second))
 		}
 	}
-	s.forgetInstances(c.now)
+	scaling.forgetInstances(c.now)
 }
 
 // forgetInstances forgets what is in no list any more and was known long ago.
@@ -178,10 +170,10 @@
 	c.addHeard(all)
 	var machines []machineState
 	for name, m := range all {
-		m.cordon = c.cache.cordons[name]
-		if m.cordon.State == domain.CordonGone {
+		if c.cache.isReturned(name) {
 			continue
 		}
+		m.cordon = c.cache.cordons[name]
 		machineType := c.cache.machineType(m.Type)
 		if machineType == nil {
 			continue
@@ -197,12 +189,12 @@
 // addUnlisted adds the rented instances that no list has yet, and forgets those that no list
 // ever had: they are gone again.
 func (c *Controller) addUnlisted(all map[string]*machineState) {
-	s := &c.scaling
-	for name, instance := range s.unlisted {
+	scaling := &c.scaling
+	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-s.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
-			delete(s.unlisted, name)
+		case c.now-scaling.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
+			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
 		}
@@ -211,15 +203,18 @@
 
 // addHeard adds the machines that any controller hears, and notes which these are.
 func (c *Controller) addHeard(all map[string]*machineState) {
-	for _, i := range c.inventory() {
-		m := all[i.name]
+	for _, heard := range c.inventory() {
+		m := all[heard.name]
 		if m == nil {
-			m = &machineState{Instance: domain.Instance{Name: i.name, Addr: i.addr, Type: i.machineType, Zone: i.zone, Spot: i.spot, Status: instanceRunning}}
-			all[i.name] = m
+			m = &machineState{Instance: domain.Instance{
+				Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot,
+				Status: domain.InstanceRunning,
+			}}
+			all[heard.name] = m
 		}
 		m.heard = true
-		if _, known := c.scaling.knownSince[i.name]; !known {
-			c.scaling.knownSince[i.name] = c.now
+		if _, known := c.scaling.knownSince[heard.name]; !known {
+			c.scaling.knownSince[heard.name] = c.now
 		}
 	}
 }
@@ -227,8 +222,8 @@
 // planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
 // cordoned as gone, which proves its tasks off.
 func (c *Controller) planScaleIn() {
-	s := &c.scaling
-	if s.returning || !s.nextReturn.IsOpen(c.now) {
+	scaling := &c.scaling
+	if scaling.returning || !scaling.nextReturn.IsOpen(c.now) {
 		return
 	}
 	var names []string
@@ -241,7 +236,7 @@
 		}
 	}
 	if len(names) > 0 {
-		s.returning = true
+		scaling.returning = true
 		c.emit(ReturnMachines{Names: names})
 	}
 }
@@ -265,17 +260,17 @@
 }
 
 // onReturnAnswered cordons as gone what the cloud took back.
-func (c *Controller) onReturnAnswered(e ReturnAnswered) {
-	s := &c.scaling
-	s.returning = false
-	if !e.OK {
-		s.nextReturn.Close(c.now + returnRetry)
+func (c *Controller) onReturnAnswered(answer ReturnAnswered) {
+	scaling := &c.scaling
+	scaling.returning = false
+	if !answer.OK {
+		scaling.nextReturn.Close(c.now + returnRetry)
 		return
 	}
-	for _, name := range e.Names {
+	for _, name := range answer.Names {
 		c.cordon(name, domain.Cordon{State: domain.CordonGone})
 	}
-	c.info("machines returned", "machines", e.Names)
+	c.info("machines returned", "machines", answer.Names)
 }
 
 // unheardReview is what tells whether a machine that nobody hears is at fault itself.
@@ -287,7 +282,7 @@
 
 // planCordons drains machines that failed, are stuck or were idle for long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.peersFresh(), c.leaving(), c.zonesCutOff(machines)}
+	review := unheardReview{c.arePeersFresh(), c.leaving(), c.zonesCutOff(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
@@ -310,7 +305,7 @@
 		switch {
 		case m.heard:
 			heard[m.Zone]++
-		case m.Status == instanceRunning:
+		case m.Status == domain.InstanceRunning:
 			unheard[m.Zone]++
 		}
 	}
@@ -335,13 +330,13 @@
 // isUnheard tells whether nobody hears a running machine, though every controller is heard and
 // nothing else explains it.
 func (r *unheardReview) isUnheard(m *machineState) bool {
-	return r.peersFresh && m.Status == instanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
+	return r.peersFresh && m.Status == domain.InstanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
 // whyDrain is the reason to drain a machine; "": none.
 func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
 	switch {
-	case m.Status == instanceFailed:
+	case m.Status == domain.InstanceFailed:
 		return domain.DrainFailed
 	case c.isStuck(m):
 		return domain.DrainStuck
@@ -353,23 +348,23 @@
 
 // isStuck tells whether a machine boots for too long, or is unheard for too long.
 func (c *Controller) isStuck(m *machineState) bool {
-	s := &c.scaling
+	scaling := &c.scaling
 	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == instanceBooting && !m.heard && c.now-s.knownSince[m.Name] > bootPatience {
+	if m.Status == domain.InstanceBooting && !m.heard && c.now-scaling.knownSince[m.Name] > bootPatience {
 		return true
 	}
-	since, unheard := s.unheardSince[m.Name]
+	since, unheard := scaling.unheardSince[m.Name]
 	return unheard && c.now-since > tuning.UnheardPatience
 }
 
 // isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
 // held for less than the least time that is charged isn't.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
-	s := &c.scaling
-	if !m.heard || m.tasks > 0 || c.now-s.knownSince[m.Name] <= tuning.MinHeld {
+	scaling := &c.scaling
+	if !m.heard || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinHeld {
 		return false
 	}
-	since, idle := s.idleSince[m.Name]
+	since, idle := scaling.idleSince[m.Name]
 	return idle && c.now-since > c.idleKeep(m)
 }
 
@@ -390,7 +385,8 @@
 func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
-		if work.zones.left(m.Zone, int64(work.tasks)) > 0 && allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
+		hasZone := work.zones.left(m.Zone, int64(work.tasks)) > 0
+		if hasZone && allowsMachine(work.spec, m.Type, m.Zone, m.Spot) && m.free.Fits(work.spec.Request) {
 			return true
 		}
 	}
