--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -154,8 +154,8 @@
 	if j == nil || j.Header.Spec == nil {
 		return false, nil
 	}
-	first, ok := j.firstTaskOf(parts[1:])
-	if !ok || keyOf(j, first) != key {
+	first, ok := j.Header.FirstTaskOf(parts[1:])
+	if !ok || j.Header.KeyOf(j.ID, first) != key {
 		return false, nil // split into cells since, or cells that the header doesn't name yet
 	}
 	chunk, err := codec.Decode[codec.ChunkValue](value)
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"strings"
 	"time"
 
 	"brassglade/internal/codec"
@@ -141,26 +140,34 @@
 	return ok && now < until
 }
 
+// avoids is isAvoiding that forgets the key once its time is over.
+func (s *commits) avoids(key string, now time.Duration) bool {
+	if s.isAvoiding(key, now) {
+		return true
+	}
+	delete(s.avoidUntil, key)
+	return false
+}
+
 // isAvoided tells whether the value of task i of a job lost a conflict just now. What is
 // left out for that is planned again.
 func (c *Controller) isAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
 	}
-	key := keyOf(j, i)
-	if c.commits.isAvoiding(key, c.now) {
-		c.planner.dirty = true
-		return true
+	if !c.commits.avoids(j.Header.KeyOf(j.ID, i), c.now) {
+		return false
 	}
-	delete(c.commits.avoidUntil, key)
-	return false
+	c.planner.dirty = true
+	return true
 }
 
 // avoidContested leaves values that lost a conflict out for a little, of random length:
 // one contested value must not keep failing all else that this controller has to write.
 func (c *Controller) avoidContested(failed []string) {
 	for _, key := range failed {
-		if isTeamKey(key) || isPackKey(key) || isCellKey(key) {
+		switch kind, _ := codec.ParseKey(key); kind {
+		case codec.KindTeam, codec.KindPack, codec.KindTasks:
 			c.commits.avoidUntil[key] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
 		}
 	}
@@ -228,12 +235,7 @@
 	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
 }
 
-// --- keys and sizes ---
-
-func isPackKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixPack) }
-func isCellKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTask) }
-func isHeaderKey(key string) bool { return strings.HasPrefix(key, codec.PrefixJob) }
-func isTeamKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTeam) }
+// --- sizes ---
 
 // valueBytes is what a value may take in a transaction that changes it.
 func (c *Controller) valueBytes(key string) int {
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -89,7 +89,7 @@
 	if pack, ok := d.moved[j.ID]; ok {
 		return codec.PrefixPack + pack
 	}
-	return keyOf(j, i)
+	return j.Header.KeyOf(j.ID, i)
 }
 
 // addCondition makes the commit fail if the key's value changes before.
@@ -121,13 +121,13 @@
 
 // ref of the cell with task i.
 func (j *Job) ref(i int) cellRef {
-	from, _ := j.cell(i)
+	from, _ := j.Header.Cell(i)
 	return cellRef{j.ID, from}
 }
 
 // copyOfCell copies the records of the cell with task i.
 func (j *Job) copyOfCell(i int) []domain.Task {
-	from, to := j.cell(i)
+	from, to := j.Header.Cell(i)
 	tasks := make([]domain.Task, to-from)
 	if j.Tasks != nil {
 		copy(tasks, j.Tasks[from:to])
@@ -203,7 +203,7 @@
 // get longer. What can't be changed for a reason that another commit takes away is remembered
 // for that commit.
 func (d *draft) hasRoomFor(j *Job, i int, header, grows bool) bool {
-	source := keyOf(j, i)
+	source := j.Header.KeyOf(j.ID, i)
 	change := taskChange{job: j, source: source, key: source, header: header, grows: grows}
 	refusal := d.refuse(&change)
 	switch refusal {
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -19,7 +19,7 @@
 
 // openCell takes the cell with task i into the draft, to be written with its value.
 func (d *draft) openCell(j *Job, i int) {
-	source := keyOf(j, i)
+	source := j.Header.KeyOf(j.ID, i)
 	if pack, ok := d.leaving[j.ID]; ok {
 		d.move(j, pack)
 	}
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -65,8 +65,9 @@
 func (d *draft) appendValues(puts []domain.Put) []domain.Put {
 	values := d.tasksByValue()
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
+		kind, _ := codec.ParseKey(key)
 		switch {
-		case len(values[key]) > 0 || isPackKey(key):
+		case len(values[key]) > 0 || kind == codec.KindPack:
 			puts = append(puts, domain.Put{Key: key, Value: codec.Encode(d.c.cache.chunkOf(values[key]))})
 		case d.c.cache.modRevisions[key] != 0:
 			puts = append(puts, domain.Put{Key: key})
@@ -81,8 +82,8 @@
 	values := map[string]tasksOfValue{}
 	for key := range d.keys {
 		values[key] = tasksOfValue{}
-		if isPackKey(key) {
-			d.addUntouchedJobs(values[key], key[len(codec.PrefixPack):])
+		if kind, pack := codec.ParseKey(key); kind == codec.KindPack {
+			d.addUntouchedJobs(values[key], pack)
 		}
 	}
 	refs := slices.SortedFunc(maps.Keys(d.cells), func(a, b cellRef) int {
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
@@ -124,7 +125,7 @@
 // teamAllows tells whether a team's limit has room for all of a gang, so that machines are
 // all it waits for.
 func (p *gangPass) teamAllows(sp *domain.JobSpec) bool {
-	return withinLimit(p.draft.teamUsed(sp.Team).Plus(sp.Request, int64(sp.TaskCount)), p.c.cfg.Teams[sp.Team].Limit)
+	return quota.Within(p.draft.teamUsed(sp.Team).Plus(sp.Request, int64(sp.TaskCount)), p.c.cfg.Teams[sp.Team].Limit)
 }
 
 // isCachedSomewhere tells whether a machine with room for a task of the job has its image.
@@ -220,7 +221,7 @@
 // takesGang tells whether the draft has room for all values of a gang, at their largest,
 // and for conditions on them, its header, its team's share and the cordons of its machines.
 func (d *draft) takesGang(j *Job) bool {
-	cells, cfg := j.cells(), &d.c.cfg
+	cells, cfg := j.Header.CellCount(), &d.c.cfg
 	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Nodes))
 	return d.changes()+cells+1 <= d.maxChanges && d.bytes+cells*cfg.ValueLimit <= tuning.TxnBytes &&
 		d.takesConditions(cells+2+cordonPages)
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -51,12 +51,12 @@
 // exclusionRank orders values by how well they serve to exclude a commit, the best first:
 // packs, then cells and headers, then teams' shares, which all controllers change.
 func exclusionRank(key string) int {
-	switch {
-	case isPackKey(key):
+	switch kind, _ := codec.ParseKey(key); kind {
+	case codec.KindPack:
 		return 1
-	case isCellKey(key), isHeaderKey(key):
+	case codec.KindTasks, codec.KindJob:
 		return 2
-	case isTeamKey(key):
+	case codec.KindTeam:
 		return 3
 	}
 	return unfitToExclude
@@ -73,29 +73,29 @@
 		c.commits.inDoubt = inDoubtCommit{}
 		return
 	}
-	switch {
-	case isPackKey(key):
+	switch kind, name := codec.ParseKey(key); kind {
+	case codec.KindPack:
 		d.addValue(key)
-	case isTeamKey(key):
-		d.keepShare(key[len(codec.PrefixTeam):])
-	case isHeaderKey(key):
-		if j := c.cache.jobs[key[len(codec.PrefixJob):]]; j != nil {
+	case codec.KindTeam:
+		d.keepShare(name)
+	case codec.KindJob:
+		if j := c.cache.jobs[name]; j != nil {
 			d.header(j)
 		}
 	default:
-		d.keepCell(key)
+		d.keepCell(key, name)
 	}
 }
 
 // keepCell writes the value of a chunk or cell as it is, unless its job has no use for it
-// any more.
-func (d *draft) keepCell(key string) {
-	path := strings.Split(key[len(codec.PrefixTask):], "/")
+// any more; name is the rest of its key after the prefix.
+func (d *draft) keepCell(key, name string) {
+	path := strings.Split(name, "/")
 	j := d.c.cache.jobs[path[0]]
 	if j == nil || j.Header.Spec == nil {
 		return
 	}
-	if i, ok := j.firstTaskOf(path[1:]); ok && keyOf(j, i) == key {
+	if i, ok := j.Header.FirstTaskOf(path[1:]); ok && j.Header.KeyOf(j.ID, i) == key {
 		d.copyCell(j, i)
 		d.addValue(key)
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -49,18 +49,3 @@
 
 // cancelled by its user, or for a job that it depends on.
 func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
-
-// keyOf is the key of the value that holds task i of a job.
-func keyOf(j *Job, i int) string { return j.Header.KeyOf(j.ID, i) }
-
-// cell is the stretch of tasks that share a value with task i.
-func (j *Job) cell(i int) (from, to int) { return j.Header.Cell(i) }
-
-// cellEnd is where the cell after that of task i begins.
-func (j *Job) cellEnd(i int) int { return j.Header.CellEnd(i) }
-
-// cells is the number of values that hold the job's tasks.
-func (j *Job) cells() int { return j.Header.CellCount() }
-
-// firstTaskOf is the first task of the chunk or cell that the rest of a key names.
-func (j *Job) firstTaskOf(path []string) (int, bool) { return j.Header.FirstTaskOf(path) }
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/domain"
@@ -65,7 +66,7 @@
 	}
 	left := c.largeArrayTasksAtOnce(d, j)
 	rooms := map[string][]*inventoryMachine{} // by owner
-	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.cellEnd(from) {
+	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.Header.CellEnd(from) {
 		if !j.anyQueued(from) {
 			continue
 		}
@@ -94,7 +95,7 @@
 
 // anyQueued tells whether a task of the cell that begins with task from is queued.
 func (j *Job) anyQueued(from int) bool {
-	for i, end := from, j.cellEnd(from); i < end; i++ {
+	for i, end := from, j.Header.CellEnd(from); i < end; i++ {
 		if j.task(i).State == domain.Queued {
 			return true
 		}
@@ -139,7 +140,7 @@
 // bookCell books up to most queued tasks of the cell that begins with task from.
 func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []*inventoryMachine, claims map[string]quotaClaim) cellBooking {
 	sp, booking := j.Header.Spec, cellBooking{room: room}
-	end := j.cellEnd(from)
+	end := j.Header.CellEnd(from)
 	for i := from; i < end && booking.tasks < most && len(booking.room) > 0; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
@@ -166,7 +167,7 @@
 // in it, stays within its limit and leaves a starving job its part.
 func (c *Controller) quotaAllowsPlaced(sp *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
 	claim, limit := claims[sp.Team], c.cfg.Teams[sp.Team].Limit
-	return withinLimit(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(sp.ID, used, limit))
+	return quota.Within(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(sp.ID, used, limit))
 }
 
 // comparePlaces orders machines for a task of a job that the leader places: first those
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -98,7 +98,7 @@
 // commit that may still change one is unsettled.
 func (c *Controller) maySplit() bool {
 	anyToSplit := len(c.cache.oversized)+len(c.commits.fullValues) > 0
-	return anyToSplit && c.commits.inDoubt.key == "" && (c.cache.formatOn() || c.formats.limitsFell)
+	return anyToSplit && c.commits.inDoubt.key == "" && c.mayShrinkValues()
 }
 
 // planForeignValue plans the changes of one value of another shard, if it is the turn of
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -62,7 +62,7 @@
 			if c.isAvoided(j, id.Index) {
 				continue
 			}
-			byValue[keyOf(j, id.Index)]++
+			byValue[j.Header.KeyOf(j.ID, id.Index)]++
 			releases = append(releases, r)
 		}
 	}
@@ -136,7 +136,7 @@
 
 // valueOf is the key of the value that holds a task.
 func (c *cache) valueOf(id domain.TaskID) string {
-	return keyOf(c.jobs[id.Job], id.Index)
+	return c.jobs[id.Job].Header.KeyOf(id.Job, id.Index)
 }
 
 // release puts a release into the draft. A task of a job that was cancelled meanwhile isn't
@@ -177,7 +177,7 @@
 	if !c.isForeign(j) {
 		return d.foreignKey == ""
 	}
-	key := keyOf(j, 0)
+	key := j.Header.KeyOf(j.ID, 0)
 	if d.foreignKey != key {
 		c.planner.foreignValues[key] = true
 		return false
@@ -189,7 +189,7 @@
 // change its tasks otherwise. Of a job with many values it needs room for half a transaction.
 func (d *draft) takesEndOf(j *Job) bool {
 	most := d.c.cfg.TransactionLimit
-	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.cells(), most/2) <= most && d.takesConditions(8)
+	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), most/2) <= most && d.takesConditions(8)
 }
 
 // endCancelled writes that a cancelled job is over, and drops its tasks from as many values
@@ -198,16 +198,15 @@
 	c := d.c
 	h := d.header(j)
 	d.finished[j.ID] = true
-	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.cellEnd(i) {
-		key := keyOf(j, i)
+	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.Header.CellEnd(i) {
+		key := j.Header.KeyOf(j.ID, i)
 		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.isOversizedInPlan(key) {
 			continue
 		}
-		d.keys[key] = true
+		d.rewrite(key)
 		d.bytes += c.valueBound()
-		d.addCondition(key)
 	}
-	if key := keyOf(j, 0); c.cache.oversized[key] {
+	if key := j.Header.KeyOf(j.ID, 0); c.cache.oversized[key] {
 		d.addCondition(key)
 	}
 	h.State = domain.StateCancelled
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -37,7 +37,7 @@
 // admits tells whether one more task of a job stays within the team's limit, and leaves what
 // the team's waiting jobs claim.
 func (x quotaClaim) admits(spec *domain.JobSpec, used, limit domain.Resources) bool {
-	return withinLimit(used.Plus(spec.Request, 1), limit) && x.allows(spec, used, limit)
+	return quota.Within(used.Plus(spec.Request, 1), limit) && x.allows(spec, used, limit)
 }
 
 // leavesFirst tells whether the team's limit keeps room, beside what is used, for a
@@ -70,7 +70,7 @@
 	if team.Guarantee == (domain.Resources{}) {
 		return false
 	}
-	return withinLimit(d.teamUsed(spec.Team).Plus(spec.Request, 1), team.Guarantee)
+	return quota.Within(d.teamUsed(spec.Team).Plus(spec.Request, 1), team.Guarantee)
 }
 
 // claims are, by team, what waiting jobs claim of its limit beside what the draft (nil:
@@ -137,7 +137,7 @@
 	if !c.guard(GuardQuota) {
 		return true
 	}
-	if !withinLimit(used.Plus(spec.Request, 1), limit) {
+	if !quota.Within(used.Plus(spec.Request, 1), limit) {
 		return false
 	}
 	if c.avoidsShare(spec.Team) && !d.ownShareFits(spec) {
@@ -151,7 +151,7 @@
 // so that the team's key needn't change.
 func (d *draft) ownShareFits(spec *domain.JobSpec) bool {
 	own := d.ownUsage(spec.Team).Plus(spec.Request, 1)
-	return d.c.ownShare(spec.Team).Fits(limited(own, d.c.cfg.Teams[spec.Team].Limit))
+	return d.c.ownShare(spec.Team).Fits(quota.Bounded(own, d.c.cfg.Teams[spec.Team].Limit))
 }
 
 // ownUsage is what this controller has booked for a team, with the draft's bookings.
@@ -164,14 +164,10 @@
 	return c.cache.shares[name].ByNode[c.cfg.Node]
 }
 
-// avoidsShare: the team's key lost a conflict just now, and is only changed for
+// avoidsShare tells whether a team's key lost a conflict just now, and is only changed for
 // what can't do without.
 func (c *Controller) avoidsShare(name string) bool {
-	till, ok := c.commits.avoidUntil[codec.PrefixTeam+name]
-	if ok && c.now >= till {
-		delete(c.commits.avoidUntil, codec.PrefixTeam+name)
-	}
-	return ok && c.now < till
+	return c.commits.avoids(codec.PrefixTeam+name, c.now)
 }
 
 // shareSlack is how much of a team's limit this controller sets aside beyond its bookings.
@@ -192,7 +188,7 @@
 		return
 	}
 	limit := c.cfg.Teams[name].Limit
-	use := limited(d.ownUsage(name), limit)
+	use := quota.Bounded(d.ownUsage(name), limit)
 	have := c.ownShare(name)
 	slack := c.shareSlack(name, request)
 	fits := have.Fits(use)
@@ -201,7 +197,7 @@
 		return
 	}
 	want := use.Plus(slack, 1)
-	if !withinLimit(d.teamUsed(name).Plus(slack, 1), limit) {
+	if !quota.Within(d.teamUsed(name).Plus(slack, 1), limit) {
 		want = use
 	}
 	shares := c.cache.cloneShares(name)
@@ -234,7 +230,7 @@
 func (d *draft) settleShares() {
 	c := d.c
 	for _, name := range slices.Sorted(maps.Keys(c.cache.shares)) {
-		if d.changes() >= c.cfg.TransactionLimit || len(d.conditions)+4 > 4*c.cfg.TransactionLimit {
+		if d.changes() >= c.cfg.TransactionLimit || !d.takesConditions(4) {
 			return
 		}
 		if _, ok := d.shares[name]; !ok {
@@ -251,7 +247,7 @@
 func (d *draft) settleAbsentShares(name string) {
 	c := d.c
 	for node, share := range c.cache.shares[name].ByNode {
-		use := limited(c.cache.usage[name][node], c.cfg.Teams[name].Limit)
+		use := quota.Bounded(c.cache.usage[name][node], c.cfg.Teams[name].Limit)
 		if _, member := c.cache.view.Members[node]; member || use == share {
 			continue
 		}
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -19,7 +19,7 @@
 func (c *Controller) planSplits(d *draft) {
 	defer clear(c.commits.fullValues)
 	for _, key := range c.valuesToShrink() {
-		if until, ok := c.commits.avoidUntil[key]; ok && c.now < until {
+		if c.commits.isAvoiding(key, c.now) {
 			continue
 		}
 		if c.shrinkValue(d, key) {
@@ -75,8 +75,8 @@
 func (c *Controller) shrinkChunk(d *draft, key string, j *Job) (planned bool) {
 	inUse := false
 	if j != nil && j.Header.Spec != nil {
-		for i := 0; i < j.Header.TaskCount; i = j.cellEnd(i) {
-			if keyOf(j, i) != key {
+		for i := 0; i < j.Header.TaskCount; i = j.Header.CellEnd(i) {
+			if j.Header.KeyOf(j.ID, i) != key {
 				continue
 			}
 			inUse = true
@@ -208,17 +208,12 @@
 
 // mayGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
 func (c *Controller) mayGrow(key string) bool {
-	if c.cache.oversized[key] {
-		return false
-	}
-	until, ok := c.commits.avoidUntil[key]
-	return !ok || c.now >= until
+	return !c.cache.oversized[key] && !c.commits.isAvoiding(key, c.now)
 }
 
 // hasRoomToMove tells whether the draft may take the move of a job to a pack.
 func (d *draft) hasRoomToMove(j *Job, pack string) bool {
-	limit := d.c.cfg.TransactionLimit
-	return d.changes()+d.changesOfMove(j, pack) <= limit && len(d.conditions)+4 <= 4*limit
+	return d.changes()+d.changesOfMove(j, pack) <= d.c.cfg.TransactionLimit && d.takesConditions(4)
 }
 
 // changesOfMove is how many changes a move adds to the draft.
@@ -250,10 +245,7 @@
 		return
 	}
 	key := codec.PrefixPack + pack
-	if !d.keys[key] {
-		d.bytes += d.c.valueBytes(key)
-		d.rewrite(key)
-	}
+	d.addValue(key)
 	d.growth[key] += d.c.cache.textBytes(j) + len(j.ID) + 8
 	d.copyCell(j, 0) // a pack holds all tasks of a job
 }
@@ -307,7 +299,7 @@
 	h := j.Header
 	chunk := i / h.ChunkSize
 	from, to := h.Chunk(i)
-	split := &cellSplit{source: keyOf(j, i), header: *h}
+	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *h}
 	split.header.Pack, split.header.CellSize = "", c.cellSize(h)
 	split.header.SplitChunks = h.WithSplit(chunk)
 	if h.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
