--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -8,7 +8,7 @@
 	"brassglade/internal/domain"
 )
 
-// cache is what the state service said, as far as the watch, snapshots and own commits
+// cache is what the key-value store said, as far as the watch, snapshots and own commits
 // brought it here, with indexes over it. Every change to it goes through apply.
 type cache struct {
 	revision        uint64            // every change up to here has been applied
@@ -77,6 +77,7 @@
 	runTimeMS int64         // expected run time then, ms
 }
 
+// newCache has seen nothing of the key-value store yet.
 func newCache() cache {
 	return cache{
 		modRevisions:     map[string]uint64{},
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -9,14 +9,14 @@
 
 // apply takes one key's newer value into the cache. Older or equal revisions are
 // dropped: watch, own commits and snapshots may repeat each other.
-func (c *Controller) apply(kv domain.KeyValue) {
-	if kv.ModRevision <= c.cache.modRevisions[kv.Key] {
+func (c *Controller) apply(item domain.KeyValue) {
+	if item.ModRevision <= c.cache.modRevisions[item.Key] {
 		return
 	}
-	c.cache.modRevisions[kv.Key] = kv.ModRevision
-	matters, err := c.applyValue(kv)
+	c.cache.modRevisions[item.Key] = item.ModRevision
+	matters, err := c.applyValue(item)
 	if err != nil {
-		c.reportUnreadable(kv.Key, err)
+		c.reportUnreadable(item.Key, err)
 		return
 	}
 	if matters {
@@ -31,32 +31,32 @@
 
 // applyValue takes a value into the part of the cache that its key belongs to. It tells
 // whether the value may matter for what is to be committed next.
-func (c *Controller) applyValue(kv domain.KeyValue) (matters bool, err error) {
-	kind, name := codec.ParseKey(kv.Key)
+func (c *Controller) applyValue(item domain.KeyValue) (matters bool, err error) {
+	kind, name := codec.ParseKey(item.Key)
 	switch kind {
 	case codec.KindView:
-		return c.applyView(kv.Value)
+		return c.applyView(item.Value)
 	case codec.KindMember:
-		return c.cache.applyMember(name, kv.Value)
+		return c.cache.applyMember(name, item.Value)
 	case codec.KindFormat:
-		return c.applyFormat(name, kv.Value)
+		return c.applyFormat(name, item.Value)
 	case codec.KindJob:
-		return c.applyJob(name, kv.Value)
+		return c.applyJob(name, item.Value)
 	case codec.KindTasks:
-		return c.applyTasks(kv.Key, name, kv.Value)
+		return c.applyTasks(item.Key, name, item.Value)
 	case codec.KindPack:
-		return c.applyPack(kv.Key, name, kv.Value)
+		return c.applyPack(item.Key, name, item.Value)
 	case codec.KindDependencies:
-		c.applyDependencyPiece(kv.Key, kv.Value)
+		c.applyDependencyPiece(item.Key, item.Value)
 		return true, nil
 	case codec.KindTeam:
-		return c.cache.applyTeamShares(name, kv.Value)
+		return c.cache.applyTeamShares(name, item.Value)
 	case codec.KindCordons:
-		return c.applyCordons(name, kv.Value)
+		return c.applyCordons(name, item.Value)
 	case codec.KindMachineTypes:
-		return c.applyMachineTypes(kv.Key, kv.Value)
+		return c.applyMachineTypes(item.Key, item.Value)
 	case codec.KindWindow:
-		return c.cache.applyWindow(name, kv.Value)
+		return c.cache.applyWindow(name, item.Value)
 	}
 	return true, nil
 }
@@ -73,6 +73,7 @@
 	return *decoded, nil
 }
 
+// applyView takes the view. It is never deleted.
 func (c *Controller) applyView(value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -85,6 +86,7 @@
 	return true, nil
 }
 
+// applyMember takes the incarnation of a controller; its key goes when the controller is a member no longer.
 func (c *cache) applyMember(controller string, value []byte) (matters bool, err error) {
 	if value == nil {
 		delete(c.members, controller)
@@ -98,6 +100,7 @@
 	return true, nil
 }
 
+// applyTeamShares takes the controllers' shares of a team's limit.
 func (c *cache) applyTeamShares(team string, value []byte) (matters bool, err error) {
 	shares, err := decodePage[codec.TeamShares](value)
 	if err != nil {
@@ -107,6 +110,7 @@
 	return true, nil
 }
 
+// applyWindow takes a controller's record of the last window of the critic.
 func (c *cache) applyWindow(controller string, value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -129,7 +133,7 @@
 	if err != nil {
 		return false, err
 	}
-	c.recordSize(key, len(value))
+	c.cache.recordSize(key, len(value), c.cfg.ValueLimit)
 	for id, text := range chunk.Texts {
 		j := c.cache.jobs[id]
 		if j == nil || j.Header.Spec == nil || j.Header.Pack != pack {
@@ -162,7 +166,7 @@
 	if err != nil {
 		return false, err
 	}
-	c.recordSize(key, len(value))
+	c.cache.recordSize(key, len(value), c.cfg.ValueLimit)
 	if err := c.applyText(j, first, chunk, chunk.Texts[j.ID]); err != nil {
 		return false, err
 	}
@@ -172,9 +176,9 @@
 // applyText takes a job's tasks from their text in a value, which begins with the given task.
 // Tasks that the job doesn't have are passed over.
 func (c *Controller) applyText(j *Job, first int, chunk *codec.ChunkValue, text string) error {
-	return chunk.Tasks(text, func(offset int, t domain.Task) {
+	return chunk.Tasks(text, func(offset int, task domain.Task) {
 		if i := first + offset; i >= 0 && i < j.Header.TaskCount {
-			c.setTask(j, i, t)
+			c.setTask(j, i, task)
 		}
 	})
 }
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// movePack gives a job that was passed whole to another shard, or moved with its tasks, the
+// movePack gives a job that was handed over to another shard, or moved with its tasks, the
 // header that names its new pack.
 func (c *cache) movePack(j *Job, header *codec.JobHeader) {
 	c.unindexPack(j)
@@ -106,11 +106,11 @@
 	delete(c.awaitingRelease, j.ID)
 }
 
-// setTask is the one function that changes a cached task; it keeps the
-// counts and indexes.
-func (c *Controller) setTask(j *Job, i int, t domain.Task) {
+// setTask is the one function that changes a cached task; it keeps the counts and indexes.
+// Machines whose bookings change are noted as touched.
+func (c *Controller) setTask(j *Job, i int, task domain.Task) {
 	old := j.task(i)
-	if old == t {
+	if old == task {
 		return
 	}
 	if j.Tasks == nil {
@@ -119,18 +119,18 @@
 	}
 	id := domain.TaskID{Job: j.ID, Index: i}
 	j.counts.count(old.State, -1)
-	j.counts.count(t.State, 1)
+	j.counts.count(task.State, 1)
 	if old.State == domain.Booked {
 		c.heartbeats.touched[old.Machine] = true
 		c.cache.removeBooking(j, id, old)
 	}
-	if t.State == domain.Booked {
-		c.heartbeats.touched[t.Machine] = true
-		c.cache.addBooking(j, id, t, c.bookingInfo(j))
+	if task.State == domain.Booked {
+		c.heartbeats.touched[task.Machine] = true
+		c.cache.addBooking(j, id, task, c.bookingInfo(j))
 		delete(c.queues.tasksStaying, id)
 	}
-	j.Tasks[i] = t
-	if t.State != domain.Queued || c.cache.taskShard(j, t) != c.cfg.Node {
+	j.Tasks[i] = task
+	if task.State != domain.Queued || c.cache.taskShard(j, task) != c.cfg.Node {
 		c.dequeue(id)
 	}
 }
@@ -145,50 +145,50 @@
 }
 
 // addBooking enters a booking into the indexes.
-func (c *cache) addBooking(j *Job, id domain.TaskID, t domain.Task, info bookingInfo) {
-	tasks := c.bookedOn[t.Machine]
+func (c *cache) addBooking(j *Job, id domain.TaskID, task domain.Task, info bookingInfo) {
+	tasks := c.bookedOn[task.Machine]
 	if tasks == nil {
 		tasks = map[domain.TaskID]bool{}
-		c.bookedOn[t.Machine] = tasks
+		c.bookedOn[task.Machine] = tasks
 	}
 	tasks[id] = true
 	c.bookings[id] = info
-	c.countBooking(j, id, t, 1)
+	c.countBooking(j, id, task, 1)
 }
 
 // removeBooking takes a booking out of the indexes.
-func (c *cache) removeBooking(j *Job, id domain.TaskID, t domain.Task) {
-	c.countBooking(j, id, t, -1)
-	delete(c.bookedOn[t.Machine], id)
+func (c *cache) removeBooking(j *Job, id domain.TaskID, task domain.Task) {
+	c.countBooking(j, id, task, -1)
+	delete(c.bookedOn[task.Machine], id)
 	delete(c.bookings, id)
-	if len(c.bookedOn[t.Machine]) == 0 {
-		delete(c.bookedOn, t.Machine)
-		delete(c.occupancy, t.Machine)
+	if len(c.bookedOn[task.Machine]) == 0 {
+		delete(c.bookedOn, task.Machine)
+		delete(c.occupancy, task.Machine)
 	}
 }
 
 // countBooking counts a booking in (times 1) or out (-1) of what is used of its machine and by
 // the controller that booked it. Without a spec nothing is known of what it takes.
-func (c *cache) countBooking(j *Job, id domain.TaskID, t domain.Task, times int64) {
+func (c *cache) countBooking(j *Job, id domain.TaskID, task domain.Task, times int64) {
 	spec := j.Header.Spec
 	if spec == nil {
 		return
 	}
 	runTimeMS := c.bookings[id].runTimeMS
-	o := c.occupancy[t.Machine]
-	o.count(spec.Request, runTimeMS, times)
+	sums := c.occupancy[task.Machine]
+	sums.count(spec.Request, runTimeMS, times)
 	if reservesMachines(spec) {
-		o.gangTasks += int(times)
+		sums.gangTasks += int(times)
 	}
 	if preemptible(spec) {
-		o.preemptible.count(spec.Request, runTimeMS, times)
+		sums.preemptible.count(spec.Request, runTimeMS, times)
 	}
-	o.zone = t.Zone
-	c.occupancy[t.Machine] = o
+	sums.zone = task.Zone
+	c.occupancy[task.Machine] = sums
 	byController := c.usage[spec.Team]
 	if byController == nil {
 		byController = map[string]domain.Resources{}
 		c.usage[spec.Team] = byController
 	}
-	byController[t.Shard] = byController[t.Shard].Plus(spec.Request, times)
+	byController[task.Shard] = byController[task.Shard].Plus(spec.Request, times)
 }
--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -17,12 +17,12 @@
 		return loadOrder(snapshot.Items[a].Key) < loadOrder(snapshot.Items[b].Key)
 	})
 	c.cache.loadingSnapshot = true
-	for _, kv := range snapshot.Items {
+	for _, item := range snapshot.Items {
 		// The pages are read one after the other. What changed after the first
 		// comes with the watch, in order: a chunk taken now without its header
 		// would be dropped, and its revision then hide it for good.
-		if kv.ModRevision <= snapshot.Revision || !c.guard(GuardPage) {
-			c.apply(kv)
+		if item.ModRevision <= snapshot.Revision || !c.guard(GuardPage) {
+			c.apply(item)
 		}
 	}
 	c.cache.loadingSnapshot = false
@@ -34,8 +34,8 @@
 // deleted while they matter; chunks go with the final header.
 func (c *Controller) dropMissingMembers(snapshot SnapshotLoaded) {
 	isThere := map[string]bool{}
-	for _, kv := range snapshot.Items {
-		isThere[kv.Key] = true
+	for _, item := range snapshot.Items {
+		isThere[item.Key] = true
 	}
 	for controller := range c.cache.members {
 		key := codec.PrefixMember + controller
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -32,6 +32,7 @@
 	fullValues      map[string]bool           // values that had no room for a booking
 }
 
+// newCommits has a full second's worth of changes, at a rate in changes a second.
 func newCommits(rate float64) commits {
 	return commits{
 		pending:         map[uint64]*pendingCommit{},
@@ -127,7 +128,7 @@
 
 // slowDown lowers the rate after a refusal, to no less than fair. All controllers together
 // want more than the store takes, and it refuses users' submissions as well: each goes back
-// towards its part.
+// towards its fair share.
 func (s *commits) slowDown(fair float64) {
 	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
 }
@@ -243,18 +244,18 @@
 }
 
 // transactionBytes is what a transaction's values take.
-func transactionBytes(t domain.Transaction) int {
-	n := 0
-	for _, put := range t.Puts {
-		n += len(put.Value)
+func transactionBytes(transaction domain.Transaction) int {
+	bytes := 0
+	for _, put := range transaction.Puts {
+		bytes += len(put.Value)
 	}
-	return n
+	return bytes
 }
 
 // tooLarge tells whether a transaction has a value that outgrew its bound in this
 // draft: estimates are for what is usual.
-func (c *Controller) tooLarge(t domain.Transaction) bool {
-	for _, put := range t.Puts {
+func (c *Controller) tooLarge(transaction domain.Transaction) bool {
+	for _, put := range transaction.Puts {
 		if len(put.Value) > c.cfg.ValueLimit && !c.cache.oversized[put.Key] {
 			return true
 		}
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -22,8 +22,8 @@
 	// What the transaction writes.
 
 	headers  map[string]*codec.JobHeader // by job, copies
-	cells    map[cellRef][]domain.Task   // copies of the records of whole cells
-	keys     map[string]bool             // packs, chunks and cells to write, which hold them
+	cells    map[cellRef][]domain.Task   // copies of the records, cell by cell
+	keys     map[string]bool             // packs, chunks and cells to write, which contain them
 	shares   map[string]codec.TeamShares // by team, shares of limits to write
 	rawPuts  []domain.Put                // cells of a value that is being split, already encoded
 	finished map[string]bool             // jobs that are over: their tasks go
@@ -39,7 +39,7 @@
 	usage       map[string]domain.Resources // by team, what the draft adds to this controller's bookings
 	usedOn      map[string]domain.Resources // by machine, what it adds to the bookings there; negative after releases
 
-	// The budget of the transaction, of which each stage gets a part.
+	// The budget of the transaction, of which each stage may use some.
 
 	foreignKey string         // the one value of another shard that this draft may change; "": none, but its own
 	maxChanges int            // changes that the present stage may fill the draft up to
@@ -79,7 +79,7 @@
 	return d
 }
 
-// --- what the draft holds ---
+// --- what is in the draft ---
 
 // changes is how many values the transaction will write.
 func (d *draft) changes() int { return len(d.headers) + len(d.keys) + len(d.shares) + len(d.rawPuts) }
@@ -107,19 +107,19 @@
 
 // header is the copy of a job's header to change.
 func (d *draft) header(j *Job) *codec.JobHeader {
-	h := d.headers[j.ID]
-	if h == nil {
+	header := d.headers[j.ID]
+	if header == nil {
 		clone := *j.Header
-		h = &clone
-		d.c.fitHeader(h)
-		d.headers[j.ID] = h
+		header = &clone
+		d.c.fitHeader(header)
+		d.headers[j.ID] = header
 		d.addCondition(codec.KeyJob(j.ID))
 		d.bytes += tuning.HeaderBytes
 	}
-	return h
+	return header
 }
 
-// ref of the cell with task i.
+// ref names the cell with task i.
 func (j *Job) ref(i int) cellRef {
 	from, _ := j.Header.Cell(i)
 	return cellRef{j.ID, from}
@@ -248,13 +248,13 @@
 // refuseBySize refuses what would make a value too large to be written. A pack's job leaves
 // a value that is so already with this change; a chunk is split first.
 func (d *draft) refuseBySize(change *taskChange) roomRefusal {
-	h := change.job.Header
-	if h.Inline {
+	header := change.job.Header
+	if header.Inline {
 		change.header = true
 		return notRefused
 	}
 	if d.mayNotWrite(change) {
-		if h.Pack == "" {
+		if header.Pack == "" {
 			return refusedOversized
 		}
 		pack, ok := d.target(change.job)
@@ -311,11 +311,11 @@
 // small: counted as they are, the view's among them, with one for the page of the machine's
 // cordon.
 func (d *draft) newConditions(change *taskChange) int {
-	j, n := change.job, 1
+	j, count := change.job, 1
 	for _, key := range [4]string{change.key, change.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
 		if !d.conditions[key] {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -47,9 +47,9 @@
 	if !d.c.mayStart(j) {
 		panic("booking " + j.ID + " before its dependencies are done") // no list of open jobs has it
 	}
-	t := d.task(j, i)
+	task := d.task(j, i)
 	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
-	*t = domain.Task{State: domain.Booked, Attempt: attempt, Machine: machine, AgentEpoch: agentEpoch, Zone: zone, Shard: d.c.cfg.Node}
+	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: machine, AgentEpoch: agentEpoch, Zone: zone, Shard: d.c.cfg.Node}
 	if d.c.guard(GuardGone) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(machine))
 	}
@@ -61,9 +61,9 @@
 
 // countUsage counts n tasks into what this controller's bookings take of their team's
 // limit; n < 0: out of it.
-func (d *draft) countUsage(sp *domain.JobSpec, n int64) {
-	d.usage[sp.Team] = d.usage[sp.Team].Plus(sp.Request, n)
-	d.settleShare(sp.Team, sp.Request)
+func (d *draft) countUsage(spec *domain.JobSpec, n int64) {
+	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, n)
+	d.settleShare(spec.Team, spec.Request)
 }
 
 // bookBytes is what a booking is planned to add to its value: what it mostly takes,
@@ -87,27 +87,27 @@
 // it is done. No start of the attempt may go out any more, since this transaction may be
 // carried out late.
 func (d *draft) release(j *Job, i int, done bool) {
-	sp, t := j.Header.Spec, d.task(j, i)
-	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, t.Attempt})
-	d.machines[t.Machine] = true
-	d.usedOn[t.Machine] = d.usedOn[t.Machine].Plus(sp.Request, -1) // the same commit may book there again
-	if t.Shard == d.c.cfg.Node {
-		d.countUsage(sp, -1)
-	}
-	t.Machine, t.AgentEpoch, t.Zone = "", 0, ""
-	t.State, t.Shard = domain.Queued, ""
+	spec, task := j.Header.Spec, d.task(j, i)
+	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
+	d.machines[task.Machine] = true
+	d.usedOn[task.Machine] = d.usedOn[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
+	if task.Shard == d.c.cfg.Node {
+		d.countUsage(spec, -1)
+	}
+	task.Machine, task.AgentEpoch, task.Zone = "", 0, ""
+	task.State, task.Shard = domain.Queued, ""
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	if !done {
 		return
 	}
 	d.finish(j, i)
-	if sp.Shape == domain.Gang {
+	if spec.Shape == domain.Gang {
 		d.finishMates(j)
 	}
 }
 
 // finishMates finishes the queued tasks of a gang of which one is done. They complete
-// together: a mate whose own report was lost is done, too.
+// together: a mate whose own end was never reported is done, too.
 func (d *draft) finishMates(j *Job) {
 	for i := 0; i < j.Header.TaskCount; i++ {
 		if d.peek(j, i).State == domain.Queued {
@@ -116,57 +116,57 @@
 	}
 }
 
-// finish marks a task done. The last task of a cell moves the header; the last cell
-// ends the job.
+// finish records that a task is done. The last task of a cell changes the header; the last
+// cell ends the job.
 func (d *draft) finish(j *Job, i int) {
 	*d.task(j, i) = domain.Task{State: domain.Done}
 	cell := d.cells[j.ref(i)]
 	if doneTasks(cell) < len(cell) {
 		return
 	}
-	h := d.header(j)
-	if countDoneCell(h, len(cell)) {
-		d.finishJob(j, h)
+	header := d.header(j)
+	if countDoneCell(header, len(cell)) {
+		d.finishJob(j, header)
 	}
 }
 
 // countDoneCell counts a cell of which all tasks are done, and tells whether it was the
 // job's last one.
-func countDoneCell(h *codec.JobHeader, tasks int) bool {
-	if h.CellSize > 0 { // some chunk is split: cells are of two sizes
-		h.DoneTasks += tasks
-		return h.DoneTasks >= h.TaskCount
+func countDoneCell(header *codec.JobHeader, tasks int) bool {
+	if header.CellSize > 0 { // some chunk is split: cells are of two sizes
+		header.DoneTasks += tasks
+		return header.DoneTasks >= header.TaskCount
 	}
-	h.DoneChunks++
-	return h.DoneChunks*h.ChunkSize >= h.TaskCount
+	header.DoneChunks++
+	return header.DoneChunks*header.ChunkSize >= header.TaskCount
 }
 
 // finishJob ends a job of which all tasks are done. Its header says all there is to know.
-func (d *draft) finishJob(j *Job, h *codec.JobHeader) {
-	h.State, h.Spec, h.SplitChunks, h.CellSize = domain.StateDone, nil, nil, 0
+func (d *draft) finishJob(j *Job, header *codec.JobHeader) {
+	header.State, header.Spec, header.SplitChunks, header.CellSize = domain.StateDone, nil, nil, 0
 	if d.c.cache.formatOn() {
-		h.DoneAtMS = d.c.wallMS()
+		header.DoneAtMS = d.c.wallMS()
 	}
 	d.finished[j.ID] = true
 }
 
 // handOver gives a queued task to another shard.
 func (d *draft) handOver(j *Job, i int, to string) {
-	t := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled, or handed over whole
+	task := d.task(j, i)
+	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled, or handed over with its job
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
-	t.Shard = to
+	task.Shard = to
 }
 
 // handOverJob gives an untouched job to another shard, in a pack of that shard where one
 // has room for it.
 func (d *draft) handOverJob(j *Job, to string) {
-	h := d.header(j)
-	h.Shard, h.Handovers = to, h.Handovers+1
-	if h.Pack == "" {
+	header := d.header(j)
+	header.Shard, header.Handovers = to, header.Handovers+1
+	if header.Pack == "" {
 		return
 	}
 	if pack, ok := d.c.packFor(j.Header.Spec, to); ok {
-		h.Pack = pack
+		header.Pack = pack
 	}
 }
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -35,19 +35,19 @@
 // appendHeaders appends the headers, by job; some carry their tasks.
 func (d *draft) appendHeaders(puts []domain.Put) []domain.Put {
 	for _, id := range slices.Sorted(maps.Keys(d.headers)) {
-		h := d.headers[id]
-		if h.Inline {
-			h.InlineTasks = d.inlineTasks(id, h)
+		header := d.headers[id]
+		if header.Inline {
+			header.InlineTasks = d.inlineTasks(id, header)
 		}
-		puts = append(puts, domain.Put{Key: codec.KeyJob(id), Value: codec.Encode(h)})
+		puts = append(puts, domain.Put{Key: codec.KeyJob(id), Value: codec.Encode(header)})
 	}
 	return puts
 }
 
 // inlineTasks are the tasks that a header carries; nil: of a job that is over, or that
 // nothing happened to yet.
-func (d *draft) inlineTasks(id string, h *codec.JobHeader) *codec.ChunkValue {
-	if d.finished[id] || h.Spec == nil {
+func (d *draft) inlineTasks(id string, header *codec.JobHeader) *codec.ChunkValue {
+	if d.finished[id] || header.Spec == nil {
 		return nil
 	}
 	tasks := d.cells[cellRef{id, 0}]
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -10,7 +10,7 @@
 )
 
 // formats is how far this controller is with announcing its format, and whether the
-// state service's limits are known to have fallen.
+// key-value store's limits are known to have fallen.
 type formats struct {
 	announcing         bool          // a commit of it is in flight
 	nextAnnouncementAt time.Duration // no earlier
@@ -27,16 +27,16 @@
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
 		c.commitFormat(codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()})
-	} else if c.isLeader() && c.allAnnounced() {
+	} else if c.isLeader() && c.cache.allAnnounced(c.cfg.Nodes) {
 		c.commitFormat(codec.KeyFormat, codec.Format{Version: codec.CurrentFormat})
 	}
 }
 
-// allAnnounced tells whether every controller of the settings has announced the format, not
-// only those of the view: one that is down may come back as the version before.
-func (c *Controller) allAnnounced() bool {
-	for _, controller := range c.cfg.Nodes {
-		if c.cache.announcedFormats[controller] < codec.CurrentFormat {
+// allAnnounced tells whether all controllers, those of the settings and not only of the view,
+// have announced the format: one that is down may come back as the version before.
+func (c *cache) allAnnounced(controllers []string) bool {
+	for _, controller := range controllers {
+		if c.announcedFormats[controller] < codec.CurrentFormat {
 			return false
 		}
 	}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -15,19 +15,20 @@
 
 // planGangs books the jobs that the leader places: gangs at once or not at all, the others
 // task by task within their zone rules. It walks them twice: first those whose image is on
-// a machine with room, since a fetch takes a good part of a run and holds the team's limit
-// as long; then all.
+// a machine with room, since a fetch takes a large fraction of a run and uses the team's
+// limit as long; then all.
 func (c *Controller) planGangs(d *draft) {
 	if !c.isLeader() {
 		return
 	}
-	jobs := c.waitingJobs(reservesMachines)
+	jobs := c.cache.waitingJobs(reservesMachines, c.now)
 	if len(jobs) == 0 {
 		return
 	}
 	c.sortByGuarantee(jobs, d)
 	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
-	if !slices.ContainsFunc(jobs, c.holdsOthersBack) { // else strictly in order
+	anyHoldsBack := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
+	if !anyHoldsBack { // else strictly in order
 		if !c.newGangPass(d, PassCached, machines, claims).book(jobs) {
 			return
 		}
@@ -39,18 +40,23 @@
 func (c *Controller) sortByGuarantee(jobs []*Job, d *draft) {
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		return cmp.Or(
-			trueFirst(c.withinGuarantee(a.Header.Spec, d), c.withinGuarantee(b.Header.Spec, d)),
+			trueFirst(d.isOwed(a.Header.Spec), d.isOwed(b.Header.Spec)),
 			cmp.Compare(b.priority, a.priority),
 		)
 	})
 }
 
-// holdsOthersBack tells whether a job of several tasks has waited for so long that smaller
-// ones that came later must not take each machine as it falls free; but not for ever, it may
-// not be possible.
-func (c *Controller) holdsOthersBack(j *Job) bool {
-	age := c.now - time.Duration(j.readyAt)
-	return j.Header.Spec.TaskCount > 1 && age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+// blocksOthers tells whether a job that the leader places has waited for so long that others
+// wait for it: not for ever, it may not be possible.
+func (j *Job) blocksOthers(now time.Duration) bool {
+	age := now - time.Duration(j.readyAt)
+	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+}
+
+// holdsMachinesBack tells whether a job of several tasks has waited for so long that smaller
+// ones that came later must not take each machine as it falls free.
+func (j *Job) holdsMachinesBack(now time.Duration) bool {
+	return j.Header.Spec.TaskCount > 1 && j.blocksOthers(now)
 }
 
 // gangPass is one walk over the jobs that the leader places.
@@ -61,9 +67,10 @@
 	machines     []inventoryMachine // with room for some job, in the inventory's order
 	claims       map[string]quotaClaim
 	placeless    map[gangKind]bool // kinds of gangs that found no place
-	waitingTeams map[string]bool   // whose limit must come free for a gang that holds others back
+	waitingTeams map[string]bool   // whose limit must come free for a gang that holds machines back
 }
 
+// newGangPass begins a walk over the machines with room.
 func (c *Controller) newGangPass(d *draft, pass PlanningPass, machines []inventoryMachine, claims map[string]quotaClaim) *gangPass {
 	return &gangPass{
 		c: c, draft: d, pass: pass, machines: machines, claims: claims,
@@ -81,20 +88,21 @@
 	spot, oneZone, spread bool
 }
 
-func gangKindOf(sp *domain.JobSpec) gangKind {
+// gangKindOf is what the place of a job depends on.
+func gangKindOf(spec *domain.JobSpec) gangKind {
 	return gangKind{
-		team: sp.Team, zone: sp.Zone, machineTypes: strings.Join(sp.MachineTypes, ","), request: sp.Request,
-		tasks: sp.TaskCount, spot: sp.Spot, oneZone: sp.OneZone, spread: sp.Spread,
+		team: spec.Team, zone: spec.Zone, machineTypes: strings.Join(spec.MachineTypes, ","), request: spec.Request,
+		tasks: spec.TaskCount, spot: spec.Spot, oneZone: spec.OneZone, spread: spec.Spread,
 	}
 }
 
 // book walks the jobs; false: the draft is full, or the machines have to come free for a
-// gang that holds others back.
+// gang that holds them back.
 func (p *gangPass) book(jobs []*Job) bool {
 	for _, j := range jobs {
-		sp := j.Header.Spec
-		kind := gangKindOf(sp)
-		if p.placeless[kind] || p.waitingTeams[sp.Team] || p.pass == PassCached && !p.isCachedSomewhere(sp) {
+		spec := j.Header.Spec
+		kind := gangKindOf(spec)
+		if p.placeless[kind] || p.waitingTeams[spec.Team] || p.pass == PassCached && !p.isCachedSomewhere(spec) {
 			continue
 		}
 		before := len(p.draft.changed)
@@ -105,41 +113,41 @@
 			continue
 		}
 		p.placeless[kind] = true
-		if p.pass == PassCached || !p.c.holdsOthersBack(j) {
+		if p.pass == PassCached || !j.holdsMachinesBack(p.c.now) {
 			continue
 		}
-		if p.teamAllows(sp) {
+		if p.teamAllows(spec) {
 			return false
 		}
-		p.waitingTeams[sp.Team] = true
+		p.waitingTeams[spec.Team] = true
 	}
 	return true
 }
 
 // foundNoPlace tells whether all of a gang still waits, and is not booked in this draft.
 func (p *gangPass) foundNoPlace(j *Job) bool {
-	sp := j.Header.Spec
-	return sp.Shape == domain.Gang && placementOf(j, p.draft).queued == sp.TaskCount
+	spec := j.Header.Spec
+	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
 }
 
 // teamAllows tells whether a team's limit has room for all of a gang, so that machines are
 // all it waits for.
-func (p *gangPass) teamAllows(sp *domain.JobSpec) bool {
-	return quota.Within(p.draft.teamUsed(sp.Team).Plus(sp.Request, int64(sp.TaskCount)), p.c.cfg.Teams[sp.Team].Limit)
+func (p *gangPass) teamAllows(spec *domain.JobSpec) bool {
+	return quota.Within(p.draft.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), p.c.cfg.Teams[spec.Team].Limit)
 }
 
 // isCachedSomewhere tells whether a machine with room for a task of the job has its image.
-func (p *gangPass) isCachedSomewhere(sp *domain.JobSpec) bool {
+func (p *gangPass) isCachedSomewhere(spec *domain.JobSpec) bool {
 	for i := range p.machines {
 		m := &p.machines[i]
-		if m.hasImage(sp.Image) && p.c.fitsOn(sp, m, domain.Resources{}, p.draft) {
+		if m.hasImage(spec.Image) && p.c.cache.fitsOn(spec, m, domain.Resources{}, p.draft) {
 			return true
 		}
 	}
 	return false
 }
 
-// machinesWithRoom is the part of the inventory that has room for a task of any of
+// machinesWithRoom are the machines of the inventory that have room for a task of any of
 // the jobs.
 func (c *Controller) machinesWithRoom(jobs []*Job, d *draft) []inventoryMachine {
 	var requests []domain.Resources
@@ -150,11 +158,11 @@
 	}
 	var machines []inventoryMachine
 	for _, m := range c.inventory() {
-		f := c.cache.machineType(m.machineType)
-		if f == nil || c.cache.cordons[m.name].State != "" {
+		machineType := c.cache.machineType(m.machineType)
+		if machineType == nil || c.cache.cordons[m.name].State != "" {
 			continue
 		}
-		free := c.cache.freeOn(m.name, f.Capacity, d)
+		free := c.cache.freeOn(m.name, machineType.Capacity, d)
 		if fitsAny(free, requests) {
 			machines = append(machines, m)
 		}
@@ -174,21 +182,22 @@
 
 // bookByLeader adds a job's bookings to the draft; false: the draft is full.
 func (c *Controller) bookByLeader(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim, pass PlanningPass) bool {
-	sp := j.Header.Spec
+	spec := j.Header.Spec
 	if c.isAvoided(j, 0) {
 		return true
 	}
-	if c.gangDone(j, d) {
+	if j.isGangDone(d) {
 		return c.finishGang(d, j)
 	}
 	placed := placementOf(j, d)
-	if sp.Shape == domain.Gang && placed.queued < sp.TaskCount {
+	if spec.Shape == domain.Gang && placed.queued < spec.TaskCount {
 		return true // booked in this draft, or some of the old attempt are not proven off yet
 	}
-	p := &picker{c, d, j, placed, c.bindingZones(j, d), machines, claims}
-	picks := p.choose()
-	if sp.Shape == domain.Gang {
-		return len(picks) < sp.TaskCount || c.bookGang(d, j, picks, pass)
+	picks := (&picker{
+		c: c, draft: d, job: j, placed: placed, zones: bindingZones(j, d), machines: machines, claims: claims,
+	}).choose()
+	if spec.Shape == domain.Gang {
+		return len(picks) < spec.TaskCount || c.bookGang(d, j, picks, pass)
 	}
 	for _, picked := range picks {
 		if !d.hasRoomToGrow(j, picked.task) {
@@ -283,22 +292,23 @@
 
 // chooseIn picks machines of one zone, or of any where none is named.
 func (p *picker) chooseIn(zone string) []pick {
-	d, j, sp := p.draft, p.job, p.job.Header.Spec
+	d, j := p.draft, p.job
+	spec := j.Header.Spec
 	chosen := &placesInZone{picker: p, zone: zone, used: map[string]domain.Resources{}, byZone: maps.Clone(p.zones)}
 	room := chosen.machinesWithRoom()
-	used, most := d.teamUsed(sp.Team), p.most()
-	for i := 0; i < sp.TaskCount && len(chosen.picks) < most; i++ {
+	used, most := d.teamUsed(spec.Team), p.most()
+	for i := 0; i < spec.TaskCount && len(chosen.picks) < most; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
-		if used = used.Plus(sp.Request, 1); !p.c.quotaAllowsPlaced(sp, used, p.claims) {
+		if used = used.Plus(spec.Request, 1); !p.c.quotaAllowsPlaced(spec, used, p.claims) {
 			break
 		}
-		k := slices.IndexFunc(room, chosen.takes)
-		if k < 0 {
+		best := slices.IndexFunc(room, chosen.takes)
+		if best < 0 {
 			break
 		}
-		chosen.add(i, room[k])
+		chosen.add(i, room[best])
 	}
 	return chosen.picks
 }
@@ -325,33 +335,33 @@
 }
 
 // takes tells whether one more task of the job may go to a machine.
-func (x *placesInZone) takes(m *inventoryMachine) bool {
-	sp := x.job.Header.Spec
-	if x.zone != "" && m.zone != x.zone || spreadOverZones(sp) && x.byZone[m.zone] >= mostPerZone(sp) {
+func (p *placesInZone) takes(m *inventoryMachine) bool {
+	spec := p.job.Header.Spec
+	if p.zone != "" && m.zone != p.zone || spreadOverZones(spec) && p.byZone[m.zone] >= mostPerZone(spec) {
 		return false
 	}
-	return x.c.fitsOn(sp, m, x.used[m.name], x.draft)
+	return p.c.cache.fitsOn(spec, m, p.used[m.name], p.draft)
 }
 
 // machinesWithRoom are the machines that take a task, best first.
-func (x *placesInZone) machinesWithRoom() []*inventoryMachine {
+func (p *placesInZone) machinesWithRoom() []*inventoryMachine {
 	var room []*inventoryMachine
-	for i := range x.machines {
-		if m := &x.machines[i]; x.takes(m) {
+	for i := range p.machines {
+		if m := &p.machines[i]; p.takes(m) {
 			room = append(room, m)
 		}
 	}
-	sp := x.job.Header.Spec
-	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return x.c.comparePlaces(sp, a, b) })
+	spec := p.job.Header.Spec
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return p.c.comparePlaces(spec, a, b) })
 	return room
 }
 
 // add puts a task on a machine.
-func (x *placesInZone) add(task int, m *inventoryMachine) {
-	sp := x.job.Header.Spec
-	x.picks = append(x.picks, pick{task, m})
-	x.used[m.name] = x.used[m.name].Plus(sp.Request, 1)
-	if spreadOverZones(sp) {
-		x.byZone[m.zone]++
+func (p *placesInZone) add(task int, m *inventoryMachine) {
+	spec := p.job.Header.Spec
+	p.picks = append(p.picks, pick{task: task, machine: m})
+	p.used[m.name] = p.used[m.name].Plus(spec.Request, 1)
+	if spreadOverZones(spec) {
+		p.byZone[m.zone]++
 	}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -5,7 +5,7 @@
 	"brassglade/internal/domain"
 )
 
-// Job is a job in the cache: what the state service says of it, and what this controller works
+// Job is a job in the cache: what the key-value store says of it, and what this controller works
 // out from that. Times are of this controller's steady clock.
 type Job struct {
 	ID     string
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
@@ -12,14 +13,14 @@
 
 // largeArray tells whether the leader places the job's tasks only because there are
 // so many of them: each may go anywhere its job allows.
-func largeArray(sp *domain.JobSpec) bool {
-	return sp.Shape != domain.Gang && !sp.OneZone && !sp.Spread && sp.TaskCount >= tuning.LargeJobTasks
+func largeArray(spec *domain.JobSpec) bool {
+	return spec.Shape != domain.Gang && !spec.OneZone && !spec.Spread && spec.TaskCount >= tuning.LargeJobTasks
 }
 
 // reservesMachines tells whether the leader reserves machines for jobs like this one. It
 // doesn't for large arrays, which take the room that other jobs leave: for thousands of
 // waiting tasks it would reserve all machines that fit, and shards place nothing on those.
-func reservesMachines(sp *domain.JobSpec) bool { return placedByLeader(sp) && !largeArray(sp) }
+func reservesMachines(spec *domain.JobSpec) bool { return placedByLeader(spec) && !largeArray(spec) }
 
 // planLargeArrays books tasks of large arrays, by priority and then first come,
 // first served. Only the leader does.
@@ -27,7 +28,7 @@
 	if !c.isLeader() {
 		return
 	}
-	jobs := c.waitingJobs(largeArray)
+	jobs := c.cache.waitingJobs(largeArray, c.now)
 	if len(jobs) == 0 {
 		return
 	}
@@ -42,10 +43,10 @@
 
 // waitingJobs are the open jobs that match, have tasks to book and don't pause after
 // an error.
-func (c *Controller) waitingJobs(matches func(*domain.JobSpec) bool) []*Job {
+func (c *cache) waitingJobs(matches func(*domain.JobSpec) bool, now time.Duration) []*Job {
 	var jobs []*Job
-	for _, j := range c.cache.openJobs {
-		if matches(j.Header.Spec) && j.counts.queued > 0 && int64(c.now) >= j.pausedUntil {
+	for _, j := range c.openJobs {
+		if matches(j.Header.Spec) && j.counts.queued > 0 && int64(now) >= j.pausedUntil {
 			jobs = append(jobs, j)
 		}
 	}
@@ -105,11 +106,11 @@
 
 // ownersFitting are the controllers with machines that may take a task of the job,
 // sorted by name.
-func (c *Controller) ownersFitting(sp *domain.JobSpec) []string {
+func (c *Controller) ownersFitting(spec *domain.JobSpec) []string {
 	var owners []string
 	for _, m := range c.inventory() {
-		f := c.cache.machineType(m.machineType)
-		if f == nil || !f.Capacity.Fits(sp.Request) || !allowsMachine(sp, m.machineType, m.zone, m.spot) || slices.Contains(owners, m.owner) {
+		machineType := c.cache.machineType(m.machineType)
+		if machineType == nil || !machineType.Capacity.Fits(spec.Request) || !allowsMachine(spec, m.machineType, m.zone, m.spot) || slices.Contains(owners, m.owner) {
 			continue
 		}
 		owners = append(owners, m.owner)
@@ -119,14 +120,14 @@
 }
 
 // roomOf lists an owner's machines with room for a task of the job, best first.
-func (c *Controller) roomOf(d *draft, sp *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
+func (c *Controller) roomOf(d *draft, spec *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
 	var room []*inventoryMachine
 	for i := range machines {
-		if m := &machines[i]; m.owner == owner && c.fitsOn(sp, m, domain.Resources{}, d) {
+		if m := &machines[i]; m.owner == owner && c.cache.fitsOn(spec, m, domain.Resources{}, d) {
 			room = append(room, m)
 		}
 	}
-	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return c.comparePlaces(sp, a, b) })
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return c.comparePlaces(spec, a, b) })
 	return room
 }
 
@@ -139,13 +140,14 @@
 
 // bookCell books up to most queued tasks of the cell that begins with task from.
 func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []*inventoryMachine, claims map[string]quotaClaim) cellBooking {
-	sp, booking := j.Header.Spec, cellBooking{room: room}
+	spec := j.Header.Spec
+	booking := cellBooking{room: room}
 	end := j.Header.CellEnd(from)
 	for i := from; i < end && booking.tasks < most && len(booking.room) > 0; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
-		if !c.quotaAllowsPlaced(sp, d.teamUsed(sp.Team).Plus(sp.Request, 1), claims) {
+		if !c.quotaAllowsPlaced(spec, d.teamUsed(spec.Team).Plus(spec.Request, 1), claims) {
 			break
 		}
 		if !d.hasRoomToGrow(j, i) {
@@ -154,9 +156,9 @@
 			break
 		}
 		m := booking.room[0]
-		d.bookPick(j, pick{i, m}, j.task(i).Attempt+1, PassLargeArray)
+		d.bookPick(j, pick{task: i, machine: m}, j.task(i).Attempt+1, PassLargeArray)
 		booking.tasks++
-		if !c.cache.freeOn(m.name, c.cache.machineType(m.machineType).Capacity, d).Fits(sp.Request) {
+		if !c.cache.freeOn(m.name, c.cache.machineType(m.machineType).Capacity, d).Fits(spec.Request) {
 			booking.room = booking.room[1:]
 		}
 	}
@@ -164,17 +166,18 @@
 }
 
 // quotaAllowsPlaced tells whether a team's use, with a task of a job that the leader places
-// in it, stays within its limit and leaves a starving job its part.
-func (c *Controller) quotaAllowsPlaced(sp *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
-	claim, limit := claims[sp.Team], c.cfg.Teams[sp.Team].Limit
-	return quota.Within(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(sp.ID, used, limit))
+// in it, stays within its limit and leaves a starving job its share.
+func (c *Controller) quotaAllowsPlaced(spec *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
+	claim := claims[spec.Team]
+	limit := c.cfg.Teams[spec.Team].Limit
+	return quota.Within(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(spec.ID, used, limit))
 }
 
 // comparePlaces orders machines for a task of a job that the leader places: first those
 // that have its image, then those reserved for such jobs, spot machines, and the fullest.
-func (c *Controller) comparePlaces(sp *domain.JobSpec, a, b *inventoryMachine) int {
+func (c *Controller) comparePlaces(spec *domain.JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
-		trueFirst(a.hasImage(sp.Image), b.hasImage(sp.Image)),
+		trueFirst(a.hasImage(spec.Image), b.hasImage(spec.Image)),
 		trueFirst(c.scaling.reserved[a.name], c.scaling.reserved[b.name]),
 		trueFirst(a.spot, b.spot),
 		cmp.Compare(len(c.cache.bookedOn[b.name]), len(c.cache.bookedOn[a.name])),
--- a/internal/scheduler/machine_room.go
+++ b/internal/scheduler/machine_room.go
@@ -34,15 +34,16 @@
 	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.cache.machineType(m.Type) != nil
 }
 
-// allowsMachine tells whether the machine may take a task of the job, room aside.
-func allowsMachine(sp *domain.JobSpec, typ, zone string, spot bool) bool {
-	return listAllows(sp.MachineTypes, typ) && (sp.Zone == "" || sp.Zone == zone) && (sp.Spot || !spot)
+// allowsMachine tells whether a machine of the type and zone may take a task of the job, room
+// aside.
+func allowsMachine(spec *domain.JobSpec, machineType, zone string, spot bool) bool {
+	return listAllows(spec.MachineTypes, machineType) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
 
 // fitsOn tells whether a machine may take one more task of a job and has room for it
 // beside the draft's bookings and others that are only chosen so far.
-func (c *Controller) fitsOn(sp *domain.JobSpec, m *inventoryMachine, chosen domain.Resources, d *draft) bool {
-	f := c.cache.machineType(m.machineType)
-	return f != nil && allowsMachine(sp, m.machineType, m.zone, m.spot) &&
-		c.cache.freeOn(m.name, f.Capacity, d).Plus(chosen, -1).Fits(sp.Request)
+func (c *cache) fitsOn(spec *domain.JobSpec, m *inventoryMachine, chosen domain.Resources, d *draft) bool {
+	machineType := c.machineType(m.machineType)
+	return machineType != nil && allowsMachine(spec, m.machineType, m.zone, m.spot) &&
+		c.freeOn(m.name, machineType.Capacity, d).Plus(chosen, -1).Fits(spec.Request)
 }
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -17,21 +17,21 @@
 )
 
 // onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
-func (c *Controller) onMachineTypesListed(e MachineTypesListed) {
+func (c *Controller) onMachineTypesListed(listed MachineTypesListed) {
 	c.scaling.listingTypes = false
-	if !e.OK {
+	if !listed.OK {
 		c.scaling.nextTypesAt = c.now + listingRetry
 		return
 	}
 	c.scaling.nextTypesAt = c.now + tuning.MachineTypesInterval
-	if !c.isLeader() || string(codec.Encode(e.Types)) == string(codec.Encode(c.cache.machineTypes)) {
+	if !c.isLeader() || string(codec.Encode(listed.Types)) == string(codec.Encode(c.cache.machineTypes)) {
 		return
 	}
 	c.commit(LaneUser, domain.Transaction{
 		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
-		Puts:       c.putsOfMachineTypes(e.Types),
-	}, func(r domain.CommitResult, _ CommitAnswered) {
-		if r != domain.Committed {
+		Puts:       c.putsOfMachineTypes(listed.Types),
+	}, func(result domain.CommitResult, _ CommitAnswered) {
+		if result != domain.Committed {
 			c.scaling.nextTypesAt = c.now + commitRetry
 		}
 	})
@@ -86,6 +86,6 @@
 	for i := 1; i <= first.More; i++ {
 		c.cache.machineTypes = append(c.cache.machineTypes, c.cache.machineTypePages[codec.KeyMachineTypePage(i)].Types...)
 	}
-	c.recordSize(key, len(value))
+	c.cache.recordSize(key, len(value), c.cfg.ValueLimit)
 	return true, nil
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,7 +9,7 @@
 //
 //   - Committed bookings count as the cache has them, until their release is committed.
 //     A release is drafted only for what is proven off its machine (provenOff).
-//   - What the draft holds counts in place of the committed record: one plan may look at
+//   - What is in the draft counts in place of the committed record: one plan may look at
 //     a job several times, and its commit is carried out as a whole or not at all.
 //   - A commit of this controller that is in doubt doesn't count. The draft and that commit
 //     exclude each other (in_doubt.go): if it was carried out, this one won't be.
@@ -23,12 +23,12 @@
 
 // placementOf counts a job's tasks as the draft would leave them.
 func placementOf(j *Job, d *draft) placement {
-	p := j.counts
+	counts := j.counts
 	d.eachCopied(j, func(committed, drafted *domain.Task) {
-		p.count(committed.State, -1)
-		p.count(drafted.State, 1)
+		counts.count(committed.State, -1)
+		counts.count(drafted.State, 1)
 	})
-	return p
+	return counts
 }
 
 // count adds n tasks of a state; n < 0: takes them away.
@@ -58,12 +58,12 @@
 }
 
 // countZone adds a task n times to its zone if it is booked.
-func countZone(zones map[string]int, t *domain.Task, n int) {
-	if t.State != domain.Booked {
+func countZone(zones map[string]int, task *domain.Task, n int) {
+	if task.State != domain.Booked {
 		return
 	}
-	if zones[t.Zone] += n; zones[t.Zone] == 0 {
-		delete(zones, t.Zone)
+	if zones[task.Zone] += n; zones[task.Zone] == 0 {
+		delete(zones, task.Zone)
 	}
 }
 
@@ -100,4 +100,4 @@
 
 // mostPerZone is how many tasks of a job may be in one zone whose tasks must be spread:
 // at most half, rounded up.
-func mostPerZone(sp *domain.JobSpec) int { return (sp.TaskCount + 1) / 2 }
+func mostPerZone(spec *domain.JobSpec) int { return (spec.TaskCount + 1) / 2 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -19,12 +19,13 @@
 	foreignValues       map[string]bool          // values of other shards that wait for a change from here
 	lastForeignValue    string                   // the last one that was changed
 	releasesFrom        string                   // machine at which releases begin
-	taskHandovers       map[domain.TaskID]string // to other shards, to be committed
-	jobHandovers        map[string]string        // untouched jobs to be handed over whole, and where to
+	taskHandovers       map[domain.TaskID]string // to be handed over, and to which shard
+	jobHandovers        map[string]string        // untouched jobs to be handed over, and to which shard
 	pendingReleases     map[attemptID]bool       // attempts that a commit releases: no start of them may go out
 	preempted           map[attemptID]bool       // bookings to be stopped for tasks that wait on the same machine
 }
 
+// newPlanner has planned nothing yet.
 func newPlanner() planner {
 	return planner{
 		foreignValues:   map[string]bool{},
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"brassglade/internal/domain"
 )
@@ -12,17 +13,17 @@
 
 // bookingCandidate is the head of a machine's queue, with room for it there.
 type bookingCandidate struct {
-	machine         *Machine
-	task            domain.TaskID
-	job             *Job
-	withinGuarantee bool // its team is owed it
+	machine *Machine
+	task    domain.TaskID
+	job     *Job
+	isOwed  bool // to its team, within the team's guarantee
 }
 
 // compareBookingCandidates orders heads of queues: what teams are owed first, then by
 // priority, then first come, first served.
 func compareBookingCandidates(a, b bookingCandidate) int {
 	return cmp.Or(
-		trueFirst(a.withinGuarantee, b.withinGuarantee),
+		trueFirst(a.isOwed, b.isOwed),
 		cmp.Compare(b.job.priority, a.job.priority),
 		cmp.Compare(a.job.Header.AcceptOrder, b.job.Header.AcceptOrder),
 	)
@@ -69,9 +70,9 @@
 // the first one has no room yet and is waited for.
 func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
-	for _, id := range c.queueByPriority(m) {
+	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
-		if !c.waitsOn(d, m, j, id) || c.isHeldBack(j, id) {
+		if !c.waitsOn(d, m, j, id) || c.planner.isHeldBack(j, id, c.now) {
 			continue
 		}
 		if m.failedHere(j) {
@@ -82,14 +83,14 @@
 		if c.isAvoided(j, id.Index) {
 			continue
 		}
-		sp := j.Header.Spec
-		if !c.quotaAllows(sp, d, claims) {
+		spec := j.Header.Spec
+		if !c.quotaAllows(spec, d, claims) {
 			continue // waits for its team without blocking others
 		}
-		if !free.Fits(sp.Request) {
+		if !free.Fits(spec.Request) {
 			return bookingCandidate{}, false // first come, first served
 		}
-		return bookingCandidate{m, id, j, c.withinGuarantee(sp, d)}, true
+		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isOwed(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
@@ -100,14 +101,14 @@
 	if c.queues.machineOf[id] != m.Name || j == nil || j.phase != phaseOpen || d.changed[id] {
 		return false
 	}
-	t := j.task(id.Index)
-	return t.State == domain.Queued && c.cache.taskShard(j, t) == c.cfg.Node
+	task := j.task(id.Index)
+	return task.State == domain.Queued && c.cache.taskShard(j, task) == c.cfg.Node
 }
 
 // isHeldBack tells whether a task doesn't start now: its job pauses after an error, or it
 // is about to be handed over.
-func (c *Controller) isHeldBack(j *Job, id domain.TaskID) bool {
-	return int64(c.now) < j.pausedUntil || c.planner.taskHandovers[id] != "" || c.planner.jobHandovers[id.Job] != ""
+func (p *planner) isHeldBack(j *Job, id domain.TaskID, now time.Duration) bool {
+	return int64(now) < j.pausedUntil || p.taskHandovers[id] != "" || p.jobHandovers[id.Job] != ""
 }
 
 // bookCandidates books those that the draft and their teams' limits take, and tells whether
@@ -144,10 +145,10 @@
 // queueByPriority is a machine's queue, first come, first served among tasks of the same
 // priority. A small urgent task that fits must not wait behind a large one that
 // doesn't: on a day of pipelines their last jobs waited 30 s so.
-func (c *Controller) queueByPriority(m *Machine) []domain.TaskID {
+func (c *cache) queueByPriority(m *Machine) []domain.TaskID {
 	for i := 1; i < len(m.queue); i++ {
-		if c.cache.priorityOf(m.queue[i]) > c.cache.priorityOf(m.queue[i-1]) {
-			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return cmp.Compare(c.cache.priorityOf(b), c.cache.priorityOf(a)) })
+		if c.priorityOf(m.queue[i]) > c.priorityOf(m.queue[i-1]) {
+			slices.SortStableFunc(m.queue, func(a, b domain.TaskID) int { return cmp.Compare(c.priorityOf(b), c.priorityOf(a)) })
 			break
 		}
 	}
--- a/internal/scheduler/plan_gang_stops.go
+++ b/internal/scheduler/plan_gang_stops.go
@@ -12,9 +12,9 @@
 		}
 		for _, id := range sortedTasks(c.cache.bookedOn[name]) {
 			j := c.cache.jobs[id.Job]
-			t := j.task(id.Index)
-			if needsGangStop(j, t) && d.changes() < c.cfg.TransactionLimit {
-				d.header(j).StopThrough = t.Attempt
+			task := j.task(id.Index)
+			if needsGangStop(j, task) && d.changes() < c.cfg.TransactionLimit {
+				d.header(j).StopThrough = task.Attempt
 			}
 		}
 	}
@@ -29,8 +29,8 @@
 
 // needsGangStop tells whether a booked task is one of a gang that nobody stopped yet. A
 // gang of one is stopped by its machine's owner alone.
-func needsGangStop(j *Job, t domain.Task) bool {
-	sp := j.Header.Spec
-	return sp != nil && sp.Shape == domain.Gang && sp.TaskCount > 1 &&
-		j.Header.State == domain.StateOpen && j.Header.StopThrough < t.Attempt
+func needsGangStop(j *Job, task domain.Task) bool {
+	spec := j.Header.Spec
+	return spec != nil && spec.Shape == domain.Gang && spec.TaskCount > 1 &&
+		j.Header.State == domain.StateOpen && j.Header.StopThrough < task.Attempt
 }
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -7,7 +7,7 @@
 	"brassglade/internal/domain"
 )
 
-// planHandovers writes the shards of jobs and tasks passed on or stolen. What finds no room
+// planHandovers writes the shards of jobs and tasks that were passed on or stolen. What finds no room
 // waits for the next plan.
 func (c *Controller) planHandovers(d *draft) {
 	if c.planJobHandovers(d) {
@@ -15,7 +15,7 @@
 	}
 }
 
-// planJobHandovers hands over untouched jobs whole; false: the draft is full.
+// planJobHandovers hands over untouched jobs with all their tasks; false: the draft is full.
 func (c *Controller) planJobHandovers(d *draft) bool {
 	for _, id := range slices.Sorted(maps.Keys(c.planner.jobHandovers)) {
 		if d.changes() >= c.cfg.TransactionLimit || !d.takesConditions(4) {
@@ -36,7 +36,7 @@
 	return true
 }
 
-// canHandOverJob tells whether a job may still go to another shard as a whole: nothing
+// canHandOverJob tells whether a job may still go to another shard with all its tasks: nothing
 // happened to it since that was decided, and its new controller still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -26,16 +26,17 @@
 		})
 	}
 	full := false
-	for _, r := range releases {
-		j := c.cache.jobs[r.task.Job]
-		done := r.done || c.gangDone(j, d) // a mate's end may stand in this very draft
-		if d.hasRoomToEnd(j, r.task.Index, done) {
-			c.release(d, j, r, done)
+	for _, proven := range releases {
+		j := c.cache.jobs[proven.task.Job]
+		done := proven.done || j.isGangDone(d) // a mate's end may stand in this very draft
+		if d.hasRoomToEnd(j, proven.task.Index, done) {
+			c.release(d, j, proven, done)
 			continue // others may change values that are in already
 		}
 		c.planner.dirty = true
 		if !full {
-			full, c.planner.releasesFrom = true, r.machine.Name
+			full = true
+			c.planner.releasesFrom = proven.machine.Name
 		}
 	}
 	c.planCancelledJobs(d)
@@ -47,23 +48,23 @@
 func (c *Controller) provenReleases() (releases []provenRelease, byValue map[string]int) {
 	byValue = map[string]int{}
 	names := c.heartbeats.machineNames()
-	k, _ := slices.BinarySearch(names, c.planner.releasesFrom)
-	for _, name := range slices.Concat(names[k:], names[:k]) {
+	first, _ := slices.BinarySearch(names, c.planner.releasesFrom)
+	for _, name := range slices.Concat(names[first:], names[:first]) {
 		if len(c.cache.bookedOn[name]) == 0 || !c.owns(name) {
 			continue
 		}
 		m := c.heartbeats.machines[name]
 		for _, id := range c.provenOffTasks(m) {
 			j := c.cache.jobs[id.Job]
-			r := c.releaseOf(m, j, id)
-			if !r.reported && c.willSendStartAgain(m, j, id) {
+			proven := c.releaseOf(m, j, id)
+			if !proven.reported && c.willSendStartAgain(m, j, id) {
 				continue
 			}
 			if c.isAvoided(j, id.Index) {
 				continue
 			}
 			byValue[j.Header.KeyOf(j.ID, id.Index)]++
-			releases = append(releases, r)
+			releases = append(releases, proven)
 		}
 	}
 	return releases, byValue
@@ -83,16 +84,16 @@
 // releaseOf is the release of a task that is proven off its machine, with what the
 // machine said of it.
 func (c *Controller) releaseOf(m *Machine, j *Job, id domain.TaskID) provenRelease {
-	t := j.task(id.Index)
+	task := j.task(id.Index)
 	report, known := m.reported[id]
-	reported := known && report.Attempt == t.Attempt && m.agentEpoch == t.AgentEpoch
+	reported := known && report.Attempt == task.Attempt && m.agentEpoch == task.AgentEpoch
 	ended := reported && report.State == domain.ReportedEnded
 	return provenRelease{
 		machine:  m,
 		task:     id,
 		report:   report,
 		reported: reported,
-		done:     ended && report.Cause == domain.CauseDone || c.gangDone(j, nil),
+		done:     ended && report.Cause == domain.CauseDone || j.isGangDone(nil),
 	}
 }
 
@@ -100,26 +101,25 @@
 // was lost on the way and is simply sent again: the agent that it is for is there, no commit
 // releases it, and it hasn't lost its sense.
 func (c *Controller) willSendStartAgain(m *Machine, j *Job, id domain.TaskID) bool {
-	t := j.task(id.Index)
-	isForThisAgent := m.agentEpoch == t.AgentEpoch && m.abandonedEpoch < t.AgentEpoch
+	task := j.task(id.Index)
+	isForThisAgent := m.agentEpoch == task.AgentEpoch && m.abandonedEpoch < task.AgentEpoch
 	return isForThisAgent && c.cache.cordons[m.Name].State == "" &&
-		!c.planner.pendingReleases[attemptID{id, t.Attempt}] && c.isStillWanted(m, j, id)
+		!c.planner.pendingReleases[attemptID{id, task.Attempt}] && c.isStillWanted(m, j, id)
 }
 
 // isStillWanted tells whether a booking hasn't lost its sense: its job is open and neither
 // its gang was stopped or broken nor its machine is about to be taken away, to be emptied,
 // or to make room for a task that waits there.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
-	t := j.task(id.Index)
-	h := j.Header
+	task := j.task(id.Index)
 	switch {
-	case h.State != domain.StateOpen,
-		h.StopThrough != 0 && h.StopThrough >= t.Attempt,
-		!gangIntact(j, t):
+	case j.Header.State != domain.StateOpen,
+		j.isStopped(task),
+		!gangIntact(j, task):
 		return false
 	case m.preemptionAt >= 0,
-		c.isEvicting(m.Name) && !reservesMachines(h.Spec),
-		c.planner.preempted[attemptID{id, t.Attempt}]:
+		c.isEvictedFrom(m, j.Header.Spec),
+		c.planner.preempted[attemptID{id, task.Attempt}]:
 		return false
 	}
 	return true
@@ -141,20 +141,21 @@
 
 // release puts a release into the draft. A task of a job that was cancelled meanwhile isn't
 // finished any more.
-func (c *Controller) release(d *draft, j *Job, r provenRelease, done bool) {
-	attempt := j.task(r.task.Index).Attempt
-	d.release(j, r.task.Index, done && j.Header.State == domain.StateOpen)
-	if r.reported && r.report.State == domain.ReportedEnded {
-		c.recordTaskEnd(d, r.machine, j, r.task, r.report)
+func (c *Controller) release(d *draft, j *Job, proven provenRelease, done bool) {
+	attempt := j.task(proven.task.Index).Attempt
+	d.release(j, proven.task.Index, done && j.Header.State == domain.StateOpen)
+	if proven.reported && proven.report.State == domain.ReportedEnded {
+		c.recordTaskEnd(d, proven.machine, j, proven.task, proven.report)
 		return
 	}
 	d.onCommit = append(d.onCommit, func() {
-		c.debug("task released", "task", r.task, "machine", r.machine.Name, "attempt", attempt)
+		c.debug("task released", "task", proven.task, "machine", proven.machine.Name, "attempt", attempt)
 	})
 }
 
-// gangDone tells whether one of a gang's tasks is done, and hence all are.
-func (c *Controller) gangDone(j *Job, d *draft) bool {
+// isGangDone tells whether the job is a gang of which one task is done, in the draft or (nil)
+// as committed, and hence all are.
+func (j *Job) isGangDone(d *draft) bool {
 	return j.Header.Spec.Shape == domain.Gang && placementOf(j, d).done > 0
 }
 
@@ -196,7 +197,7 @@
 // as there are changes left for.
 func (d *draft) endCancelled(j *Job) {
 	c := d.c
-	h := d.header(j)
+	header := d.header(j)
 	d.finished[j.ID] = true
 	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.Header.CellEnd(i) {
 		key := j.Header.KeyOf(j.ID, i)
@@ -209,6 +210,6 @@
 	if key := j.Header.KeyOf(j.ID, 0); c.cache.oversized[key] {
 		d.addCondition(key)
 	}
-	h.State = domain.StateCancelled
-	h.Released, h.Spec, h.SplitChunks, h.CellSize = true, nil, nil, 0
+	header.State = domain.StateCancelled
+	header.Released, header.Spec, header.SplitChunks, header.CellSize = true, nil, nil, 0
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -82,7 +82,7 @@
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	room := roomBeside(free, c.cache.occupancy[m.Name].preemptible.used, false)
 	var needed domain.Resources
-	for _, id := range c.queueByPriority(m) {
+	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
 		if c.queues.machineOf[id] != m.Name || j == nil || j.Header.Spec == nil || preemptible(j.Header.Spec) {
 			continue
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -12,7 +12,7 @@
 )
 
 // This file reads the cache and the draft for team quotas; the arithmetic is that of package
-// quota. A team's key in the state service holds each controller's share of the team's limit:
+// quota. A team's key in the key-value store holds each controller's share of the team's limit:
 // a controller books within its own share alone, and changes the key when it needs more or
 // keeps much unused, so that no two controllers together can exceed the limit.
 
@@ -30,47 +30,48 @@
 }
 
 // allows tells whether one more task of a job leaves what the team's waiting jobs claim.
-func (x quotaClaim) allows(spec *domain.JobSpec, used, limit domain.Resources) bool {
-	return x.Allows(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
+func (q quotaClaim) allows(spec *domain.JobSpec, used, limit domain.Resources) bool {
+	return q.Allows(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
 
 // admits tells whether one more task of a job stays within the team's limit, and leaves what
 // the team's waiting jobs claim.
-func (x quotaClaim) admits(spec *domain.JobSpec, used, limit domain.Resources) bool {
-	return quota.Within(used.Plus(spec.Request, 1), limit) && x.allows(spec, used, limit)
+func (q quotaClaim) admits(spec *domain.JobSpec, used, limit domain.Resources) bool {
+	return quota.Within(used.Plus(spec.Request, 1), limit) && q.allows(spec, used, limit)
 }
 
 // leavesFirst tells whether the team's limit keeps room, beside what is used, for a
 // task of the job that has waited longest.
-func (x quotaClaim) leavesFirst(id string, used, limit domain.Resources) bool {
-	return x.LeavesFirst(id, used, limit)
+func (q quotaClaim) leavesFirst(id string, used, limit domain.Resources) bool {
+	return q.LeavesFirst(id, used, limit)
 }
 
 // teamUsed is what counts against a team's limit: what the other controllers have set aside,
 // and this one's bookings, with those of the draft (nil: none).
-func (c *Controller) teamUsed(name string, d *draft) domain.Resources {
-	used := c.cache.usage[name][c.cfg.Node]
+func (c *Controller) teamUsed(team string, d *draft) domain.Resources {
+	used := c.cache.usage[team][c.cfg.Node]
 	if d != nil {
-		used = used.Plus(d.usage[name], 1)
+		used = used.Plus(d.usage[team], 1)
 	}
-	for node, share := range c.cache.shares[name].ByNode {
-		if node != c.cfg.Node {
+	for controller, share := range c.cache.shares[team].ByNode {
+		if controller != c.cfg.Node {
 			used = used.Plus(share, 1)
 		}
 	}
 	return used
 }
 
-func (d *draft) teamUsed(name string) domain.Resources { return d.c.teamUsed(name, d) }
+// teamUsed is what counts against a team's limit, with the bookings of the draft.
+func (d *draft) teamUsed(team string) domain.Resources { return d.c.teamUsed(team, d) }
 
-// withinGuarantee tells whether one more task of a job is still owed to its team: such
-// heads of queues go first, whatever their priority.
-func (c *Controller) withinGuarantee(spec *domain.JobSpec, d *draft) bool {
-	team := c.cfg.Teams[spec.Team]
-	if team.Guarantee == (domain.Resources{}) {
+// isOwed tells whether one more task of a job is within its team's guarantee: such heads of
+// queues go first, whatever their priority.
+func (d *draft) isOwed(spec *domain.JobSpec) bool {
+	guarantee := d.c.cfg.Teams[spec.Team].Guarantee
+	if guarantee == (domain.Resources{}) {
 		return false
 	}
-	return quota.Within(d.teamUsed(spec.Team).Plus(spec.Request, 1), team.Guarantee)
+	return quota.Within(d.teamUsed(spec.Team).Plus(spec.Request, 1), guarantee)
 }
 
 // claims are, by team, what waiting jobs claim of its limit beside what the draft (nil:
@@ -113,7 +114,7 @@
 func (c *Controller) addPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
-		claim.GangStarves = claim.GangStarves || c.blocksOthers(j)
+		claim.GangStarves = claim.GangStarves || j.blocksOthers(c.now)
 		if claim.WaitingGangs == 0 {
 			claim.GangRequest = domain.Resources{}.Plus(spec.Request, int64(spec.TaskCount))
 		}
@@ -122,13 +123,6 @@
 	claim.PlacedByLeader = claim.PlacedByLeader.Plus(spec.Request, int64(placed.booked))
 }
 
-// blocksOthers tells whether a gang has waited for so long that others wait for it: not for
-// ever, it may not be possible.
-func (c *Controller) blocksOthers(j *Job) bool {
-	age := c.now - time.Duration(j.readyAt)
-	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
-}
-
 // quotaAllows tells whether a task that is placed by itself may start within its team's limit:
 // it must fit, and must not take the room that a waiting gang needs. What no gang can use,
 // such tasks may.
@@ -160,21 +154,21 @@
 }
 
 // ownShare is this controller's share of a team's limit.
-func (c *Controller) ownShare(name string) domain.Resources {
-	return c.cache.shares[name].ByNode[c.cfg.Node]
+func (c *Controller) ownShare(team string) domain.Resources {
+	return c.cache.shares[team].ByNode[c.cfg.Node]
 }
 
 // avoidsShare tells whether a team's key lost a conflict just now, and is only changed for
 // what can't do without.
-func (c *Controller) avoidsShare(name string) bool {
-	return c.commits.avoids(codec.PrefixTeam+name, c.now)
+func (c *Controller) avoidsShare(team string) bool {
+	return c.commits.avoids(codec.PrefixTeam+team, c.now)
 }
 
 // shareSlack is how much of a team's limit this controller sets aside beyond its bookings.
-func (c *Controller) shareSlack(name string, request domain.Resources) domain.Resources {
-	limit := c.cfg.Teams[name].Limit
+func (c *Controller) shareSlack(team string, request domain.Resources) domain.Resources {
+	limit := c.cfg.Teams[team].Limit
 	left := limit
-	for _, share := range c.cache.shares[name].ByNode {
+	for _, share := range c.cache.shares[team].ByNode {
 		left = left.Plus(share, -1)
 	}
 	return quota.Slack(limit, left, request, len(c.cfg.Nodes))
@@ -182,84 +176,84 @@
 
 // settleShare writes the team's key if this controller's bookings no longer fit its share, or
 // leave much of it unused. The request is that of the task which was booked or released.
-func (d *draft) settleShare(name string, request domain.Resources) {
+func (d *draft) settleShare(team string, request domain.Resources) {
 	c := d.c
-	if _, ok := d.shares[name]; ok && request == (domain.Resources{}) {
+	if _, ok := d.shares[team]; ok && request == (domain.Resources{}) {
 		return
 	}
-	limit := c.cfg.Teams[name].Limit
-	use := quota.Bounded(d.ownUsage(name), limit)
-	have := c.ownShare(name)
-	slack := c.shareSlack(name, request)
+	limit := c.cfg.Teams[team].Limit
+	use := quota.Bounded(d.ownUsage(team), limit)
+	have := c.ownShare(team)
+	slack := c.shareSlack(team, request)
 	fits := have.Fits(use)
-	if fits && (c.avoidsShare(name) || use.Plus(slack, 2).Fits(have)) {
-		d.keepShare(name)
+	if fits && (c.avoidsShare(team) || use.Plus(slack, 2).Fits(have)) {
+		d.keepShare(team)
 		return
 	}
 	want := use.Plus(slack, 1)
-	if !quota.Within(d.teamUsed(name).Plus(slack, 1), limit) {
+	if !quota.Within(d.teamUsed(team).Plus(slack, 1), limit) {
 		want = use
 	}
-	shares := c.cache.cloneShares(name)
+	shares := c.cache.cloneShares(team)
 	if shares.ByNode == nil {
 		shares.ByNode = map[string]domain.Resources{}
 	}
 	shares.ByNode[c.cfg.Node] = want
-	d.shares[name] = shares
-	d.addCondition(codec.PrefixTeam + name)
+	d.shares[team] = shares
+	d.addCondition(codec.PrefixTeam + team)
 }
 
 // keepShare drops a change of a team's key, or writes the key as it is if a commit of unknown
 // outcome changes it, too: the two must exclude each other.
-func (d *draft) keepShare(name string) {
-	if d.c.commits.inDoubt.key != codec.PrefixTeam+name {
-		delete(d.shares, name)
+func (d *draft) keepShare(team string) {
+	if d.c.commits.inDoubt.key != codec.PrefixTeam+team {
+		delete(d.shares, team)
 		return
 	}
-	d.shares[name] = d.c.cache.cloneShares(name)
-	d.addCondition(codec.PrefixTeam + name)
+	d.shares[team] = d.c.cache.cloneShares(team)
+	d.addCondition(codec.PrefixTeam + team)
 }
 
 // cloneShares copies the committed shares of a team's limit.
-func (c *cache) cloneShares(name string) codec.TeamShares {
-	return codec.TeamShares{ByNode: maps.Clone(c.shares[name].ByNode)}
+func (c *cache) cloneShares(team string) codec.TeamShares {
+	return codec.TeamShares{ByNode: maps.Clone(c.shares[team].ByNode)}
 }
 
 // settleShares gives back what others' releases left unused of this controller's shares,
 // and, as the leader, of those of controllers that are not members.
 func (d *draft) settleShares() {
 	c := d.c
-	for _, name := range slices.Sorted(maps.Keys(c.cache.shares)) {
+	for _, team := range slices.Sorted(maps.Keys(c.cache.shares)) {
 		if d.changes() >= c.cfg.TransactionLimit || !d.takesConditions(4) {
 			return
 		}
-		if _, ok := d.shares[name]; !ok {
-			d.settleShare(name, domain.Resources{GPU: 1000})
+		if _, ok := d.shares[team]; !ok {
+			d.settleShare(team, domain.Resources{GPU: 1000})
 		}
 		if c.isLeader() && d.changes() < c.cfg.TransactionLimit {
-			d.settleAbsentShares(name)
+			d.settleAbsentShares(team)
 		}
 	}
 }
 
 // settleAbsentShares lowers the shares of controllers that are not members to what is
 // still booked by them.
-func (d *draft) settleAbsentShares(name string) {
+func (d *draft) settleAbsentShares(team string) {
 	c := d.c
-	for node, share := range c.cache.shares[name].ByNode {
-		use := quota.Bounded(c.cache.usage[name][node], c.cfg.Teams[name].Limit)
-		if _, member := c.cache.view.Members[node]; member || use == share {
+	for controller, share := range c.cache.shares[team].ByNode {
+		use := quota.Bounded(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
+		if _, member := c.cache.view.Members[controller]; member || use == share {
 			continue
 		}
-		shares, ok := d.shares[name]
+		shares, ok := d.shares[team]
 		if !ok {
-			shares = c.cache.cloneShares(name)
-			d.shares[name] = shares
-			d.addCondition(codec.PrefixTeam + name)
+			shares = c.cache.cloneShares(team)
+			d.shares[team] = shares
+			d.addCondition(codec.PrefixTeam + team)
 		}
-		shares.ByNode[node] = use
+		shares.ByNode[controller] = use
 		if use == (domain.Resources{}) {
-			delete(shares.ByNode, node)
+			delete(shares.ByNode, controller)
 		}
 	}
 }
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -8,29 +8,31 @@
 	"brassglade/internal/domain"
 )
 
-// recordRunTime keeps smoothed run times per machine, class and type.
-func (q *queues) recordRunTime(m *Machine, sp *domain.JobSpec, run float64) {
-	if run <= 0 || math.IsNaN(run) {
+// recordRunTime takes a run, in seconds, into the smoothed run times of its machine, and into
+// how those of its class compare with users' estimates.
+func (q *queues) recordRunTime(m *Machine, spec *domain.JobSpec, seconds float64) {
+	if seconds <= 0 || math.IsNaN(seconds) {
 		return
 	}
-	m.runTime.add(run)
-	if q.runTimeRatios[sp.Class] == nil {
-		q.runTimeRatios[sp.Class] = &smoothedValue{}
+	m.runTime.add(seconds)
+	if q.runTimeRatios[spec.Class] == nil {
+		q.runTimeRatios[spec.Class] = &smoothedValue{}
 	}
-	q.runTimeRatios[sp.Class].add(run / max(sp.EstimatedRuntime, 1))
+	q.runTimeRatios[spec.Class].add(seconds / max(spec.EstimatedRuntime, 1))
 }
 
-// smoothedValue is a smoothed value.
+// smoothedValue is a value smoothed exponentially over its samples.
 type smoothedValue struct {
 	value   float64
 	samples int
 }
 
-func (r *smoothedValue) add(x float64) {
-	if r.samples == 0 {
-		r.value = x
+// add takes the next sample.
+func (s *smoothedValue) add(sample float64) {
+	if s.samples == 0 {
+		s.value = sample
 	} else {
-		r.value += tuning.RateSmooth * (x - r.value)
+		s.value += tuning.RateSmooth * (sample - s.value)
 	}
-	r.samples++
+	s.samples++
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestRefusedCommitsCostNothing: what the state service refuses it doesn't count.
+// TestRefusedCommitsCostNothing: what the key-value store refuses it doesn't count.
 // A leader whose commits of eight changes were refused seven times of sixteen
 // had paid a second's worth of its changes for each, and gangs waited beside
 // eighty idle machines that were held for them.
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -296,13 +296,13 @@
 
 // cellSplit works out the cells of the chunk with task i and the header that names them.
 func (c *Controller) cellSplit(j *Job, i int) *cellSplit {
-	h := j.Header
-	chunk := i / h.ChunkSize
-	from, to := h.Chunk(i)
-	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *h}
-	split.header.Pack, split.header.CellSize = "", c.cellSize(h)
-	split.header.SplitChunks = h.WithSplit(chunk)
-	if h.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
+	header := j.Header
+	chunk := i / header.ChunkSize
+	from, to := header.Chunk(i)
+	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *header}
+	split.header.Pack, split.header.CellSize = "", c.cellSize(header)
+	split.header.SplitChunks = header.WithSplit(chunk)
+	if header.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
 		split.header.DoneTasks, split.header.DoneChunks = doneTasksBeside(j, from), 0
 	}
 	for cell, first := 0, from; first < to; cell, first = cell+1, first+split.header.CellSize {
@@ -318,9 +318,9 @@
 
 // cellSize is the number of tasks in a cell of a job: the same for all its chunks, and few
 // enough that the longest bookings of all fit a value.
-func (c *Controller) cellSize(h *codec.JobHeader) int {
-	if h.CellSize > 0 {
-		return h.CellSize
+func (c *Controller) cellSize(header *codec.JobHeader) int {
+	if header.CellSize > 0 {
+		return header.CellSize
 	}
 	return max(1, (c.cfg.ValueLimit-tuning.PackSlack)/tuning.TaskBytes)
 }
@@ -372,8 +372,8 @@
 
 // doneTasks is the number of tasks in a cell of which all are done, else 0.
 func doneTasks(cell []domain.Task) int {
-	for _, t := range cell {
-		if t.State != domain.Done {
+	for _, task := range cell {
+		if task.State != domain.Done {
 			return 0
 		}
 	}
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -10,7 +10,7 @@
 
 // recordTaskEnd learns from a task's end on a machine once it is committed.
 func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id domain.TaskID, report domain.TaskReport) {
-	sp := j.Header.Spec // the committed header has none if the job is over
+	spec := j.Header.Spec // the committed header has none if the job is over
 	startedAt, ran := m.runningSince[attemptID{id, report.Attempt}]
 	d.onCommit = append(d.onCommit, func() {
 		c.debug("task ended", "task", id, "machine", m.Name, "attempt", report.Attempt, "cause", report.Cause, "saved", report.Saved)
@@ -19,10 +19,10 @@
 			clear(m.failures)
 			j.failures, j.pausedUntil = 0, 0
 			if ran {
-				c.queues.recordRunTime(m, sp, (c.now - startedAt).Seconds())
+				c.queues.recordRunTime(m, spec, (c.now - startedAt).Seconds())
 			}
 		case domain.CauseError:
-			c.recordTaskError(m, j)
+			m.recordError(j, c.now)
 		case domain.CauseNoRoom, domain.CauseBusy:
 			m.noBookingsUntil = c.now + tuning.RefusedPause
 		case domain.CauseUnknown:
@@ -33,16 +33,16 @@
 	})
 }
 
-// recordTaskError counts an error against the machine and the job, since it doesn't show
-// whose fault it is.
-func (c *Controller) recordTaskError(m *Machine, j *Job) {
-	m.countFailure(j.ID, c.now)
+// recordError counts an error of a job's task on the machine against both, since it doesn't
+// show whose fault it is.
+func (m *Machine) recordError(j *Job, now time.Duration) {
+	m.countFailure(j.ID, now)
 	// Until it shows whose fault it is, the machine is given less to fail.
-	m.noBookingsUntil = c.now + min(time.Duration(m.failureSum())*tuning.RefusedPause, tuning.MaxErrorRowPause)
-	if int64(c.now) >= j.pausedUntil { // its tasks that fail together count as one try
+	m.noBookingsUntil = now + min(time.Duration(m.failureSum())*tuning.RefusedPause, tuning.MaxErrorRowPause)
+	if int64(now) >= j.pausedUntil { // its tasks that fail together count as one try
 		j.failures++
 	}
-	j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.MaxErrorPause))
+	j.pausedUntil = int64(now + min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.MaxErrorPause))
 }
 
 // countFailure counts an error of a job's task on the machine.
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -10,7 +10,7 @@
 	"brassglade/internal/domain"
 )
 
-// The state service may lower its limits without notice. All that this version
+// The key-value store may lower its limits without notice. All that this version
 // writes fits the smaller limits from its first moment, but values written before,
 // or by the version before, may be larger. These stay readable; a rewrite of one is
 // refused from then on.
@@ -30,8 +30,8 @@
 func (c *Controller) mayShrinkValues() bool { return c.cache.formatOn() || c.formats.limitsFell }
 
 // recordRefusal learns from a refused transaction that the limits fell.
-func (c *Controller) recordRefusal(t domain.Transaction) {
-	for _, put := range t.Puts {
+func (c *Controller) recordRefusal(refused domain.Transaction) {
+	for _, put := range refused.Puts {
 		if len(put.Value) <= c.cfg.ValueLimit {
 			continue
 		}
@@ -45,13 +45,13 @@
 }
 
 // recordSize keeps the size of a value, and the set of those that are larger than they may be
-// soon.
-func (c *Controller) recordSize(key string, bytes int) {
-	c.cache.valueSizes[key] = bytes
-	if bytes > c.cfg.ValueLimit {
-		c.cache.oversized[key] = true
+// soon: over the limit, in bytes.
+func (c *cache) recordSize(key string, bytes, limit int) {
+	c.valueSizes[key] = bytes
+	if bytes > limit {
+		c.oversized[key] = true
 	} else {
-		delete(c.cache.oversized, key)
+		delete(c.oversized, key)
 	}
 }
 
@@ -109,15 +109,15 @@
 // fitHeader shortens what users chose freely in a header of the version before, which
 // had no bound for it: the class and the image serve as names here, and of the
 // types only those that exist count.
-func (c *Controller) fitHeader(h *codec.JobHeader) {
-	if h.Spec == nil || !c.mayShrinkValues() || !hasLongNames(h.Spec) {
+func (c *Controller) fitHeader(header *codec.JobHeader) {
+	if header.Spec == nil || !c.mayShrinkValues() || !hasLongNames(header.Spec) {
 		return
 	}
-	spec := *h.Spec
+	spec := *header.Spec
 	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
 	spec.Class = spec.Class[:min(len(spec.Class), tuning.NameBytes)]
 	spec.Image = spec.Image[:min(len(spec.Image), tuning.NameBytes)]
-	h.Spec = &spec
+	header.Spec = &spec
 }
 
 // hasLongNames tells whether a job's description has a name or list that fitHeader may shorten.
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -8,14 +8,14 @@
 )
 
 // zoneBound tells whether a task's place depends on where the job's other tasks are.
-func zoneBound(sp *domain.JobSpec) bool { return sp.TaskCount > 1 && (sp.OneZone || sp.Spread) }
+func zoneBound(spec *domain.JobSpec) bool { return spec.TaskCount > 1 && (spec.OneZone || spec.Spread) }
 
-// spreadOverZones tells whether each zone takes only a part of the job's tasks.
-func spreadOverZones(sp *domain.JobSpec) bool { return zoneBound(sp) && sp.Spread }
+// spreadOverZones tells whether each zone takes only some of the job's tasks.
+func spreadOverZones(spec *domain.JobSpec) bool { return zoneBound(spec) && spec.Spread }
 
 // bindingZones counts a job's booked tasks by zone as the draft would leave them. The map
 // is empty, never nil, for a job whose tasks don't depend on each other's zones.
-func (c *Controller) bindingZones(j *Job, d *draft) map[string]int {
+func bindingZones(j *Job, d *draft) map[string]int {
 	if !zoneBound(j.Header.Spec) {
 		return map[string]int{}
 	}
@@ -42,41 +42,41 @@
 	}
 }
 
-// zoneAllowance is that of a job of which n tasks wait, given the machines that are there
+// zoneAllowance is that of a job of which some tasks wait, given the machines that are there
 // or boot. Arrays are left out, since their tasks end one by one and make room for those
 // left: counted strictly, too, five days of zone-bound arrays scored 0.68 in place of 0.71
 // (docs/incidents/production-wrong-place.md).
-func (c *Controller) zoneAllowance(j *Job, n int, machines []machineState) zoneAllowance {
-	sp := j.Header.Spec
-	if !zoneBound(sp) || sp.Shape == domain.Array {
+func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
+	spec := j.Header.Spec
+	if !zoneBound(spec) || spec.Shape == domain.Array {
 		return nil
 	}
 	booked, allowed := bookedZones(j, nil), zoneAllowance{}
-	if sp.OneZone {
-		if zone, ok := c.chooseZone(sp, int64(n), machines, oneZoneChoices(booked, c.cfg.Zones)); ok {
-			allowed[zone] = int64(n)
+	if spec.OneZone {
+		if zone, ok := c.chooseZone(spec, int64(waiting), machines, oneZoneChoices(booked, c.cfg.Zones)); ok {
+			allowed[zone] = int64(waiting)
 		}
 		return allowed
 	}
 	for _, zone := range c.cfg.Zones {
-		allowed[zone] = int64(max(0, mostPerZone(sp)-booked[zone]))
+		allowed[zone] = int64(max(0, mostPerZone(spec)-booked[zone]))
 	}
 	return allowed
 }
 
-// chooseZone is the zone to gather room in for n tasks that must be together: one that has
-// it already, else of those where machines can be rented now, or of all if there are none,
+// chooseZone is the zone to gather room in for tasks that must be together: one that has
+// it already, else of those where machines can be had now, or of all if there are none,
 // the one with most room, and of these the cheapest. False: there are no choices.
-func (c *Controller) chooseZone(sp *domain.JobSpec, n int64, machines []machineState, choices []string) (string, bool) {
+func (c *Controller) chooseZone(spec *domain.JobSpec, tasks int64, machines []machineState, choices []string) (string, bool) {
 	if len(choices) == 0 {
 		return "", false
 	}
-	room := c.roomByZone(sp, n, machines)
-	cheapest := c.cheapestZone(sp, n, choices)
+	room := roomByZone(spec, tasks, machines)
+	cheapest := c.cheapestZone(spec, tasks, choices)
 	compare := func(a, b string) int {
-		roomA, roomB := min(room[a], n), min(room[b], n)
+		roomA, roomB := min(room[a], tasks), min(room[b], tasks)
 		return cmp.Or(
-			trueFirst(roomA == n || c.isRentable(sp, n, a), roomB == n || c.isRentable(sp, n, b)),
+			trueFirst(roomA == tasks || c.isRentable(spec, tasks, a), roomB == tasks || c.isRentable(spec, tasks, b)),
 			cmp.Compare(roomB, roomA),
 			trueFirst(a == cheapest, b == cheapest),
 		)
@@ -85,32 +85,32 @@
 }
 
 // roomByZone is how many tasks of the job the machines that are there have room for, each
-// of them counted for n at most.
-func (c *Controller) roomByZone(sp *domain.JobSpec, n int64, machines []machineState) map[string]int64 {
+// of them counted for a given number at most.
+func roomByZone(spec *domain.JobSpec, most int64, machines []machineState) map[string]int64 {
 	room := map[string]int64{}
 	for i := range machines {
 		m := &machines[i]
-		if m.cordon.State == "" && allowsMachine(sp, m.Type, m.Zone, m.Spot) {
-			room[m.Zone] += m.free.CountFitting(sp.Request, n)
+		if m.cordon.State == "" && allowsMachine(spec, m.Type, m.Zone, m.Spot) {
+			room[m.Zone] += m.free.CountFitting(spec.Request, most)
 		}
 	}
 	return room
 }
 
 // cheapestZone is the zone of the cheapest machines for n tasks of the job; "": none can be
-// rented now.
-func (c *Controller) cheapestZone(sp *domain.JobSpec, n int64, zones []string) string {
+// had now.
+func (c *Controller) cheapestZone(spec *domain.JobSpec, n int64, zones []string) string {
 	allowed := zoneAllowance{}
 	for _, zone := range zones {
 		allowed[zone] = n
 	}
-	kind, _ := c.cheapest(sp, int(n), allowed)
+	kind, _ := c.cheapest(spec, int(n), allowed)
 	return kind.zone
 }
 
 // isRentable tells whether a machine for the job's tasks may be asked for in the zone now.
-func (c *Controller) isRentable(sp *domain.JobSpec, n int64, zone string) bool {
-	_, ok := c.cheapest(sp, int(n), zoneAllowance{zone: n})
+func (c *Controller) isRentable(spec *domain.JobSpec, n int64, zone string) bool {
+	_, ok := c.cheapest(spec, int(n), zoneAllowance{zone: n})
 	return ok
 }
 
