--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -28,9 +28,9 @@
 				i := r.IntN(n)
 				switch {
 				case d.changed[domain.TaskID{Job: id, Index: i}]:
-				case j.task(i).State == domain.Queued && d.hasRoomFor(j, i, false, true):
+				case j.task(i).State == domain.Queued && d.hasRoomToGrow(j, i):
 					d.book(j, i, fmt.Sprintf("n-%06d", 1+r.IntN(1+round*40)), "ab"[round%2:round%2+1], 1+step%3, j.task(i).Attempt+1)
-				case j.task(i).State == domain.Booked && r.IntN(2) == 0 && d.hasRoomFor(j, i, false, false):
+				case j.task(i).State == domain.Booked && r.IntN(2) == 0 && d.hasRoomToEnd(j, i, false):
 					d.release(j, i, false)
 				}
 			}
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -192,19 +192,22 @@
 
 // hasRoomToGrow tells whether a change of task i that may make its value longer, as a
 // booking or a handover does, may still go in.
-func (d *draft) hasRoomToGrow(j *Job, i int) bool { return d.hasRoomFor(j, i, false, true) }
+func (d *draft) hasRoomToGrow(j *Job, i int) bool {
+	key := j.Header.KeyOf(j.ID, i)
+	return d.hasRoomFor(taskChange{job: j, source: key, key: key, grows: true})
+}
 
 // hasRoomToEnd tells whether the release or the end of task i may still go in. done: it ends
 // well, which the job's header may have to say.
-func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool { return d.hasRoomFor(j, i, done, false) }
-
-// hasRoomFor tells whether the change of one more task of j may still go in: one value, one
-// header and one team at most. header: the job's header changes, too. grows: the value may
-// get longer. What can't be changed for a reason that another commit takes away is remembered
-// for that commit.
-func (d *draft) hasRoomFor(j *Job, i int, header, grows bool) bool {
-	source := j.Header.KeyOf(j.ID, i)
-	change := taskChange{job: j, source: source, key: source, header: header, grows: grows}
+func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool {
+	key := j.Header.KeyOf(j.ID, i)
+	return d.hasRoomFor(taskChange{job: j, source: key, key: key, header: done})
+}
+
+// hasRoomFor tells whether the change of one more task may still go in: one value, one header
+// and one team at most. What can't be changed for a reason that another commit takes away is
+// remembered for that commit.
+func (d *draft) hasRoomFor(change taskChange) bool {
 	refusal := d.refuse(&change)
 	switch refusal {
 	case refusedForeignValue:
@@ -215,7 +218,7 @@
 		d.c.commits.fullValues[change.key] = true
 	case notRefused:
 		if change.leaveTo != "" {
-			d.leaving[j.ID] = change.leaveTo
+			d.leaving[change.job.ID] = change.leaveTo
 		}
 	}
 	return refusal == notRefused
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -9,11 +9,11 @@
 	"brassglade/internal/tuning"
 )
 
-// TestRoomRefusals: a draft says why it takes no change of a task, and what another commit
+// TestDraftSaysWhyItRefuses: a draft says why it takes no change of a task, and what another commit
 // has to do before is remembered for that one.
-func TestRoomRefusals(t *testing.T) {
+func TestDraftSaysWhyItRefuses(t *testing.T) {
 	const pack = codec.PrefixPack + "c-0/0"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		prepare func(c *Controller, d *draft)
 		want    roomRefusal
 		full    bool // the value is to be relieved
@@ -43,20 +43,22 @@
 			}
 		}, refusedOversized, false, true},
 	} {
-		c := acting()
-		c.apply(openJob(t, 1, 400, 1, 1000))
-		j, d := c.cache.jobs[jobName(1)], c.newDraft()
-		x.prepare(c, d)
-		c.planner.dirty = false
-		if got := d.refuse(&taskChange{job: j, source: pack, key: pack, grows: true}); got != x.want {
-			t.Errorf("%s: refused by %d, want %d", name, got, x.want)
-		}
-		if got := d.hasRoomFor(j, 0, false, true); got != (x.want == notRefused) {
-			t.Errorf("%s: room %v", name, got)
-		}
-		if full := c.commits.fullValues[pack]; full != x.full || c.planner.dirty != x.dirty {
-			t.Errorf("%s: full %v, planned again %v", name, full, c.planner.dirty)
-		}
+		t.Run(name, func(t *testing.T) {
+			c := acting()
+			c.apply(openJob(t, 1, 400, 1, 1000))
+			j, d := c.cache.jobs[jobName(1)], c.newDraft()
+			test.prepare(c, d)
+			c.planner.dirty = false
+			if got := d.refuse(&taskChange{job: j, source: pack, key: pack, grows: true}); got != test.want {
+				t.Errorf("refused by %d, want %d", got, test.want)
+			}
+			if got := d.hasRoomToGrow(j, 0); got != (test.want == notRefused) {
+				t.Errorf("room %v", got)
+			}
+			if full := c.commits.fullValues[pack]; full != test.full || c.planner.dirty != test.dirty {
+				t.Errorf("full %v, planned again %v", full, c.planner.dirty)
+			}
+		})
 	}
 }
 
@@ -68,7 +70,7 @@
 	c.apply(openJob(t, 1, 2, 1, 1000))
 	c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
 	j, d := c.cache.jobs[jobName(1)], c.newDraft()
-	if !d.hasRoomFor(j, 0, false, true) {
+	if !d.hasRoomToGrow(j, 0) {
 		t.Fatal("no room")
 	}
 	d.book(j, 0, "n-000001", "a", 1, 1)
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -13,51 +13,51 @@
 	"brassglade/internal/domain"
 )
 
-// before reads the kept values of the version before.
-func before(t *testing.T) (ev SnapshotLoaded) {
+// valuesOfBefore reads the kept values of the version before.
+func valuesOfBefore(t *testing.T) (snapshot SnapshotLoaded) {
 	t.Helper()
-	b, err := os.ReadFile("testdata/before.values")
+	text, err := os.ReadFile("testdata/before.values")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range strings.Split(string(b), "\n") {
-		f := strings.SplitN(l, " ", 3)
-		if len(f) < 3 || f[0] == "#" {
+	for _, line := range strings.Split(string(text), "\n") {
+		fields := strings.SplitN(line, " ", 3) // key, revision, value
+		if len(fields) < 3 || fields[0] == "#" {
 			continue
 		}
-		n, err := strconv.ParseUint(f[1], 10, 64)
+		revision, err := strconv.ParseUint(fields[1], 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ev.Items = append(ev.Items, domain.KeyValue{Key: f[0], Value: []byte(f[2]), ModRevision: n})
-		ev.Revision = max(ev.Revision, n)
+		snapshot.Items = append(snapshot.Items, domain.KeyValue{Key: fields[0], Value: []byte(fields[2]), ModRevision: revision})
+		snapshot.Revision = max(snapshot.Revision, revision)
 	}
-	return ev
+	return snapshot
 }
 
 // TestBeforeValuesAreRead: what the version before wrote means the same here.
 func TestBeforeValuesAreRead(t *testing.T) {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, ValueLimitNow: 4096, TransactionLimit: 4}, "x")
-	c.loadSnapshot(before(t))
-	if v := c.cache.view; v == nil || v.Epoch != 2 || v.Leader != "c-0" || len(v.Serving) != 3 || len(c.cache.members) != 3 {
-		t.Errorf("view %+v", v)
+	c.loadSnapshot(valuesOfBefore(t))
+	if view := c.cache.view; view == nil || view.Epoch != 2 || view.Leader != "c-0" || len(view.Serving) != 3 || len(c.cache.members) != 3 {
+		t.Errorf("view %+v", view)
 	}
 	if len(c.cache.machineTypes) != 1 || c.cache.machineTypes[0].Capacity.GPU != 4000 || c.cache.cordons["n-000001"].State != domain.CordonGone ||
 		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
-		t.Error("flavors, marks, shares or windows are not as written")
+		t.Error("machine types, cordons, shares or windows are not as written")
 	}
 	if c.cache.formatOn() {
 		t.Error("the format is on though nobody announced it")
 	}
 	for id, want := range map[string]struct {
-		phase              phase
-		queued, booked, ok int
+		phase                phase
+		queued, booked, done int
 	}{
 		"job-000001": {phaseOpen, 7, 5, 0}, "job-000002": {phaseOpen, 2, 0, 0}, "job-000003": {phaseDone, 3, 0, 0},
 		"job-000004": {phaseOpen, 363, 31, 6}, "job-000005": {phaseCancelled, 4, 0, 0},
 	} {
 		j := c.cache.jobs[id]
-		if j.phase != want.phase || j.counts.queued != want.queued || j.counts.booked != want.booked || j.counts.done != want.ok {
+		if j.phase != want.phase || j.counts.queued != want.queued || j.counts.booked != want.booked || j.counts.done != want.done {
 			t.Errorf("%s: phase %d, %d queued, %d booked, %d done", id, j.phase, j.counts.queued, j.counts.booked, j.counts.done)
 		}
 	}
@@ -84,30 +84,30 @@
 		return commitAll(t, c)
 	}
 	c.cache.view.Members = map[string]string{"c-0": "an earlier one"}
-	if k := turn(); len(k) > 0 {
-		t.Fatalf("%v is written behind a view that doesn't have this incarnation", k)
+	if keys := turn(); len(keys) > 0 {
+		t.Fatalf("%v is written behind a view that doesn't have this incarnation", keys)
 	}
 	c.cache.view.Members = c.cache.members
-	if k := turn(); !slices.Equal(k, []string{"b/format/c-0"}) {
-		t.Fatalf("wrote %v", k)
+	if keys := turn(); !slices.Equal(keys, []string{"b/format/c-0"}) {
+		t.Fatalf("wrote %v", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
-	if k := turn(); len(k) > 0 || c.cache.formatOn() {
-		t.Fatalf("%v is written while c-2 may come back as it was", k)
+	if keys := turn(); len(keys) > 0 || c.cache.formatOn() {
+		t.Fatalf("%v is written while c-2 may come back as it was", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
 	c.cache.view.Leader = "c-1"
-	if k := turn(); len(k) > 0 {
-		t.Fatalf("%v is written by one that doesn't lead", k)
+	if keys := turn(); len(keys) > 0 {
+		t.Fatalf("%v is written by one that doesn't lead", keys)
 	}
 	c.cache.view.Leader = "c-0"
-	if k := turn(); !slices.Equal(k, []string{"b/format"}) || !c.cache.formatOn() {
-		t.Fatalf("wrote %v", k)
+	if keys := turn(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.formatOn() {
+		t.Fatalf("wrote %v", keys)
 	}
 	// One that restarts learns of it from what is stored.
-	o := New(Settings{Node: "c-2"}, "z")
-	o.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
-	if !o.cache.formatOn() {
+	restarted := New(Settings{Node: "c-2"}, "z")
+	restarted.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
+	if !restarted.cache.formatOn() {
 		t.Error("off again after a restart")
 	}
 }
@@ -136,15 +136,15 @@
 	return c
 }
 
-// checkLimits: the changes of a transaction are within the new limits.
+// checkLimits checks that the changes of a transaction are within the new limits.
 func checkLimits(t *testing.T, puts []domain.Put) {
 	t.Helper()
 	if len(puts) > fallenTransactionLimit {
 		t.Errorf("%d changes", len(puts))
 	}
-	for _, p := range puts {
-		if len(p.Value) > fallenValueLimit {
-			t.Errorf("%s has %d bytes", p.Key, len(p.Value))
+	for _, put := range puts {
+		if len(put.Value) > fallenValueLimit {
+			t.Errorf("%s has %d bytes", put.Key, len(put.Value))
 		}
 	}
 }
@@ -156,18 +156,19 @@
 	members := map[string]string{"c-0": "x", "c-1": "y"}
 	overrides := map[string]string{}
 	for i := 0; i < 200; i++ {
-		n := fmt.Sprintf("n-%06d", i)
-		overrides[n] = []string{"c-0", "c-1"}[hash64(n)%2]
+		machine := fmt.Sprintf("n-%06d", i)
+		overrides[machine] = []string{"c-0", "c-1"}[hash64(machine)%2]
 	}
 	c.cache.members, c.cache.view = members, &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: []string{"c-0", "c-1"}, OwnerOverrides: overrides}
-	if v := c.desiredView(); v == nil {
-		t.Error("a view that is too large stays")
-	} else {
-		checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(v)}})
+	view := c.desiredView()
+	if view == nil {
+		t.Fatal("a view that is too large stays")
 	}
+	checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(view)}})
 }
 
-// cordonPageFitsAgain: a page of machines that wait for their return, one of which is gone.
+// cordonPageFitsAgain: a page of machines that are drained to be given back, one of which is
+// gone.
 func cordonPageFitsAgain(t *testing.T) {
 	c := afterLimitsFell()
 	page := codec.CordonPage{Draining: map[string]string{}}
@@ -177,12 +178,12 @@
 	c.apply(domain.KeyValue{Key: codec.PrefixCordons + "c-0", Value: codec.Encode(page), ModRevision: 5})
 	c.cordon("n-000007", domain.Cordon{State: domain.CordonGone})
 	c.writeCordons()
-	for _, x := range c.commits.pending {
-		checkLimits(t, x.transaction.Puts)
+	for _, pending := range c.commits.pending {
+		checkLimits(t, pending.transaction.Puts)
 	}
 	commitAll(t, c)
 	if c.cache.cordons["n-000007"].State != domain.CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
-		t.Errorf("n-000007 is %q, %d machines wait for their return", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
+		t.Errorf("n-000007 is %q, %d machines are drained", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
 	}
 }
 
@@ -195,8 +196,8 @@
 			SpotPrice: 12.1, BootSeconds: 25, Zones: []string{"north", "south"}})
 	}
 	c.onMachineTypesListed(MachineTypesListed{OK: true, Types: types})
-	for _, x := range c.commits.pending {
-		checkLimits(t, x.transaction.Puts)
+	for _, pending := range c.commits.pending {
+		checkLimits(t, pending.transaction.Puts)
 	}
 	commitAll(t, c)
 	if len(c.cache.machineTypes) != 40 {
@@ -207,13 +208,13 @@
 // windowFitsAgain: a window of 2,000 loads.
 func windowFitsAgain(t *testing.T) {
 	c := afterLimitsFell()
-	w := codec.WindowRecord{CriticWeights: make([]float64, 4)}
+	record := codec.WindowRecord{CriticWeights: make([]float64, 4)}
 	for i := 0; i < 2000; i++ {
-		w.Loads = append(w.Loads, float64(i)+0.5)
+		record.Loads = append(record.Loads, float64(i)+0.5)
 	}
-	b := c.encodeWindow(w)
-	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: b}})
-	if len(b) < 700 {
+	value := c.encodeWindow(record)
+	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: value}})
+	if len(value) < 700 {
 		t.Error("hardly any load is left")
 	}
 }
@@ -221,17 +222,17 @@
 // headerFitsAgain: a header with names and a list that its user chose freely.
 func headerFitsAgain(t *testing.T) {
 	c := afterLimitsFell()
-	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
+	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
 	for i := 0; i < 300; i++ {
-		h.Spec.MachineTypes = append(h.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
+		header.Spec.MachineTypes = append(header.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
-	h.Spec.MachineTypes = append(h.Spec.MachineTypes, "box")
-	c.apply(domain.KeyValue{Key: codec.KeyJob("job-000001"), Value: codec.Encode(h), ModRevision: 3})
+	header.Spec.MachineTypes = append(header.Spec.MachineTypes, "box")
+	c.apply(domain.KeyValue{Key: codec.KeyJob("job-000001"), Value: codec.Encode(header), ModRevision: 3})
 	d := c.newDraft()
 	d.header(c.cache.jobs["job-000001"])
 	checkLimits(t, d.transaction().Puts)
-	if sp := d.headers["job-000001"].Spec; !allowsMachine(sp, "box", "a", false) || allowsMachine(sp, "type-7", "a", false) && c.cache.machineType("type-7") != nil {
-		t.Errorf("types %v", sp.MachineTypes)
+	if spec := d.headers["job-000001"].Spec; !allowsMachine(spec, "box", "a", false) || allowsMachine(spec, "type-7", "a", false) && c.cache.machineType("type-7") != nil {
+		t.Errorf("types %v", spec.MachineTypes)
 	}
 }
 
@@ -257,13 +258,13 @@
 		d := c.newDraft()
 		clear(c.commits.oversizedInPlan)
 		c.planSplits(d)
-		txn := d.transaction()
-		checkLimits(t, txn.Puts)
-		if len(txn.Conditions) > 16 {
-			t.Errorf("%d conditions", len(txn.Conditions))
+		transaction := d.transaction()
+		checkLimits(t, transaction.Puts)
+		if len(transaction.Conditions) > 16 {
+			t.Errorf("%d conditions", len(transaction.Conditions))
 		}
-		for _, p := range txn.Puts {
-			stored[p.Key] = p.Value
+		for _, put := range transaction.Puts {
+			stored[put.Key] = put.Value
 		}
 		if d.changes() > 0 {
 			c.sendPlan(d)
@@ -273,13 +274,13 @@
 	if len(c.cache.oversized) > 0 {
 		t.Errorf("still too large: %v", c.cache.oversized)
 	}
-	o := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
-	ev := SnapshotLoaded{Revision: 99}
-	for k, v := range stored {
-		ev.Items = append(ev.Items, domain.KeyValue{Key: k, Value: v, ModRevision: 99})
+	reader := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
+	snapshot := SnapshotLoaded{Revision: 99}
+	for key, value := range stored {
+		snapshot.Items = append(snapshot.Items, domain.KeyValue{Key: key, Value: value, ModRevision: 99})
 	}
-	o.loadSnapshot(ev)
-	checkSameBookings(t, c, o)
+	reader.loadSnapshot(snapshot)
+	checkSameBookings(t, c, reader)
 }
 
 // applyLargePackAndChunk gives a controller jobs 0 to 29 in one pack that is too large, and job
@@ -304,17 +305,21 @@
 	}
 }
 
-// checkSameBookings: two controllers know the same bookings of the jobs of
+// checkSameBookings checks that two controllers know the same bookings of the jobs of
 // applyLargePackAndChunk, and all of them.
-func checkSameBookings(t *testing.T, c, o *Controller) {
+func checkSameBookings(t *testing.T, writer, reader *Controller) {
 	t.Helper()
 	for i := 0; i <= 50; i++ {
-		j, x := c.cache.jobs[jobName(i)], o.cache.jobs[jobName(i)]
-		if j == nil {
+		written, read := writer.cache.jobs[jobName(i)], reader.cache.jobs[jobName(i)]
+		if written == nil {
 			continue
 		}
-		if n := map[bool]int{true: 139, false: 12}[i == 50]; j.counts.booked != n || x.counts.booked != n || !slices.Equal(j.Tasks, x.Tasks) {
-			t.Errorf("job %d has %d bookings here and %d there", i, j.counts.booked, x.counts.booked)
+		want := 12
+		if i == 50 {
+			want = 139
+		}
+		if written.counts.booked != want || read.counts.booked != want || !slices.Equal(written.Tasks, read.Tasks) {
+			t.Errorf("job %d has %d bookings here and %d there", i, written.counts.booked, read.counts.booked)
 		}
 	}
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -19,34 +19,46 @@
 		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: zone, AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 		m.images["img"] = c.now
 	}
-	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 6, ChunkSize: 6, Inline: true, Shard: "c-0", AcceptOrder: 2,
+	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 6, ChunkSize: 6, Inline: true, Shard: "c-0", AcceptOrder: 2,
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 6, Request: domain.Resources{CPU: 4000}, Spot: true, Image: "img"}}
-	change(&h)
-	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), ModRevision: 5, Value: codec.Encode(h)})
+	change(&header)
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), ModRevision: 5, Value: codec.Encode(header)})
 	return c, c.cache.jobs[jobName(1)]
 }
 
+// spreadOfFour makes a job one of four tasks, half of which each zone may take.
+func spreadOfFour(header *codec.JobHeader) {
+	header.Spec.Spread, header.TaskCount, header.ChunkSize, header.Spec.TaskCount = true, 4, 4, 4
+}
+
+// gangOfTwo makes a job a gang of two tasks.
+func gangOfTwo(header *codec.JobHeader) {
+	header.Spec.Shape, header.TaskCount, header.ChunkSize, header.Spec.TaskCount = domain.Gang, 2, 2, 2
+}
+
 // TestTwoPassesOneZone: the leader walks its jobs twice in one plan. The second walk must
 // count what the first one booked in the same draft, of which no record exists yet. Before,
 // it chose a zone anew (docs/incidents/production-wrong-place.md).
 func TestTwoPassesOneZone(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		guard  Guard
 		change func(*codec.JobHeader)
 		want   string
 	}{
 		"one zone":                    {"", func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4]"},
 		"one zone, without the draft": {GuardDraft, func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
-		"at most half":                {"", func(h *codec.JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 }, "map[a:2 b:2]"},
+		"at most half":                {"", spreadOfFour, "map[a:2 b:2]"},
 		"anywhere in its own zone":    {"", func(h *codec.JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
 	} {
-		c, j := twoZones(t, x.change)
-		c.cfg.DisabledGuard = x.guard
-		d := c.newDraft()
-		c.planGangs(d)
-		if got := fmt.Sprint(bookedIn(d, j)); got != x.want {
-			t.Errorf("%s: booked by zone %s, want %s", name, got, x.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			c, j := twoZones(t, test.change)
+			c.cfg.DisabledGuard = test.guard
+			d := c.newDraft()
+			c.planGangs(d)
+			if got := fmt.Sprint(bookedIn(d, j)); got != test.want {
+				t.Errorf("booked by zone %s, want %s", got, test.want)
+			}
+		})
 	}
 }
 
@@ -65,14 +77,16 @@
 // be there; the second walk must not book the other half.
 func TestSpreadCountsTheDraft(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 4} {
-		c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.Spread, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = true, 4, 4, 4 })
-		c.cfg.DisabledGuard = guard
-		c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
-		d := c.newDraft()
-		c.planGangs(d)
-		if got := bookedIn(d, j)["a"]; got != want {
-			t.Errorf("without guard %q: %d tasks in one zone, want %d", guard, got, want)
-		}
+		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
+			c, j := twoZones(t, spreadOfFour)
+			c.cfg.DisabledGuard = guard
+			c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
+			d := c.newDraft()
+			c.planGangs(d)
+			if got := bookedIn(d, j)["a"]; got != want {
+				t.Errorf("%d tasks in one zone, want %d", got, want)
+			}
+		})
 	}
 }
 
@@ -85,8 +99,8 @@
 	}
 	d := c.newDraft()
 	c.planGangs(d)
-	if n := len(d.changed); n != 0 {
-		t.Errorf("%d tasks are booked while others are in two zones", n)
+	if booked := len(d.changed); booked != 0 {
+		t.Errorf("%d tasks are booked while others are in two zones", booked)
 	}
 	c.setTask(j, 0, domain.Task{State: domain.Done})
 	d = c.newDraft()
@@ -96,8 +110,8 @@
 	}
 }
 
-// TestPlacementOf: counts follow the draft, for releases as for bookings.
-func TestPlacementOf(t *testing.T) {
+// TestPlacementCountsTheDraft: counts follow the draft, for releases as for bookings.
+func TestPlacementCountsTheDraft(t *testing.T) {
 	c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	c.setTask(j, 0, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	d := c.newDraft()
@@ -115,25 +129,25 @@
 	}
 }
 
-// TestBookedGangIsNoFailure: a gang booked in the first walk found a place; one like it
+// TestBookedGangFoundItsPlace: a gang booked in the first walk found a place; one like it
 // must be tried in the second walk, too.
-func TestBookedGangIsNoFailure(t *testing.T) {
+func TestBookedGangFoundItsPlace(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 0} {
-		c, j := twoZones(t, func(h *codec.JobHeader) {
-			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
-		})
-		c.cfg.DisabledGuard = guard
-		other := *j.Header
-		spec := *j.Header.Spec
-		spec.Image, other.Spec, other.AcceptOrder = "not there", &spec, 3
-		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(other)})
-		d := c.newDraft()
-		c.planGangs(d)
-		for id, booked := range map[string]int{jobName(1): 2, jobName(2): want} {
-			if got := len(d.copiedCells[id]) * 2; got != booked {
-				t.Errorf("without guard %q: %d tasks of %s booked, want %d", guard, got, id, booked)
+		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
+			c, j := twoZones(t, gangOfTwo)
+			c.cfg.DisabledGuard = guard
+			other := *j.Header
+			spec := *j.Header.Spec
+			spec.Image, other.Spec, other.AcceptOrder = "not there", &spec, 3
+			c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(other)})
+			d := c.newDraft()
+			c.planGangs(d)
+			for id, booked := range map[string]int{jobName(1): 2, jobName(2): want} {
+				if got := len(d.copiedCells[id]) * 2; got != booked {
+					t.Errorf("%d tasks of %s booked, want %d", got, id, booked)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -142,14 +156,14 @@
 // plan ever looked at the job again.
 func TestGangEndsTogether(t *testing.T) {
 	for guard, want := range map[Guard]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
-		c, j := twoZones(t, func(h *codec.JobHeader) {
-			h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
+		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
+			c, j := twoZones(t, gangOfTwo)
+			c.cfg.DisabledGuard = guard
+			d := gangLosesItsLastTask(c, j)
+			if got := d.header(j).State; got != want {
+				t.Errorf("the job is %s, want %s", got, want)
+			}
 		})
-		c.cfg.DisabledGuard = guard
-		d := gangLosesItsLastTask(c, j)
-		if got := d.header(j).State; got != want {
-			t.Errorf("without guard %q: the job is %s, want %s", guard, got, want)
-		}
 	}
 }
 
@@ -170,9 +184,7 @@
 // TestGangLeftHalfDone: a gang that an earlier version left with one task done and one
 // queued comes to its end.
 func TestGangLeftHalfDone(t *testing.T) {
-	c, j := twoZones(t, func(h *codec.JobHeader) {
-		h.Spec.Shape, h.TaskCount, h.ChunkSize, h.Spec.TaskCount = domain.Gang, 2, 2, 2
-	})
+	c, j := twoZones(t, gangOfTwo)
 	c.setTask(j, 0, domain.Task{State: domain.Done})
 	c.setTask(j, 1, domain.Task{State: domain.Queued, Attempt: 1})
 	d := c.newDraft()
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -28,11 +28,12 @@
 	return c
 }
 
-// openJob is the header of an array in the pack c-0/0.
-func openJob(t *testing.T, i, n, prio int, cpu int64) domain.KeyValue {
+// openJob is the header of an array in the pack c-0/0; cpu is what each task asks for, in
+// thousandths of a core.
+func openJob(t *testing.T, number, tasks, priority int, cpu int64) domain.KeyValue {
 	t.Helper()
-	return domain.KeyValue{Key: codec.KeyJob(jobName(i)), ModRevision: uint64(i + 10), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
-		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(prio), TaskCount: n, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
+	return domain.KeyValue{Key: codec.KeyJob(jobName(number)), ModRevision: uint64(number + 10), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: tasks, ChunkSize: tasks, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(number + 1),
+		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(priority), TaskCount: tasks, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
 // TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
@@ -45,52 +46,54 @@
 		d.addCondition(fmt.Sprintf("b/pack/c-0/%d", 90+i))
 	}
 	c.planBookings(d)
-	if n := len(d.changed); n < 100 {
-		t.Errorf("%d of 120 tasks are booked", n)
+	if booked := len(d.changed); booked < 100 {
+		t.Errorf("%d of 120 tasks are booked", booked)
 	}
-	txn := d.transaction()
-	if len(txn.Conditions) > 16 || len(txn.Puts) > 4 || c.tooLarge(txn) {
-		t.Errorf("%d conditions, %d changes, too large %v", len(txn.Conditions), len(txn.Puts), c.tooLarge(txn))
+	transaction := d.transaction()
+	if len(transaction.Conditions) > 16 || len(transaction.Puts) > 4 || c.tooLarge(transaction) {
+		t.Errorf("%d conditions, %d changes, too large %v", len(transaction.Conditions), len(transaction.Puts), c.tooLarge(transaction))
 	}
 }
 
 // TestUrgentGoesAhead: a small urgent task that fits doesn't wait in a machine's
 // queue behind a large one that doesn't; tasks of one priority stay in order.
 func TestUrgentGoesAhead(t *testing.T) {
-	for prio, want := range map[int]string{1: "", 2: jobName(3)} {
-		c := acting()
-		m := c.heartbeats.addMachine("n-000001")
-		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
-		c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
-		c.apply(openJob(t, 2, 1, 1, 5000))
-		c.apply(openJob(t, 3, 1, prio, 1000))
-		c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
-		c.enqueue(domain.TaskID{Job: jobName(3), Index: 0}, m)
-		d := c.newDraft()
-		c.planBookings(d)
-		got := ""
-		for id := range d.changed {
-			got = id.Job
-		}
-		if got != want {
-			t.Errorf("priority %d: %q is booked, want %q", prio, got, want)
-		}
+	for priority, want := range map[int]string{1: "", 2: jobName(3)} {
+		t.Run(fmt.Sprint("priority ", priority), func(t *testing.T) {
+			c := acting()
+			m := c.heartbeats.addMachine("n-000001")
+			c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+			c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
+			c.apply(openJob(t, 2, 1, 1, 5000))
+			c.apply(openJob(t, 3, 1, priority, 1000))
+			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
+			c.enqueue(domain.TaskID{Job: jobName(3), Index: 0}, m)
+			d := c.newDraft()
+			c.planBookings(d)
+			got := ""
+			for id := range d.changed {
+				got = id.Job
+			}
+			if got != want {
+				t.Errorf("%q is booked, want %q", got, want)
+			}
+		})
 	}
 }
 
-// TestRestingByShard: in a wide fleet each shard keeps the room that its own jobs need.
-// By the sum over all, the shard with a backlog rested the machines it wanted.
-func TestRestingByShard(t *testing.T) {
+// TestEachShardKeepsItsRoomAwake: in a wide fleet each shard keeps the room that its own jobs need.
+// By the sum over all, the shard with a backlog rested the machines that it wanted.
+func TestEachShardKeepsItsRoomAwake(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
 			p.machines[i].Type = "box"
 		}
 	}
-	h := codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 300, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 2,
+	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 300, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 2,
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300, Request: domain.Resources{CPU: 16000}, Spot: true}}
 	c.cfg.Teams = map[string]domain.Quota{"red": {}}
-	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(h), ModRevision: 5})
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(header), ModRevision: 5})
 	c.peers.inventoryAt = steady.Instant{}
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
 	awake := map[string]int{}
@@ -111,9 +114,9 @@
 	c.confirmNow()
 	c.effects, c.planner.dirty, c.commits.tokens = nil, true, 1e6
 	c.planCommit()
-	for _, e := range c.effects {
-		if x, ok := e.(Commit); ok && x.Lane == LaneTask {
-			return x
+	for _, effect := range c.effects {
+		if commit, ok := effect.(Commit); ok && commit.Lane == LaneTask {
+			return commit
 		}
 	}
 	return Commit{}
@@ -123,15 +126,15 @@
 // whichever is carried out first, the other never is.
 func excludeEachOther(a, b domain.Transaction) bool {
 	had := map[string]uint64{}
-	for _, k := range a.Conditions {
-		had[k.Key] = k.ModRevision
+	for _, condition := range a.Conditions {
+		had[condition.Key] = condition.ModRevision
 	}
-	for _, k := range b.Conditions {
-		revision, both := had[k.Key]
+	for _, condition := range b.Conditions {
+		revision, both := had[condition.Key]
 		writes := func(t domain.Transaction) bool {
-			return slices.ContainsFunc(t.Puts, func(p domain.Put) bool { return p.Key == k.Key })
+			return slices.ContainsFunc(t.Puts, func(put domain.Put) bool { return put.Key == condition.Key })
 		}
-		if both && revision == k.ModRevision && writes(a) && writes(b) {
+		if both && revision == condition.ModRevision && writes(a) && writes(b) {
 			return true
 		}
 	}
@@ -144,70 +147,84 @@
 // value of the first again. The team's key is left out of them, since it lost a
 // conflict just now and the share has room.
 func TestCommitsInDoubtExcludeEachOther(t *testing.T) {
-	for kind, spec := range map[string]struct {
+	for kind, test := range map[string]struct {
 		pack   string
 		inline bool
-	}{"pack": {pack: "c-0/1"}, "chunk": {}, "header": {inline: true}, "team": {pack: "c-0/1"}} {
-		c := acting()
-		c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
-		c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
-		c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
-		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: spec.pack, Inline: spec.inline, Shard: "c-0", AcceptOrder: 1,
-			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
-		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(h)})
-		c.apply(openJob(t, 1, 4, 1, 1000))
-		m := c.heartbeats.addMachine("n-000001")
-		c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
-		for i := range 4 {
-			c.enqueue(domain.TaskID{Job: jobName(2), Index: i}, m)
-		}
-		if kind == "team" {
+		team   bool // the team's key is written, and nothing else
+	}{"pack": {pack: "c-0/1"}, "chunk": {}, "header": {inline: true}, "team": {pack: "c-0/1", team: true}} {
+		t.Run(kind, func(t *testing.T) {
+			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: test.pack, Inline: test.inline, Shard: "c-0", AcceptOrder: 1,
+				Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
+			c, m := withLimitedTeam(t, header)
+			if test.team {
+				c.dequeueAll(m.Name)
+				delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // it has too large a share, and gives it back
+			}
+			first := planned(t, c)
+			if len(first.Transaction.Puts) == 0 {
+				t.Fatal("nothing planned")
+			}
+			c.onCommit(CommitAnswered{ID: first.ID, Result: domain.InDoubt})
 			c.dequeueAll(m.Name)
-			delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // it has too large a share, and gives it back
-		}
-		first := planned(t, c)
-		if len(first.Transaction.Puts) == 0 {
-			t.Fatalf("%s: nothing planned", kind)
-		}
-		c.onCommit(CommitAnswered{ID: first.ID, Result: domain.InDoubt})
-		c.dequeueAll(m.Name)
-		for i := range 4 {
-			c.enqueue(domain.TaskID{Job: jobName(1), Index: i}, m)
-		}
-		second := planned(t, c)
-		if len(second.Transaction.Puts) == 0 || !excludeEachOther(first.Transaction, second.Transaction) {
-			t.Errorf("%s: both %v and %v may be carried out", kind, first.Transaction, second.Transaction)
-		}
-		c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
-		third := planned(t, c)
-		if !excludeEachOther(first.Transaction, third.Transaction) || !excludeEachOther(second.Transaction, third.Transaction) {
-			t.Errorf("%s: the third, %v, excludes not all before it", kind, third.Transaction)
-		}
-		c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
-		if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
-			t.Errorf("%s: %d values are written again though all is settled", kind, d.changes())
-		}
+			for i := range 4 {
+				c.enqueue(domain.TaskID{Job: jobName(1), Index: i}, m)
+			}
+			second := planned(t, c)
+			if len(second.Transaction.Puts) == 0 || !excludeEachOther(first.Transaction, second.Transaction) {
+				t.Errorf("both %v and %v may be carried out", first.Transaction, second.Transaction)
+			}
+			c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
+			third := planned(t, c)
+			if !excludeEachOther(first.Transaction, third.Transaction) || !excludeEachOther(second.Transaction, third.Transaction) {
+				t.Errorf("the third, %v, excludes not all before it", third.Transaction)
+			}
+			c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
+			if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
+				t.Errorf("%d values are written again though all is settled", d.changes())
+			}
+		})
 	}
 }
 
+// withLimitedTeam is a controller with a share of a team's limit whose key lost a conflict just
+// now, and a machine with the four tasks of job 2, of the given header, in its queue. Job 1 is
+// in a pack.
+func withLimitedTeam(t *testing.T, header codec.JobHeader) (*Controller, *Machine) {
+	t.Helper()
+	c := acting()
+	c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
+	c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
+	c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
+	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(header)})
+	c.apply(openJob(t, 1, 4, 1, 1000))
+	m := c.heartbeats.addMachine("n-000001")
+	c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
+	for i := range 4 {
+		c.enqueue(domain.TaskID{Job: jobName(2), Index: i}, m)
+	}
+	return c, m
+}
+
 // TestLargeArraysReserveNoMachines: the leader reserves machines for gangs that wait, not for
 // an array of thousands of tasks, which would keep all of them from other jobs.
 func TestLargeArraysReserveNoMachines(t *testing.T) {
 	for shape, reserved := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
-		c := stocked(t, 10)
-		h := codec.JobHeader{State: domain.StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
-			Spec: &domain.JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 5}}
-		if shape == domain.Gang {
-			h.TaskCount, h.Spec.TaskCount = 4, 4
-		}
-		c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(9)), Value: codec.Encode(h), ModRevision: 60})
-		pending := c.pendingWork(c.machines())
-		if len(pending) < 2 {
-			t.Fatalf("%s: %d jobs want machines", shape, len(pending))
-		}
-		c.planReservations(c.machines(), pending)
-		if got := len(c.scaling.reserved) > 0; got != reserved {
-			t.Errorf("%s: %d machines are reserved", shape, len(c.scaling.reserved))
-		}
+		t.Run(string(shape), func(t *testing.T) {
+			c := stocked(t, 10)
+			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
+				Spec: &domain.JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 5}}
+			if shape == domain.Gang {
+				header.TaskCount, header.Spec.TaskCount = 4, 4
+			}
+			c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(9)), Value: codec.Encode(header), ModRevision: 60})
+			pending := c.pendingWork(c.machines())
+			if len(pending) < 2 {
+				t.Fatalf("%d jobs want machines", len(pending))
+			}
+			c.planReservations(c.machines(), pending)
+			if got := len(c.scaling.reserved) > 0; got != reserved {
+				t.Errorf("%d machines are reserved", len(c.scaling.reserved))
+			}
+		})
 	}
 }
