--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -29,7 +29,7 @@
 				switch {
 				case d.changed[domain.TaskID{Job: id, Index: i}]:
 				case j.task(i).State == domain.Queued && d.hasRoomToGrow(j, i):
-					d.book(j, i, fmt.Sprintf("n-%06d", 1+r.IntN(1+round*40)), "ab"[round%2:round%2+1], 1+step%3, j.task(i).Attempt+1)
+					d.book(j, i, bookingPlace{fmt.Sprintf("n-%06d", 1+r.IntN(1+round*40)), "ab"[round%2 : round%2+1], 1 + step%3}, j.task(i).Attempt+1)
 				case j.task(i).State == domain.Booked && r.IntN(2) == 0 && d.hasRoomToEnd(j, i, false):
 					d.release(j, i, false)
 				}
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -42,27 +42,39 @@
 	}
 }
 
-// book puts task i of j on a machine within the draft.
-func (d *draft) book(j *Job, i int, machine, zone string, agentEpoch, attempt uint64) {
+// bookingPlace is where a task is booked: on a machine, with its agent of an epoch.
+type bookingPlace struct {
+	machine, zone string
+	agentEpoch    uint64
+}
+
+// place is where a task on the machine is booked.
+func (m *Machine) place() bookingPlace { return bookingPlace{m.Name, m.Zone, m.agentEpoch} }
+
+// place is where a task on the machine is booked.
+func (m *inventoryMachine) place() bookingPlace { return bookingPlace{m.name, m.zone, m.agentEpoch} }
+
+// book books an attempt of task i of j within the draft.
+func (d *draft) book(j *Job, i int, place bookingPlace, attempt uint64) {
 	if !d.c.mayStart(j) {
 		panic("booking " + j.ID + " before its dependencies are done") // no list of open jobs has it
 	}
 	task := d.task(j, i)
 	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
-	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: machine, AgentEpoch: agentEpoch, Zone: zone, Shard: d.c.cfg.Node}
+	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Node}
 	if d.c.guard(GuardGone) {
-		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(machine))
+		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
 	}
-	d.machines[machine] = true
+	d.machines[place.machine] = true
 	d.growth[d.keyOf(j, i)] += d.c.bookBytes()
 	d.countUsage(j.Header.Spec, 1)
-	d.usedOn[machine] = d.usedOn[machine].Plus(j.Header.Spec.Request, 1)
+	d.usedOn[place.machine] = d.usedOn[place.machine].Plus(j.Header.Spec.Request, 1)
 }
 
-// countUsage counts n tasks into what this controller's bookings take of their team's
-// limit; n < 0: out of it.
-func (d *draft) countUsage(spec *domain.JobSpec, n int64) {
-	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, n)
+// countUsage counts tasks into what this controller's bookings take of their team's limit; a
+// negative number: out of it.
+func (d *draft) countUsage(spec *domain.JobSpec, tasks int64) {
+	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, tasks)
 	d.settleShare(spec.Team, spec.Request)
 }
 
@@ -76,10 +88,10 @@
 }
 
 // recordBooking counts and logs a booking once it is committed.
-func (d *draft) recordBooking(id domain.TaskID, machine, zone string, attempt uint64, pass PlanningPass) {
+func (d *draft) recordBooking(id domain.TaskID, place bookingPlace, attempt uint64, pass PlanningPass) {
 	d.onCommit = append(d.onCommit, func() {
 		d.c.Work.Bookings[pass]++
-		d.c.debug("task booked", "task", id, "machine", machine, "zone", zone, "attempt", attempt, "pass", pass)
+		d.c.debug("task booked", "task", id, "machine", place.machine, "zone", place.zone, "attempt", attempt, "pass", pass)
 	})
 }
 
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -73,7 +73,7 @@
 	if !d.hasRoomToGrow(j, 0) {
 		t.Fatal("no room")
 	}
-	d.book(j, 0, "n-000001", "a", 1, 1)
+	d.book(j, 0, bookingPlace{machine: "n-000001", zone: "a", agentEpoch: 1}, 1)
 	if d.headers[j.ID] == nil || d.headers[j.ID].Pack != "c-0/1" || d.keys[pack] || !d.conditions[pack] {
 		t.Errorf("headers %v, values %v, conditions %v", d.headers, d.keys, d.conditions)
 	}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -49,7 +49,7 @@
 // blocksOthers tells whether a job that the leader places has waited for so long that others
 // wait for it: not for ever, it may not be possible.
 func (j *Job) blocksOthers(now time.Duration) bool {
-	age := now - time.Duration(j.readyAt)
+	age := j.age(now)
 	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
 }
 
@@ -254,8 +254,9 @@
 
 // bookPick books a task where it was picked to go.
 func (d *draft) bookPick(j *Job, picked pick, attempt uint64, pass PlanningPass) {
-	d.book(j, picked.task, picked.machine.name, picked.machine.zone, picked.machine.agentEpoch, attempt)
-	d.recordBooking(domain.TaskID{Job: j.ID, Index: picked.task}, picked.machine.name, picked.machine.zone, attempt, pass)
+	place := picked.machine.place()
+	d.book(j, picked.task, place, attempt)
+	d.recordBooking(domain.TaskID{Job: j.ID, Index: picked.task}, place, attempt, pass)
 }
 
 // pick is a task put on a machine.
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -34,13 +34,16 @@
 	}
 	found := map[string]uint64{}
 	for _, condition := range lost.Conditions {
-		if found[condition.Key] = condition.ModRevision; modRevisions[condition.Key] != condition.ModRevision {
+		found[condition.Key] = condition.ModRevision
+		if modRevisions[condition.Key] != condition.ModRevision {
 			return // carried out, or never to be
 		}
 	}
+	best := unfitToExclude
 	for _, put := range lost.Puts {
-		if exclusionRank(put.Key) < unfitToExclude && (s.inDoubt.key == "" || exclusionRank(put.Key) < exclusionRank(s.inDoubt.key)) {
-			s.inDoubt = inDoubtCommit{put.Key, found[put.Key]}
+		if rank := exclusionRank(put.Key); rank < best {
+			best = rank
+			s.inDoubt = inDoubtCommit{key: put.Key, modRevision: found[put.Key]}
 		}
 	}
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"time"
+
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 )
@@ -44,6 +46,9 @@
 	return j.Tasks[i]
 }
 
+// age is how long ago the job could first start.
+func (j *Job) age(now time.Duration) time.Duration { return now - time.Duration(j.readyAt) }
+
 // final: nothing will change any more about how the job ended.
 func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
 
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -170,7 +170,7 @@
 func (c *Controller) quotaAllowsPlaced(spec *domain.JobSpec, used domain.Resources, claims map[string]quotaClaim) bool {
 	claim := claims[spec.Team]
 	limit := c.cfg.Teams[spec.Team].Limit
-	return quota.Within(used, limit) && (!claim.aheadOfGangs || claim.leavesFirst(spec.ID, used, limit))
+	return quota.Within(used, limit) && (!claim.aheadOfGangs || claim.LeavesFirst(spec.ID, used, limit))
 }
 
 // comparePlaces orders machines for a task of a job that the leader places: first those
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -116,7 +116,7 @@
 	c.setTask(j, 0, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	d := c.newDraft()
 	d.release(j, 0, false)
-	d.book(j, 1, "n-000001", "b", 1, 1)
+	d.book(j, 1, bookingPlace{machine: "n-000001", zone: "b", agentEpoch: 1}, 1)
 	d.finish(j, 2)
 	if at := placementOf(j, d); at != (placement{queued: 4, booked: 1, done: 1}) {
 		t.Errorf("in the draft: %+v", at)
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -116,7 +116,7 @@
 func (c *Controller) bookCandidates(d *draft, candidates []bookingCandidate, claims map[string]quotaClaim) bool {
 	anyBooked := false
 	for _, candidate := range candidates {
-		j, m := candidate.job, candidate.machine
+		j := candidate.job
 		if !c.quotaAllows(j.Header.Spec, d, claims) {
 			continue
 		}
@@ -128,8 +128,9 @@
 			continue // its pack is full; others may still go in
 		}
 		attempt := j.task(candidate.task.Index).Attempt + 1
-		d.book(j, candidate.task.Index, m.Name, m.Zone, m.agentEpoch, attempt)
-		d.recordBooking(candidate.task, m.Name, m.Zone, attempt, PassQueue)
+		place := candidate.machine.place()
+		d.book(j, candidate.task.Index, place, attempt)
+		d.recordBooking(candidate.task, place, attempt, PassQueue)
 		anyBooked = true
 	}
 	return anyBooked
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
@@ -40,12 +39,6 @@
 	return quota.Within(used.Plus(spec.Request, 1), limit) && q.allows(spec, used, limit)
 }
 
-// leavesFirst tells whether the team's limit keeps room, beside what is used, for a
-// task of the job that has waited longest.
-func (q quotaClaim) leavesFirst(id string, used, limit domain.Resources) bool {
-	return q.LeavesFirst(id, used, limit)
-}
-
 // teamUsed is what counts against a team's limit: what the other controllers have set aside,
 // and this one's bookings, with those of the draft (nil: none).
 func (c *Controller) teamUsed(team string, d *draft) domain.Resources {
@@ -94,7 +87,7 @@
 // addSmallClaim adds to a team's claim what a job does whose tasks are placed one by one. It tells
 // whether that is anything; of nearly all jobs it is not.
 func (c *Controller) addSmallClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
-	age := c.now - time.Duration(j.readyAt)
+	age := j.age(c.now)
 	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
 		if claim.LongWaiting == nil {
 			claim.LongWaiting = map[string]bool{}
@@ -219,6 +212,9 @@
 	return codec.TeamShares{ByNode: maps.Clone(c.shares[team].ByNode)}
 }
 
+// oneGPU is what a task of one GPU asks for.
+var oneGPU = domain.Resources{GPU: 1000}
+
 // settleShares gives back what others' releases left unused of this controller's shares,
 // and, as the leader, of those of controllers that are not members.
 func (d *draft) settleShares() {
@@ -228,7 +224,7 @@
 			return
 		}
 		if _, ok := d.shares[team]; !ok {
-			d.settleShare(team, domain.Resources{GPU: 1000})
+			d.settleShare(team, oneGPU)
 		}
 		if c.isLeader() && d.changes() < c.cfg.TransactionLimit {
 			d.settleAbsentShares(team)
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -233,7 +233,7 @@
 // says of it counts for nothing from then on, so the old pack need not be written.
 // The commit is conditional on it all the same, and since its revision stays as it
 // is, a change of a job in a value that is too large is conditional on the job's
-// header, too (task).
+// header, too (openCell).
 func (d *draft) move(j *Job, pack string) {
 	if _, ok := d.moved[j.ID]; ok {
 		return
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -97,20 +97,20 @@
 	return room
 }
 
-// cheapestZone is the zone of the cheapest machines for n tasks of the job; "": none can be
+// cheapestZone is the zone of the cheapest machines for some tasks of the job; "": none can be
 // had now.
-func (c *Controller) cheapestZone(spec *domain.JobSpec, n int64, zones []string) string {
+func (c *Controller) cheapestZone(spec *domain.JobSpec, tasks int64, zones []string) string {
 	allowed := zoneAllowance{}
 	for _, zone := range zones {
-		allowed[zone] = n
+		allowed[zone] = tasks
 	}
-	kind, _ := c.cheapest(spec, int(n), allowed)
+	kind, _ := c.cheapest(spec, int(tasks), allowed)
 	return kind.zone
 }
 
 // isRentable tells whether a machine for the job's tasks may be asked for in the zone now.
-func (c *Controller) isRentable(spec *domain.JobSpec, n int64, zone string) bool {
-	_, ok := c.cheapest(spec, int(n), zoneAllowance{zone: n})
+func (c *Controller) isRentable(spec *domain.JobSpec, tasks int64, zone string) bool {
+	_, ok := c.cheapest(spec, int(tasks), zoneAllowance{zone: tasks})
 	return ok
 }
 
