--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"time"
+
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 )
@@ -126,7 +128,7 @@
 	}
 	if task.State == domain.Booked {
 		c.heartbeats.touched[task.Machine] = true
-		c.cache.addBooking(j, id, task, c.bookingInfo(j))
+		c.cache.addBooking(j, id, task, c.queues.bookingInfo(j, c.now))
 		delete(c.queues.tasksStaying, id)
 	}
 	j.Tasks[i] = task
@@ -136,10 +138,10 @@
 }
 
 // bookingInfo is what is to be remembered of a booking of a job's task that is seen now.
-func (c *Controller) bookingInfo(j *Job) bookingInfo {
-	info := bookingInfo{seenAt: c.now}
+func (q *queues) bookingInfo(j *Job, now time.Duration) bookingInfo {
+	info := bookingInfo{seenAt: now}
 	if j.Header.Spec != nil {
-		info.runTimeMS = int64(1000 * c.queues.runTime(j.Header.Spec))
+		info.runTimeMS = int64(1000 * q.runTime(j.Header.Spec))
 	}
 	return info
 }
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -5,6 +5,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -18,7 +19,7 @@
 	nextID          uint64                    // numbers commits and reads, each id is used once
 	pending         map[uint64]*pendingCommit // by id
 	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
-	blockedUntil    time.Duration             // no task commit before
+	nextTaskCommit  steady.Gate               // closed for a little after one that was refused or in doubt
 	minRevision     uint64                    // the cache must reach this revision before the next task commit
 	inDoubt         inDoubtCommit             // a task commit whose outcome is unknown
 	rate            float64                   // changes a second for task commits, at present
@@ -102,10 +103,10 @@
 // refill counts the changes that may be made by now: the rate grows back to the full one,
 // in changes a second, after refusals made it smaller, and what isn't used within a second
 // is lost. Who becomes the leader, or stops being it, starts at the full rate of its weight.
-func (s *commits) refill(now time.Duration, full float64, leader bool) {
+func (s *commits) refill(now time.Duration, full float64, isLeader bool) {
 	seconds := (now - s.tokensAt).Seconds()
-	if s.leaderRate != leader {
-		s.leaderRate = leader
+	if s.leaderRate != isLeader {
+		s.leaderRate = isLeader
 		s.rate = full
 	}
 	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
@@ -179,7 +180,7 @@
 // canCommitTasks tells whether a task commit could go out now.
 func (c *Controller) canCommitTasks() bool {
 	s := &c.commits
-	return s.taskCommit == nil && c.mayAct() && c.now >= s.blockedUntil && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
+	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
 // sendPlan commits a draft and settles what comes of it. From now on no start of an
@@ -233,7 +234,7 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
-	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
+	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
 }
 
 // --- sizes ---
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -1,8 +1,7 @@
 package scheduler
 
 import (
-	"time"
-
+	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 
 	"brassglade/internal/codec"
@@ -12,9 +11,9 @@
 // formats is how far this controller is with announcing its format, and whether the
 // key-value store's limits are known to have fallen.
 type formats struct {
-	announcing         bool          // a commit of it is in flight
-	nextAnnouncementAt time.Duration // no earlier
-	limitsFell         bool          // a refusal showed that values must be smaller now
+	announcing       bool        // a commit of it is in flight
+	nextAnnouncement steady.Gate // closed for a while after each answer
+	limitsFell       bool        // a refusal showed that values must be smaller now
 }
 
 // formatOn tells whether all controllers read and keep what this version writes.
@@ -22,7 +21,7 @@
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
-	if c.cache.formatOn() || c.formats.announcing || c.now < c.formats.nextAnnouncementAt || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.formatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
@@ -49,11 +48,14 @@
 func (c *Controller) commitFormat(key string, format codec.Format) {
 	c.formats.announcing = true
 	c.commit(LaneView, domain.Transaction{
-		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}, {Key: key, ModRevision: c.cache.modRevisions[key]}},
-		Puts:       []domain.Put{{Key: key, Value: codec.Encode(format)}},
+		Conditions: []domain.Condition{
+			{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]},
+			{Key: key, ModRevision: c.cache.modRevisions[key]},
+		},
+		Puts: []domain.Put{{Key: key, Value: codec.Encode(format)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.formats.announcing = false
-		c.formats.nextAnnouncementAt = c.now + tuning.FormatRetry
+		c.formats.nextAnnouncement.Close(c.now + tuning.FormatRetry)
 	})
 }
 
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -25,7 +25,7 @@
 	if len(jobs) == 0 {
 		return
 	}
-	c.sortByGuarantee(jobs, d)
+	d.sortByGuarantee(jobs)
 	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
 	anyHoldsBack := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
 	if !anyHoldsBack { // else strictly in order
@@ -37,7 +37,7 @@
 }
 
 // sortByGuarantee orders jobs: what teams are owed first, then by priority.
-func (c *Controller) sortByGuarantee(jobs []*Job, d *draft) {
+func (d *draft) sortByGuarantee(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		return cmp.Or(
 			trueFirst(d.isOwed(a.Header.Spec), d.isOwed(b.Header.Spec)),
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -69,7 +69,7 @@
 				x = c.commits.pending[planned(t, c).ID]
 			}
 			c.onCommit(CommitAnswered{ID: x.id, Result: domain.InDoubt})
-			c.commits.blockedUntil = c.now + time.Minute
+			c.commits.nextTaskCommit.Close(c.now + time.Minute)
 			_, kinds := ordered(c, m, 4, -1)
 			return !slices.Contains(kinds, domain.StartTask)
 		},
@@ -86,7 +86,7 @@
 		// A forgotten attempt is unknown to its agent, and a start would run it anew.
 		GuardClear: func(drop Guard) bool {
 			c, m := booked(t, drop)
-			c.commits.blockedUntil = c.now + time.Minute
+			c.commits.nextTaskCommit.Close(c.now + time.Minute)
 			_, kinds := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
 			return !slices.Contains(kinds, domain.ForgetTask)
 		},
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -65,7 +65,7 @@
 	if len(owners) == 0 {
 		return true
 	}
-	left := c.largeArrayTasksAtOnce(d, j)
+	left := d.largeArrayTasksAtOnce(j)
 	rooms := map[string][]*inventoryMachine{} // by owner
 	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.Header.CellEnd(from) {
 		if !j.anyQueued(from) {
@@ -87,7 +87,7 @@
 }
 
 // largeArrayTasksAtOnce is how many tasks of a large array one plan may book.
-func (c *Controller) largeArrayTasksAtOnce(d *draft, j *Job) int {
+func (d *draft) largeArrayTasksAtOnce(j *Job) int {
 	if j.isDoubtful() {
 		return 1 - placementOf(j, d).booked
 	}
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -44,7 +44,7 @@
 	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
 		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
-	pages := c.pagesOfMachineTypes(types)
+	pages := pagesOfMachineTypes(types, c.cfg.ValueLimit)
 	if len(pages) > c.cfg.TransactionLimit {
 		c.error("too many machine types", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
@@ -57,14 +57,14 @@
 	return puts
 }
 
-// pagesOfMachineTypes spreads the types over pages that fit a value each, with room for the
-// number of further pages in the first.
-func (c *Controller) pagesOfMachineTypes(types []domain.MachineType) []codec.MachineTypePage {
+// pagesOfMachineTypes spreads the types over pages that fit a value each, of at most limit
+// bytes, with room for the number of further pages in the first.
+func pagesOfMachineTypes(types []domain.MachineType, limit int) []codec.MachineTypePage {
 	var pages []codec.MachineTypePage
 	for _, machineType := range types {
 		if last := len(pages) - 1; last >= 0 {
 			longer := append(slices.Clone(pages[last].Types), machineType)
-			if len(codec.Encode(codec.MachineTypePage{Types: longer, More: 99})) <= c.cfg.ValueLimit {
+			if len(codec.Encode(codec.MachineTypePage{Types: longer, More: 99})) <= limit {
 				pages[last].Types = longer
 				continue
 			}
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -99,7 +99,7 @@
 
 // willSendStartAgain tells whether the start of a booking that the machine doesn't know of
 // was lost on the way and is simply sent again: the agent that it is for is there, no commit
-// releases it, and it hasn't lost its sense.
+// releases it, and the booking still has a purpose.
 func (c *Controller) willSendStartAgain(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	isForThisAgent := m.agentEpoch == task.AgentEpoch && m.abandonedEpoch < task.AgentEpoch
@@ -107,7 +107,7 @@
 		!c.planner.pendingReleases[attemptID{id, task.Attempt}] && c.isStillWanted(m, j, id)
 }
 
-// isStillWanted tells whether a booking hasn't lost its sense: its job is open and neither
+// isStillWanted tells whether a booking still has a purpose: its job is open and neither
 // its gang was stopped or broken nor its machine is about to be taken away, to be emptied,
 // or to make room for a task that waits there.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
@@ -167,20 +167,21 @@
 		if j.counts.booked > 0 || c.cache.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
 			continue
 		}
-		if c.isTurnOf(d, j) && d.takesEndOf(j) {
+		if d.isTurnOf(j) && d.takesEndOf(j) {
 			d.endCancelled(j)
 		}
 	}
 }
 
-// isTurnOf tells whether the draft is for the value that holds the job's tasks.
-func (c *Controller) isTurnOf(d *draft, j *Job) bool {
-	if !c.isForeign(j) {
+// isTurnOf tells whether the draft is for the value that holds the job's tasks; another
+// shard's value is remembered to get its turn.
+func (d *draft) isTurnOf(j *Job) bool {
+	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
 	}
 	key := j.Header.KeyOf(j.ID, 0)
 	if d.foreignKey != key {
-		c.planner.foreignValues[key] = true
+		d.c.planner.foreignValues[key] = true
 		return false
 	}
 	return true
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -122,7 +122,7 @@
 			return true
 		}
 	} else {
-		d.keys, d.conditions = map[string]bool{}, map[string]bool{}
+		d.keys, d.conditions = map[string]bool{}, map[string]bool{} // the split says what becomes of the pack
 		if c.splitCell(d, jobs[0], 0) {
 			return true
 		}
@@ -300,7 +300,7 @@
 	chunk := i / header.ChunkSize
 	from, to := header.Chunk(i)
 	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *header}
-	split.header.Pack, split.header.CellSize = "", c.cellSize(header)
+	split.header.Pack, split.header.CellSize = "", cellSize(header, c.cfg.ValueLimit)
 	split.header.SplitChunks = header.WithSplit(chunk)
 	if header.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
 		split.header.DoneTasks, split.header.DoneChunks = doneTasksBeside(j, from), 0
@@ -317,12 +317,12 @@
 }
 
 // cellSize is the number of tasks in a cell of a job: the same for all its chunks, and few
-// enough that the longest bookings of all fit a value.
-func (c *Controller) cellSize(header *codec.JobHeader) int {
+// enough that the longest bookings of all fit a value, of at most limit bytes.
+func cellSize(header *codec.JobHeader, limit int) int {
 	if header.CellSize > 0 {
 		return header.CellSize
 	}
-	return max(1, (c.cfg.ValueLimit-tuning.PackSlack)/tuning.TaskBytes)
+	return max(1, (limit-tuning.PackSlack)/tuning.TaskBytes)
 }
 
 // draftCells puts the cells that are not written yet into the draft, as many as there is room
