--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -1,10 +1,9 @@
 package scheduler
 
 import (
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // cellRef names a cell of a job by its first task.
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -1,10 +1,9 @@
 package scheduler
 
 import (
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // task returns the copy of task i to change.
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -1,11 +1,10 @@
 package scheduler
 
 import (
-	"brassglade/internal/steady"
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // formats is how far this controller is with announcing its format, and whether the
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -7,10 +7,9 @@
 	"strings"
 	"time"
 
+	"brassglade/internal/domain"
 	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
-
-	"brassglade/internal/domain"
 )
 
 // planGangs books the jobs that the leader places: gangs at once or not at all, the others
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -5,10 +5,9 @@
 	"slices"
 	"time"
 
+	"brassglade/internal/domain"
 	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
-
-	"brassglade/internal/domain"
 )
 
 // largeArray tells whether the leader places the job's tasks only because there are
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -4,10 +4,9 @@
 	"slices"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // Pauses before the machine types are listed again.
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,10 +1,9 @@
 package scheduler
 
 import (
+	"brassglade/internal/domain"
 	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
-
-	"brassglade/internal/domain"
 )
 
 // planner is what lasts from one plan to the next.
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -3,9 +3,8 @@
 import (
 	"math"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // recordRunTime takes a run, in seconds, into the smoothed run times of its machine, and into
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -6,10 +6,9 @@
 	"slices"
 	"strings"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // planSplits brings one value of this shard that is too large to fit again. Jobs
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -3,9 +3,8 @@
 import (
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // recordTaskEnd learns from a task's end on a machine once it is committed.
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -4,10 +4,9 @@
 	"math"
 	"slices"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // The key-value store may lower its limits without notice. All that this version
