--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -1,11 +1,11 @@
 package scheduler
 
 import (
-	"strings"
 	"time"
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -19,7 +19,7 @@
 	nextID          uint64                    // numbers commits and reads, each id is used once
 	pending         map[uint64]*pendingCommit // by id
 	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
-	blockedUntil    time.Duration             // no task commit before
+	nextTaskCommit  steady.Gate               // closed for a little after one that was refused or in doubt
 	minRevision     uint64                    // the cache must reach this revision before the next task commit
 	inDoubt         inDoubtCommit             // a task commit whose outcome is unknown
 	rate            float64                   // changes a second for task commits, at present
@@ -33,6 +33,7 @@
 	fullValues      map[string]bool           // values that had no room for a booking
 }
 
+// newCommits has a full second's worth of changes, at a rate in changes a second.
 func newCommits(rate float64) commits {
 	return commits{
 		pending:         map[uint64]*pendingCommit{},
@@ -102,10 +103,10 @@
 // refill counts the changes that may be made by now: the rate grows back to the full one,
 // in changes a second, after refusals made it smaller, and what isn't used within a second
 // is lost. Who becomes the leader, or stops being it, starts at the full rate of its weight.
-func (s *commits) refill(now time.Duration, full float64, leader bool) {
+func (s *commits) refill(now time.Duration, full float64, isLeader bool) {
 	seconds := (now - s.tokensAt).Seconds()
-	if s.leaderRate != leader {
-		s.leaderRate = leader
+	if s.leaderRate != isLeader {
+		s.leaderRate = isLeader
 		s.rate = full
 	}
 	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
@@ -128,7 +129,7 @@
 
 // slowDown lowers the rate after a refusal, to no less than fair. All controllers together
 // want more than the store takes, and it refuses users' submissions as well: each goes back
-// towards its part.
+// towards its fair share.
 func (s *commits) slowDown(fair float64) {
 	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
 }
@@ -141,26 +142,34 @@
 	return ok && now < until
 }
 
+// avoids is isAvoiding that forgets the key once its time is over.
+func (s *commits) avoids(key string, now time.Duration) bool {
+	if s.isAvoiding(key, now) {
+		return true
+	}
+	delete(s.avoidUntil, key)
+	return false
+}
+
 // isAvoided tells whether the value of task i of a job lost a conflict just now. What is
 // left out for that is planned again.
 func (c *Controller) isAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
 	}
-	key := keyOf(j, i)
-	if c.commits.isAvoiding(key, c.now) {
-		c.planner.dirty = true
-		return true
+	if !c.commits.avoids(j.Header.KeyOf(j.ID, i), c.now) {
+		return false
 	}
-	delete(c.commits.avoidUntil, key)
-	return false
+	c.planner.dirty = true
+	return true
 }
 
 // avoidContested leaves values that lost a conflict out for a little, of random length:
 // one contested value must not keep failing all else that this controller has to write.
 func (c *Controller) avoidContested(failed []string) {
 	for _, key := range failed {
-		if isTeamKey(key) || isPackKey(key) || isCellKey(key) {
+		switch kind, _ := codec.ParseKey(key); kind {
+		case codec.KindTeam, codec.KindPack, codec.KindTasks:
 			c.commits.avoidUntil[key] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
 		}
 	}
@@ -171,7 +180,7 @@
 // canCommitTasks tells whether a task commit could go out now.
 func (c *Controller) canCommitTasks() bool {
 	s := &c.commits
-	return s.taskCommit == nil && c.mayAct() && c.now >= s.blockedUntil && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
+	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
 // sendPlan commits a draft and settles what comes of it. From now on no start of an
@@ -225,15 +234,10 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
-	c.commits.blockedUntil = c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread)))
+	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
 }
 
-// --- keys and sizes ---
-
-func isPackKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixPack) }
-func isCellKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTask) }
-func isHeaderKey(key string) bool { return strings.HasPrefix(key, codec.PrefixJob) }
-func isTeamKey(key string) bool   { return strings.HasPrefix(key, codec.PrefixTeam) }
+// --- sizes ---
 
 // valueBytes is what a value may take in a transaction that changes it.
 func (c *Controller) valueBytes(key string) int {
@@ -241,18 +245,18 @@
 }
 
 // transactionBytes is what a transaction's values take.
-func transactionBytes(t domain.Transaction) int {
-	n := 0
-	for _, put := range t.Puts {
-		n += len(put.Value)
+func transactionBytes(transaction domain.Transaction) int {
+	bytes := 0
+	for _, put := range transaction.Puts {
+		bytes += len(put.Value)
 	}
-	return n
+	return bytes
 }
 
 // tooLarge tells whether a transaction has a value that outgrew its bound in this
 // draft: estimates are for what is usual.
-func (c *Controller) tooLarge(t domain.Transaction) bool {
-	for _, put := range t.Puts {
+func (c *Controller) tooLarge(transaction domain.Transaction) bool {
+	for _, put := range transaction.Puts {
 		if len(put.Value) > c.cfg.ValueLimit && !c.cache.oversized[put.Key] {
 			return true
 		}
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -1,10 +1,9 @@
 package scheduler
 
 import (
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // cellRef names a cell of a job by its first task.
@@ -22,8 +21,8 @@
 	// What the transaction writes.
 
 	headers  map[string]*codec.JobHeader // by job, copies
-	cells    map[cellRef][]domain.Task   // copies of the records of whole cells
-	keys     map[string]bool             // packs, chunks and cells to write, which hold them
+	cells    map[cellRef][]domain.Task   // copies of the records, cell by cell
+	keys     map[string]bool             // packs, chunks and cells to write, which contain them
 	shares   map[string]codec.TeamShares // by team, shares of limits to write
 	rawPuts  []domain.Put                // cells of a value that is being split, already encoded
 	finished map[string]bool             // jobs that are over: their tasks go
@@ -39,7 +38,7 @@
 	usage       map[string]domain.Resources // by team, what the draft adds to this controller's bookings
 	usedOn      map[string]domain.Resources // by machine, what it adds to the bookings there; negative after releases
 
-	// The budget of the transaction, of which each stage gets a part.
+	// The budget of the transaction, of which each stage may use some.
 
 	foreignKey string         // the one value of another shard that this draft may change; "": none, but its own
 	maxChanges int            // changes that the present stage may fill the draft up to
@@ -79,7 +78,7 @@
 	return d
 }
 
-// --- what the draft holds ---
+// --- what is in the draft ---
 
 // changes is how many values the transaction will write.
 func (d *draft) changes() int { return len(d.headers) + len(d.keys) + len(d.shares) + len(d.rawPuts) }
@@ -89,7 +88,7 @@
 	if pack, ok := d.moved[j.ID]; ok {
 		return codec.PrefixPack + pack
 	}
-	return keyOf(j, i)
+	return j.Header.KeyOf(j.ID, i)
 }
 
 // addCondition makes the commit fail if the key's value changes before.
@@ -107,27 +106,27 @@
 
 // header is the copy of a job's header to change.
 func (d *draft) header(j *Job) *codec.JobHeader {
-	h := d.headers[j.ID]
-	if h == nil {
+	header := d.headers[j.ID]
+	if header == nil {
 		clone := *j.Header
-		h = &clone
-		d.c.fitHeader(h)
-		d.headers[j.ID] = h
+		header = &clone
+		d.c.fitHeader(header)
+		d.headers[j.ID] = header
 		d.addCondition(codec.KeyJob(j.ID))
 		d.bytes += tuning.HeaderBytes
 	}
-	return h
+	return header
 }
 
-// ref of the cell with task i.
+// ref names the cell with task i.
 func (j *Job) ref(i int) cellRef {
-	from, _ := j.cell(i)
+	from, _ := j.Header.Cell(i)
 	return cellRef{j.ID, from}
 }
 
 // copyOfCell copies the records of the cell with task i.
 func (j *Job) copyOfCell(i int) []domain.Task {
-	from, to := j.cell(i)
+	from, to := j.Header.Cell(i)
 	tasks := make([]domain.Task, to-from)
 	if j.Tasks != nil {
 		copy(tasks, j.Tasks[from:to])
@@ -192,19 +191,22 @@
 
 // hasRoomToGrow tells whether a change of task i that may make its value longer, as a
 // booking or a handover does, may still go in.
-func (d *draft) hasRoomToGrow(j *Job, i int) bool { return d.hasRoomFor(j, i, false, true) }
+func (d *draft) hasRoomToGrow(j *Job, i int) bool {
+	key := j.Header.KeyOf(j.ID, i)
+	return d.hasRoomFor(taskChange{job: j, source: key, key: key, grows: true})
+}
 
 // hasRoomToEnd tells whether the release or the end of task i may still go in. done: it ends
 // well, which the job's header may have to say.
-func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool { return d.hasRoomFor(j, i, done, false) }
-
-// hasRoomFor tells whether the change of one more task of j may still go in: one value, one
-// header and one team at most. header: the job's header changes, too. grows: the value may
-// get longer. What can't be changed for a reason that another commit takes away is remembered
-// for that commit.
-func (d *draft) hasRoomFor(j *Job, i int, header, grows bool) bool {
-	source := keyOf(j, i)
-	change := taskChange{job: j, source: source, key: source, header: header, grows: grows}
+func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool {
+	key := j.Header.KeyOf(j.ID, i)
+	return d.hasRoomFor(taskChange{job: j, source: key, key: key, header: done})
+}
+
+// hasRoomFor tells whether the change of one more task may still go in: one value, one header
+// and one team at most. What can't be changed for a reason that another commit takes away is
+// remembered for that commit.
+func (d *draft) hasRoomFor(change taskChange) bool {
 	refusal := d.refuse(&change)
 	switch refusal {
 	case refusedForeignValue:
@@ -215,7 +217,7 @@
 		d.c.commits.fullValues[change.key] = true
 	case notRefused:
 		if change.leaveTo != "" {
-			d.leaving[j.ID] = change.leaveTo
+			d.leaving[change.job.ID] = change.leaveTo
 		}
 	}
 	return refusal == notRefused
@@ -248,13 +250,13 @@
 // refuseBySize refuses what would make a value too large to be written. A pack's job leaves
 // a value that is so already with this change; a chunk is split first.
 func (d *draft) refuseBySize(change *taskChange) roomRefusal {
-	h := change.job.Header
-	if h.Inline {
+	header := change.job.Header
+	if header.Inline {
 		change.header = true
 		return notRefused
 	}
 	if d.mayNotWrite(change) {
-		if h.Pack == "" {
+		if header.Pack == "" {
 			return refusedOversized
 		}
 		pack, ok := d.target(change.job)
@@ -311,11 +313,11 @@
 // small: counted as they are, the view's among them, with one for the page of the machine's
 // cordon.
 func (d *draft) newConditions(change *taskChange) int {
-	j, n := change.job, 1
+	j, count := change.job, 1
 	for _, key := range [4]string{change.key, change.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
 		if !d.conditions[key] {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -35,19 +35,19 @@
 // appendHeaders appends the headers, by job; some carry their tasks.
 func (d *draft) appendHeaders(puts []domain.Put) []domain.Put {
 	for _, id := range slices.Sorted(maps.Keys(d.headers)) {
-		h := d.headers[id]
-		if h.Inline {
-			h.InlineTasks = d.inlineTasks(id, h)
+		header := d.headers[id]
+		if header.Inline {
+			header.InlineTasks = d.inlineTasks(id, header)
 		}
-		puts = append(puts, domain.Put{Key: codec.KeyJob(id), Value: codec.Encode(h)})
+		puts = append(puts, domain.Put{Key: codec.KeyJob(id), Value: codec.Encode(header)})
 	}
 	return puts
 }
 
 // inlineTasks are the tasks that a header carries; nil: of a job that is over, or that
 // nothing happened to yet.
-func (d *draft) inlineTasks(id string, h *codec.JobHeader) *codec.ChunkValue {
-	if d.finished[id] || h.Spec == nil {
+func (d *draft) inlineTasks(id string, header *codec.JobHeader) *codec.ChunkValue {
+	if d.finished[id] || header.Spec == nil {
 		return nil
 	}
 	tasks := d.cells[cellRef{id, 0}]
@@ -65,8 +65,9 @@
 func (d *draft) appendValues(puts []domain.Put) []domain.Put {
 	values := d.tasksByValue()
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
+		kind, _ := codec.ParseKey(key)
 		switch {
-		case len(values[key]) > 0 || isPackKey(key):
+		case len(values[key]) > 0 || kind == codec.KindPack:
 			puts = append(puts, domain.Put{Key: key, Value: codec.Encode(d.c.cache.chunkOf(values[key]))})
 		case d.c.cache.modRevisions[key] != 0:
 			puts = append(puts, domain.Put{Key: key})
@@ -81,8 +82,8 @@
 	values := map[string]tasksOfValue{}
 	for key := range d.keys {
 		values[key] = tasksOfValue{}
-		if isPackKey(key) {
-			d.addUntouchedJobs(values[key], key[len(codec.PrefixPack):])
+		if kind, pack := codec.ParseKey(key); kind == codec.KindPack {
+			d.addUntouchedJobs(values[key], pack)
 		}
 	}
 	refs := slices.SortedFunc(maps.Keys(d.cells), func(a, b cellRef) int {
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -1,20 +1,18 @@
 package scheduler
 
 import (
-	"time"
-
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/steady"
+	"brassglade/internal/tuning"
 )
 
 // formats is how far this controller is with announcing its format, and whether the
-// state service's limits are known to have fallen.
+// key-value store's limits are known to have fallen.
 type formats struct {
-	announcing         bool          // a commit of it is in flight
-	nextAnnouncementAt time.Duration // no earlier
-	limitsFell         bool          // a refusal showed that values must be smaller now
+	announcing       bool        // a commit of it is in flight
+	nextAnnouncement steady.Gate // closed for a while after each answer
+	limitsFell       bool        // a refusal showed that values must be smaller now
 }
 
 // formatOn tells whether all controllers read and keep what this version writes.
@@ -22,21 +20,21 @@
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
-	if c.cache.formatOn() || c.formats.announcing || c.now < c.formats.nextAnnouncementAt || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.formatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
 		c.commitFormat(codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()})
-	} else if c.isLeader() && c.allAnnounced() {
+	} else if c.isLeader() && c.cache.allAnnounced(c.cfg.Nodes) {
 		c.commitFormat(codec.KeyFormat, codec.Format{Version: codec.CurrentFormat})
 	}
 }
 
-// allAnnounced tells whether every controller of the settings has announced the format, not
-// only those of the view: one that is down may come back as the version before.
-func (c *Controller) allAnnounced() bool {
-	for _, controller := range c.cfg.Nodes {
-		if c.cache.announcedFormats[controller] < codec.CurrentFormat {
+// allAnnounced tells whether all controllers, those of the settings and not only of the view,
+// have announced the format: one that is down may come back as the version before.
+func (c *cache) allAnnounced(controllers []string) bool {
+	for _, controller := range controllers {
+		if c.announcedFormats[controller] < codec.CurrentFormat {
 			return false
 		}
 	}
@@ -49,11 +47,14 @@
 func (c *Controller) commitFormat(key string, format codec.Format) {
 	c.formats.announcing = true
 	c.commit(LaneView, domain.Transaction{
-		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}, {Key: key, ModRevision: c.cache.modRevisions[key]}},
-		Puts:       []domain.Put{{Key: key, Value: codec.Encode(format)}},
+		Conditions: []domain.Condition{
+			{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]},
+			{Key: key, ModRevision: c.cache.modRevisions[key]},
+		},
+		Puts: []domain.Put{{Key: key, Value: codec.Encode(format)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.formats.announcing = false
-		c.formats.nextAnnouncementAt = c.now + tuning.FormatRetry
+		c.formats.nextAnnouncement.Close(c.now + tuning.FormatRetry)
 	})
 }
 
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -68,7 +68,7 @@
 				pending = c.commits.pending[planned(t, c).ID]
 			}
 			c.onCommit(CommitAnswered{ID: pending.id, Result: domain.InDoubt})
-			c.commits.blockedUntil = c.now + time.Minute
+			c.commits.nextTaskCommit.Close(c.now + time.Minute)
 			_, kinds := ordered(c, m, 4, -1)
 			return !slices.Contains(kinds, domain.StartTask)
 		},
@@ -85,7 +85,7 @@
 		// A forgotten attempt is unknown to its agent, and a start would run it anew.
 		GuardForget: func(t *testing.T, drop Guard) bool {
 			c, m := booked(t, drop)
-			c.commits.blockedUntil = c.now + time.Minute
+			c.commits.nextTaskCommit.Close(c.now + time.Minute)
 			_, kinds := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
 			return !slices.Contains(kinds, domain.ForgetTask)
 		},
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -1,11 +1,13 @@
 package scheduler
 
 import (
+	"time"
+
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 )
 
-// Job is a job in the cache: what the state service says of it, and what this controller works
+// Job is a job in the cache: what the key-value store says of it, and what this controller works
 // out from that. Times are of this controller's steady clock.
 type Job struct {
 	ID     string
@@ -44,23 +46,11 @@
 	return j.Tasks[i]
 }
 
+// age is how long ago the job could first start.
+func (j *Job) age(now time.Duration) time.Duration { return now - time.Duration(j.readyAt) }
+
 // final: nothing will change any more about how the job ended.
 func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
 
 // cancelled by its user, or for a job that it depends on.
 func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
-
-// keyOf is the key of the value that holds task i of a job.
-func keyOf(j *Job, i int) string { return j.Header.KeyOf(j.ID, i) }
-
-// cell is the stretch of tasks that share a value with task i.
-func (j *Job) cell(i int) (from, to int) { return j.Header.Cell(i) }
-
-// cellEnd is where the cell after that of task i begins.
-func (j *Job) cellEnd(i int) int { return j.Header.CellEnd(i) }
-
-// cells is the number of values that hold the job's tasks.
-func (j *Job) cells() int { return j.Header.CellCount() }
-
-// firstTaskOf is the first task of the chunk or cell that the rest of a key names.
-func (j *Job) firstTaskOf(path []string) (int, bool) { return j.Header.FirstTaskOf(path) }
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -4,10 +4,9 @@
 	"slices"
 	"time"
 
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
 // Pauses before the machine types are listed again.
@@ -17,21 +16,21 @@
 )
 
 // onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
-func (c *Controller) onMachineTypesListed(e MachineTypesListed) {
+func (c *Controller) onMachineTypesListed(listed MachineTypesListed) {
 	c.scaling.listingTypes = false
-	if !e.OK {
+	if !listed.OK {
 		c.scaling.nextTypesAt = c.now + listingRetry
 		return
 	}
 	c.scaling.nextTypesAt = c.now + tuning.MachineTypesInterval
-	if !c.isLeader() || string(codec.Encode(e.Types)) == string(codec.Encode(c.cache.machineTypes)) {
+	if !c.isLeader() || string(codec.Encode(listed.Types)) == string(codec.Encode(c.cache.machineTypes)) {
 		return
 	}
 	c.commit(LaneUser, domain.Transaction{
 		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
-		Puts:       c.putsOfMachineTypes(e.Types),
-	}, func(r domain.CommitResult, _ CommitAnswered) {
-		if r != domain.Committed {
+		Puts:       c.putsOfMachineTypes(listed.Types),
+	}, func(result domain.CommitResult, _ CommitAnswered) {
+		if result != domain.Committed {
 			c.scaling.nextTypesAt = c.now + commitRetry
 		}
 	})
@@ -44,7 +43,7 @@
 	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
 		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
-	pages := c.pagesOfMachineTypes(types)
+	pages := pagesOfMachineTypes(types, c.cfg.ValueLimit)
 	if len(pages) > c.cfg.TransactionLimit {
 		c.error("too many machine types", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
@@ -57,14 +56,14 @@
 	return puts
 }
 
-// pagesOfMachineTypes spreads the types over pages that fit a value each, with room for the
-// number of further pages in the first.
-func (c *Controller) pagesOfMachineTypes(types []domain.MachineType) []codec.MachineTypePage {
+// pagesOfMachineTypes spreads the types over pages that fit a value each, of at most limit
+// bytes, with room for the number of further pages in the first.
+func pagesOfMachineTypes(types []domain.MachineType, limit int) []codec.MachineTypePage {
 	var pages []codec.MachineTypePage
 	for _, machineType := range types {
 		if last := len(pages) - 1; last >= 0 {
 			longer := append(slices.Clone(pages[last].Types), machineType)
-			if len(codec.Encode(codec.MachineTypePage{Types: longer, More: 99})) <= c.cfg.ValueLimit {
+			if len(codec.Encode(codec.MachineTypePage{Types: longer, More: 99})) <= limit {
 				pages[last].Types = longer
 				continue
 			}
@@ -86,6 +85,6 @@
 	for i := 1; i <= first.More; i++ {
 		c.cache.machineTypes = append(c.cache.machineTypes, c.cache.machineTypePages[codec.KeyMachineTypePage(i)].Types...)
 	}
-	c.recordSize(key, len(value))
+	c.cache.recordSize(key, len(value), c.cfg.ValueLimit)
 	return true, nil
 }
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -6,11 +6,10 @@
 	"slices"
 	"strings"
 
-	"brassglade/internal/ownership"
-	"brassglade/internal/tuning"
-
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/ownership"
+	"brassglade/internal/tuning"
 )
 
 // planSplits brings one value of this shard that is too large to fit again. Jobs
@@ -20,7 +19,7 @@
 func (c *Controller) planSplits(d *draft) {
 	defer clear(c.commits.fullValues)
 	for _, key := range c.valuesToShrink() {
-		if until, ok := c.commits.avoidUntil[key]; ok && c.now < until {
+		if c.commits.isAvoiding(key, c.now) {
 			continue
 		}
 		if c.shrinkValue(d, key) {
@@ -73,8 +72,8 @@
 func (c *Controller) shrinkChunk(d *draft, key string, j *Job) (planned bool) {
 	inUse := false
 	if j != nil && j.Header.Spec != nil {
-		for i := 0; i < j.Header.TaskCount; i = j.cellEnd(i) {
-			if keyOf(j, i) != key {
+		for i := 0; i < j.Header.TaskCount; i = j.Header.CellEnd(i) {
+			if j.Header.KeyOf(j.ID, i) != key {
 				continue
 			}
 			inUse = true
@@ -120,7 +119,7 @@
 			return true
 		}
 	} else {
-		d.keys, d.conditions = map[string]bool{}, map[string]bool{}
+		d.keys, d.conditions = map[string]bool{}, map[string]bool{} // the split says what becomes of the pack
 		if c.splitCell(d, jobs[0], 0) {
 			return true
 		}
@@ -206,17 +205,12 @@
 
 // mayGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
 func (c *Controller) mayGrow(key string) bool {
-	if c.cache.oversized[key] {
-		return false
-	}
-	until, ok := c.commits.avoidUntil[key]
-	return !ok || c.now >= until
+	return !c.cache.oversized[key] && !c.commits.isAvoiding(key, c.now)
 }
 
 // hasRoomToMove tells whether the draft may take the move of a job to a pack.
 func (d *draft) hasRoomToMove(j *Job, pack string) bool {
-	limit := d.c.cfg.TransactionLimit
-	return d.changes()+d.changesOfMove(j, pack) <= limit && len(d.conditions)+4 <= 4*limit
+	return d.changes()+d.changesOfMove(j, pack) <= d.c.cfg.TransactionLimit && d.takesConditions(4)
 }
 
 // changesOfMove is how many changes a move adds to the draft.
@@ -236,7 +230,7 @@
 // says of it counts for nothing from then on, so the old pack need not be written.
 // The commit is conditional on it all the same, and since its revision stays as it
 // is, a change of a job in a value that is too large is conditional on the job's
-// header, too (task).
+// header, too (openCell).
 func (d *draft) move(j *Job, pack string) {
 	if _, ok := d.moved[j.ID]; ok {
 		return
@@ -248,10 +242,7 @@
 		return
 	}
 	key := codec.PrefixPack + pack
-	if !d.keys[key] {
-		d.bytes += d.c.valueBytes(key)
-		d.rewrite(key)
-	}
+	d.addValue(key)
 	d.growth[key] += d.c.cache.textBytes(j) + len(j.ID) + 8
 	d.copyCell(j, 0) // a pack holds all tasks of a job
 }
@@ -302,13 +293,13 @@
 
 // cellSplit works out the cells of the chunk with task i and the header that names them.
 func (c *Controller) cellSplit(j *Job, i int) *cellSplit {
-	h := j.Header
-	chunk := i / h.ChunkSize
-	from, to := h.Chunk(i)
-	split := &cellSplit{source: keyOf(j, i), header: *h}
-	split.header.Pack, split.header.CellSize = "", c.cellSize(h)
-	split.header.SplitChunks = h.WithSplit(chunk)
-	if h.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
+	header := j.Header
+	chunk := i / header.ChunkSize
+	from, to := header.Chunk(i)
+	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *header}
+	split.header.Pack, split.header.CellSize = "", cellSize(header, c.cfg.ValueLimit)
+	split.header.SplitChunks = header.WithSplit(chunk)
+	if header.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
 		split.header.DoneTasks, split.header.DoneChunks = doneTasksBeside(j, from), 0
 	}
 	for cell, first := 0, from; first < to; cell, first = cell+1, first+split.header.CellSize {
@@ -323,12 +314,12 @@
 }
 
 // cellSize is the number of tasks in a cell of a job: the same for all its chunks, and few
-// enough that the longest bookings of all fit a value.
-func (c *Controller) cellSize(h *codec.JobHeader) int {
-	if h.CellSize > 0 {
-		return h.CellSize
+// enough that the longest bookings of all fit a value, of at most limit bytes.
+func cellSize(header *codec.JobHeader, limit int) int {
+	if header.CellSize > 0 {
+		return header.CellSize
 	}
-	return max(1, (c.cfg.ValueLimit-tuning.PackSlack)/tuning.TaskBytes)
+	return max(1, (limit-tuning.PackSlack)/tuning.TaskBytes)
 }
 
 // draftCells puts the cells that are not written yet into the draft, as many as there is room
@@ -378,8 +369,8 @@
 
 // doneTasks is the number of tasks in a cell of which all are done, else 0.
 func doneTasks(cell []domain.Task) int {
-	for _, t := range cell {
-		if t.State != domain.Done {
+	for _, task := range cell {
+		if task.State != domain.Done {
 			return 0
 		}
 	}
