--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -15,12 +15,6 @@
 // a controller books within its own share alone, and changes the key when it needs more or
 // keeps much unused, so that no two controllers together can exceed the limit.
 
-// withinLimit tells whether use stays in a limit, where 0 means none.
-func withinLimit(use, limit domain.Resources) bool { return quota.Within(use, limit) }
-
-// limited leaves out what a team's limit does not bound.
-func limited(amount, limit domain.Resources) domain.Resources { return quota.Bounded(amount, limit) }
-
 // quotaClaim is what the waiting jobs of one team claim of its limit.
 type quotaClaim struct {
 	quota.Claim
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -8,6 +8,7 @@
 
 	"brassglade/internal/domain"
 	"brassglade/internal/policy"
+	"brassglade/internal/quota"
 	"brassglade/internal/tuning"
 )
 
@@ -108,7 +109,7 @@
 	}
 	spec := j.Header.Spec
 	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
-		withinLimit(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
+		quota.Within(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
 // isWaiting tells whether a task of a job waits to be booked and may be so now: the job is
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/quota"
 	"brassglade/internal/tardiness"
 	"brassglade/internal/tuning"
 )
@@ -49,7 +50,7 @@
 		if j.counts.queued == 0 || placedByLeader(spec) || int64(c.now) < j.pausedUntil {
 			continue
 		}
-		isOwed := guarantee != (domain.Resources{}) && withinLimit(withJob, guarantee) && c.age(j) <= c.cfg.GuaranteeWithin
+		isOwed := guarantee != (domain.Resources{}) && quota.Within(withJob, guarantee) && j.age(c.now).Seconds() <= c.cfg.GuaranteeWithin
 		// Moore and Hodgson's rule lets the jobs with the most work give way; none of them
 		// may do so for ever.
 		isOwed = c.isStarving(j, placementOf(j, nil)) || isOwed
@@ -66,9 +67,6 @@
 	return jobs
 }
 
-// age is how long ago a job could first start, s.
-func (c *Controller) age(j *Job) float64 { return (c.now - time.Duration(j.readyAt)).Seconds() }
-
 // goals are the times left until a job's aims, s: its deadline, or what is left of that of a job
 // which needs it, with the multiples that count, and those of its class.
 func (c *Controller) goals(j *Job) []float64 {
@@ -80,7 +78,7 @@
 		}
 	}
 	for _, seconds := range c.cfg.FinishWithin[j.Header.Spec.Class] {
-		goals = append(goals, seconds-c.age(j))
+		goals = append(goals, seconds-j.age(c.now).Seconds())
 	}
 	return goals
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -8,6 +8,7 @@
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/ownership"
+	"brassglade/internal/quota"
 	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
@@ -78,7 +79,7 @@
 func (c *Controller) reportShareOverruns() {
 	for team, byNode := range c.cache.usage {
 		for node, use := range byNode {
-			if share := c.cache.shares[team].ByNode[node]; !share.Fits(limited(use, c.cfg.Teams[team].Limit)) {
+			if share := c.cache.shares[team].ByNode[node]; !share.Fits(quota.Bounded(use, c.cfg.Teams[team].Limit)) {
 				c.info("bookings exceed a node's share", "team", team, "node", node, "share", share, "bookings", use)
 			}
 		}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -228,7 +228,7 @@
 	runtime.ReadMemStats(&mem)
 	each := float64(mem.HeapAlloc) / 5 / (1 << 20)
 	started := len(c.firstRuns("job-900001"))
-	t.Logf("%d tasks started in a minute, %.1f changes a second, at most %.1f MB a controller with the stand-in's own", started, perSecond, each)
+	t.Logf("%d tasks started in a minute, %.1f changes a second, at most %.1f MB a controller with the simulation's own", started, perSecond, each)
 	if started < 5000 || perSecond > 1.4*25 || each > 100 {
 		t.Errorf("%d tasks started in a minute, %.1f changes a second, %.1f MB a controller", started, perSecond, each)
 	}
