--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -62,8 +62,8 @@
 			m.fence = steady.Latest(m.fence, steady.At(answer.sent))
 		}
 	}
-	if len(waiting) > maxUnsettled {
-		waiting = waiting[len(waiting)-maxUnsettled:]
+	if len(waiting) > tuning.MaxUnsettledConfirmations {
+		waiting = waiting[len(waiting)-tuning.MaxUnsettledConfirmations:]
 	}
 	m.unsettled = waiting
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -31,10 +31,6 @@
 	return [...]string{"none", "requested", "held", "member key writing", "member key written"}[s]
 }
 
-// maxUnsettled bounds the confirmations that wait for the cache; of more, the oldest are
-// forgotten. Only a watch that hangs lets them pile up.
-const maxUnsettled = 16
-
 // Config is what membership needs of the settings.
 type Config struct {
 	FenceAge time.Duration // age of a confirmation up to which the controller acts
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -325,7 +325,7 @@
 		m.ConfirmationAnswered(now, true, uint64(100+i))
 		m.CacheReached(10)
 	}
-	if len(m.unsettled) != maxUnsettled {
+	if len(m.unsettled) != tuning.MaxUnsettledConfirmations {
 		t.Errorf("%d kept", len(m.unsettled))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -98,7 +98,7 @@
 	if c.WaitingGangs == 0 || c.goesAheadOfGangs(task) {
 		return true
 	}
-	wanted := c.PlacedByLeader.CountFitting(c.GangRequest, mostGangs) + int64(c.WaitingGangs)
+	wanted := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
 	possible := min(wanted, c.gangsBeside(domain.Resources{}, limit))
 	return c.gangsBeside(withTask.Plus(c.PlacedByLeader, -1), limit) >= possible
 }
@@ -108,9 +108,6 @@
 	return task.PlacedByLeader || c.StarvingJob == task.Job || c.LongWaiting[task.Job] && !c.GangStarves
 }
 
-// mostGangs bounds the gangs that are counted.
-const mostGangs = 1000
-
 // gangsBeside is how many gangs like the first that waits a limit has room for beside
 // a use by small tasks. Memory doesn't bound it.
 func (c Claim) gangsBeside(small, limit domain.Resources) int64 {
@@ -121,5 +118,5 @@
 	if limit.GPU > 0 {
 		room.GPU = limit.GPU - small.GPU
 	}
-	return room.CountFitting(c.GangRequest, mostGangs)
+	return room.CountFitting(c.GangRequest, tuning.MaxCountedGangs)
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -9,15 +9,6 @@
 	"brassglade/internal/tuning"
 )
 
-const (
-	// saveSlackSeconds are added to what saving costs when a task is told to save and stop.
-	saveSlackSeconds = 2
-	// preemptionSaveSlackSeconds is the same before the cloud takes the machine.
-	preemptionSaveSlackSeconds = 4
-	// smallTaskShare: a task that needs a machine's resources divided by this is small.
-	smallTaskShare = 8
-)
-
 // pendingHeartbeat is a heartbeat whose answer waits for commands that are on their way.
 type pendingHeartbeat struct {
 	machine    string
@@ -72,7 +63,7 @@
 func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
-		CPU: capacity.CPU / smallTaskShare, GPU: capacity.GPU / smallTaskShare, Memory: capacity.Memory / smallTaskShare,
+		CPU: capacity.CPU / tuning.SmallTaskShare, GPU: capacity.GPU / tuning.SmallTaskShare, Memory: capacity.Memory / tuning.SmallTaskShare,
 	}
 	return c.freeOn(m.Name, capacity, nil).Fits(small)
 }
@@ -85,13 +76,13 @@
 	}
 	m := c.heartbeats.machines[pending.machine]
 	if m == nil || !c.mayAnswer(m, pending) {
-		c.emit(HeartbeatReply{RequestID: pending.requestID, Status: 503})
+		c.emit(HeartbeatReply{RequestID: pending.requestID, Status: StatusUnavailable})
 		return
 	}
 	commands := c.commandsFor(m, pending.sequence)
 	m.answeredAt, m.sentToken = c.now, c.cache.view.Epoch
 	c.logCommands(m, commands)
-	c.emit(HeartbeatReply{RequestID: pending.requestID, Status: 200, FencingToken: c.cache.view.Epoch, Commands: commands})
+	c.emit(HeartbeatReply{RequestID: pending.requestID, Status: StatusOK, FencingToken: c.cache.view.Epoch, Commands: commands})
 }
 
 // mayAnswer tells whether a heartbeat that was accepted may still be answered with 200.
@@ -238,7 +229,7 @@
 
 // saveAndStop gives a stop its reason and a grace in which the task can save its progress.
 func saveAndStop(stop domain.Command, spec *domain.JobSpec, reason domain.CommandReason) domain.Command {
-	stop.GraceSeconds, stop.Reason = spec.CheckpointCost+saveSlackSeconds, reason
+	stop.GraceSeconds, stop.Reason = spec.CheckpointCost+tuning.SaveSlackSeconds, reason
 	return stop
 }
 
@@ -252,7 +243,7 @@
 	}
 	left := (m.preemptionAt - c.now - tuning.PreemptionMargin).Seconds()
 	stop.GraceSeconds = max(left, spec.CheckpointCost)
-	return stop, left/2 <= spec.CheckpointCost+preemptionSaveSlackSeconds
+	return stop, left/2 <= spec.CheckpointCost+tuning.PreemptionSaveSlackSeconds
 }
 
 // drainsRunning tells whether m is drained for a reason for which its tasks have to go.
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -153,17 +153,9 @@
 
 // --- its budget ---
 
-// conditionsPerChange is how many conditions a transaction may have for each change that
-// it may have.
-const conditionsPerChange = 4
-
-// smallTransaction is how many changes a transaction may have that is so small that no
-// stage keeps any from the others.
-const smallTransaction = 4
-
 // takesConditions tells whether the transaction may have n further conditions.
 func (d *draft) takesConditions(n int) bool {
-	return len(d.conditions)+n <= conditionsPerChange*d.c.cfg.TransactionLimit
+	return len(d.conditions)+n <= tuning.ConditionsPerChange*d.c.cfg.TransactionLimit
 }
 
 // roomRefusal is why a draft doesn't take a change of a task.
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -120,3 +120,14 @@
 func (ReturnMachines) isEffect()   {}
 func (SendPeerMessage) isEffect()  {}
 func (LogLine) isEffect()          {}
+
+// Statuses of replies to users and machines, as the protocol has them.
+const (
+	StatusOK          = 200
+	StatusAccepted    = 201 // a job that was not known before
+	StatusMalformed   = 400
+	StatusUnknownJob  = 404
+	StatusNotOwner    = 421 // the reply names the owner
+	StatusRefused     = 422 // a job that can never run
+	StatusUnavailable = 503 // for now: to be repeated
+)
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -11,10 +11,6 @@
 	"brassglade/internal/tuning"
 )
 
-// forgetMachineAfter is the silence after which a machine that another controller owns, or
-// that was returned to the cloud, is forgotten.
-const forgetMachineAfter = time.Minute
-
 // heartbeats is what the machines last said, and their heartbeats that wait for an answer.
 type heartbeats struct {
 	machines    map[string]*Machine          // by name; changed by addMachine and dropMachine alone
@@ -73,7 +69,7 @@
 	c.recordHeartbeat(m, &heartbeat, true)
 	if given := c.heartbeats.pending[m.Name]; given != nil { // the agent gave it up and sent this one
 		delete(c.heartbeats.pending, m.Name)
-		c.emit(HeartbeatReply{RequestID: given.requestID, Status: 503})
+		c.emit(HeartbeatReply{RequestID: given.requestID, Status: StatusUnavailable})
 	}
 	c.planner.dirty = true
 	c.placeTasks()
@@ -126,10 +122,10 @@
 		if !c.cache.isReturned(heartbeat.Machine) {
 			c.recordRedirect(heartbeat, owner)
 		}
-		c.emit(HeartbeatReply{RequestID: requestID, Status: 421, Owner: owner})
+		c.emit(HeartbeatReply{RequestID: requestID, Status: StatusNotOwner, Owner: owner})
 		return
 	}
-	c.emit(HeartbeatReply{RequestID: requestID, Status: 503})
+	c.emit(HeartbeatReply{RequestID: requestID, Status: StatusUnavailable})
 }
 
 // isAbandoned tells whether an agent epoch of the machine is abandoned. Such a one stays
@@ -332,7 +328,7 @@
 // forgetIfSilent drops a machine of another controller, or a returned one, after a while. The
 // owner keeps a returned one for as long as bookings have to be released.
 func (c *Controller) forgetIfSilent(m *Machine) {
-	if c.now-m.heardAt <= forgetMachineAfter {
+	if c.now-m.heardAt <= tuning.ForgetMachineAfter {
 		return
 	}
 	if c.owns(m.Name) && len(c.cache.bookedOn[m.Name]) > 0 {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -35,7 +35,7 @@
 	}
 	tasks := int64(sum.tasks)
 	mean := domain.Resources{CPU: sum.used.CPU / tasks, GPU: sum.used.GPU / tasks, Memory: sum.used.Memory / tasks}
-	slots := max(machineType.Capacity.CountFitting(mean, 64), 1)
+	slots := max(machineType.Capacity.CountFitting(mean, tuning.MaxCountedSlots), 1)
 	runTime := float64(sum.runTimeMS) / 1000 / float64(sum.tasks)
 	if m.runTime.samples >= 3 {
 		runTime = (runTime + m.runTime.value) / 2
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -2,24 +2,17 @@
 
 import (
 	"slices"
-	"time"
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/tuning"
 )
 
-// Pauses before the machine types are listed again.
-const (
-	listingRetry = 3 * time.Second // after a listing that failed
-	commitRetry  = time.Second     // after a commit of a new list that failed
-)
-
 // onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
 func (c *Controller) onMachineTypesListed(listed MachineTypesListed) {
 	c.scaling.listingTypes = false
 	if !listed.OK {
-		c.scaling.nextTypesAt = c.now + listingRetry
+		c.scaling.nextTypesAt = c.now + tuning.MachineTypesRetry
 		return
 	}
 	c.scaling.nextTypesAt = c.now + tuning.MachineTypesInterval
@@ -31,7 +24,7 @@
 		Puts:       c.putsOfMachineTypes(listed.Types),
 	}, func(result domain.CommitResult, _ CommitAnswered) {
 		if result != domain.Committed {
-			c.scaling.nextTypesAt = c.now + commitRetry
+			c.scaling.nextTypesAt = c.now + tuning.MachineTypesCommitRetry
 		}
 	})
 }
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -178,7 +178,7 @@
 	if p.largeFleet {
 		tasks = j.counts.queued - j.queuedHere
 	}
-	slots := max(machineType.Capacity.CountFitting(spec.Request, 64), 1)
+	slots := max(machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots), 1)
 	p.c.queues.poolRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
 }
 
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -177,7 +177,7 @@
 // leaveTwoChanges keeps two changes from a stage, unless transactions are small.
 func (d *draft) leaveTwoChanges() {
 	most := d.c.cfg.TransactionLimit
-	d.maxChanges = min(most, max(smallTransaction, most-2))
+	d.maxChanges = min(most, max(tuning.SmallTransaction, most-2))
 }
 
 // leaveQuarter keeps a quarter of changes and bytes from a stage, unless the draft is that
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -6,11 +6,9 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/tuning"
 )
 
-// maxBookingRounds bounds how many tasks one plan books on a machine.
-const maxBookingRounds = 64
-
 // bookingCandidate is the head of a machine's queue, with room for it there.
 type bookingCandidate struct {
 	machine *Machine
@@ -36,7 +34,7 @@
 	}
 	claims := c.claims(d)
 	machines := c.machinesToBook()
-	for range maxBookingRounds {
+	for range tuning.MaxBookingRounds {
 		var candidates []bookingCandidate
 		for _, m := range machines {
 			if head, ok := c.headOfQueue(d, m, claims); ok {
@@ -140,7 +138,7 @@
 // all isn't worth the time.
 func (d *draft) isNearlyFull() bool {
 	most := d.c.cfg.TransactionLimit
-	return d.changes() >= most-2 && most > smallTransaction || !d.takesConditions(3)
+	return d.changes() >= most-2 && most > tuning.SmallTransaction || !d.takesConditions(3)
 }
 
 // queueByPriority is a machine's queue, first come, first served among tasks of the same
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -47,7 +47,7 @@
 
 // retryLater asks the user to come back.
 func (c *Controller) retryLater(requestID uint64, why refusal) {
-	c.emit(UserReply{RequestID: requestID, Status: 503, Reason: string(why)})
+	c.emit(UserReply{RequestID: requestID, Status: StatusUnavailable, Reason: string(why)})
 }
 
 // refuse tells the user that the request will never do.
@@ -57,7 +57,7 @@
 
 // replyUnknown tells the user that there is no such job.
 func (c *Controller) replyUnknown(requestID uint64, id string) {
-	c.emit(UserReply{RequestID: requestID, Status: 404, ID: id})
+	c.emit(UserReply{RequestID: requestID, Status: StatusUnknownJob, ID: id})
 }
 
 // replyState answers with the job's state as the cache has it.
@@ -126,13 +126,13 @@
 	case request.cancel:
 		c.cancel(request.requestID, request.id)
 	case j != nil: // a query, or a submission that repeats an accepted one
-		c.replyState(request.requestID, 200, j)
+		c.replyState(request.requestID, StatusOK, j)
 	case request.submit == nil:
 		c.replyUnknown(request.requestID, request.id)
 	case request.submit.Spec == nil:
-		c.refuse(request.requestID, 400, request.id, request.refusal)
+		c.refuse(request.requestID, StatusMalformed, request.id, request.refusal)
 	case request.refusal != "":
-		c.refuse(request.requestID, 422, request.id, request.refusal)
+		c.refuse(request.requestID, StatusRefused, request.id, request.refusal)
 	default:
 		c.accept(*request.submit, nil)
 	}
@@ -164,7 +164,7 @@
 // onJobQueried answers a query. A final state never changes, so it needs no read index.
 func (c *Controller) onJobQueried(query JobQueried) {
 	if j := c.cache.jobs[query.ID]; j != nil && j.final() {
-		c.replyState(query.RequestID, 200, j)
+		c.replyState(query.RequestID, StatusOK, j)
 		return
 	}
 	c.awaitReadIndex(waiter{requestID: query.RequestID, id: query.ID})
@@ -187,7 +187,7 @@
 		return
 	}
 	if j.final() {
-		c.replyState(requestID, 200, j)
+		c.replyState(requestID, StatusOK, j)
 		return
 	}
 	header := *j.Header
@@ -200,7 +200,7 @@
 		switch result {
 		case domain.Committed:
 			c.debug("job cancelled", "job", id)
-			c.replyState(requestID, 200, j)
+			c.replyState(requestID, StatusOK, j)
 		case domain.Conflict: // the job changed meanwhile: once more, on what it is now
 			c.awaitReadIndex(waiter{requestID: requestID, id: id, cancel: true})
 		default:
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -12,13 +12,6 @@
 	"brassglade/internal/tuning"
 )
 
-const (
-	// shortestRest in seconds is the least that a running task is expected to go on.
-	shortestRest = 3
-	// pricedAtLeast is the least GPU, or else CPU, in thousandths, by which a price is divided.
-	pricedAtLeast = 1000
-)
-
 // reservationCandidate is a machine that may be kept for a class of jobs.
 type reservationCandidate struct {
 	machine         *machineState
@@ -111,7 +104,7 @@
 		}
 		candidate.isLowerPriority = candidate.isLowerPriority && j.priority < spec.Priority
 		left := c.queues.runTime(running) - (c.now - c.cache.bookings[id].seenAt).Seconds()
-		candidate.wait = max(candidate.wait, left, shortestRest)
+		candidate.wait = max(candidate.wait, left, tuning.ShortestRemainingRun)
 	}
 	return candidate, true
 }
@@ -223,9 +216,9 @@
 		price = machineType.SpotPrice
 	}
 	if machineType.Capacity.GPU > 0 {
-		price /= float64(max(machineType.Capacity.GPU, pricedAtLeast))
+		price /= float64(max(machineType.Capacity.GPU, tuning.PricedAtLeast))
 	} else {
-		price /= float64(max(machineType.Capacity.CPU, pricedAtLeast))
+		price /= float64(max(machineType.Capacity.CPU, tuning.PricedAtLeast))
 	}
 	if rested {
 		price *= tuning.RestingStickiness
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -12,15 +12,6 @@
 	"brassglade/internal/tuning"
 )
 
-const (
-	// maxPendingTasks of a job are counted as waiting; more would be rented for later.
-	maxPendingTasks = 2000
-	// maxPendingFailures in a row of a job's tasks, and nothing is rented for it.
-	maxPendingFailures = 3
-	// cloudRetry is the pause after the cloud refused a rental for now.
-	cloudRetry = 1500 * time.Millisecond
-)
-
 // machineKind is a kind of machine that can be rented.
 type machineKind struct {
 	machineType, zone string
@@ -66,7 +57,7 @@
 				arrived[spec.Class] += j.Header.TaskCount
 			}
 		}
-		if j.counts.queued == 0 || j.failures > maxPendingFailures {
+		if j.counts.queued == 0 || j.failures > tuning.MaxPendingFailures {
 			continue
 		}
 		tasks := c.claimForPending(j, used, claims[spec.Team])
@@ -88,7 +79,7 @@
 	spec := j.Header.Spec
 	limit := c.cfg.Teams[spec.Team].Limit
 	claimed := 0
-	for claimed < j.counts.queued && claimed < maxPendingTasks {
+	for claimed < j.counts.queued && claimed < tuning.MaxPendingTasks {
 		if !claim.admits(spec, used[spec.Team], limit) {
 			break
 		}
@@ -162,7 +153,7 @@
 	scaling := &c.scaling
 	for _, id := range slices.Sorted(maps.Keys(scaling.rentals)) {
 		rental := scaling.rentals[id]
-		if c.now-rental.sentAt > tuning.CloudTimeout+time.Second {
+		if c.now-rental.sentAt > tuning.CloudTimeout+tuning.RentalAnswerMargin {
 			rental.sentAt = c.now
 			scaling.rentals[id] = rental
 			c.emit(rental.request)
@@ -402,7 +393,7 @@
 	}
 	if !answer.OK && !answer.NoCapacity {
 		// Unknown or refused for now: the same name again, later.
-		rental.sentAt = c.now + cloudRetry - (tuning.CloudTimeout + time.Second)
+		rental.sentAt = c.now + tuning.RentalRetry - (tuning.CloudTimeout + tuning.RentalAnswerMargin)
 		scaling.rentals[answer.RentalID] = rental
 		return
 	}
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -12,16 +12,6 @@
 	"brassglade/internal/tuning"
 )
 
-const (
-	// forgetInstanceAfter is how long an instance that no list has any more is remembered.
-	forgetInstanceAfter = 5 * time.Minute
-	// unlistedPatience, with twice the list's lag, is when a rented instance that was
-	// never listed is forgotten.
-	unlistedPatience = 2 * time.Minute
-	// returnRetry is the pause after a return that failed.
-	returnRetry = 2 * time.Second
-)
-
 // scaling is the leader's care for machines: renting, keeping some for gangs, letting some
 // run empty, and returning. A new leader rebuilds all of it from the cloud's list and the cache.
 // Maps without a word on their key are by machine.
@@ -143,7 +133,7 @@
 	for name, since := range s.knownSince {
 		_, listed := s.instances[name]
 		_, unlisted := s.unlisted[name]
-		if !listed && !unlisted && now-since > forgetInstanceAfter {
+		if !listed && !unlisted && now-since > tuning.ForgetInstanceAfter {
 			delete(s.knownSince, name)
 			delete(s.idleSince, name)
 		}
@@ -193,7 +183,7 @@
 	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-scaling.knownSince[name] > unlistedPatience+2*c.cfg.ListLag:
+		case c.now-scaling.knownSince[name] > tuning.UnlistedPatience+2*c.cfg.ListLag:
 			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
@@ -264,7 +254,7 @@
 	scaling := &c.scaling
 	scaling.returning = false
 	if !answer.OK {
-		scaling.nextReturn.Close(c.now + returnRetry)
+		scaling.nextReturn.Close(c.now + tuning.ReturnRetry)
 		return
 	}
 	for _, name := range answer.Names {
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -50,7 +50,7 @@
 // ID can.
 func (c *Controller) refuseMalformed(submission JobSubmitted) {
 	if submission.ID == "" {
-		c.refuse(submission.RequestID, 400, "", malformed)
+		c.refuse(submission.RequestID, StatusMalformed, "", malformed)
 		return
 	}
 	c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission, refusal: malformed})
@@ -193,7 +193,7 @@
 func (c *Controller) accept(submission JobSubmitted, found map[string]*codec.JobHeader) {
 	check := c.cache.checkDependencies(submission.Spec.Dependencies, found)
 	if check.refusal != "" {
-		c.refuse(submission.RequestID, 422, submission.ID, check.refusal)
+		c.refuse(submission.RequestID, StatusRefused, submission.ID, check.refusal)
 		return
 	}
 	if !c.canTakeRequests() {
@@ -327,7 +327,7 @@
 				"team", spec.Team, "image", spec.Image, "image_gb", spec.ImageGB, "waiting", c.peers.waitingByShard,
 				"estimated_s", spec.EstimatedRuntime, "deadline_s", spec.Deadline, "dependencies", spec.Dependencies)
 			if j := c.cache.jobs[submission.ID]; j != nil {
-				c.replyState(submission.RequestID, 201, j)
+				c.replyState(submission.RequestID, StatusAccepted, j)
 			}
 		case domain.Conflict: // somebody else took it: a repeat
 			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID})
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -88,7 +88,7 @@
 	if kind.preemptible {
 		depth = 0
 	}
-	return t.queued >= t.roomFor(kind).CountFitting(kind.request, 64)+depth
+	return t.queued >= t.roomFor(kind).CountFitting(kind.request, tuning.MaxCountedSlots)+depth
 }
 
 // roomyTargets are the targets whose queues still take a task of a kind. Where every
@@ -166,8 +166,8 @@
 // once: it runs as fast on any of them, but a machine that stays empty can be returned, and a
 // full one fetches each image once for many.
 func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
-	slots := t.machineType.Capacity.CountFitting(spec.Request, 64)
-	room := t.roomFor(kind).CountFitting(spec.Request, 64) - t.queued
+	slots := t.machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
+	room := t.roomFor(kind).CountFitting(spec.Request, tuning.MaxCountedSlots) - t.queued
 	if room <= 0 || slots == 0 {
 		return 0
 	}
@@ -190,7 +190,7 @@
 		if !machineTypeFits(spec, machineType) {
 			continue
 		}
-		slots := float64(max(machineType.Capacity.CountFitting(spec.Request, 64), 1))
+		slots := float64(max(machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots), 1))
 		cheapest = min(cheapest, machineType.Price/slots)
 		if spec.Spot {
 			cheapest = min(cheapest, machineType.SpotPrice/slots)
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -89,7 +89,7 @@
 	total := int64(0)
 	for kind, count := range c.peers.machinesByKind {
 		if machineType := c.cache.machineType(kind.machineType); machineType != nil && allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
-			total += count * machineType.Capacity.CountFitting(spec.Request, 64)
+			total += count * machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
 		}
 	}
 	return float64(max(total, 1))
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -102,9 +102,6 @@
 	return value
 }
 
-// manyMachineTypes is how many types a list must have to be shortened to those that exist.
-const manyMachineTypes = 4
-
 // fitHeader shortens what users chose freely in a header of the version before, which
 // had no bound for it: the class and the image serve as names here, and of the
 // types only those that exist count.
@@ -121,13 +118,13 @@
 
 // hasLongNames tells whether a job's description has a name or list that fitHeader may shorten.
 func hasLongNames(spec *domain.JobSpec) bool {
-	return len(spec.MachineTypes) >= manyMachineTypes || len(spec.Class) > tuning.NameBytes || len(spec.Image) > tuning.NameBytes
+	return len(spec.MachineTypes) >= tuning.ManyMachineTypes || len(spec.Class) > tuning.NameBytes || len(spec.Image) > tuning.NameBytes
 }
 
 // knownTypes are those of a long list that exist; of none of them, one that doesn't,
 // since an empty list would allow all.
 func (c *cache) knownTypes(names []string) []string {
-	if len(names) < manyMachineTypes || len(c.machineTypes) == 0 {
+	if len(names) < tuning.ManyMachineTypes || len(c.machineTypes) == 0 {
 		return names
 	}
 	var known []string
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -110,3 +110,18 @@
 	// SlackTasks is the least that is worth setting aside, in tasks.
 	SlackTasks = 16
 )
+
+// Bounds of a transaction.
+const (
+	// ConditionsPerChange is how many conditions a transaction may have for each change that
+	// it may have, by the state service's protocol.
+	ConditionsPerChange = 4
+	// SmallTransaction is how many changes a transaction may have that is so small that no
+	// stage of a plan keeps any from the others.
+	SmallTransaction = 4
+	// MaxBookingRounds bounds how many tasks one plan books on a machine.
+	MaxBookingRounds = 64
+	// ManyMachineTypes is how many types a job's list must have to be shortened to those
+	// that exist; shorter ones fit every header.
+	ManyMachineTypes = 4
+)
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -83,3 +83,7 @@
 	// view of zones apart must have stood, before that view ends.
 	MinZonedTime = 12 * time.Second
 )
+
+// MaxUnsettledConfirmations bounds the confirmations that wait for the cache; of more, the
+// oldest are forgotten. Only a watch that hangs lets them pile up.
+const MaxUnsettledConfirmations = 16
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -111,4 +111,6 @@
 	MaxClaimAge = 70 * time.Second
 	// ReservationFresh is how long the leader keeps room for a gang that doesn't fit.
 	ReservationFresh = 25 * time.Second
+	// MaxCountedSlots bounds the tasks of one kind that a machine is counted for.
+	MaxCountedSlots = 64
 )
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -86,3 +86,34 @@
 	// at one by one after all.
 	UnheardCut = 4 * UnheardPatience
 )
+
+// Pauses after what failed, and bounds of what is counted.
+const (
+	// MachineTypesRetry is the pause after a listing of machine types that failed.
+	MachineTypesRetry = 3 * time.Second
+	// MachineTypesCommitRetry is the pause after a commit of a new list that failed.
+	MachineTypesCommitRetry = time.Second
+	// RentalRetry is the pause after the cloud refused a rental for now.
+	RentalRetry = 1500 * time.Millisecond
+	// ReturnRetry is the pause after a return that failed.
+	ReturnRetry = 2 * time.Second
+	// ForgetInstanceAfter is how long an instance that no list has any more is remembered.
+	ForgetInstanceAfter = 5 * time.Minute
+	// UnlistedPatience, with twice the list's lag, is when a rented instance that was never
+	// listed is forgotten.
+	UnlistedPatience = 2 * time.Minute
+	// MaxPendingTasks of a job are counted as waiting; more would be rented for later.
+	MaxPendingTasks = 2000
+	// MaxPendingFailures in a row of a job's tasks, and nothing is rented for it.
+	MaxPendingFailures = 3
+	// ShortestRemainingRun, in seconds, is the least that a running task is expected to go on.
+	ShortestRemainingRun = 3
+	// PricedAtLeast is the least GPU, or else CPU, in thousandths, by which a price is
+	// divided.
+	PricedAtLeast = 1000
+	// MaxCountedGangs bounds the gangs that are counted against a team's limit.
+	MaxCountedGangs = 1000
+	// RentalAnswerMargin, beyond CloudTimeout, is when a rental without an answer is asked for
+	// again under the same name.
+	RentalAnswerMargin = time.Second
+)
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -72,3 +72,19 @@
 	// task at a time.
 	DoubtAfter = 3
 )
+
+// Times for saving, and what counts as small.
+const (
+	// SaveSlackSeconds are added to what saving costs when a task is told to save and stop:
+	// the command is a moment on its way.
+	SaveSlackSeconds = 2
+	// PreemptionSaveSlackSeconds is the same before the cloud takes the machine, which is
+	// final.
+	PreemptionSaveSlackSeconds = 4
+	// SmallTaskShare: a task that needs a machine's resources divided by this is small; the
+	// next one may come any moment.
+	SmallTaskShare = 8
+	// ForgetMachineAfter is how long a machine that is gone or belongs to another controller
+	// is remembered.
+	ForgetMachineAfter = time.Minute
+)
