--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	c := s.SchedulerSettings(nil, 1)
-	if len(c.Nodes) != 2 || c.Teams["t"].Limit.GPU != 8000 || c.StartWithin["x"] != 20 || len(c.DeadlineMultiples) != 1 || c.ValueLimit != 8192 {
+	if len(c.Controllers) != 2 || c.Teams["t"].Limit.GPU != 8000 || c.StartWithin["x"] != 20 || len(c.DeadlineMultiples) != 1 || c.ValueLimit != 8192 {
 		t.Errorf("scheduler settings %+v", c)
 	}
 	if c.FenceAge.Seconds()+c.WorkerLease.Seconds() >= c.CancelWithin.Seconds() {
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -16,9 +16,9 @@
 	p := s.Params
 	lowest := s.lowestLimits()
 	c := scheduler.Settings{
-		Node:              s.Member,
+		Controller:        s.Member,
 		Zone:              s.Zone,
-		Nodes:             []string{s.Member},
+		Controllers:       []string{s.Member},
 		Teams:             quotas(p.Teams),
 		Zones:             p.Zones,
 		ZoneOf:            map[string]string{s.Member: s.Zone},
@@ -28,12 +28,12 @@
 		GangPeerWait:      seconds(p.Workers.GangPeerWait),
 		FenceAge:          s.fenceAge(),
 		ValueLimit:        int(lowest.valueKB * bytesPerKB),
-		ValueLimitNow:     int(p.State.ValueKB * bytesPerKB),
+		CurrentValueLimit: int(p.State.ValueKB * bytesPerKB),
 		TransactionLimit:  lowest.transactionLimit,
 		WriteRate:         lowest.changesPerSecond * s.changeShare(),
 		FairWriteRate:     lowest.changesPerSecond * s.equalShare(),
 		ReadRate:          lowest.requestsPerSecond * s.equalShare(),
-		ListLag:           seconds(p.Cloud.ListLag),
+		InstanceListLag:   seconds(p.Cloud.ListLag),
 		Seed:              seed,
 		StartWithin:       map[string]float64{},
 		FinishWithin:      map[string][]float64{},
@@ -41,10 +41,10 @@
 		Learn:             true,
 	}
 	for _, m := range s.Members {
-		c.Nodes = append(c.Nodes, m.Name)
+		c.Controllers = append(c.Controllers, m.Name)
 		c.ZoneOf[m.Name] = m.Zone
 	}
-	slices.Sort(c.Nodes)
+	slices.Sort(c.Controllers)
 	setObjectives(&c, p.Objectives)
 	operator.override(&c)
 	return c
--- a/internal/metrics/status.go
+++ b/internal/metrics/status.go
@@ -35,9 +35,9 @@
 		{desc("epoch", "Epoch of the view, and the fencing token of all commands; 0 before the first view."),
 			func(s *scheduler.Status) float64 { return float64(s.Epoch) }},
 		{desc("leads", "1 while this controller is the view's leader."),
-			func(s *scheduler.Status) float64 { return flag(s.Leads) }},
+			func(s *scheduler.Status) float64 { return flag(s.IsLeader) }},
 		{desc("acts", "1 while view, lease and cache are confirmed, so that workers may be answered."),
-			func(s *scheduler.Status) float64 { return flag(s.Acts) }},
+			func(s *scheduler.Status) float64 { return flag(s.MayAct) }},
 		{desc("state_revision", "Revision of the state service up to which the cache has every change."),
 			func(s *scheduler.Status) float64 { return float64(s.Revision) }},
 		{desc("confirmed_age_seconds", "Age of the newest confirmation of view and cache; -1 before the first."),
@@ -58,10 +58,10 @@
 
 // confirmedAge is in seconds; -1: never confirmed.
 func confirmedAge(s *scheduler.Status) float64 {
-	if s.Confirmed < 0 {
+	if s.ConfirmationAge < 0 {
 		return -1
 	}
-	return s.Confirmed.Seconds()
+	return s.ConfirmationAge.Seconds()
 }
 
 // Describe lists what Collect gives.
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -62,8 +62,8 @@
 	return true, nil
 }
 
-// decodePage reads a value that means the same when it is deleted as when it is empty.
-func decodePage[Page any](value []byte) (page Page, err error) {
+// decodeOrZero reads a value that means the same when it is deleted as when it is empty.
+func decodeOrZero[Page any](value []byte) (page Page, err error) {
 	if value == nil {
 		return page, nil
 	}
@@ -103,7 +103,7 @@
 
 // applyTeamShares takes the controllers' shares of a team's limit.
 func (c *cache) applyTeamShares(team string, value []byte) (matters bool, err error) {
-	shares, err := decodePage[codec.TeamShares](value)
+	shares, err := decodeOrZero[codec.TeamShares](value)
 	if err != nil {
 		return false, err
 	}
@@ -186,12 +186,12 @@
 
 // applyCordons takes the page of cordons that a controller's machines are on.
 func (c *Controller) applyCordons(home string, value []byte) (matters bool, err error) {
-	page, err := decodePage[codec.CordonPage](value)
+	page, err := decodeOrZero[codec.CordonPage](value)
 	if err != nil {
 		return false, err
 	}
-	cordons := cordonsOn(page)
-	c.cache.dropCordons(c.cache.cordonPages[home], cordons)
+	cordons := cordonsOfPage(page)
+	c.cache.removeDroppedCordons(c.cache.cordonPages[home], cordons)
 	for machine, cordon := range cordons {
 		if c.cache.cordons[machine] != cordon {
 			c.cache.cordons[machine] = cordon
@@ -202,8 +202,8 @@
 	return true, nil
 }
 
-// cordonsOn are the cordons of a page, by machine.
-func cordonsOn(page codec.CordonPage) map[string]domain.Cordon {
+// cordonsOfPage are the cordons of a page, by machine.
+func cordonsOfPage(page codec.CordonPage) map[string]domain.Cordon {
 	cordons := make(map[string]domain.Cordon, len(page.Draining)+len(page.Gone))
 	for machine, reason := range page.Draining {
 		cordons[machine] = domain.Cordon{State: domain.CordonDrain, Reason: reason}
@@ -214,9 +214,9 @@
 	return cordons
 }
 
-// dropCordons forgets the cordons that were on the old page and no longer are: they belong to
+// removeDroppedCordons forgets the cordons that were on the old page and no longer are: they belong to
 // machines gone for long.
-func (c *cache) dropCordons(old codec.CordonPage, now map[string]domain.Cordon) {
+func (c *cache) removeDroppedCordons(old codec.CordonPage, now map[string]domain.Cordon) {
 	for machine := range old.Draining {
 		if _, ok := now[machine]; !ok {
 			delete(c.cordons, machine)
@@ -231,5 +231,5 @@
 
 // cordonPageOf is the page that a machine's cordon is on, whoever owns the machine.
 func (c *Controller) cordonPageOf(machine string) string {
-	return ownership.Rendezvous(machine, c.cfg.Nodes)
+	return ownership.Rendezvous(machine, c.cfg.Controllers)
 }
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -27,10 +27,10 @@
 	if isNew {
 		j = c.addJob(id, header)
 	}
-	c.carrySpec(j, header, isNew)
+	c.carryOverSpec(j, header, isNew)
 	switch {
 	case header.State == domain.StateOpen && header.Pack != j.Header.Pack:
-		c.cache.movePack(j, header)
+		c.cache.changePack(j, header)
 	case header.Shard != j.Header.Shard:
 		c.dequeueTasks(j, header.TaskCount)
 	}
@@ -44,7 +44,7 @@
 		}
 	}
 	c.settlePhase(j)
-	if j.final() && header.Spec == nil {
+	if j.isFinal() && header.Spec == nil {
 		c.cache.forgetTasks(j)
 	}
 }
@@ -64,9 +64,9 @@
 	return j
 }
 
-// carrySpec completes the job's description in its new header by what isn't stored there, or
+// carryOverSpec completes the job's description in its new header by what isn't stored there, or
 // lets go of the bookings if the new header has none any more.
-func (c *Controller) carrySpec(j *Job, header *codec.JobHeader, isNew bool) {
+func (c *Controller) carryOverSpec(j *Job, header *codec.JobHeader, isNew bool) {
 	if header.Spec != nil {
 		header.Spec.ID = j.ID
 		if j.Header.Spec != nil && !isNew {
@@ -86,9 +86,9 @@
 	}
 }
 
-// movePack gives a job that was handed over to another shard, or moved with its tasks, the
+// changePack gives a job that was handed over to another shard, or moved with its tasks, the
 // header that names its new pack.
-func (c *cache) movePack(j *Job, header *codec.JobHeader) {
+func (c *cache) changePack(j *Job, header *codec.JobHeader) {
 	c.unindexPack(j)
 	j.Header = header
 	c.indexPack(j)
@@ -135,7 +135,7 @@
 	if j.counts.queued == 0 {
 		j.waitReason = WaitsForNothing
 	}
-	if task.State != domain.Queued || c.cache.taskShard(j, task) != c.cfg.Node {
+	if task.State != domain.Queued || c.cache.taskShard(j, task) != c.cfg.Controller {
 		c.dequeue(id)
 	}
 }
--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -14,7 +14,7 @@
 	// A chunk needs its header first, and the view comes last: whoever sees epoch e
 	// has every change that was conditional on an earlier one.
 	sort.Slice(snapshot.Items, func(a, b int) bool {
-		return loadOrder(snapshot.Items[a].Key) < loadOrder(snapshot.Items[b].Key)
+		return snapshotOrder(snapshot.Items[a].Key) < snapshotOrder(snapshot.Items[b].Key)
 	})
 	c.cache.loadingSnapshot = true
 	for _, item := range snapshot.Items {
@@ -45,9 +45,9 @@
 	}
 }
 
-// loadOrder is the place of a key among the items of a snapshot; keys with the same number may
+// snapshotOrder is the place of a key among the items of a snapshot; keys with the same number may
 // come in any order.
-func loadOrder(key string) int {
+func snapshotOrder(key string) int {
 	switch kind, _ := codec.ParseKey(key); kind {
 	case codec.KindView:
 		return 3
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -11,9 +11,9 @@
 	"brassglade/internal/domain"
 )
 
-// TestChunksStayWritable: bookings wait while a value is full, and whatever ends and
+// TestChunksStayWithinValueLimit: bookings wait while a value is full, and whatever ends and
 // is booked again in whatever order, the value never outgrows its bound.
-func TestChunksStayWritable(t *testing.T) {
+func TestChunksStayWithinValueLimit(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for round := 0; round < 40; round++ {
 		c := acting()
@@ -34,7 +34,7 @@
 					d.release(j, i, false)
 				}
 			}
-			if !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+			if !c.planner.reserveLongestTexts && c.hasValueTooLarge(d.transaction()) {
 				c.planner.reserveLongestTexts = true // planned anew with room for the worst (planCommit)
 				continue
 			}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -204,7 +204,7 @@
 func (c *Controller) stopCommand(m *Machine, report domain.TaskReport) (domain.Command, bool) {
 	stop := domain.Command{Kind: domain.StopTask, Task: report.Task, Attempt: report.Attempt, Reason: domain.ReasonNotBooked}
 	j := c.cache.jobs[report.Task.Job]
-	if j == nil || j.final() || !c.cache.isBooking(m, report) {
+	if j == nil || j.isFinal() || !c.cache.isBooking(m, report) {
 		return stop, true // nobody has any use for it
 	}
 	task, spec := j.task(report.Task.Index), j.Header.Spec
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -25,7 +25,7 @@
 	rate            float64                   // changes a second for task commits, at present
 	tokens          float64                   // changes that may be made now; below zero after urgent ones
 	tokensAt        time.Duration             // when tokens were last counted
-	leaderRate      bool                      // rate is that of a leader
+	isLeaderRate    bool                      // rate is that of a leader
 	lastChanges     int                       // changes of the last task commit
 	machines        map[string]bool           // that the task commit in flight concerns
 	avoidUntil      map[string]time.Duration  // keys left out of task commits until then
@@ -98,15 +98,15 @@
 
 // fullWriteRate is how many changes a second this controller may make when none of its
 // commits was refused lately; 0: no bound.
-func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.weight() }
+func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.writeWeight() }
 
 // refill counts the changes that may be made by now: the rate grows back to the full one,
 // in changes a second, after refusals made it smaller, and what isn't used within a second
 // is lost. Who becomes the leader, or stops being it, starts at the full rate of its weight.
 func (s *commits) refill(now time.Duration, full float64, isLeader bool) {
 	seconds := (now - s.tokensAt).Seconds()
-	if s.leaderRate != isLeader {
-		s.leaderRate = isLeader
+	if s.isLeaderRate != isLeader {
+		s.isLeaderRate = isLeader
 		s.rate = full
 	}
 	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
@@ -127,46 +127,46 @@
 	return writeRate <= 0 || s.tokens >= min(float64(s.lastChanges), tuning.TaskCredit*writeRate)
 }
 
-// slowDown lowers the rate after a refusal, to no less than fair. All controllers together
+// reduceRate lowers the rate after a refusal, to no less than fair. All controllers together
 // want more than the store takes, and it refuses users' submissions as well: each goes back
 // towards its fair share.
-func (s *commits) slowDown(fair float64) {
+func (s *commits) reduceRate(fair float64) {
 	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
 }
 
 // --- avoided keys ---
 
-// isAvoiding tells whether a key is left out of task commits.
-func (s *commits) isAvoiding(key string, now time.Duration) bool {
+// isKeyAvoided tells whether a key is left out of task commits.
+func (s *commits) isKeyAvoided(key string, now time.Duration) bool {
 	until, ok := s.avoidUntil[key]
 	return ok && now < until
 }
 
-// avoids is isAvoiding that forgets the key once its time is over.
-func (s *commits) avoids(key string, now time.Duration) bool {
-	if s.isAvoiding(key, now) {
+// checkAvoided is isAvoiding that forgets the key once its time is over.
+func (s *commits) checkAvoided(key string, now time.Duration) bool {
+	if s.isKeyAvoided(key, now) {
 		return true
 	}
 	delete(s.avoidUntil, key)
 	return false
 }
 
-// isAvoided tells whether the value of task i of a job lost a conflict just now. What is
+// isTaskAvoided tells whether the value of task i of a job lost a conflict just now. What is
 // left out for that is planned again.
-func (c *Controller) isAvoided(j *Job, i int) bool {
+func (c *Controller) isTaskAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
 	}
-	if !c.commits.avoids(j.Header.KeyOf(j.ID, i), c.now) {
+	if !c.commits.checkAvoided(j.Header.KeyOf(j.ID, i), c.now) {
 		return false
 	}
 	c.planner.dirty = true
 	return true
 }
 
-// avoidContested leaves values that lost a conflict out for a little, of random length:
+// avoidConflictedKeys leaves values that lost a conflict out for a little, of random length:
 // one contested value must not keep failing all else that this controller has to write.
-func (c *Controller) avoidContested(failed []string) {
+func (c *Controller) avoidConflictedKeys(failed []string) {
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
 		case codec.KindTeam, codec.KindPack, codec.KindTasks:
@@ -183,9 +183,9 @@
 	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
-// sendPlan commits a draft and settles what comes of it. From now on no start of an
+// commitDraft commits a draft and settles what comes of it. From now on no start of an
 // attempt that it releases may go out: the commit may be carried out late.
-func (c *Controller) sendPlan(d *draft) {
+func (c *Controller) commitDraft(d *draft) {
 	transaction := d.transaction()
 	for _, attempt := range d.releases {
 		c.planner.pendingReleases[attempt] = true
@@ -196,12 +196,12 @@
 		"tasks", len(d.changed), "released", len(d.releases),
 		"conditions", len(transaction.Conditions), "bytes", transactionBytes(transaction))
 	c.commits.taskCommit = c.commit(LaneTask, transaction, func(result domain.CommitResult, answer CommitAnswered) {
-		c.settlePlan(d, transaction, result, answer)
+		c.onTaskCommitResult(d, transaction, result, answer)
 	})
 }
 
-// settlePlan takes the outcome of the task commit that was in flight.
-func (c *Controller) settlePlan(d *draft, transaction domain.Transaction, result domain.CommitResult, answer CommitAnswered) {
+// onTaskCommitResult takes the outcome of the task commit that was in flight.
+func (c *Controller) onTaskCommitResult(d *draft, transaction domain.Transaction, result domain.CommitResult, answer CommitAnswered) {
 	c.commits.taskCommit = nil
 	c.planner.dirty = true
 	for name := range d.machines {
@@ -216,7 +216,7 @@
 	case domain.Conflict:
 		c.debug("task commit conflict", "failed", answer.Failed)
 		c.commits.minRevision = max(c.commits.minRevision, answer.Revision)
-		c.avoidContested(answer.Failed)
+		c.avoidConflictedKeys(answer.Failed)
 	default:
 		c.debug("task commit not confirmed", "result", int(result))
 		c.backOff(result)
@@ -232,16 +232,16 @@
 // no answer.
 func (c *Controller) backOff(result domain.CommitResult) {
 	if result == domain.Refused && c.membership.IsStateReachable() {
-		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
+		c.commits.reduceRate(c.cfg.FairWriteRate * c.writeWeight())
 	}
 	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
 }
 
 // --- sizes ---
 
-// valueBytes is what a value may take in a transaction that changes it.
-func (c *Controller) valueBytes(key string) int {
-	return min(c.valueBound(), c.cache.valueSizes[key]+tuning.ValueGrow)
+// maxValueBytes is what a value may take in a transaction that changes it.
+func (c *Controller) maxValueBytes(key string) int {
+	return min(c.valueLimit(), c.cache.valueSizes[key]+tuning.ValueGrow)
 }
 
 // transactionBytes is what a transaction's values take.
@@ -253,9 +253,9 @@
 	return bytes
 }
 
-// tooLarge tells whether a transaction has a value that outgrew its bound in this
+// hasValueTooLarge tells whether a transaction has a value that outgrew its bound in this
 // draft: estimates are for what is usual.
-func (c *Controller) tooLarge(transaction domain.Transaction) bool {
+func (c *Controller) hasValueTooLarge(transaction domain.Transaction) bool {
 	for _, put := range transaction.Puts {
 		if len(put.Value) > c.cfg.ValueLimit && !c.cache.oversized[put.Key] {
 			return true
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -14,8 +14,8 @@
 	"brassglade/internal/tuning"
 )
 
-// Work counts what grows with the fleet, so that tests need no clock to see it.
-type Work struct {
+// WorkCounts counts what grows with the fleet, so that tests need no clock to see it.
+type WorkCounts struct {
 	Events            int            // steps
 	PendingHeartbeats int            // heartbeats waiting for their answer looked at
 	Machines          int            // machines looked at one by one (reviewMachines)
@@ -27,7 +27,7 @@
 // Controller is the whole state of one controller. It is made of components, each with
 // the state of one concern; Step is the only way in.
 type Controller struct {
-	Work    Work
+	Work    WorkCounts
 	cfg     Settings
 	rng     *rand.Rand    // all random draws, seeded
 	now     time.Duration // steady time of the present step
@@ -53,10 +53,10 @@
 // New returns the state of a controller that has just started. The incarnation is unique
 // among all processes of all controllers.
 func New(cfg Settings, incarnation string) *Controller {
-	cfg.ValueLimitNow = max(cfg.ValueLimitNow, cfg.ValueLimit)
+	cfg.CurrentValueLimit = max(cfg.CurrentValueLimit, cfg.ValueLimit)
 	c := &Controller{
 		cfg:        cfg,
-		rng:        rand.New(rand.NewPCG(cfg.Seed, ownership.Hash(cfg.Node))),
+		rng:        rand.New(rand.NewPCG(cfg.Seed, ownership.Hash(cfg.Controller))),
 		membership: membership.New(membership.Config{FenceAge: cfg.FenceAge, ReadRate: cfg.ReadRate}, incarnation),
 		views:      newViews(),
 		cache:      newCache(),
@@ -79,13 +79,13 @@
 	c.effects = c.effects[:0:0]
 	c.Work.Events++
 	c.commits.refill(c.now, c.fullWriteRate(), c.isLeader())
-	c.take(event)
-	c.doWhatIsDue()
+	c.dispatch(event)
+	c.runDueWork()
 	return c.effects
 }
 
-// take hands an event to the component that it concerns.
-func (c *Controller) take(event Event) {
+// dispatch hands an event to the component that it concerns.
+func (c *Controller) dispatch(event Event) {
 	switch e := event.(type) {
 	case Tick:
 	case SnapshotLoaded:
@@ -127,10 +127,10 @@
 	}
 }
 
-// doWhatIsDue does what is due now, whatever the event was. Each component decides for
+// runDueWork does what is due now, whatever the event was. Each component decides for
 // itself whether anything is. First comes what keeps this controller in its place, then what
 // others learn from it, then its decisions, and last the answers that tell machines.
-func (c *Controller) doWhatIsDue() {
+func (c *Controller) runDueWork() {
 	c.maintainLease() // without lease and member key nothing else counts
 	c.confirmView()   // every moment in which it isn't sent shortens what the fence allows
 	c.proposeView()   // after maintainLease, which may find the member key gone
@@ -150,12 +150,12 @@
 	c.reviewMachines()          // last: an answer just given renews its machine's lease
 }
 
-// weight is this controller's share of the changes a second, where an equal one is 1. In a
+// writeWeight is this controller's share of the changes a second, where an equal one is 1. In a
 // large fleet the leader writes gangs and cordons besides its own shard; with an equal
 // share of the changes its own jobs waited for minutes beside machines that were
 // free, and looked like those with most room.
-func (c *Controller) weight() float64 {
-	controllers := float64(len(c.cfg.Nodes))
+func (c *Controller) writeWeight() float64 {
+	controllers := float64(len(c.cfg.Controllers))
 	if controllers < 3 || c.cache.view == nil || !c.isLargeFleet() {
 		return 1
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -53,7 +53,7 @@
 	random := rand.New(rand.NewPCG(3, 4))
 	for round := 0; round < 50; round++ {
 		random.Shuffle(len(kvs), func(a, b int) { kvs[a], kvs[b] = kvs[b], kvs[a] })
-		c := New(Settings{Node: "c-0"}, "x")
+		c := New(Settings{Controller: "c-0"}, "x")
 		for _, kv := range kvs {
 			c.apply(kv)
 		}
@@ -61,7 +61,7 @@
 			t.Fatalf("may start: %v", got)
 		}
 		for i, want := range map[int]bool{3: false, 4: true, 5: true, 7: false} {
-			if j := c.cache.jobs[jobName(i)]; j.cancelled() != want || j.final() != want {
+			if j := c.cache.jobs[jobName(i)]; j.cancelled() != want || j.isFinal() != want {
 				t.Fatalf("job %d: cancelled %v", i, j.cancelled())
 			}
 		}
@@ -80,7 +80,7 @@
 // cancellation of the root of a chain of 50,000 reaches its end, and each job of a
 // fan of 2,000 is looked at a few times, not once for each pair.
 func TestLongPipelines(t *testing.T) {
-	c := New(Settings{Node: "c-0"}, "x")
+	c := New(Settings{Controller: "c-0"}, "x")
 	const n = 50000
 	c.apply(openHeader(t, jobName(0), 1, 0, 0))
 	for i := 1; i < n; i++ {
@@ -93,7 +93,7 @@
 	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
 		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.cache.dependents))
 	}
-	c = New(Settings{Node: "c-0"}, "x")
+	c = New(Settings{Controller: "c-0"}, "x")
 	var all []string
 	for i := 0; i < 2000; i++ {
 		c.apply(openHeader(t, jobName(i), uint64(i+1), 0, 0))
@@ -118,7 +118,7 @@
 // deadline that leaves time for those after it, on the longest path.
 func TestUrgencyPassesBack(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
-		c := New(Settings{Node: "c-0"}, "x")
+		c := New(Settings{Controller: "c-0"}, "x")
 		kvs := []domain.KeyValue{
 			openHeader(t, jobName(1), 1, 0, 0), openHeader(t, jobName(2), 2, 0, 0, jobName(1)), openHeader(t, jobName(3), 3, 1, 0, jobName(1)),
 			openHeader(t, jobName(4), 4, 0, 0, jobName(3)), openHeader(t, jobName(5), 5, 2, 100, jobName(2), jobName(4)),
@@ -143,7 +143,7 @@
 func TestAgesSurviveRestarts(t *testing.T) {
 	wall := int64(1_700_000_000_000)
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
-	c := New(Settings{Node: "c-0", WallClockMS: wall}, "x")
+	c := New(Settings{Controller: "c-0", WallClockMS: wall}, "x")
 	c.now = 2 * time.Second
 	c.loadSnapshot(SnapshotLoaded{Revision: 9, Items: []domain.KeyValue{
 		{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(codec.JobHeader{State: domain.StateDone, TaskCount: 1, DoneAtMS: wall - 30_000}), ModRevision: 5},
@@ -160,7 +160,7 @@
 
 // acting is a controller that may act, with one machine type.
 func acting() *Controller {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
+	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
 	c.now = time.Minute
 	c.membership.CacheLoaded()
@@ -234,7 +234,7 @@
 		t.Fatalf("%d jobs needed, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
 	// Another controller, the header first.
-	other := New(Settings{Node: "c-1"}, "y")
+	other := New(Settings{Controller: "c-1"}, "y")
 	other.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
 	if other.cache.jobs[j.ID].phase != phaseWaiting {
 		t.Fatal("starts without its list")
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -100,7 +100,7 @@
 		return
 	}
 	d.keys[key] = true
-	d.bytes += d.c.valueBytes(key)
+	d.bytes += d.c.maxValueBytes(key)
 	d.addCondition(key)
 }
 
@@ -110,7 +110,7 @@
 	if header == nil {
 		clone := *j.Header
 		header = &clone
-		d.c.fitHeader(header)
+		d.c.shortenHeader(header)
 		d.headers[j.ID] = header
 		d.addCondition(codec.KeyJob(j.ID))
 		d.bytes += tuning.HeaderBytes
@@ -251,7 +251,7 @@
 		if header.Pack == "" {
 			return refusedOversized
 		}
-		pack, ok := d.target(change.job)
+		pack, ok := d.moveTarget(change.job)
 		if !ok {
 			return refusedOversized
 		}
@@ -266,13 +266,13 @@
 // mayNotWrite tells whether the value of a change can't be written any more as it is, or
 // must not grow.
 func (d *draft) mayNotWrite(change *taskChange) bool {
-	return (d.c.formats.limitsFell || change.grows && d.c.cache.formatOn()) && d.c.isOversizedInPlan(change.key)
+	return (d.c.formats.limitsLowered || change.grows && d.c.cache.isFormatOn()) && d.c.isOversizedInPlan(change.key)
 }
 
 // isFullValue tells whether the value has no room for one more booking.
 func (d *draft) isFullValue(change *taskChange) bool {
-	bound := d.c.valueBound()
-	if d.c.cache.formatOn() {
+	bound := d.c.valueLimit()
+	if d.c.cache.isFormatOn() {
 		bound = d.c.cfg.ValueLimit
 	}
 	return d.c.cache.valueSizes[change.key]+d.growth[change.key]+2*tuning.TaskBytes+len(change.job.ID) > bound-tuning.PackSlack
@@ -283,7 +283,7 @@
 	j, changes, bytes := change.job, d.changes(), d.bytes
 	if !d.keys[change.key] && !j.Header.Inline {
 		changes++
-		bytes += d.c.valueBytes(change.key)
+		bytes += d.c.maxValueBytes(change.key)
 	}
 	if change.header && d.headers[j.ID] == nil {
 		changes++
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -60,7 +60,7 @@
 	}
 	task := d.task(j, i)
 	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
-	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Node}
+	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Controller}
 	if d.c.guard(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
 	}
@@ -80,7 +80,7 @@
 // bookBytes is what a booking is planned to add to its value: what it mostly takes,
 // or, when a draft came out too large by that, the most that it may take.
 func (c *Controller) bookBytes() int {
-	if c.cache.formatOn() && !c.planner.reserveLongestTexts {
+	if c.cache.isFormatOn() && !c.planner.reserveLongestTexts {
 		return tuning.TaskBytesShort
 	}
 	return tuning.TaskBytes
@@ -102,7 +102,7 @@
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
 	d.machines[task.Machine] = true
 	d.usedOn[task.Machine] = d.usedOn[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
-	if task.Shard == d.c.cfg.Node {
+	if task.Shard == d.c.cfg.Controller {
 		d.countUsage(spec, -1)
 	}
 	task.Machine, task.AgentEpoch, task.Zone = "", 0, ""
@@ -155,7 +155,7 @@
 // finishJob ends a job of which all tasks are done. Its header says all there is to know.
 func (d *draft) finishJob(j *Job, header *codec.JobHeader) {
 	header.State, header.Spec, header.SplitChunks, header.CellSize = domain.StateDone, nil, nil, 0
-	if d.c.cache.formatOn() {
+	if d.c.cache.isFormatOn() {
 		header.DoneAtMS = d.c.wallMS()
 	}
 	d.finished[j.ID] = true
--- a/internal/scheduler/foreign_values.go
+++ b/internal/scheduler/foreign_values.go
@@ -10,16 +10,16 @@
 		return false
 	}
 	if j.Header.Pack != "" {
-		return !strings.HasPrefix(j.Header.Pack, c.cfg.Node+"/")
+		return !strings.HasPrefix(j.Header.Pack, c.cfg.Controller+"/")
 	}
-	return c.cache.shardOf(j) != c.cfg.Node
+	return c.cache.shardOf(j) != c.cfg.Controller
 }
 
 // nextForeignValue is the other shard's value to be changed next, in turn; "": none.
 func (c *Controller) nextForeignValue() string {
 	next, first := "", ""
 	for key := range c.planner.foreignValues {
-		if c.commits.isAvoiding(key, c.now) {
+		if c.commits.isKeyAvoided(key, c.now) {
 			continue
 		}
 		if first == "" || key < first {
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -12,20 +12,20 @@
 type formats struct {
 	announcing       bool        // a commit of it is in flight
 	nextAnnouncement steady.Gate // closed for a while after each answer
-	limitsFell       bool        // a refusal showed that values must be smaller now
+	limitsLowered    bool        // a refusal showed that values must be smaller now
 }
 
-// formatOn tells whether all controllers read and keep what this version writes.
-func (c *cache) formatOn() bool { return c.format >= codec.CurrentFormat }
+// isFormatOn tells whether all controllers read and keep what this version writes.
+func (c *cache) isFormatOn() bool { return c.format >= codec.CurrentFormat }
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
-	if c.cache.formatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.isFormatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
-	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
-		c.commitFormat(codec.PrefixFormat+c.cfg.Node, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()})
-	} else if c.isLeader() && c.cache.allAnnounced(c.cfg.Nodes) {
+	if c.cache.announcedFormats[c.cfg.Controller] < codec.CurrentFormat {
+		c.commitFormat(codec.PrefixFormat+c.cfg.Controller, codec.Format{Version: codec.CurrentFormat, Incarnation: c.membership.Incarnation()})
+	} else if c.isLeader() && c.cache.allAnnounced(c.cfg.Controllers) {
 		c.commitFormat(codec.KeyFormat, codec.Format{Version: codec.CurrentFormat})
 	}
 }
@@ -71,7 +71,7 @@
 		c.cache.announcedFormats[controller] = format.Version
 		return true, nil
 	}
-	if !c.cache.formatOn() && format.Version >= codec.CurrentFormat {
+	if !c.cache.isFormatOn() && format.Version >= codec.CurrentFormat {
 		c.info("format on", "version", format.Version)
 	}
 	c.cache.format = max(c.cache.format, format.Version)
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -14,8 +14,8 @@
 	"brassglade/internal/ownership"
 )
 
-// valuesOfBefore reads the kept values of the version before.
-func valuesOfBefore(t *testing.T) (snapshot SnapshotLoaded) {
+// previousVersionValues reads the kept values of the version before.
+func previousVersionValues(t *testing.T) (snapshot SnapshotLoaded) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/before.values")
 	if err != nil {
@@ -36,10 +36,10 @@
 	return snapshot
 }
 
-// TestBeforeValuesAreRead: what the version before wrote means the same here.
-func TestBeforeValuesAreRead(t *testing.T) {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, ValueLimitNow: 4096, TransactionLimit: 4}, "x")
-	c.loadSnapshot(valuesOfBefore(t))
+// TestReadsValuesOfPreviousVersion: what the version before wrote means the same here.
+func TestReadsValuesOfPreviousVersion(t *testing.T) {
+	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, CurrentValueLimit: 4096, TransactionLimit: 4}, "x")
+	c.loadSnapshot(previousVersionValues(t))
 	if view := c.cache.view; view == nil || view.Epoch != 2 || view.Leader != "c-0" || len(view.Serving) != 3 || len(c.cache.members) != 3 {
 		t.Errorf("view %+v", view)
 	}
@@ -47,7 +47,7 @@
 		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
 		t.Error("machine types, cordons, shares or windows are not as written")
 	}
-	if c.cache.formatOn() {
+	if c.cache.isFormatOn() {
 		t.Error("the format is on though nobody announced it")
 	}
 	for id, want := range map[string]struct {
@@ -71,12 +71,12 @@
 	}
 }
 
-// TestFormatNeedsAll: the new format is announced only behind a view that has this
+// TestFormatEnabledOnceAllAnnounced: the new format is announced only behind a view that has this
 // incarnation, turned on only by the leader once every controller of the settings, not
 // only of the view, has announced it, and stays on.
-func TestFormatNeedsAll(t *testing.T) {
+func TestFormatEnabledOnceAllAnnounced(t *testing.T) {
 	c := acting()
-	c.cfg.Nodes = []string{"c-0", "c-1", "c-2"}
+	c.cfg.Controllers = []string{"c-0", "c-1", "c-2"}
 	c.cache.format = 0
 	turn := func() (keys []string) {
 		c.now += time.Second
@@ -93,7 +93,7 @@
 		t.Fatalf("wrote %v", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
-	if keys := turn(); len(keys) > 0 || c.cache.formatOn() {
+	if keys := turn(); len(keys) > 0 || c.cache.isFormatOn() {
 		t.Fatalf("%v is written while c-2 may come back as it was", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
@@ -102,26 +102,26 @@
 		t.Fatalf("%v is written by one that doesn't lead", keys)
 	}
 	c.cache.view.Leader = "c-0"
-	if keys := turn(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.formatOn() {
+	if keys := turn(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.isFormatOn() {
 		t.Fatalf("wrote %v", keys)
 	}
 	// One that restarts learns of it from what is stored.
-	restarted := New(Settings{Node: "c-2"}, "z")
+	restarted := New(Settings{Controller: "c-2"}, "z")
 	restarted.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
-	if !restarted.cache.formatOn() {
+	if !restarted.cache.isFormatOn() {
 		t.Error("off again after a restart")
 	}
 }
 
 // The new limits that TestEachKindFitsAgain checks against.
 const (
-	fallenValueLimit       = 2048 // bytes
-	fallenTransactionLimit = 4    // changes
+	loweredValueLimit       = 2048 // bytes
+	loweredTransactionLimit = 4    // changes
 )
 
-// TestEachKindFitsAgain: values of each kind that are larger than the new limits, 2
+// TestValuesFitLoweredLimits: values of each kind that are larger than the new limits, 2
 // KiB and 4 changes, are written again within them after the limits fell.
-func TestEachKindFitsAgain(t *testing.T) {
+func TestValuesFitLoweredLimits(t *testing.T) {
 	t.Run("view", viewFitsAgain)
 	t.Run("cordon page", cordonPageFitsAgain)
 	t.Run("machine types", machineTypesFitAgain)
@@ -130,21 +130,21 @@
 	t.Run("pack and chunk", packAndChunkFitAgain)
 }
 
-// afterLimitsFell is an acting controller that knows that the limits fell below what was stored.
-func afterLimitsFell() *Controller {
+// withLoweredLimits is an acting controller that knows that the limits fell below what was stored.
+func withLoweredLimits() *Controller {
 	c := acting()
-	c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
+	c.cfg.CurrentValueLimit, c.formats.limitsLowered = 8192, true
 	return c
 }
 
 // checkLimits checks that the changes of a transaction are within the new limits.
 func checkLimits(t *testing.T, puts []domain.Put) {
 	t.Helper()
-	if len(puts) > fallenTransactionLimit {
+	if len(puts) > loweredTransactionLimit {
 		t.Errorf("%d changes", len(puts))
 	}
 	for _, put := range puts {
-		if len(put.Value) > fallenValueLimit {
+		if len(put.Value) > loweredValueLimit {
 			t.Errorf("%s has %d bytes", put.Key, len(put.Value))
 		}
 	}
@@ -152,8 +152,8 @@
 
 // viewFitsAgain: a view full of overrides.
 func viewFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
-	c.cfg.Nodes = []string{"c-0", "c-1"}
+	c := withLoweredLimits()
+	c.cfg.Controllers = []string{"c-0", "c-1"}
 	members := map[string]string{"c-0": "x", "c-1": "y"}
 	overrides := map[string]string{}
 	for i := 0; i < 200; i++ {
@@ -171,7 +171,7 @@
 // cordonPageFitsAgain: a page of machines that are drained to be given back, one of which is
 // gone.
 func cordonPageFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	page := codec.CordonPage{Draining: map[string]string{}}
 	for i := 0; i < 400; i++ {
 		page.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
@@ -190,7 +190,7 @@
 
 // machineTypesFitAgain: forty machine types.
 func machineTypesFitAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	var types []domain.MachineType
 	for i := 0; i < 40; i++ {
 		types = append(types, domain.MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
@@ -208,7 +208,7 @@
 
 // windowFitsAgain: a window of 2,000 loads.
 func windowFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	record := codec.WindowRecord{CriticWeights: make([]float64, 4)}
 	for i := 0; i < 2000; i++ {
 		record.Loads = append(record.Loads, float64(i)+0.5)
@@ -222,7 +222,7 @@
 
 // headerFitsAgain: a header with names and a list that its user chose freely.
 func headerFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
 	for i := 0; i < 300; i++ {
 		header.Spec.MachineTypes = append(header.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
@@ -249,7 +249,7 @@
 // packAndChunkFitAgain: a pack of thirty jobs, and a chunk that is split: planSplits until all
 // fit. Another controller that reads what is stored then knows the same bookings.
 func packAndChunkFitAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	applyLargePackAndChunk(t, c)
 	stored := map[string][]byte{}
 	for id, j := range c.cache.jobs {
@@ -268,14 +268,14 @@
 			stored[put.Key] = put.Value
 		}
 		if d.changes() > 0 {
-			c.sendPlan(d)
+			c.commitDraft(d)
 			commitAll(t, c)
 		}
 	}
 	if len(c.cache.oversized) > 0 {
 		t.Errorf("still too large: %v", c.cache.oversized)
 	}
-	reader := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
+	reader := New(Settings{Controller: "c-1", ValueLimit: 2048}, "y")
 	snapshot := SnapshotLoaded{Revision: 99}
 	for key, value := range stored {
 		snapshot.Items = append(snapshot.Items, domain.KeyValue{Key: key, Value: value, ModRevision: 99})
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -197,7 +197,7 @@
 // bookByLeader adds a job's bookings to the draft; false: the draft is full.
 func (c *Controller) bookByLeader(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim, pass PlanningPass) bool {
 	spec := j.Header.Spec
-	if c.isAvoided(j, 0) {
+	if c.isTaskAvoided(j, 0) {
 		return true
 	}
 	if j.isGangDone(d) {
@@ -248,7 +248,7 @@
 // and for conditions on them, its header, its team's share and the cordons of its machines.
 func (d *draft) takesGang(j *Job) bool {
 	cells, cfg := j.Header.CellCount(), &d.c.cfg
-	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Nodes))
+	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Controllers))
 	return d.changes()+cells+1 <= d.maxChanges && d.bytes+cells*cfg.ValueLimit <= tuning.TxnBytes &&
 		d.takesConditions(cells+2+cordonPages)
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -93,7 +93,7 @@
 		return controllerMayNotAct
 	case heartbeat.FencingToken > c.cache.view.Epoch:
 		return newerViewSeen
-	case c.ownerIn(heartbeat.Machine, heartbeat.Zone) != c.cfg.Node:
+	case c.ownerIn(heartbeat.Machine, heartbeat.Zone) != c.cfg.Controller:
 		return ownedElsewhere
 	}
 	return heartbeatAccepted
@@ -430,7 +430,7 @@
 // arePeersFresh tells whether all other serving controllers were heard just now.
 func (c *Controller) arePeersFresh() bool {
 	for _, node := range c.cache.view.Serving {
-		if peer := c.peers.byName[node]; node != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
+		if peer := c.peers.byName[node]; node != c.cfg.Controller && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
 			return false
 		}
 	}
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -12,7 +12,7 @@
 // comes back in a new agent epoch. Its lease runs from the beginning of that epoch, not
 // from the last answer to the old one.
 func TestNewAgentEpochIsNotAbandonedForTheOldOne(t *testing.T) {
-	c := New(Settings{Node: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
+	c := New(Settings{Controller: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
 	c.now = 10 * time.Second
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 1, Sequence: 5}, true)
@@ -34,7 +34,7 @@
 // TestMemberKeyIsNotHammered: a lease that expired refuses the member key; the controller
 // waits before it tries again (incident inc-16a3: eleven times in 60 ms).
 func TestMemberKeyIsNotHammered(t *testing.T) {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
+	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
 	c.Step(0, Tick{})
 	c.Step(time.Millisecond, LeaseGranted{OK: true, LeaseID: 1})
 	writes := 0
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -20,9 +20,9 @@
 	modRevision uint64 // that the commit found
 }
 
-// isSettled tells whether the value changed since: the commit was carried out, or never
+// isOutcomeKnown tells whether the value changed since: the commit was carried out, or never
 // will be.
-func (v inDoubtCommit) isSettled(modRevisions map[string]uint64) bool {
+func (v inDoubtCommit) isOutcomeKnown(modRevisions map[string]uint64) bool {
 	return modRevisions[v.key] != v.modRevision
 }
 
@@ -39,7 +39,7 @@
 			return // carried out, or never to be
 		}
 	}
-	best := unfitToExclude
+	best := notExcludable
 	for _, put := range lost.Puts {
 		if rank := exclusionRank(put.Key); rank < best {
 			best = rank
@@ -48,8 +48,8 @@
 	}
 }
 
-// unfitToExclude is the rank of values that can't be written again as they are.
-const unfitToExclude = 4
+// notExcludable is the rank of values that can't be written again as they are.
+const notExcludable = 4
 
 // exclusionRank orders values by how well they serve to exclude a commit, the best first:
 // packs, then cells and headers, then teams' shares, which all controllers change.
@@ -62,7 +62,7 @@
 	case codec.KindTeam:
 		return 3
 	}
-	return unfitToExclude
+	return notExcludable
 }
 
 // excludeInDoubt puts the value in doubt into a new draft as it is.
@@ -72,7 +72,7 @@
 	if key == "" {
 		return
 	}
-	if c.commits.inDoubt.isSettled(c.cache.modRevisions) {
+	if c.commits.inDoubt.isOutcomeKnown(c.cache.modRevisions) {
 		c.commits.inDoubt = inDoubtCommit{}
 		return
 	}
@@ -86,13 +86,13 @@
 			d.header(j)
 		}
 	default:
-		d.keepCell(key, name)
+		d.rewriteCell(key, name)
 	}
 }
 
-// keepCell writes the value of a chunk or cell as it is, unless its job has no use for it
+// rewriteCell writes the value of a chunk or cell as it is, unless its job has no use for it
 // any more; name is the rest of its key after the prefix.
-func (d *draft) keepCell(key, name string) {
+func (d *draft) rewriteCell(key, name string) {
 	path := strings.Split(name, "/")
 	j := d.c.cache.jobs[path[0]]
 	if j == nil || j.Header.Spec == nil {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -34,10 +34,10 @@
 	dependencyFailed       bool  // a job that it depends on is cancelled, and so is it
 
 	// What it is urgent for: itself, or a job that depends on it.
-	priority        domain.Priority
-	deadlineAt      int64   // when it should be done for the deadline, if deadlineSeconds > 0; ns
-	deadlineSeconds float64 // the deadline that this comes from, s
-	beyondAims      bool    // too late for any objective, as it was when the jobs were last ordered
+	priority         domain.Priority
+	deadlineAt       int64   // when it should be done for the deadline, if deadlineSeconds > 0; ns
+	deadlineSeconds  float64 // the deadline that this comes from, s
+	beyondObjectives bool    // too late for any objective, as it was when the jobs were last ordered
 }
 
 // task returns the committed record of task i.
@@ -51,8 +51,8 @@
 // age is how long ago the job could first start.
 func (j *Job) age(now time.Duration) time.Duration { return now - time.Duration(j.readyAt) }
 
-// final: nothing will change any more about how the job ended.
-func (j *Job) final() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
+// isFinal: nothing will change any more about how the job ended.
+func (j *Job) isFinal() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
 
 // cancelled by its user, or for a job that it depends on.
 func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -57,7 +57,7 @@
 // over all machines, every owner would change most of the array's values to release
 // its tasks, and such commits have no room left for the bookings of other jobs.
 func (c *Controller) bookLargeArray(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim) bool {
-	if c.isAvoided(j, 0) {
+	if c.isTaskAvoided(j, 0) {
 		return true
 	}
 	owners := c.ownersFitting(j.Header.Spec)
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -71,7 +71,7 @@
 func (c *Controller) allLoads(own []float64) (loads []float64, passes int) {
 	passes = c.learner.passes
 	for _, node := range c.cache.view.Serving {
-		if node == c.cfg.Node {
+		if node == c.cfg.Controller {
 			loads = append(loads, own...)
 			continue
 		}
@@ -119,7 +119,7 @@
 func (c *Controller) othersCriticWeights() [][]float64 {
 	var weights [][]float64
 	for _, node := range c.cache.view.Serving {
-		if window := c.cache.windows[node]; node != c.cfg.Node && window != nil {
+		if window := c.cache.windows[node]; node != c.cfg.Controller && window != nil {
 			weights = append(weights, window.CriticWeights)
 		}
 	}
@@ -134,6 +134,6 @@
 		Sequence: learner.sequence, Loads: loads, Passes: learner.passes, CriticWeights: learner.critic.Weights(),
 	})
 	c.commit(LaneIdle, domain.Transaction{
-		Puts: []domain.Put{{Key: codec.PrefixWindow + c.cfg.Node, Value: value}},
+		Puts: []domain.Put{{Key: codec.PrefixWindow + c.cfg.Controller, Value: value}},
 	}, func(domain.CommitResult, CommitAnswered) {})
 }
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -33,7 +33,7 @@
 // fit a smaller bound, several, once all controllers read those.
 func (c *Controller) putsOfMachineTypes(types []domain.MachineType) []domain.Put {
 	value := codec.Encode(codec.MachineTypePage{Types: types})
-	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
+	if len(value) <= c.cfg.ValueLimit || !c.cache.isFormatOn() && len(value) <= c.valueLimit() {
 		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
 	pages := pagesOfMachineTypes(types, c.cfg.ValueLimit)
@@ -68,7 +68,7 @@
 
 // applyMachineTypes takes a page of types, and puts those of all pages together anew.
 func (c *Controller) applyMachineTypes(key string, value []byte) (matters bool, err error) {
-	page, err := decodePage[codec.MachineTypePage](value)
+	page, err := decodeOrZero[codec.MachineTypePage](value)
 	if err != nil {
 		return false, err
 	}
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -14,7 +14,7 @@
 // maintainLease asks for a lease, its renewal and the member key when they are due.
 func (c *Controller) maintainLease() {
 	before := c.membership.Lease()
-	due := c.membership.MaintainLease(c.now, c.cache.members[c.cfg.Node])
+	due := c.membership.MaintainLease(c.now, c.cache.members[c.cfg.Controller])
 	c.logLease(before)
 	if due.Grant {
 		c.emit(GrantLease{TTL: tuning.LeaseTTL})
@@ -59,7 +59,7 @@
 // deletes when the lease expires.
 func (c *Controller) writeMemberKey() {
 	memberKey := domain.Put{
-		Key:     codec.PrefixMember + c.cfg.Node,
+		Key:     codec.PrefixMember + c.cfg.Controller,
 		Value:   codec.Encode(c.membership.Incarnation()),
 		LeaseID: c.membership.LeaseID(),
 	}
@@ -77,12 +77,12 @@
 	if !c.membership.IsSynced() || c.cache.view == nil {
 		return false
 	}
-	return !c.guard(GuardFence) || c.membership.MayAct(c.now, c.cache.view.Members[c.cfg.Node])
+	return !c.guard(GuardFence) || c.membership.MayAct(c.now, c.cache.view.Members[c.cfg.Controller])
 }
 
 // isMemberOf tells whether a view has this incarnation.
 func (c *Controller) isMemberOf(view *domain.View) bool {
-	return view != nil && view.Members[c.cfg.Node] == c.membership.Incarnation()
+	return view != nil && view.Members[c.cfg.Controller] == c.membership.Incarnation()
 }
 
 // confirmView asks the state service whether the view still holds, and for a read index.
@@ -152,5 +152,5 @@
 		}
 		heard = true
 	}
-	return !heard && len(c.cfg.Nodes) > 1
+	return !heard && len(c.cfg.Controllers) > 1
 }
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -119,7 +119,7 @@
 	stranded := c.strandedMachines(isLarge)
 	lost := lostOwners{owners: map[string]bool{}, machines: map[string]bool{}}
 	for _, owner := range slices.Sorted(maps.Keys(stranded)) {
-		if owner == c.cfg.Node || owner == "" {
+		if owner == c.cfg.Controller || owner == "" {
 			continue
 		}
 		machines := stranded[owner]
@@ -193,7 +193,7 @@
 // areAcrossZones tells whether the owner is in another zone than this controller, and all
 // the machines are in this controller's.
 func (c *Controller) areAcrossZones(owner string, machines []strandedMachine) bool {
-	own := c.cfg.ZoneOf[c.cfg.Node]
+	own := c.cfg.ZoneOf[c.cfg.Controller]
 	return c.cfg.ZoneOf[owner] != own &&
 		!slices.ContainsFunc(machines, func(machine strandedMachine) bool { return machine.zone != own })
 }
@@ -219,9 +219,9 @@
 // it could never change again: overrides have room up to a bound, and machines beyond it
 // wait. Those of a view written under larger limits are dropped beyond it: any controller
 // may own a machine after a change of epoch.
-func (c *Controller) chooseOverrides(proposal *viewDraft, wanted map[string]bool) {
+func (c *Controller) chooseOverrides(proposal *viewProposal, wanted map[string]bool) {
 	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
-	if len(proposal.present.OwnerOverrides) > most && (c.cache.formatOn() || c.formats.limitsFell) {
+	if len(proposal.present.OwnerOverrides) > most && (c.cache.isFormatOn() || c.formats.limitsLowered) {
 		proposal.changed = true
 	}
 	overrides := proposal.next.OwnerOverrides
@@ -239,8 +239,8 @@
 		if _, was := overrides[machine]; !was && len(overrides) >= most {
 			continue
 		}
-		if overrides[machine] != c.cfg.Node {
-			overrides[machine] = c.cfg.Node
+		if overrides[machine] != c.cfg.Controller {
+			overrides[machine] = c.cfg.Controller
 			proposal.overridesChanged = true
 			delete(c.views.redirects, machine)
 		}
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -40,12 +40,12 @@
 
 // owns tells whether this controller owns a machine under the current view.
 func (c *Controller) owns(machine string) bool {
-	return c.isMemberOf(c.cache.view) && c.ownerOf(machine) == c.cfg.Node
+	return c.isMemberOf(c.cache.view) && c.ownerOf(machine) == c.cfg.Controller
 }
 
 // isLeader tells whether this process leads under the current view.
 func (c *Controller) isLeader() bool {
-	return c.isMemberOf(c.cache.view) && c.cache.view.Leader == c.cfg.Node
+	return c.isMemberOf(c.cache.view) && c.cache.view.Leader == c.cfg.Controller
 }
 
 // taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
@@ -73,7 +73,7 @@
 		switch {
 		case !c.owns(machine):
 			c.endOwnership(machine)
-		case continuous && ownership.OfMachine(old, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Node:
+		case continuous && ownership.OfMachine(old, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Controller:
 		default:
 			c.takeOwnership(machine)
 		}
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -84,7 +84,7 @@
 // roomiest is the shard with the most room for a job: slots free, else the least load.
 func (c *Controller) roomiest(spec *domain.JobSpec) string {
 	roomByShard, slotsByShard := c.roomByShard(spec)
-	best, bestScore := c.cfg.Node, math.Inf(-1)
+	best, bestScore := c.cfg.Controller, math.Inf(-1)
 	for _, node := range c.cache.view.Serving {
 		load := c.shardLoad(node)
 		score := c.roomScore(node, spec, load, roomByShard[node], slotsByShard[node])
@@ -113,7 +113,7 @@
 
 // shardLoad is a shard's mean load as far as known, s.
 func (c *Controller) shardLoad(node string) float64 {
-	if node == c.cfg.Node {
+	if node == c.cfg.Controller {
 		return c.meanLoad()
 	}
 	if peer := c.peers.byName[node]; peer != nil {
@@ -169,7 +169,7 @@
 		switch {
 		case preemptible(j.Header.Spec):
 			c.peers.preemptibleWaitingByShard[c.cache.shardOf(j)] += int64(j.counts.queued)
-		case !j.beyondAims:
+		case !j.beyondObjectives:
 			c.peers.waitingByShard[c.cache.shardOf(j)] += int64(j.counts.queued)
 		}
 	}
@@ -220,7 +220,7 @@
 			continue
 		}
 		machines = append(machines, inventoryMachine{
-			name: name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: c.cfg.Node,
+			name: name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: c.cfg.Controller,
 			spot: m.Spot, agentEpoch: m.agentEpoch, images: m.images,
 		})
 	}
@@ -230,7 +230,7 @@
 // appendPeerMachines adds the machines that peers told of lately and own.
 func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
 	for node, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery || node == c.cfg.Node {
+		if c.now-peer.heardAt > 4*tuning.DrawEvery || node == c.cfg.Controller {
 			continue
 		}
 		for i := range peer.machines {
@@ -291,8 +291,8 @@
 		message.Reserved = slices.Sorted(maps.Keys(kept))
 		message.Evicting = slices.Sorted(maps.Keys(c.scaling.evicting))
 	}
-	for _, node := range c.cfg.Nodes {
-		if node != c.cfg.Node {
+	for _, node := range c.cfg.Controllers {
+		if node != c.cfg.Controller {
 			c.emit(SendPeerMessage{To: node, Message: message})
 		}
 	}
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -91,7 +91,7 @@
 }
 
 // includes tells whether the round is for a job.
-func (r placeRound) includes(j *Job) bool { return !r.split || j.beyondAims == r.late }
+func (r placeRound) includes(j *Job) bool { return !r.split || j.beyondObjectives == r.late }
 
 // placing is one run of placeTasks.
 type placing struct {
@@ -119,7 +119,7 @@
 // placeJob queues tasks of one job, or has it handed over to another shard as a whole.
 func (p *placing) placeJob(j *Job, round placeRound) {
 	c := p.c
-	isHome := c.cache.shardOf(j) == c.cfg.Node
+	isHome := c.cache.shardOf(j) == c.cfg.Controller
 	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.passJob(j) {
 		return
 	}
@@ -176,7 +176,7 @@
 		return false
 	case task.Shard == "" && !isHome:
 		return false
-	case task.Shard != "" && c.cache.taskShard(j, task) != c.cfg.Node:
+	case task.Shard != "" && c.cache.taskShard(j, task) != c.cfg.Controller:
 		return false
 	}
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
@@ -187,7 +187,7 @@
 func (p *placing) leaveInPool(j *Job) {
 	spec := j.Header.Spec
 	machineType := p.c.anyFittingType(spec)
-	if machineType == nil || j.beyondAims {
+	if machineType == nil || j.beyondObjectives {
 		return
 	}
 	tasks := 1
@@ -216,7 +216,7 @@
 	// A task is handed over once at most, so that it can't wander.
 	if j.task(id.Index).Shard == "" && !c.queues.tasksStaying[id] && !p.largeFleet {
 		if len(offers) == 0 {
-			offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
+			offers = append(offers, policy.Choice{Name: c.cfg.Controller, Load: c.meanLoad(), Ref: noTarget})
 		}
 		offers = c.appendPeers(offers, spec)
 	}
@@ -226,7 +226,7 @@
 	}
 	chosen := offers[k]
 	switch {
-	case chosen.Name == c.cfg.Node:
+	case chosen.Name == c.cfg.Controller:
 		c.queues.tasksStaying[id] = true
 		return false
 	case chosen.Ref == noTarget:
@@ -245,7 +245,7 @@
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
 	for _, node := range c.cache.view.Serving {
 		peer := c.peers.byName[node]
-		if node == c.cfg.Node || peer == nil || c.now-peer.heardAt > 3*tuning.DrawEvery {
+		if node == c.cfg.Controller || peer == nil || c.now-peer.heardAt > 3*tuning.DrawEvery {
 			continue
 		}
 		if c.peerFits(peer, spec) {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -62,7 +62,7 @@
 		c.planSplits(d)
 		if d.changes() > 0 {
 			c.commits.lastChanges = d.changes()
-			c.sendPlan(d)
+			c.commitDraft(d)
 			return
 		}
 		d = c.newDraft()
@@ -77,14 +77,14 @@
 		c.planner.taskHandovers = map[domain.TaskID]string{}
 		return
 	}
-	if c.cache.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+	if c.cache.isFormatOn() && !c.planner.reserveLongestTexts && c.hasValueTooLarge(d.transaction()) {
 		// The same again, at once, with room for the longest texts.
 		c.planner.reserveLongestTexts, c.planner.dirty = true, true
 		c.planner.nextPlan.Close(c.now)
 		return
 	}
 	c.planner.reserveLongestTexts = false
-	c.sendPlan(d)
+	c.commitDraft(d)
 }
 
 // takeSplitTurn tells whether this commit is to split a value, which every second one is
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -78,7 +78,7 @@
 			c.planner.dirty = true
 			continue
 		}
-		if c.isAvoided(j, id.Index) {
+		if c.isTaskAvoided(j, id.Index) {
 			continue
 		}
 		spec := j.Header.Spec
@@ -101,7 +101,7 @@
 		return false
 	}
 	task := j.task(id.Index)
-	return task.State == domain.Queued && c.cache.taskShard(j, task) == c.cfg.Node
+	return task.State == domain.Queued && c.cache.taskShard(j, task) == c.cfg.Controller
 }
 
 // isHeldBack tells whether a task doesn't start now: its job pauses after an error, or it
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -40,7 +40,7 @@
 // happened to it since that was decided, and its new controller still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
-		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Node
+		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Controller
 }
 
 // planTaskHandovers hands over single tasks until the draft is full.
@@ -48,7 +48,7 @@
 	for _, id := range sortedTasks(c.planner.taskHandovers) {
 		to, j := c.planner.taskHandovers[id], c.cache.jobs[id.Job]
 		delete(c.planner.taskHandovers, id)
-		if !c.canHandOverTask(d, j, id, to) || c.isAvoided(j, id.Index) {
+		if !c.canHandOverTask(d, j, id, to) || c.isTaskAvoided(j, id.Index) {
 			continue
 		}
 		if !d.hasRoomToGrow(j, id.Index) {
@@ -68,5 +68,5 @@
 // new controller still serves.
 func (c *Controller) canHandOverTask(d *draft, j *Job, id domain.TaskID, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && !d.changed[id] && j.task(id.Index).State == domain.Queued &&
-		slices.Contains(c.cache.view.Serving, to) && c.cache.taskShard(j, j.task(id.Index)) == c.cfg.Node
+		slices.Contains(c.cache.view.Serving, to) && c.cache.taskShard(j, j.task(id.Index)) == c.cfg.Controller
 }
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -60,7 +60,7 @@
 			if !proven.reported && c.willSendStartAgain(m, j, id) {
 				continue
 			}
-			if c.isAvoided(j, id.Index) {
+			if c.isTaskAvoided(j, id.Index) {
 				continue
 			}
 			byValue[j.Header.KeyOf(j.ID, id.Index)]++
@@ -164,7 +164,7 @@
 func (c *Controller) planCancelledJobs(d *draft) {
 	for _, id := range slices.Sorted(maps.Keys(c.cache.awaitingRelease)) {
 		j := c.cache.awaitingRelease[id]
-		if j.counts.booked > 0 || c.cache.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
+		if j.counts.booked > 0 || c.cache.shardOf(j) != c.cfg.Controller || j.Header.Spec == nil {
 			continue
 		}
 		if d.isTurnOf(j) && d.takesEndOf(j) {
@@ -205,8 +205,8 @@
 		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.isOversizedInPlan(key) {
 			continue
 		}
-		d.rewrite(key)
-		d.bytes += c.valueBound()
+		d.addRewrite(key)
+		d.bytes += c.valueLimit()
 	}
 	if key := j.Header.KeyOf(j.ID, 0); c.cache.oversized[key] {
 		d.addCondition(key)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -16,7 +16,7 @@
 func stocked(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := acting()
-	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
+	c.cfg.Controllers = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
 		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
@@ -50,8 +50,8 @@
 		t.Errorf("%d of 120 tasks are booked", booked)
 	}
 	transaction := d.transaction()
-	if len(transaction.Conditions) > 16 || len(transaction.Puts) > 4 || c.tooLarge(transaction) {
-		t.Errorf("%d conditions, %d changes, too large %v", len(transaction.Conditions), len(transaction.Puts), c.tooLarge(transaction))
+	if len(transaction.Conditions) > 16 || len(transaction.Puts) > 4 || c.hasValueTooLarge(transaction) {
+		t.Errorf("%d conditions, %d changes, too large %v", len(transaction.Conditions), len(transaction.Puts), c.hasValueTooLarge(transaction))
 	}
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -41,7 +41,7 @@
 // isBooked tells whether an attempt is still the booking of its task.
 func (c *cache) isBooked(attempt attemptID) bool {
 	j := c.jobs[attempt.Task.Job]
-	if j == nil || j.final() {
+	if j == nil || j.isFinal() {
 		return false
 	}
 	task := j.task(attempt.Task.Index)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -36,12 +36,12 @@
 // teamUsed is what counts against a team's limit: what the other controllers have set aside,
 // and this one's bookings, with those of the draft (nil: none).
 func (c *Controller) teamUsed(team string, d *draft) domain.Resources {
-	used := c.cache.usage[team][c.cfg.Node]
+	used := c.cache.usage[team][c.cfg.Controller]
 	if d != nil {
 		used = used.Plus(d.usage[team], 1)
 	}
 	for controller, share := range c.cache.shares[team].ByNode {
-		if controller != c.cfg.Node {
+		if controller != c.cfg.Controller {
 			used = used.Plus(share, 1)
 		}
 	}
@@ -141,18 +141,18 @@
 
 // ownUsage is what this controller has booked for a team, with the draft's bookings.
 func (d *draft) ownUsage(team string) domain.Resources {
-	return d.c.cache.usage[team][d.c.cfg.Node].Plus(d.usage[team], 1)
+	return d.c.cache.usage[team][d.c.cfg.Controller].Plus(d.usage[team], 1)
 }
 
 // ownShare is this controller's share of a team's limit.
 func (c *Controller) ownShare(team string) domain.Resources {
-	return c.cache.shares[team].ByNode[c.cfg.Node]
+	return c.cache.shares[team].ByNode[c.cfg.Controller]
 }
 
 // avoidsShare tells whether a team's key lost a conflict just now, and is only changed for
 // what can't do without.
 func (c *Controller) avoidsShare(team string) bool {
-	return c.commits.avoids(codec.PrefixTeam+team, c.now)
+	return c.commits.checkAvoided(codec.PrefixTeam+team, c.now)
 }
 
 // shareSlack is how much of a team's limit this controller sets aside beyond its bookings.
@@ -162,7 +162,7 @@
 	for _, share := range c.cache.shares[team].ByNode {
 		left = left.Plus(share, -1)
 	}
-	return quota.Slack(limit, left, request, len(c.cfg.Nodes))
+	return quota.Slack(limit, left, request, len(c.cfg.Controllers))
 }
 
 // settleShare writes the team's key if this controller's bookings no longer fit its share, or
@@ -189,7 +189,7 @@
 	if shares.ByNode == nil {
 		shares.ByNode = map[string]domain.Resources{}
 	}
-	shares.ByNode[c.cfg.Node] = want
+	shares.ByNode[c.cfg.Controller] = want
 	d.shares[team] = shares
 	d.addCondition(codec.PrefixTeam + team)
 }
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -163,7 +163,7 @@
 
 // onJobQueried answers a query. A final state never changes, so it needs no read index.
 func (c *Controller) onJobQueried(query JobQueried) {
-	if j := c.cache.jobs[query.ID]; j != nil && j.final() {
+	if j := c.cache.jobs[query.ID]; j != nil && j.isFinal() {
 		c.replyState(query.RequestID, StatusOK, j)
 		return
 	}
@@ -186,7 +186,7 @@
 		c.replyUnknown(requestID, id)
 		return
 	}
-	if j.final() {
+	if j.isFinal() {
 		c.replyState(requestID, StatusOK, j)
 		return
 	}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -302,7 +302,7 @@
 func (c *Controller) rent(kind machineKind, count int) {
 	scaling := &c.scaling
 	scaling.rentalCount++
-	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), scaling.rentalCount)
+	id := fmt.Sprintf("%s-%s-%d", c.cfg.Controller, c.membership.Incarnation(), scaling.rentalCount)
 	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
 	scaling.rentals[id] = rental{request, c.now}
 	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -183,7 +183,7 @@
 	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-scaling.knownSince[name] > tuning.UnlistedPatience+2*c.cfg.ListLag:
+		case c.now-scaling.knownSince[name] > tuning.UnlistedPatience+2*c.cfg.InstanceListLag:
 			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -8,23 +8,23 @@
 
 // Settings is what a controller needs of the settings file; package config derives it.
 type Settings struct {
-	Node   string            // this controller
-	Zone   string            // its zone
-	Nodes  []string          // all controllers of the deployment, this one included, sorted
-	Zones  []string          // of the deployment, in the order of the settings file
-	ZoneOf map[string]string // controller -> zone
-	Teams  map[string]domain.Quota
+	Controller  string            // this controller
+	Zone        string            // its zone
+	Controllers []string          // all controllers of the deployment, this one included, sorted
+	Zones       []string          // of the deployment, in the order of the settings file
+	ZoneOf      map[string]string // controller -> zone
+	Teams       map[string]domain.Quota
 
 	HeartbeatInterval time.Duration // between two heartbeats of an agent
 	WorkerLease       time.Duration // an agent without an answer for as long stops its tasks
 	CancelWithin      time.Duration // from a user's cancellation until nothing of the job runs
 	GangPeerWait      time.Duration // a gang's task ends if it lacks its peers for as long (gang_peer_s)
 	FenceAge          time.Duration // age of a confirmation up to which the controller acts
-	ListLag           time.Duration // by which the cloud's list of instances may be late
+	InstanceListLag   time.Duration // by which the cloud's list of instances may be late
 
-	ValueLimit       int // bytes; the least that a value's bound is or will be: what is written stays within it
-	ValueLimitNow    int // bytes; the bound of today, for what the version before wrote; 0: ValueLimit
-	TransactionLimit int // changes; the least that a transaction's bound is or will be
+	ValueLimit        int // bytes; the least that a value's bound is or will be: what is written stays within it
+	CurrentValueLimit int // bytes; the bound of today, for what the version before wrote; 0: ValueLimit
+	TransactionLimit  int // changes; the least that a transaction's bound is or will be
 
 	WriteRate     float64 // changes a second that this controller plans to make; 0: no bound
 	FairWriteRate float64 // an equal share of the deployment's changes a second; WriteRate may be more
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -9,9 +9,9 @@
 	"brassglade/internal/domain"
 )
 
-// TestValuesStaySmall: with 1,500 machines and values of 4 KiB neither the pages of cordons
+// TestCordonPagesAndOverridesFitValueLimit: with 1,500 machines and values of 4 KiB neither the pages of cordons
 // nor the overrides of a view outgrow their value, or they could never be written again.
-func TestValuesStaySmall(t *testing.T) {
+func TestCordonPagesAndOverridesFitValueLimit(t *testing.T) {
 	c := leaderOfTwo()
 	t.Run("pages of cordons", func(t *testing.T) { cordonPagesStaySmall(t, c) })
 	t.Run("overrides of a view", func(t *testing.T) { overridesStaySmall(t, c) })
@@ -22,7 +22,7 @@
 
 // leaderOfTwo leads another controller, c-1, with values of 4 KiB.
 func leaderOfTwo() *Controller {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1"}, ValueLimit: 4096, TransactionLimit: 8, FenceAge: 7 * time.Second}, "x")
+	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1"}, ValueLimit: 4096, TransactionLimit: 8, FenceAge: 7 * time.Second}, "x")
 	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: map[string]string{"c-0": "x", "c-1": "y"}, Serving: []string{"c-0", "c-1"}}
 	c.cache.members = map[string]string{"c-0": "x", "c-1": "y"}
 	c.now = time.Minute
@@ -34,7 +34,7 @@
 // cordonPagesStaySmall: all machines are drained and gone, again and again.
 func cordonPagesStaySmall(t *testing.T, c *Controller) {
 	for round := 0; round < 30; round++ {
-		cordonFurther(c)
+		advanceCordons(c)
 		c.now += 10 * time.Second
 		c.confirmNow()
 		c.writeCordons()
@@ -52,8 +52,8 @@
 	}
 }
 
-// cordonFurther drains the machines that aren't cordoned, and has those gone that drain.
-func cordonFurther(c *Controller) {
+// advanceCordons drains the machines that aren't cordoned, and has those gone that drain.
+func advanceCordons(c *Controller) {
 	for i := 0; i < manyMachines; i++ {
 		machine := fmt.Sprintf("n-%06d", i)
 		switch c.cache.cordons[machine].State {
@@ -83,12 +83,12 @@
 	}
 }
 
-// TestRefusedCommitsCostNothing: what the key-value store refuses it doesn't count.
+// TestRefusedCommitRefundsTokens: what the key-value store refuses it doesn't count.
 // A leader whose commits of eight changes were refused seven times of sixteen
 // had paid a second's worth of its changes for each, and gangs waited beside
 // eighty idle machines that were reserved for them.
-func TestRefusedCommitsCostNothing(t *testing.T) {
-	c := New(Settings{Node: "c-0", WriteRate: 8}, "x")
+func TestRefusedCommitRefundsTokens(t *testing.T) {
+	c := New(Settings{Controller: "c-0", WriteRate: 8}, "x")
 	transaction := domain.Transaction{Puts: make([]domain.Put, 8)}
 	pending := c.commit(LaneTask, transaction, func(domain.CommitResult, CommitAnswered) {})
 	if c.commits.tokens != 0 {
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -19,7 +19,7 @@
 func (c *Controller) planSplits(d *draft) {
 	defer clear(c.commits.fullValues)
 	for _, key := range c.valuesToShrink() {
-		if c.commits.isAvoiding(key, c.now) {
+		if c.commits.isKeyAvoided(key, c.now) {
 			continue
 		}
 		if c.shrinkValue(d, key) {
@@ -50,13 +50,13 @@
 		id, _, _ := strings.Cut(name, "/")
 		return c.shrinkChunk(d, key, c.cache.jobs[id])
 	case codec.KindPack:
-		if c.cache.packShard(name) != c.cfg.Node {
+		if c.cache.packShard(name) != c.cfg.Controller {
 			return false
 		}
 		if c.cache.oversized[key] {
 			return c.shrinkPack(d, key, name)
 		}
-		return c.relieveFullPack(d, key, name)
+		return c.makeRoomInPack(d, key, name)
 	}
 	return false
 }
@@ -77,7 +77,7 @@
 				continue
 			}
 			inUse = true
-			if c.cache.shardOf(j) == c.cfg.Node && c.splitCell(d, j, i) {
+			if c.cache.shardOf(j) == c.cfg.Controller && c.splitCell(d, j, i) {
 				return true
 			}
 		}
@@ -92,7 +92,7 @@
 // one that fits no other pack.
 func (c *Controller) shrinkPack(d *draft, key, pack string) (planned bool) {
 	if !c.isOversized(key) {
-		d.rewrite(key) // without what left it
+		d.addRewrite(key) // without what left it
 		return true
 	}
 	for _, j := range c.cache.longestTexts(pack) {
@@ -100,19 +100,19 @@
 			return true
 		}
 	}
-	return d.hasHeadersOrDrops(key)
+	return d.keepIfHeaders(key)
 }
 
-// relieveFullPack moves the job with the longest text out of a pack that had no room for a
+// makeRoomInPack moves the job with the longest text out of a pack that had no room for a
 // booking, or splits it if it is alone there.
-func (c *Controller) relieveFullPack(d *draft, key, pack string) (planned bool) {
+func (c *Controller) makeRoomInPack(d *draft, key, pack string) (planned bool) {
 	jobs := c.cache.longestTexts(pack)
 	if c.cache.valueSizes[key] < c.cfg.ValueLimit/2 {
 		return false // it has room again
 	}
-	d.rewrite(key)
+	d.addRewrite(key)
 	if len(jobs) == 0 {
-		return d.hasHeadersOrDrops(key)
+		return d.keepIfHeaders(key)
 	}
 	if len(c.cache.jobsByPack[pack]) > 1 {
 		if c.moveOrSplit(d, key, jobs[0], slog.LevelDebug) {
@@ -124,7 +124,7 @@
 			return true
 		}
 	}
-	return d.hasHeadersOrDrops(key)
+	return d.keepIfHeaders(key)
 }
 
 // longestTexts are the jobs of a pack that have tasks in it, the longest texts first.
@@ -152,7 +152,7 @@
 // moveOrSplit moves a job out of its pack, whose key is given, or splits it if it fits no other
 // one and nothing else is in the draft. It tells whether the draft takes no more.
 func (c *Controller) moveOrSplit(d *draft, key string, j *Job, level slog.Level) (isFull bool) {
-	pack, ok := d.target(j)
+	pack, ok := d.moveTarget(j)
 	if !ok {
 		return d.changes() == 0 && c.splitCell(d, j, 0)
 	}
@@ -164,15 +164,15 @@
 	return false
 }
 
-// rewrite has a pack written again, with the tasks that belong there now.
-func (d *draft) rewrite(key string) {
+// addRewrite has a pack written again, with the tasks that belong there now.
+func (d *draft) addRewrite(key string) {
 	d.keys[key] = true
 	d.addCondition(key)
 }
 
-// hasHeadersOrDrops tells whether anything is to be committed for a pack: jobs that move have
+// keepIfHeaders tells whether anything is to be committed for a pack: jobs that move have
 // new headers. If nothing is, the pack need not be written either.
-func (d *draft) hasHeadersOrDrops(key string) bool {
+func (d *draft) keepIfHeaders(key string) bool {
 	if len(d.headers) > 0 {
 		return true
 	}
@@ -180,8 +180,8 @@
 	return false
 }
 
-// target is a pack that a job may leave its own for, with room for its text.
-func (d *draft) target(j *Job) (pack string, ok bool) {
+// moveTarget is a pack that a job may leave its own for, with room for its text.
+func (d *draft) moveTarget(j *Job) (pack string, ok bool) {
 	if pack, ok := d.moved[j.ID]; ok {
 		return pack, true
 	}
@@ -193,7 +193,7 @@
 	shard, _, _ := strings.Cut(j.Header.Pack, "/")
 	for number := 0; ; number++ {
 		pack := codec.PackName(shard, number)
-		if pack == j.Header.Pack || !c.mayGrow(codec.PrefixPack+pack) {
+		if pack == j.Header.Pack || !c.canGrow(codec.PrefixPack+pack) {
 			continue
 		}
 		key := codec.PrefixPack + pack
@@ -203,9 +203,9 @@
 	}
 }
 
-// mayGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
-func (c *Controller) mayGrow(key string) bool {
-	return !c.cache.oversized[key] && !c.commits.isAvoiding(key, c.now)
+// canGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
+func (c *Controller) canGrow(key string) bool {
+	return !c.cache.oversized[key] && !c.commits.isKeyAvoided(key, c.now)
 }
 
 // hasRoomToMove tells whether the draft may take the move of a job to a pack.
@@ -271,11 +271,11 @@
 	if dropsSource {
 		room--
 	}
-	if !c.cache.draftCells(d, j, split, room) {
+	if !c.cache.addCells(d, j, split, room) {
 		return true // the rest, and the header, come with later commits
 	}
 	if dropsSource {
-		d.dropSource(j, split.source)
+		d.removeFromSource(j, split.source)
 	}
 	d.headers[j.ID] = &split.header
 	d.onCommit = append(d.onCommit, func() {
@@ -300,7 +300,7 @@
 	split.header.Pack, split.header.CellSize = "", cellSize(header, c.cfg.ValueLimit)
 	split.header.SplitChunks = header.WithSplit(chunk)
 	if header.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
-		split.header.DoneTasks, split.header.DoneChunks = doneTasksBeside(j, from), 0
+		split.header.DoneTasks, split.header.DoneChunks = doneTasksOutside(j, from), 0
 	}
 	for cell, first := 0, from; first < to; cell, first = cell+1, first+split.header.CellSize {
 		tasks := j.Tasks[first:min(first+split.header.CellSize, to)]
@@ -322,9 +322,9 @@
 	return max(1, (limit-tuning.PackSlack)/tuning.TaskBytes)
 }
 
-// draftCells puts the cells that are not written yet into the draft, as many as there is room
+// addCells puts the cells that are not written yet into the draft, as many as there is room
 // for. It tells whether that was all of them.
-func (c *cache) draftCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
+func (c *cache) addCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
 	complete = true
 	lastChange := max(c.modRevisions[split.source], c.modRevisions[codec.KeyJob(j.ID)])
 	for _, cell := range split.cells {
@@ -344,10 +344,10 @@
 	return complete
 }
 
-// dropSource takes a job's tasks out of the value that they were kept in before a split. A
+// removeFromSource takes a job's tasks out of the value that they were kept in before a split. A
 // value that is not too large may be changed under the same revision by who doesn't look at the
 // header: it goes, or is written without the job.
-func (d *draft) dropSource(j *Job, source string) {
+func (d *draft) removeFromSource(j *Job, source string) {
 	if j.Header.Pack != "" {
 		d.keys[source], d.finished[j.ID] = true, true
 	} else {
@@ -355,9 +355,9 @@
 	}
 }
 
-// doneTasksBeside is the number of tasks in chunks that are all done, but for the chunk that
+// doneTasksOutside is the number of tasks in chunks that are all done, but for the chunk that
 // begins with the given task.
-func doneTasksBeside(j *Job, from int) int {
+func doneTasksOutside(j *Job, from int) int {
 	done := 0
 	for first := 0; first < j.Header.TaskCount; first += j.Header.ChunkSize {
 		if first != from {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -26,15 +26,15 @@
 
 // Status is what a controller knows of itself at one moment.
 type Status struct {
-	Epoch     uint64        // of the view, and the fencing token of all commands; 0: none yet
-	Leader    string        // the view's leader
-	Leads     bool          // this controller is that leader
-	Acts      bool          // view, lease and cache are confirmed: it may answer agents
-	Revision  uint64        // of the state service, up to which the cache has every change
-	Confirmed time.Duration // age of the newest confirmation; < 0: none yet
-	Machines  int           // known here
-	OpenJobs  int           // accepted and not over
-	Work      Work
+	Epoch           uint64        // of the view, and the fencing token of all commands; 0: none yet
+	Leader          string        // the view's leader
+	IsLeader        bool          // this controller is that leader
+	MayAct          bool          // view, lease and cache are confirmed: it may answer agents
+	Revision        uint64        // of the state service, up to which the cache has every change
+	ConfirmationAge time.Duration // age of the newest confirmation; < 0: none yet
+	Machines        int           // known here
+	OpenJobs        int           // accepted and not over
+	Work            WorkCounts
 
 	// Waiting counts the waiting tasks that this controller places, as of the last second.
 	// It is not changed later.
@@ -44,19 +44,19 @@
 // Status returns the controller's status as of the last step.
 func (c *Controller) Status() Status {
 	status := Status{
-		Acts:      c.mayAct(),
-		Revision:  c.cache.revision,
-		Confirmed: -1,
-		Machines:  len(c.heartbeats.machines),
-		OpenJobs:  len(c.cache.openJobs),
-		Work:      c.Work,
-		Waiting:   c.waitingTasks(),
+		MayAct:          c.mayAct(),
+		Revision:        c.cache.revision,
+		ConfirmationAge: -1,
+		Machines:        len(c.heartbeats.machines),
+		OpenJobs:        len(c.cache.openJobs),
+		Work:            c.Work,
+		Waiting:         c.waitingTasks(),
 	}
 	if c.cache.view != nil {
-		status.Epoch, status.Leader, status.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
+		status.Epoch, status.Leader, status.IsLeader = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
 	if confirmed := c.membership.Confirmed(); confirmed.IsKnown() {
-		status.Confirmed = c.now - confirmed.Time()
+		status.ConfirmationAge = c.now - confirmed.Time()
 	}
 	return status
 }
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -39,7 +39,7 @@
 	}
 	var offers []policy.Choice
 	if p.couldRun(spec) {
-		offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
+		offers = append(offers, policy.Choice{Name: c.cfg.Controller, Load: c.meanLoad(), Ref: noTarget})
 	}
 	offers = c.appendPeers(offers, spec)
 	k := c.draw(&c.learner.arrivals, offers)
@@ -48,7 +48,7 @@
 	}
 	c.queues.jobsStaying[j.ID] = true
 	to := offers[k].Name
-	if to == c.cfg.Node {
+	if to == c.cfg.Controller {
 		return false
 	}
 	c.planner.jobHandovers[j.ID] = to
@@ -290,7 +290,7 @@
 			shards[c.cache.taskShard(j, task)] = true
 		}
 	}
-	delete(shards, c.cfg.Node)
+	delete(shards, c.cfg.Controller)
 	return shards
 }
 
@@ -367,7 +367,7 @@
 	if placedByLeader(spec) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
 		return false
 	}
-	return c.cache.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
+	return c.cache.shardOf(j) == c.cfg.Controller && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
 }
 
 // giveUnplaced gives tasks that are in no queue yet.
@@ -379,7 +379,7 @@
 		}
 		for i := 0; i < j.Header.TaskCount; i++ {
 			id := domain.TaskID{Job: j.ID, Index: i}
-			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.cache.taskShard(j, task) == c.cfg.Node {
+			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.cache.taskShard(j, task) == c.cfg.Controller {
 				s.give(id)
 			}
 		}
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -13,7 +13,7 @@
 func stealing(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := acting()
-	c.cfg.Nodes = []string{"c-0", "c-1"}
+	c.cfg.Controllers = []string{"c-0", "c-1"}
 	c.cache.view.Serving = []string{"c-0", "c-1"}
 	c.cache.view.OwnerOverrides = map[string]string{}
 	for i := 0; i < machines; i++ {
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -34,7 +34,7 @@
 	if len(submission.Spec.Dependencies) > 0 {
 		// Until all controllers know what dependencies are, one that doesn't might start
 		// the job; the user comes back.
-		if !c.cache.formatOn() {
+		if !c.cache.isFormatOn() {
 			c.retryLater(submission.RequestID, dependenciesNotYet)
 			return
 		}
@@ -238,12 +238,12 @@
 
 // newHeader is that of a new job, which keeps spec.
 func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
-	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
+	spec.MachineTypes = c.cache.existingTypes(spec.MachineTypes)
 	header := &codec.JobHeader{
 		State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount,
 		Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1,
 	}
-	if c.cache.formatOn() {
+	if c.cache.isFormatOn() {
 		header.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked at once, so its chunks have room for all of
@@ -266,7 +266,7 @@
 // until others end (draft.room). False: the job needs values of its own.
 func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
 	each := tuning.BookedBytes
-	if c.cache.formatOn() {
+	if c.cache.isFormatOn() {
 		each = tuning.BookedBytesShort
 	}
 	cost := func(tasks int) int { return tuning.TaskBytes + tasks*each }
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -49,7 +49,7 @@
 func (c *Controller) setScarce(targets []target) {
 	var want, room domain.Resources
 	for _, j := range c.cache.openJobs {
-		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.cache.shardOf(j) == c.cfg.Node {
+		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.cache.shardOf(j) == c.cfg.Controller {
 			want = want.Plus(j.Header.Spec.Request, int64(j.counts.queued-j.queuedHere))
 		}
 	}
--- a/internal/scheduler/targets_test.go
+++ b/internal/scheduler/targets_test.go
@@ -49,7 +49,7 @@
 	if got := placeRounds(false); !slices.Equal(got, []placeRound{{}}) {
 		t.Errorf("with room: %+v", got)
 	}
-	inTime, late := &Job{}, &Job{beyondAims: true}
+	inTime, late := &Job{}, &Job{beyondObjectives: true}
 	var seen []bool // late, by round
 	for _, round := range placeRounds(true) {
 		if round.includes(inTime) == round.includes(late) {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -28,7 +28,7 @@
 	sort.SliceStable(order, func(a, b int) bool { return order[a].goesBefore(order[b]) })
 	jobs := make([]*Job, 0, len(order))
 	for _, u := range order {
-		u.job.beyondAims = len(u.goals) > 0 && u.tier >= len(u.goals)
+		u.job.beyondObjectives = len(u.goals) > 0 && u.tier >= len(u.goals)
 		if u.job.queuedHere < min(u.job.counts.queued, tuning.QueuedPerJob) {
 			jobs = append(jobs, u.job)
 		}
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -14,19 +14,19 @@
 // or by the version before, may be larger. These stay readable; a rewrite of one is
 // refused from then on.
 
-// valueBound is how many bytes a value may be written with. Until a refusal shows that the
+// valueLimit is how many bytes a value may be written with. Until a refusal shows that the
 // limit fell, what is there already may be written at its size of today: jobs of
 // the version before could not go on otherwise.
-func (c *Controller) valueBound() int {
-	if c.formats.limitsFell {
+func (c *Controller) valueLimit() int {
+	if c.formats.limitsLowered {
 		return c.cfg.ValueLimit
 	}
-	return max(c.cfg.ValueLimit, c.cfg.ValueLimitNow)
+	return max(c.cfg.ValueLimit, c.cfg.CurrentValueLimit)
 }
 
 // mayShrinkValues tells whether values over the smaller bound are to be written smaller: once
 // all controllers read what comes of it, or when they can't be written any more as they are.
-func (c *Controller) mayShrinkValues() bool { return c.cache.formatOn() || c.formats.limitsFell }
+func (c *Controller) mayShrinkValues() bool { return c.cache.isFormatOn() || c.formats.limitsLowered }
 
 // recordRefusal learns from a refused transaction that the limits fell.
 func (c *Controller) recordRefusal(refused domain.Transaction) {
@@ -36,8 +36,8 @@
 		}
 		c.Work.TooLarge++
 		c.info("value refused as too large", "key", put.Key, "bytes", len(put.Value), "count", c.Work.TooLarge)
-		if !c.formats.limitsFell {
-			c.formats.limitsFell = true
+		if !c.formats.limitsLowered {
+			c.formats.limitsLowered = true
 			c.info("the state service's limits fell", "value_bytes", c.cfg.ValueLimit)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // chunkOf makes the value of some jobs' tasks, by job, in the form that all controllers read.
 func (c *cache) chunkOf(tasksByJob map[string][]domain.Task) *codec.ChunkValue {
-	return codec.NewChunkValue(tasksByJob, c.formatOn())
+	return codec.NewChunkValue(tasksByJob, c.isFormatOn())
 }
 
 // textBytes is what a job's tasks take in a value.
@@ -102,15 +102,15 @@
 	return value
 }
 
-// fitHeader shortens what users chose freely in a header of the version before, which
+// shortenHeader shortens what users chose freely in a header of the version before, which
 // had no bound for it: the class and the image serve as names here, and of the
 // types only those that exist count.
-func (c *Controller) fitHeader(header *codec.JobHeader) {
+func (c *Controller) shortenHeader(header *codec.JobHeader) {
 	if header.Spec == nil || !c.mayShrinkValues() || !hasLongNames(header.Spec) {
 		return
 	}
 	spec := *header.Spec
-	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
+	spec.MachineTypes = c.cache.existingTypes(spec.MachineTypes)
 	spec.Class = spec.Class[:min(len(spec.Class), tuning.NameBytes)]
 	spec.Image = spec.Image[:min(len(spec.Image), tuning.NameBytes)]
 	header.Spec = &spec
@@ -121,9 +121,9 @@
 	return len(spec.MachineTypes) >= tuning.ManyMachineTypes || len(spec.Class) > tuning.NameBytes || len(spec.Image) > tuning.NameBytes
 }
 
-// knownTypes are those of a long list that exist; of none of them, one that doesn't,
+// existingTypes are those of a long list that exist; of none of them, one that doesn't,
 // since an empty list would allow all.
-func (c *cache) knownTypes(names []string) []string {
+func (c *cache) existingTypes(names []string) []string {
 	if len(names) < tuning.ManyMachineTypes || len(c.machineTypes) == 0 {
 		return names
 	}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -16,19 +16,19 @@
 // views is what this controller weighs when it proposes views, and what it derives from
 // the present one.
 type views struct {
-	proposing       bool
-	proposal        steady.Gate              // no proposal before
-	review          steady.Gate              // not looked whether one is needed before
-	adoptedAt       time.Duration            // when the view was taken from the watch
-	redirects       map[string][]redirect    // heartbeats sent on to their owners, by machine
-	lastRedirect    map[string]redirectMark  // newest heartbeat that was sent on, by machine
-	notServingSince map[string]time.Duration // by controller
-	peersHeardSince steady.Instant           // since when all serving peers are heard
-	zoneSilentAt    map[string]time.Duration // when most of a zone's machines were last silent
-	ownersView      *domain.View             // that ownerByMachine was made for
-	ownerByMachine  map[string]string
-	overrideChanges map[string]overrideChange // by machine
-	overrideSeenAt  map[string]time.Duration  // when an override was first seen, by machine
+	proposing          bool
+	nextProposal       steady.Gate              // no proposal before
+	nextReview         steady.Gate              // not looked whether one is needed before
+	adoptedAt          time.Duration            // when the view was taken from the watch
+	redirects          map[string][]redirect    // heartbeats sent on to their owners, by machine
+	lastRedirect       map[string]redirectMark  // newest heartbeat that was sent on, by machine
+	notServingSince    map[string]time.Duration // by controller
+	allPeersFreshSince steady.Instant           // since when all serving peers are heard
+	zoneSilentAt       map[string]time.Duration // when most of a zone's machines were last silent
+	ownersView         *domain.View             // that ownerByMachine was made for
+	ownerByMachine     map[string]string
+	overrideChanges    map[string]overrideChange // by machine
+	overrideSeenAt     map[string]time.Duration  // when an override was first seen, by machine
 }
 
 func newViews() views {
@@ -94,7 +94,7 @@
 	if !c.canProposeView() {
 		return
 	}
-	c.views.review.Close(c.now + min(tuning.Tick, c.pace()))
+	c.views.nextReview.Close(c.now + min(tuning.Tick, c.pace()))
 	next := c.desiredView()
 	if next == nil {
 		return
@@ -110,7 +110,7 @@
 		Puts:       []domain.Put{{Key: codec.KeyView, Value: codec.Encode(next)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.views.proposing = false
-		c.views.proposal.Close(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
+		c.views.nextProposal.Close(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
 	})
 }
 
@@ -118,12 +118,12 @@
 // whether one is needed.
 func (c *Controller) canProposeView() bool {
 	return !c.views.proposing && c.membership.IsSynced() &&
-		c.membership.HasMemberKey(c.cache.members[c.cfg.Node]) &&
-		c.views.proposal.IsOpen(c.now) && c.views.review.IsOpen(c.now)
+		c.membership.HasMemberKey(c.cache.members[c.cfg.Controller]) &&
+		c.views.nextProposal.IsOpen(c.now) && c.views.nextReview.IsOpen(c.now)
 }
 
-// viewDraft is a view in the making.
-type viewDraft struct {
+// viewProposal is a view in the making.
+type viewProposal struct {
 	present          *domain.View
 	next             *domain.View
 	changed          bool // it differs from the present view, overrides aside
@@ -140,7 +140,7 @@
 		next.Serving, next.Leader = members, members[0]
 		return next
 	}
-	proposal := &viewDraft{present: present, next: next, changed: !maps.Equal(present.Members, next.Members)}
+	proposal := &viewProposal{present: present, next: next, changed: !maps.Equal(present.Members, next.Members)}
 	c.chooseServing(proposal, members)
 	lost := c.unreachableOwners()
 	c.excludeUnreachable(proposal, lost.owners)
@@ -157,7 +157,7 @@
 }
 
 // chooseServing has all members serve, less those that no machine reached lately.
-func (c *Controller) chooseServing(proposal *viewDraft, members []string) {
+func (c *Controller) chooseServing(proposal *viewProposal, members []string) {
 	for _, node := range members {
 		stayed := proposal.present.Members[node] == proposal.next.Members[node]
 		if stayed && !slices.Contains(proposal.present.Serving, node) {
@@ -177,7 +177,7 @@
 
 // excludeUnreachable takes owners that many machines can't reach out of service, but never
 // the last one.
-func (c *Controller) excludeUnreachable(proposal *viewDraft, owners map[string]bool) {
+func (c *Controller) excludeUnreachable(proposal *viewProposal, owners map[string]bool) {
 	for owner := range owners {
 		if len(proposal.next.Serving) > 1 && slices.Contains(proposal.next.Serving, owner) {
 			proposal.next.Serving = slices.DeleteFunc(proposal.next.Serving, func(node string) bool { return node == owner })
@@ -190,7 +190,7 @@
 // chooseZoned decides whether machines belong to the controllers of their own zones.
 // Overrides have room for only some of the machines that can't reach their owners while
 // zones are apart, and each would be a change of the view.
-func (c *Controller) chooseZoned(proposal *viewDraft, lost *lostOwners) {
+func (c *Controller) chooseZoned(proposal *viewProposal, lost *lostOwners) {
 	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
 	if proposal.next.Zoned != proposal.present.Zoned {
 		proposal.changed = true
@@ -209,12 +209,12 @@
 // from its peers alone doesn't decide.
 func (c *Controller) zonesReconnected() bool {
 	if !c.arePeersFresh() {
-		c.views.peersHeardSince = steady.Instant{}
+		c.views.allPeersFreshSince = steady.Instant{}
 		return false
 	}
-	if !c.views.peersHeardSince.IsKnown() {
-		c.views.peersHeardSince = steady.At(c.now)
+	if !c.views.allPeersFreshSince.IsKnown() {
+		c.views.allPeersFreshSince = steady.At(c.now)
 	}
-	heardFor := c.now - c.views.peersHeardSince.Time()
+	heardFor := c.now - c.views.allPeersFreshSince.Time()
 	return c.isLeader() && heardFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
 }
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -78,7 +78,7 @@
 	c.waits.byReason = map[WaitingTasks]int{}
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
-		isPlacedHere := c.cache.shardOf(j) == c.cfg.Node
+		isPlacedHere := c.cache.shardOf(j) == c.cfg.Controller
 		if placedByLeader(spec) {
 			isPlacedHere = c.isLeader()
 		}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -17,7 +17,7 @@
 // smallest values and transactions in use.
 func largeFleetLeader() *Controller {
 	nodes := []string{"c-0", "c-1", "c-2", "c-3"}
-	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
+	c := New(Settings{Controller: "c-0", Controllers: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
 		ZoneOf:   map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
 		FenceAge: 7 * time.Second, HeartbeatInterval: 5 * time.Second, WorkerLease: 31 * time.Second}, "c-0.1")
 	members := map[string]string{}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -44,7 +44,7 @@
 	if !c.isUp {
 		return nil
 	}
-	now, lag := c.cluster.Now, c.cluster.settings.ListLag
+	now, lag := c.cluster.Now, c.cluster.settings.InstanceListLag
 	listed := scheduler.InstancesListed{OK: true}
 	for _, w := range c.cluster.workers {
 		if w.isGone && now-w.goneAt > lag || now-w.rentedAt < lag {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -60,8 +60,8 @@
 // Settings of a small deployment with three controllers and two teams.
 func Settings() scheduler.Settings {
 	return scheduler.Settings{
-		Nodes: []string{"c-0", "c-1", "c-2"},
-		Zones: []string{"a", "b"},
+		Controllers: []string{"c-0", "c-1", "c-2"},
+		Zones:       []string{"a", "b"},
 		Teams: map[string]domain.Quota{
 			"red":  {Guarantee: domain.Resources{GPU: 8000}, Limit: domain.Resources{GPU: 12000}},
 			"blue": {Guarantee: domain.Resources{GPU: 8000}, Limit: domain.Resources{GPU: 40000}},
@@ -73,7 +73,7 @@
 		FenceAge:          tuning.FenceAge,
 		ValueLimit:        4096,
 		TransactionLimit:  8,
-		ListLag:           4 * time.Second,
+		InstanceListLag:   4 * time.Second,
 		StartWithin:       map[string]float64{},
 		FinishWithin:      map[string][]float64{},
 		SpareMachines:     0,
@@ -102,7 +102,7 @@
 	}
 	c.state = newStateService(c)
 	c.cloud = &cloud{cluster: c, rentals: map[string][]string{}, isUp: true}
-	for i, name := range settings.Nodes {
+	for i, name := range settings.Controllers {
 		p := &controllerProcess{cluster: c, name: name, clockRate: 1 + 0.0005*float64(i-1), isPreviousVersion: startsAsPreviousVersion}
 		c.processes = append(c.processes, p)
 		p.boot()
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -128,7 +128,7 @@
 // pipelines run, and in the end no value of a job is too large.
 func TestFleetUpgrade(t *testing.T) {
 	settings := grownSettings(7, 500, func(s *scheduler.Settings) {
-		s.ValueLimitNow, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
+		s.CurrentValueLimit, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
 		s.WriteRate, s.FairWriteRate, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
--- a/internal/simulation/grown_clusters_test.go
+++ b/internal/simulation/grown_clusters_test.go
@@ -18,10 +18,10 @@
 // grownSettings are those of a grown deployment, with changes.
 func grownSettings(nodes, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
 	settings := Settings()
-	settings.Nodes, settings.ZoneOf = nil, map[string]string{}
+	settings.Controllers, settings.ZoneOf = nil, map[string]string{}
 	for i := 0; i < nodes; i++ {
 		n := fmt.Sprintf("c-%d", i)
-		settings.Nodes = append(settings.Nodes, n)
+		settings.Controllers = append(settings.Controllers, n)
 		settings.ZoneOf[n] = settings.Zones[i%len(settings.Zones)]
 	}
 	settings.HeartbeatInterval = 5 * time.Second
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -131,7 +131,7 @@
 }
 
 // totalWork sums up what all controllers did.
-func (c *Cluster) totalWork() (all scheduler.Work) {
+func (c *Cluster) totalWork() (all scheduler.WorkCounts) {
 	for _, p := range c.processes {
 		x := p.controller.Work
 		all.Events, all.PendingHeartbeats = all.Events+x.Events, all.PendingHeartbeats+x.PendingHeartbeats
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -43,11 +43,11 @@
 	p.generation++
 	p.startedAt = c.Now
 	settings := c.settings
-	settings.Node, settings.Seed = p.name, uint64(p.generation)
+	settings.Controller, settings.Seed = p.name, uint64(p.generation)
 	settings.WallClockMS = wallStart + c.Now.Milliseconds()
 	if p.isPreviousVersion {
 		settings.PreviousFormat = true
-		settings.ValueLimit = max(settings.ValueLimit, settings.ValueLimitNow)
+		settings.ValueLimit = max(settings.ValueLimit, settings.CurrentValueLimit)
 		settings.TransactionLimit = max(settings.TransactionLimit, c.initialTransactionLimit)
 	}
 	p.controller = scheduler.New(settings, fmt.Sprintf("%s.%d", p.name, p.generation))
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -133,7 +133,7 @@
 
 // parseNextLimits reads the limits to come; those of the settings hold until then.
 func (s *script) parseNextLimits(l string) error {
-	s.settings.ValueLimitNow, s.initialTransactionLimit = s.settings.ValueLimit, s.settings.TransactionLimit
+	s.settings.CurrentValueLimit, s.initialTransactionLimit = s.settings.ValueLimit, s.settings.TransactionLimit
 	if _, err := fmt.Sscanf(l, "next value=%d ops=%d", &s.settings.ValueLimit, &s.settings.TransactionLimit); err != nil {
 		return fmt.Errorf("next: %w", err)
 	}
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -64,7 +64,7 @@
 func newStateService(c *Cluster) *stateService {
 	s := &stateService{
 		cluster:          c,
-		valueLimit:       max(c.settings.ValueLimit, c.settings.ValueLimitNow),
+		valueLimit:       max(c.settings.ValueLimit, c.settings.CurrentValueLimit),
 		transactionLimit: max(c.settings.TransactionLimit, c.initialTransactionLimit),
 		entries:          map[string]stateEntry{},
 		leases:           map[uint64]*stateLease{},
