--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -8,76 +8,77 @@
 	"brassglade/internal/domain"
 )
 
-// cache is what the key-value store said, as far as the watch, snapshots and own commits
-// brought it here, with indexes over it. Every change to it goes through apply.
+// cache is this controller's copy of the key-value store, built from the watch, snapshots and
+// this controller's own commits, with indexes over it. Every change to it goes through apply.
 type cache struct {
-	revision        uint64            // every change up to here has been applied
-	modRevisions    map[string]uint64 // by key: of the value that was applied last
-	loadingSnapshot bool              // apply is called for a snapshot: what is in it may be old
+	revision        uint64            // all changes up to this revision have been applied
+	modRevisions    map[string]uint64 // key -> revision of the value that was applied last
+	loadingSnapshot bool              // apply is called for a snapshot, whose items may be old
 
-	view    *domain.View      // nil: none seen yet
+	view    *domain.View      // nil: no view received yet
 	members map[string]string // controller -> incarnation
 
-	format           int            // that all controllers read
-	announcedFormats map[string]int // controller -> the format that it announced
+	format           int            // format that all controllers read
+	announcedFormats map[string]int // controller -> format that it announced
 
 	// Jobs and their indexes.
-	jobs             map[string]*Job            // by name; also those that are over
-	openJobs         []*Job                     // whose tasks may start, by order of acceptance
-	awaitingRelease  map[string]*Job            // cancelled ones that may still have bookings
-	dependents       map[string][]*Job          // job -> jobs that depend on it, unless it is over
-	dependencyPieces map[string]string          // by key: pieces of lists that no header has used yet
-	jobsByPack       map[string]map[string]*Job // pack -> jobs by name whose tasks it holds
+	jobs             map[string]*Job            // by name; includes jobs that are over
+	openJobs         []*Job                     // jobs whose tasks may start, in order of acceptance
+	awaitingRelease  map[string]*Job            // cancelled jobs that may still have bookings, by name
+	dependents       map[string][]*Job          // job that is not over -> jobs that depend on it
+	dependencyPieces map[string]string          // key -> piece of a list of dependencies that no header refers to yet
+	jobsByPack       map[string]map[string]*Job // pack -> jobs whose tasks it holds, by name
 
-	// Values whose size matters.
-	valueSizes map[string]int  // key -> bytes; packs, cells and pages of machine types
-	oversized  map[string]bool // keys of values over the smaller bound
+	// Sizes of values that may come near the limit.
+	valueSizes map[string]int  // key -> bytes; packs, chunks, cells and pages of machine types
+	oversized  map[string]bool // keys of values larger than Settings.ValueLimit
 
 	// Bookings and their indexes.
 	bookedOn  map[string]map[domain.TaskID]bool      // machine -> tasks booked there
-	bookings  map[domain.TaskID]bookingInfo          // of booked tasks
-	occupancy map[string]occupancy                   // machine -> sum over its bookings
-	usage     map[string]map[string]domain.Resources // team -> controller that booked -> in use
+	bookings  map[domain.TaskID]bookingInfo          // by booked task
+	occupancy map[string]occupancy                   // machine -> totals of its bookings
+	usage     map[string]map[string]domain.Resources // team -> controller that booked -> resources in use
 	shares    map[string]codec.TeamShares            // by team
 
 	cordons     map[string]domain.Cordon    // by machine
-	cordonPages map[string]codec.CordonPage // by the controller whose page it is
+	cordonPages map[string]codec.CordonPage // by the controller that the page is named after
 
 	machineTypes     []domain.MachineType             // of all pages
 	machineTypePages map[string]codec.MachineTypePage // by key
-	windows          map[string]*codec.WindowRecord   // by controller
+	windows          map[string]*codec.WindowRecord   // last learning window, by controller
 }
 
-// taskSum sums up tasks booked on a machine.
+// taskSum is the total of some of the tasks booked on a machine.
 type taskSum struct {
 	used      domain.Resources
 	tasks     int
 	runTimeMS int64 // expected run times, ms
 }
 
-// count adds times as many tasks of a request and expected run time.
+// count adds the given number of tasks of one request and expected run time; a negative number
+// subtracts them.
 func (s *taskSum) count(request domain.Resources, runTimeMS, times int64) {
 	s.used = s.used.Plus(request, times)
 	s.tasks += int(times)
 	s.runTimeMS += times * runTimeMS
 }
 
-// occupancy sums up what is booked on a machine, so that nothing has to walk tasks
-// to know a machine's room or load.
+// occupancy is the total of what is booked on a machine. It is kept up to date so that a
+// machine's room and load can be determined without iterating over tasks.
 type occupancy struct {
 	taskSum             // of all tasks booked there
-	preemptible taskSum // of those that may be stopped for any other
-	gangTasks   int     // of jobs that the leader reserves machines for
+	preemptible taskSum // of those that may be preempted by any other task
+	gangTasks   int     // tasks of jobs that the leader reserves machines for
 	zone        string
 }
 
-// bookingInfo is what this controller remembers of a booking.
+// bookingInfo is what this controller records about a booking in memory only.
 type bookingInfo struct {
-	seenAt    time.Duration // when it was first seen
-	runTimeMS int64         // expected run time then, ms
+	seenAt    time.Duration // when this controller first saw the booking
+	runTimeMS int64         // expected run time at that moment, ms
 }
 
-// newCache has seen nothing of the key-value store yet.
+// newCache returns an empty cache.
 func newCache() cache {
 	return cache{
 		modRevisions:     map[string]uint64{},
@@ -102,7 +103,7 @@
 	}
 }
 
-// indexPack adds a job to the index of its pack, if it is in one.
+// indexPack adds a job to the index of its pack; a job without a pack is skipped.
 func (c *cache) indexPack(j *Job) {
 	if j.Header.Pack == "" {
 		return
@@ -115,14 +116,14 @@
 	jobs[j.ID] = j
 }
 
-// unindexPack takes a job out of the index of its pack.
+// unindexPack removes a job from the index of its pack.
 func (c *cache) unindexPack(j *Job) {
 	if j.Header.Pack != "" {
 		delete(c.jobsByPack[j.Header.Pack], j.ID)
 	}
 }
 
-// insertOpen puts a job among the open ones: the earliest accepted first.
+// insertOpen inserts a job into openJobs, which are sorted by order of acceptance, then by name.
 func (c *cache) insertOpen(j *Job) {
 	place := sort.Search(len(c.openJobs), func(i int) bool {
 		other := c.openJobs[i]
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -8,8 +8,9 @@
 	"brassglade/internal/ownership"
 )
 
-// apply takes one key's newer value into the cache. Older or equal revisions are
-// dropped: watch, own commits and snapshots may repeat each other.
+// apply stores a key's new value in the cache. A value whose revision is not newer than the
+// cached one is ignored, because the watch, own commits and snapshots may deliver the same
+// change.
 func (c *Controller) apply(item domain.KeyValue) {
 	if item.ModRevision <= c.cache.modRevisions[item.Key] {
 		return
@@ -30,8 +31,8 @@
 	c.error("unreadable value", "key", key, "err", err.Error())
 }
 
-// applyValue takes a value into the part of the cache that its key belongs to. It tells
-// whether the value may matter for what is to be committed next.
+// applyValue updates the part of the cache that the key belongs to. It reports whether the value
+// may affect what is to be committed next.
 func (c *Controller) applyValue(item domain.KeyValue) (matters bool, err error) {
 	kind, name := codec.ParseKey(item.Key)
 	switch kind {
@@ -62,7 +63,8 @@
 	return true, nil
 }
 
-// decodeOrZero reads a value that means the same when it is deleted as when it is empty.
+// decodeOrZero decodes a value; for a deleted one, nil, it returns the zero page, which means the
+// same.
 func decodeOrZero[Page any](value []byte) (page Page, err error) {
 	if value == nil {
 		return page, nil
@@ -74,7 +76,7 @@
 	return *decoded, nil
 }
 
-// applyView takes the view. It is never deleted.
+// applyView adopts the view. Its key is never deleted.
 func (c *Controller) applyView(value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -87,7 +89,8 @@
 	return true, nil
 }
 
-// applyMember takes the incarnation of a controller; its key goes when the controller is a member no longer.
+// applyMember records a controller's incarnation. The key is deleted when the controller is no
+// longer a member.
 func (c *cache) applyMember(controller string, value []byte) (matters bool, err error) {
 	if value == nil {
 		delete(c.members, controller)
@@ -101,7 +104,7 @@
 	return true, nil
 }
 
-// applyTeamShares takes the controllers' shares of a team's limit.
+// applyTeamShares records the controllers' shares of a team's limit.
 func (c *cache) applyTeamShares(team string, value []byte) (matters bool, err error) {
 	shares, err := decodeOrZero[codec.TeamShares](value)
 	if err != nil {
@@ -111,7 +114,7 @@
 	return true, nil
 }
 
-// applyWindow takes a controller's record of the last window of the critic.
+// applyWindow records what a controller published of its last learning window.
 func (c *cache) applyWindow(controller string, value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -124,8 +127,8 @@
 	return true, nil
 }
 
-// applyPack takes the tasks of the jobs that are still in the pack: what it says of others,
-// which moved, counts for nothing.
+// applyPack records the tasks of the jobs that are still in the pack. Entries of jobs that moved
+// out of it are ignored.
 func (c *Controller) applyPack(key, pack string, value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -147,7 +150,7 @@
 	return true, nil
 }
 
-// applyTasks takes a chunk, or a cell of one; path is the rest of its key after the prefix.
+// applyTasks records the tasks of a chunk or cell; path is the part of its key after the prefix.
 func (c *Controller) applyTasks(key, path string, value []byte) (matters bool, err error) {
 	if value == nil {
 		delete(c.cache.valueSizes, key)
@@ -161,7 +164,7 @@
 	}
 	first, ok := j.Header.FirstTaskOf(parts[1:])
 	if !ok || j.Header.KeyOf(j.ID, first) != key {
-		return false, nil // split into cells since, or cells that the header doesn't name yet
+		return false, nil // the chunk was split since, or the header doesn't name the cell yet
 	}
 	chunk, err := codec.Decode[codec.ChunkValue](value)
 	if err != nil {
@@ -174,8 +177,8 @@
 	return true, nil
 }
 
-// applyText takes a job's tasks from their text in a value, which begins with the given task.
-// Tasks that the job doesn't have are passed over.
+// applyText records a job's tasks from their text in a value; first is the index of the first
+// task in it. Tasks beyond the job's task count are ignored.
 func (c *Controller) applyText(j *Job, first int, chunk *codec.ChunkValue, text string) error {
 	return chunk.Tasks(text, func(offset int, task domain.Task) {
 		if i := first + offset; i >= 0 && i < j.Header.TaskCount {
@@ -184,25 +187,25 @@
 	})
 }
 
-// applyCordons takes the page of cordons that a controller's machines are on.
-func (c *Controller) applyCordons(home string, value []byte) (matters bool, err error) {
+// applyCordons records the page of cordons that is named after a controller (cordonPageOf).
+func (c *Controller) applyCordons(controller string, value []byte) (matters bool, err error) {
 	page, err := decodeOrZero[codec.CordonPage](value)
 	if err != nil {
 		return false, err
 	}
 	cordons := cordonsOfPage(page)
-	c.cache.removeDroppedCordons(c.cache.cordonPages[home], cordons)
+	c.cache.removeDroppedCordons(c.cache.cordonPages[controller], cordons)
 	for machine, cordon := range cordons {
 		if c.cache.cordons[machine] != cordon {
 			c.cache.cordons[machine] = cordon
 			c.dequeueAll(machine)
 		}
 	}
-	c.cache.cordonPages[home] = page
+	c.cache.cordonPages[controller] = page
 	return true, nil
 }
 
-// cordonsOfPage are the cordons of a page, by machine.
+// cordonsOfPage returns the cordons on a page, by machine.
 func cordonsOfPage(page codec.CordonPage) map[string]domain.Cordon {
 	cordons := make(map[string]domain.Cordon, len(page.Draining)+len(page.Gone))
 	for machine, reason := range page.Draining {
@@ -214,22 +217,23 @@
 	return cordons
 }
 
-// removeDroppedCordons forgets the cordons that were on the old page and no longer are: they belong to
-// machines gone for long.
-func (c *cache) removeDroppedCordons(old codec.CordonPage, now map[string]domain.Cordon) {
+// removeDroppedCordons removes the cordons that were on the old page and are not among the
+// current ones: their machines have been gone for a long time.
+func (c *cache) removeDroppedCordons(old codec.CordonPage, current map[string]domain.Cordon) {
 	for machine := range old.Draining {
-		if _, ok := now[machine]; !ok {
+		if _, ok := current[machine]; !ok {
 			delete(c.cordons, machine)
 		}
 	}
 	for _, machine := range old.Gone {
-		if _, ok := now[machine]; !ok {
+		if _, ok := current[machine]; !ok {
 			delete(c.cordons, machine)
 		}
 	}
 }
 
-// cordonPageOf is the page that a machine's cordon is on, whoever owns the machine.
+// cordonPageOf returns the name of the page that a machine's cordon is on. It doesn't depend on
+// the machine's owner.
 func (c *Controller) cordonPageOf(machine string) string {
 	return ownership.Rendezvous(machine, c.cfg.Controllers)
 }
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -7,7 +7,7 @@
 	"brassglade/internal/domain"
 )
 
-// applyJob takes a job's header. Headers are never deleted.
+// applyJob records a job's header. Headers are never deleted.
 func (c *Controller) applyJob(id string, value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
@@ -20,7 +20,7 @@
 	return true, nil
 }
 
-// applyHeader takes a job's header in place of the one before.
+// applyHeader replaces a job's header, or adds the job if it is new.
 func (c *Controller) applyHeader(id string, header *codec.JobHeader) {
 	j := c.cache.jobs[id]
 	isNew := j == nil
@@ -49,8 +49,8 @@
 	}
 }
 
-// addJob enters a job just met. Its age counts from now or, if the header comes with a
-// snapshot, from when it was accepted.
+// addJob adds a job that the cache doesn't have yet. Its age counts from now or, if the header
+// comes with a snapshot, from its acceptance.
 func (c *Controller) addJob(id string, header *codec.JobHeader) *Job {
 	j := &Job{ID: id, Header: header, counts: placement{queued: header.TaskCount}, submittedAt: int64(c.now)}
 	if c.cache.loadingSnapshot && header.AcceptedAtMS > 0 {
@@ -64,8 +64,9 @@
 	return j
 }
 
-// carryOverSpec completes the job's description in its new header by what isn't stored there, or
-// lets go of the bookings if the new header has none any more.
+// carryOverSpec fills in what is not stored in the new header's spec: the job's name, and its
+// list of dependencies, which the previous header has. If the new header has no spec any more, it
+// removes the job's bookings from the cache instead.
 func (c *Controller) carryOverSpec(j *Job, header *codec.JobHeader, isNew bool) {
 	if header.Spec != nil {
 		header.Spec.ID = j.ID
@@ -77,8 +78,8 @@
 	if j.Header.Spec == nil || j.counts.booked == 0 {
 		return
 	}
-	// The final header drops the spec only when nothing is booked; a chunk older than
-	// it may still be in the cache.
+	// The final header drops the spec only when nothing is booked any more, but the cache may
+	// still hold a chunk that is older than that header.
 	for i := range j.Tasks {
 		if j.Tasks[i].State == domain.Booked {
 			c.setTask(j, i, domain.Task{State: domain.Queued})
@@ -86,30 +87,31 @@
 	}
 }
 
-// changePack gives a job that was handed over to another shard, or moved with its tasks, the
-// header that names its new pack.
+// changePack replaces the header of a job whose pack changed, because the job was handed over to
+// another shard or moved to another pack of its shard.
 func (c *cache) changePack(j *Job, header *codec.JobHeader) {
 	c.unindexPack(j)
 	j.Header = header
 	c.indexPack(j)
 }
 
-// dequeueTasks takes all tasks of a job out of the queues of machines here.
+// dequeueTasks removes all tasks of a job from the queues of this controller's machines.
 func (c *Controller) dequeueTasks(j *Job, taskCount int) {
 	for i := 0; i < taskCount && j.queuedHere > 0; i++ {
 		c.dequeue(domain.TaskID{Job: j.ID, Index: i})
 	}
 }
 
-// forgetTasks drops the tasks of a job that is over: the header says all there is to know.
+// forgetTasks drops the task records of a job that is over. Its header holds all that is still
+// needed.
 func (c *cache) forgetTasks(j *Job) {
 	c.unindexPack(j)
 	j.Tasks = nil
 	delete(c.awaitingRelease, j.ID)
 }
 
-// setTask is the one function that changes a cached task; it keeps the counts and indexes.
-// Machines whose bookings change are noted as touched.
+// setTask sets a cached task and updates the counts and indexes. Cached tasks are changed nowhere
+// else. Machines whose bookings change are marked as touched.
 func (c *Controller) setTask(j *Job, i int, task domain.Task) {
 	old := j.task(i)
 	if old == task {
@@ -140,7 +142,8 @@
 	}
 }
 
-// bookingInfo is what is to be remembered of a booking of a job's task that is seen now.
+// bookingInfo returns what to record about a booking of one of the job's tasks that is first seen
+// now.
 func (q *queues) bookingInfo(j *Job, now time.Duration) bookingInfo {
 	info := bookingInfo{seenAt: now}
 	if j.Header.Spec != nil {
@@ -149,7 +152,7 @@
 	return info
 }
 
-// addBooking enters a booking into the indexes.
+// addBooking adds a booking to the indexes.
 func (c *cache) addBooking(j *Job, id domain.TaskID, task domain.Task, info bookingInfo) {
 	tasks := c.bookedOn[task.Machine]
 	if tasks == nil {
@@ -161,7 +164,7 @@
 	c.countBooking(j, id, task, 1)
 }
 
-// removeBooking takes a booking out of the indexes.
+// removeBooking removes a booking from the indexes.
 func (c *cache) removeBooking(j *Job, id domain.TaskID, task domain.Task) {
 	c.countBooking(j, id, task, -1)
 	delete(c.bookedOn[task.Machine], id)
@@ -172,8 +175,9 @@
 	}
 }
 
-// countBooking counts a booking in (times 1) or out (-1) of what is used of its machine and by
-// the controller that booked it. Without a spec nothing is known of what it takes.
+// countBooking adds a booking (times 1) to the totals of its machine and of the controller that
+// booked it, or subtracts it (times -1). A job without a spec is skipped: what its tasks take is
+// unknown.
 func (c *cache) countBooking(j *Job, id domain.TaskID, task domain.Task, times int64) {
 	spec := j.Header.Spec
 	if spec == nil {
--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -7,20 +7,20 @@
 	"brassglade/internal/domain"
 )
 
-// loadSnapshot replaces the cache by items read page by page since a revision; the
-// watch from that revision on repairs what changed while reading.
+// loadSnapshot loads a snapshot, which was read page by page, into the cache. The watch, which
+// continues from the snapshot's revision, delivers what changed while the pages were read.
 func (c *Controller) loadSnapshot(snapshot SnapshotLoaded) {
 	c.dropMissingMembers(snapshot)
-	// A chunk needs its header first, and the view comes last: whoever sees epoch e
-	// has every change that was conditional on an earlier one.
+	// A chunk is applied after its header. The view is applied last: a controller that sees epoch
+	// e must have every change that was conditional on an earlier epoch.
 	sort.Slice(snapshot.Items, func(a, b int) bool {
 		return snapshotOrder(snapshot.Items[a].Key) < snapshotOrder(snapshot.Items[b].Key)
 	})
 	c.cache.loadingSnapshot = true
 	for _, item := range snapshot.Items {
-		// The pages are read one after the other. What changed after the first
-		// comes with the watch, in order: a chunk taken now without its header
-		// would be dropped, and its revision then hide it for good.
+		// The pages are read one after another. What changed after the first page was read comes
+		// with the watch, in order. If such a chunk were applied here before its header, it would
+		// be dropped, and its recorded revision would make apply ignore it later, too.
 		if item.ModRevision <= snapshot.Revision || !c.guard(GuardSnapshot) {
 			c.apply(item)
 		}
@@ -30,23 +30,24 @@
 	c.membership.CacheLoaded()
 }
 
-// dropMissingMembers forgets the members that a snapshot doesn't have. Only their keys are ever
-// deleted while they matter; chunks go with the final header.
+// dropMissingMembers removes the members whose keys a snapshot lacks. Other keys need no such
+// check: member keys are the only ones whose deletion matters, and a job's chunks are deleted
+// with its final header.
 func (c *Controller) dropMissingMembers(snapshot SnapshotLoaded) {
-	isThere := map[string]bool{}
+	present := map[string]bool{}
 	for _, item := range snapshot.Items {
-		isThere[item.Key] = true
+		present[item.Key] = true
 	}
 	for controller := range c.cache.members {
 		key := codec.PrefixMember + controller
-		if !isThere[key] {
+		if !present[key] {
 			c.apply(domain.KeyValue{Key: key, ModRevision: max(snapshot.Revision, c.cache.modRevisions[key])})
 		}
 	}
 }
 
-// snapshotOrder is the place of a key among the items of a snapshot; keys with the same number may
-// come in any order.
+// snapshotOrder returns the rank by which the items of a snapshot are applied, the lowest first;
+// keys of one rank may be applied in any order.
 func snapshotOrder(key string) int {
 	switch kind, _ := codec.ParseKey(key); kind {
 	case codec.KindView:
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -9,31 +9,31 @@
 	"brassglade/internal/tuning"
 )
 
-// commits is the writing side towards the key-value store: which transactions are in
-// flight, which one is in doubt, what is left out of the next, and how many changes a
-// second this controller may still make.
+// commits is the state of writing to the key-value store: the transactions in flight, the one in
+// doubt, keys that the next task commit leaves out, and how many changes a second this controller
+// may still make.
 //
-// Of task commits, those that move tasks between states, one at most is in flight. It is
-// drafted (draft.go), filled by the stages of a plan (plan.go) and sent and settled here.
+// A task commit moves tasks between states. At most one is in flight. It is drafted in draft.go,
+// filled by the stages of a plan (plan.go), and sent and completed in this file.
 type commits struct {
-	nextID          uint64                    // numbers commits and reads, each id is used once
-	pending         map[uint64]*pendingCommit // by id
+	nextID          uint64                    // numbers commits and reads; each id is used once
+	pending         map[uint64]*pendingCommit // commits without a response, by id
 	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
-	nextTaskCommit  steady.Gate               // closed for a little after one that was refused or in doubt
+	nextTaskCommit  steady.Gate               // no task commit before then; set after one that was refused or is in doubt
 	minRevision     uint64                    // the cache must reach this revision before the next task commit
-	inDoubt         inDoubtCommit             // a task commit whose outcome is unknown
-	rate            float64                   // changes a second for task commits, at present
-	tokens          float64                   // changes that may be made now; below zero after urgent ones
-	tokensAt        time.Duration             // when tokens were last counted
-	isLeaderRate    bool                      // rate is that of a leader
-	lastChanges     int                       // changes of the last task commit
-	machines        map[string]bool           // that the task commit in flight concerns
-	avoidUntil      map[string]time.Duration  // keys left out of task commits until then
-	oversizedInPlan map[string]bool           // answers of isOversized in the present plan
-	fullValues      map[string]bool           // values that had no room for a booking
+	inDoubt         inDoubtCommit             // excludes a task commit whose outcome is unknown
+	rate            float64                   // present rate of task commits, changes a second
+	tokens          float64                   // changes that may be made now; negative after urgent commits
+	tokensAt        time.Duration             // when tokens were last refilled
+	isLeaderRate    bool                      // rate is the rate of a leader
+	lastChanges     int                       // number of changes in the last task commit
+	machines        map[string]bool           // machines whose bookings the task commit in flight changes
+	avoidUntil      map[string]time.Duration  // key -> time until which task commits leave it out
+	oversizedInPlan map[string]bool           // results of isOversized during the present plan, by key
+	fullValues      map[string]bool           // keys of values that had no room for a booking
 }
 
-// newCommits has a full second's worth of changes, at a rate in changes a second.
+// newCommits returns the state for a rate in changes a second, with one second's worth of tokens.
 func newCommits(rate float64) commits {
 	return commits{
 		pending:         map[uint64]*pendingCommit{},
@@ -45,14 +45,14 @@
 	}
 }
 
-// pendingCommit is a transaction without an answer yet.
+// pendingCommit is a transaction whose response has not arrived yet.
 type pendingCommit struct {
 	id          uint64
 	transaction domain.Transaction
 	onAnswer    func(domain.CommitResult, CommitAnswered)
 }
 
-// commit sends a transaction; onAnswer is called once with what became of it.
+// commit sends a transaction; onAnswer is called once, with its outcome.
 func (c *Controller) commit(lane int, transaction domain.Transaction, onAnswer func(domain.CommitResult, CommitAnswered)) *pendingCommit {
 	c.commits.nextID++
 	c.commits.tokens -= float64(len(transaction.Puts))
@@ -62,8 +62,8 @@
 	return pending
 }
 
-// onCommit settles the commit that an answer belongs to. Answers of commits that an
-// earlier incarnation sent, or that were answered already, are passed over.
+// onCommit handles the response to a commit. Responses to commits of an earlier incarnation, and
+// second responses to one commit, are ignored.
 func (c *Controller) onCommit(answer CommitAnswered) {
 	pending := c.commits.pending[answer.ID]
 	if pending == nil {
@@ -82,11 +82,12 @@
 	pending.onAnswer(answer.Result, answer)
 }
 
-// applyCommitted takes what this controller wrote into the cache ahead of the watch.
+// applyCommitted applies this controller's own committed changes to the cache before the watch
+// delivers them.
 func (c *Controller) applyCommitted(transaction domain.Transaction, revision uint64) {
 	for _, put := range transaction.Puts {
-		// The view is taken from the watch alone, so that whoever sees
-		// epoch e has seen all commits of earlier epochs.
+		// The view is taken from the watch only: a controller that sees epoch e must have seen
+		// all commits of earlier epochs.
 		if put.Key == codec.KeyView && c.guard(GuardView) {
 			continue
 		}
@@ -94,15 +95,15 @@
 	}
 }
 
-// --- credit ---
+// --- rate of changes ---
 
-// fullWriteRate is how many changes a second this controller may make when none of its
-// commits was refused lately; 0: no bound.
+// fullWriteRate returns how many changes a second this controller may make if none of its commits
+// was refused lately; 0: no limit.
 func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.writeWeight() }
 
-// refill counts the changes that may be made by now: the rate grows back to the full one,
-// in changes a second, after refusals made it smaller, and what isn't used within a second
-// is lost. Who becomes the leader, or stops being it, starts at the full rate of its weight.
+// refill adds the tokens that accrued since the last call, up to one second's worth. A rate that
+// was reduced by refusals grows back to the full one, in changes a second. A controller that
+// becomes the leader, or stops being it, starts at its full rate.
 func (s *commits) refill(now time.Duration, full float64, isLeader bool) {
 	seconds := (now - s.tokensAt).Seconds()
 	if s.isLeaderRate != isLeader {
@@ -114,35 +115,35 @@
 	s.tokensAt = now
 }
 
-// refund gives the changes of a refused commit back: nothing was written, and the state
-// service charges nothing for it. A leader whose large commits were refused among others'
-// small ones had spent its second's worth each time all the same.
+// refund returns the tokens of a refused commit: nothing was written, and the state service
+// doesn't count it. Without the refund a leader whose large commits were refused, while small
+// ones of other controllers passed, spent a second's worth of tokens on each attempt.
 func (s *commits) refund(changes int, full float64) {
 	s.tokens = min(full, s.tokens+float64(changes))
 }
 
-// hasCredit tells whether a task commit as large as the last one may go out, or one of
-// tuning.TaskCredit seconds' worth of changes if that is less.
+// hasCredit reports whether there are tokens for a task commit as large as the last one. The
+// tokens of tuning.TaskCredit seconds suffice for a commit of any size.
 func (s *commits) hasCredit(writeRate float64) bool {
 	return writeRate <= 0 || s.tokens >= min(float64(s.lastChanges), tuning.TaskCredit*writeRate)
 }
 
-// reduceRate lowers the rate after a refusal, to no less than fair. All controllers together
-// want more than the store takes, and it refuses users' submissions as well: each goes back
-// towards its fair share.
+// reduceRate lowers the rate after a refusal, but not below fair. A refusal means that all
+// controllers together write more than the store accepts and that it refuses users' submissions
+// as well, so each controller returns towards its fair share.
 func (s *commits) reduceRate(fair float64) {
 	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
 }
 
 // --- avoided keys ---
 
-// isKeyAvoided tells whether a key is left out of task commits.
+// isKeyAvoided reports whether task commits leave a key out at present.
 func (s *commits) isKeyAvoided(key string, now time.Duration) bool {
 	until, ok := s.avoidUntil[key]
 	return ok && now < until
 }
 
-// checkAvoided is isAvoiding that forgets the key once its time is over.
+// checkAvoided is isKeyAvoided, but also deletes the entry of a key whose time is over.
 func (s *commits) checkAvoided(key string, now time.Duration) bool {
 	if s.isKeyAvoided(key, now) {
 		return true
@@ -151,8 +152,8 @@
 	return false
 }
 
-// isTaskAvoided tells whether the value of task i of a job lost a conflict just now. What is
-// left out for that is planned again.
+// isTaskAvoided reports whether the value with task i of a job is left out after a conflict. If
+// so, it requests another plan, so that the task is considered again.
 func (c *Controller) isTaskAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
@@ -164,8 +165,8 @@
 	return true
 }
 
-// avoidConflictedKeys leaves values that lost a conflict out for a little, of random length:
-// one contested value must not keep failing all else that this controller has to write.
+// avoidConflictedKeys leaves the keys that failed in a conflict out of task commits for a short,
+// random time, so that one contested value doesn't fail all other changes of this controller.
 func (c *Controller) avoidConflictedKeys(failed []string) {
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
@@ -175,23 +176,23 @@
 	}
 }
 
-// --- the one task commit in flight ---
+// --- the task commit in flight ---
 
-// canCommitTasks tells whether a task commit could go out now.
+// canCommitTasks reports whether a task commit may be sent now.
 func (c *Controller) canCommitTasks() bool {
 	s := &c.commits
 	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
-// commitDraft commits a draft and settles what comes of it. From now on no start of an
-// attempt that it releases may go out: the commit may be carried out late.
+// commitDraft sends a draft as the task commit. From then on no start of an attempt that the
+// draft releases may be sent to an agent, because the commit may be carried out late.
 func (c *Controller) commitDraft(d *draft) {
 	transaction := d.transaction()
 	for _, attempt := range d.releases {
 		c.planner.pendingReleases[attempt] = true
 	}
 	c.commits.machines = d.machines
-	c.debug("task commit", "epoch", c.cache.view.Epoch, "read_at", c.cache.revision,
+	c.debug("sending task commit", "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
 		"headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares),
 		"tasks", len(d.changed), "released", len(d.releases),
 		"conditions", len(transaction.Conditions), "bytes", transactionBytes(transaction))
@@ -200,7 +201,7 @@
 	})
 }
 
-// onTaskCommitResult takes the outcome of the task commit that was in flight.
+// onTaskCommitResult handles the outcome of the task commit in flight.
 func (c *Controller) onTaskCommitResult(d *draft, transaction domain.Transaction, result domain.CommitResult, answer CommitAnswered) {
 	c.commits.taskCommit = nil
 	c.planner.dirty = true
@@ -210,26 +211,26 @@
 	switch result {
 	case domain.Committed:
 		c.debug("task committed", "revision", answer.Revision)
-		for _, then := range d.onCommit {
-			then()
+		for _, callback := range d.onCommit {
+			callback()
 		}
 	case domain.Conflict:
-		c.debug("task commit conflict", "failed", answer.Failed)
+		c.debug("task commit conflict", "failed_keys", answer.Failed)
 		c.commits.minRevision = max(c.commits.minRevision, answer.Revision)
 		c.avoidConflictedKeys(answer.Failed)
 	default:
-		c.debug("task commit not confirmed", "result", int(result))
+		c.debug("task commit refused or in doubt", "result", int(result))
 		c.backOff(result)
 		if result == domain.InDoubt {
 			c.commits.markInDoubt(transaction, c.cache.modRevisions)
 		} else if answer.Malformed {
-			c.commits.inDoubt = inDoubtCommit{} // it may be the value in doubt that is too large by now
+			c.commits.inDoubt = inDoubtCommit{} // the value in doubt may be the one that is too large now
 		}
 	}
 }
 
-// backOff waits a little, of random length, after a task commit that was refused or got
-// no answer.
+// backOff delays the next task commit by a short, random time after one that was refused or got
+// no response. A refusal while the state service is reachable reduces the rate, too.
 func (c *Controller) backOff(result domain.CommitResult) {
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.reduceRate(c.cfg.FairWriteRate * c.writeWeight())
@@ -239,12 +240,13 @@
 
 // --- sizes ---
 
-// maxValueBytes is what a value may take in a transaction that changes it.
+// maxValueBytes returns the size, in bytes, that a value is planned to have at most after a
+// transaction that changes it.
 func (c *Controller) maxValueBytes(key string) int {
 	return min(c.valueLimit(), c.cache.valueSizes[key]+tuning.ValueGrow)
 }
 
-// transactionBytes is what a transaction's values take.
+// transactionBytes returns the total size of a transaction's values, in bytes.
 func transactionBytes(transaction domain.Transaction) int {
 	bytes := 0
 	for _, put := range transaction.Puts {
@@ -253,8 +255,8 @@
 	return bytes
 }
 
-// hasValueTooLarge tells whether a transaction has a value that outgrew its bound in this
-// draft: estimates are for what is usual.
+// hasValueTooLarge reports whether a transaction contains a value that grew beyond its limit in
+// this draft. This can happen because the estimates used in drafting cover usual cases only.
 func (c *Controller) hasValueTooLarge(transaction domain.Transaction) bool {
 	for _, put := range transaction.Puts {
 		if len(put.Value) > c.cfg.ValueLimit && !c.cache.oversized[put.Key] {
@@ -264,7 +266,7 @@
 	return false
 }
 
-// isOversizedInPlan asks isOversized once a plan.
+// isOversizedInPlan is isOversized, evaluated once per plan and key.
 func (c *Controller) isOversizedInPlan(key string) bool {
 	if !c.cache.oversized[key] {
 		return false
--- a/internal/scheduler/foreign_values.go
+++ b/internal/scheduler/foreign_values.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// isForeign tells whether the value that holds the job's tasks belongs to another shard,
-// which writes it a few times a second. Tasks of such a job run on machines of this shard
-// after their owners changed: when a zone was cut off, by the hundred.
+// isForeign reports whether the value that holds the job's tasks belongs to another shard, whose
+// controller writes it a few times a second. Tasks of such jobs run on machines of this shard
+// after machines changed owners: hundreds of them after a zone was cut off.
 func (c *Controller) isForeign(j *Job) bool {
 	if j.Header.Inline || placedByLeader(j.Header.Spec) || !c.isLargeFleet() {
 		return false
@@ -15,9 +15,10 @@
 	return c.cache.shardOf(j) != c.cfg.Controller
 }
 
-// nextForeignValue is the other shard's value to be changed next, in turn; "": none.
+// nextForeignValue returns the key of the next value of another shard to change, in round-robin
+// order; "": none.
 func (c *Controller) nextForeignValue() string {
-	next, first := "", ""
+	following, first := "", ""
 	for key := range c.planner.foreignValues {
 		if c.commits.isKeyAvoided(key, c.now) {
 			continue
@@ -25,12 +26,12 @@
 		if first == "" || key < first {
 			first = key
 		}
-		if key > c.planner.lastForeignValue && (next == "" || key < next) {
-			next = key
+		if key > c.planner.lastForeignValue && (following == "" || key < following) {
+			following = key
 		}
 	}
-	if next == "" {
+	if following == "" {
 		return first
 	}
-	return next
+	return following
 }
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -7,18 +7,20 @@
 	"brassglade/internal/tuning"
 )
 
-// formats is how far this controller is with announcing its format, and whether the
-// key-value store's limits are known to have fallen.
+// formats is the state of announcing this controller's format, and of whether the key-value
+// store's limits are known to be lower than before.
 type formats struct {
-	announcing       bool        // a commit of it is in flight
-	nextAnnouncement steady.Gate // closed for a while after each answer
-	limitsLowered    bool        // a refusal showed that values must be smaller now
+	announcing       bool        // a commit of the format is in flight
+	nextAnnouncement steady.Gate // no announcement before then; set after each response
+	limitsLowered    bool        // a refused commit showed that the lower limits apply
 }
 
-// isFormatOn tells whether all controllers read and keep what this version writes.
+// isFormatOn reports whether all controllers read the format of this version, and keep what is
+// written in it.
 func (c *cache) isFormatOn() bool { return c.format >= codec.CurrentFormat }
 
-// announceFormat announces this controller's format, and as the leader turns it on.
+// announceFormat announces this controller's format. The leader turns the format on once all have
+// announced it.
 func (c *Controller) announceFormat() {
 	if c.cache.isFormatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
@@ -30,8 +32,9 @@
 	}
 }
 
-// allAnnounced tells whether all controllers, those of the settings and not only of the view,
-// have announced the format: one that is down may come back as the version before.
+// allAnnounced reports whether all controllers have announced the format. These are the
+// controllers of the settings, not only those of the view: one that is down may come back with
+// the previous version.
 func (c *cache) allAnnounced(controllers []string) bool {
 	for _, controller := range controllers {
 		if c.announcedFormats[controller] < codec.CurrentFormat {
@@ -41,9 +44,9 @@
 	return true
 }
 
-// commitFormat writes an announcement, or that the format is on, behind a view that has this
-// incarnation only: whatever an earlier process of this controller sent was conditional on an
-// older view, so nothing of it can be carried out any more once the format is on.
+// commitFormat writes an announcement, or that the format is on, on condition that the view is
+// one that contains this incarnation. Whatever an earlier process of this controller sent was
+// conditional on an older view, so none of it can be carried out once the format is on.
 func (c *Controller) commitFormat(key string, format codec.Format) {
 	c.formats.announcing = true
 	c.commit(LaneView, domain.Transaction{
@@ -58,7 +61,8 @@
 	})
 }
 
-// applyFormat takes what one controller announced or, for "", that the format is on.
+// applyFormat records the format that a controller announced or, if controller is "", the format
+// that is on for all.
 func (c *Controller) applyFormat(controller string, value []byte) (matters bool, err error) {
 	if value == nil {
 		return false, nil
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -7,36 +7,36 @@
 	"brassglade/internal/domain"
 )
 
-// A task commit without an answer may be carried out late, after newer ones of this
-// controller. Until that is settled every task commit writes one of its values again, under
-// the condition that it hasn't changed; so of all these commits one at most is ever carried
-// out, and no two of them can together book more than this controller's share of a team's
-// limit, or more than a machine holds.
+// A task commit without a response may be carried out late, after newer ones of this controller.
+// Until its outcome is known, every later task commit writes one of that commit's values again,
+// on condition that the value hasn't changed. So at most one of all these commits is ever carried
+// out, and no two of them together can book more than this controller's share of a team's limit,
+// or more than a machine holds.
 
-// inDoubtCommit is the value by which later task commits exclude one whose outcome is
-// unknown.
+// inDoubtCommit identifies the value by which later task commits exclude a commit whose outcome
+// is unknown.
 type inDoubtCommit struct {
 	key         string // "": no commit is in doubt
-	modRevision uint64 // that the commit found
+	modRevision uint64 // revision of the value on which the commit was conditional
 }
 
-// isOutcomeKnown tells whether the value changed since: the commit was carried out, or never
-// will be.
+// isOutcomeKnown reports whether the value has changed since: either the commit was carried out,
+// or it never will be.
 func (v inDoubtCommit) isOutcomeKnown(modRevisions map[string]uint64) bool {
 	return modRevisions[v.key] != v.modRevision
 }
 
-// markInDoubt remembers a commit without an answer, given the revisions of the cache's
-// values.
+// markInDoubt records a task commit that got no response; modRevisions are the revisions of the
+// cached values, by key.
 func (s *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
 	if s.inDoubt.key != "" {
-		return // this one, too, excludes the first
+		return // this commit writes the value of the first one in doubt, too
 	}
 	found := map[string]uint64{}
 	for _, condition := range lost.Conditions {
 		found[condition.Key] = condition.ModRevision
 		if modRevisions[condition.Key] != condition.ModRevision {
-			return // carried out, or never to be
+			return // it was carried out, or never will be
 		}
 	}
 	best := notExcludable
@@ -48,11 +48,11 @@
 	}
 }
 
-// notExcludable is the rank of values that can't be written again as they are.
+// notExcludable is the rank of values that can't be written again unchanged.
 const notExcludable = 4
 
-// exclusionRank orders values by how well they serve to exclude a commit, the best first:
-// packs, then cells and headers, then teams' shares, which all controllers change.
+// exclusionRank ranks values by how well they serve to exclude a commit, the best first: packs,
+// then chunks, cells and headers, then teams' shares, which all controllers change.
 func exclusionRank(key string) int {
 	switch kind, _ := codec.ParseKey(key); kind {
 	case codec.KindPack:
@@ -65,7 +65,8 @@
 	return notExcludable
 }
 
-// excludeInDoubt puts the value in doubt into a new draft as it is.
+// excludeInDoubt adds the value of the commit in doubt, unchanged, to a new draft. If the outcome
+// is known by now, it ends the exclusion instead.
 func (d *draft) excludeInDoubt() {
 	c := d.c
 	key := c.commits.inDoubt.key
@@ -90,8 +91,8 @@
 	}
 }
 
-// rewriteCell writes the value of a chunk or cell as it is, unless its job has no use for it
-// any more; name is the rest of its key after the prefix.
+// rewriteCell adds a chunk or cell, unchanged, to the draft, unless its job no longer keeps tasks
+// in it; name is the part of the key after the prefix.
 func (d *draft) rewriteCell(key, name string) {
 	path := strings.Split(name, "/")
 	j := d.c.cache.jobs[path[0]]
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -12,10 +12,10 @@
 	"brassglade/internal/tuning"
 )
 
-// planSplits brings one value of this shard that is too large to fit again. Jobs
-// leave a pack for others, the longest texts first, until the rest fits; a job
-// that fits no pack, and a chunk, is split into cells. Every such transaction fits
-// the smaller limits, so it goes on when they have fallen.
+// planSplits plans to make one value of this shard smaller that is too large or full. Jobs are
+// moved from a pack to other packs, the longest texts first, until the rest fits. A chunk, or a
+// job that fits no other pack, is split into cells. All these transactions are within the lower
+// limits, so this works even after the limits were lowered.
 func (c *Controller) planSplits(d *draft) {
 	defer clear(c.commits.fullValues)
 	for _, key := range c.valuesToShrink() {
@@ -28,9 +28,9 @@
 	}
 }
 
-// valuesToShrink are the values that are too large, then those that had no room for a booking.
-// The latter are relieved the same way, but written again in the same commit, since others may
-// go on changing them.
+// valuesToShrink returns the keys of values that are too large, then of those that had no room
+// for a booking. The latter are made smaller in the same way, but are also written in the same
+// commit, because others may go on changing them.
 func (c *Controller) valuesToShrink() []string {
 	keys := slices.Sorted(maps.Keys(c.cache.oversized))
 	for _, key := range slices.Sorted(maps.Keys(c.commits.fullValues)) {
@@ -41,8 +41,8 @@
 	return keys
 }
 
-// shrinkValue plans to make a value smaller. It tells whether the draft has anything to commit
-// for it; if not, the next value may be looked at.
+// shrinkValue plans to make a value smaller. It reports whether the draft has anything to commit
+// for that; if not, the caller may try the next value.
 func (c *Controller) shrinkValue(d *draft, key string) (planned bool) {
 	kind, name := codec.ParseKey(key)
 	switch kind {
@@ -61,14 +61,14 @@
 	return false
 }
 
-// packShard is the shard that cares for a pack.
+// packShard returns the shard that a pack belongs to.
 func (c *cache) packShard(pack string) string {
 	shard, _, _ := strings.Cut(pack, "/")
 	return ownership.OfShard(c.view, shard, pack)
 }
 
-// shrinkChunk splits a chunk. A value that no job keeps its tasks in any more, since it was
-// split or the job is over, is forgotten.
+// shrinkChunk plans to split a chunk that is too large. A value in which no job keeps tasks any
+// more, because it was split or the job is over, is no longer counted as too large.
 func (c *Controller) shrinkChunk(d *draft, key string, j *Job) (planned bool) {
 	inUse := false
 	if j != nil && j.Header.Spec != nil {
@@ -89,10 +89,10 @@
 }
 
 // shrinkPack moves jobs out of a pack that is too large, the longest texts first, or splits the
-// one that fits no other pack.
+// job that fits no other pack.
 func (c *Controller) shrinkPack(d *draft, key, pack string) (planned bool) {
 	if !c.isOversized(key) {
-		d.addRewrite(key) // without what left it
+		d.addRewrite(key) // without the jobs that left it
 		return true
 	}
 	for _, j := range c.cache.longestTexts(pack) {
@@ -104,7 +104,7 @@
 }
 
 // makeRoomInPack moves the job with the longest text out of a pack that had no room for a
-// booking, or splits it if it is alone there.
+// booking, or splits that job if it is alone in the pack.
 func (c *Controller) makeRoomInPack(d *draft, key, pack string) (planned bool) {
 	jobs := c.cache.longestTexts(pack)
 	if c.cache.valueSizes[key] < c.cfg.ValueLimit/2 {
@@ -119,7 +119,7 @@
 			return true
 		}
 	} else {
-		d.keys, d.conditions = map[string]bool{}, map[string]bool{} // the split says what becomes of the pack
+		d.keys, d.conditions = map[string]bool{}, map[string]bool{} // splitCell adds what the pack needs
 		if c.splitCell(d, jobs[0], 0) {
 			return true
 		}
@@ -127,7 +127,7 @@
 	return d.keepIfHeaders(key)
 }
 
-// longestTexts are the jobs of a pack that have tasks in it, the longest texts first.
+// longestTexts returns the jobs that have tasks in a pack, the longest texts first.
 func (c *cache) longestTexts(pack string) []*Job {
 	jobs := c.jobsByPack[pack]
 	bytes := map[string]int{}
@@ -149,8 +149,9 @@
 	return longest
 }
 
-// moveOrSplit moves a job out of its pack, whose key is given, or splits it if it fits no other
-// one and nothing else is in the draft. It tells whether the draft takes no more.
+// moveOrSplit moves a job out of its pack, whose key is given. If no other pack has room for the
+// job and the draft is empty, it splits the job instead. It reports whether nothing more may be
+// added to the draft.
 func (c *Controller) moveOrSplit(d *draft, key string, j *Job, level slog.Level) (isFull bool) {
 	pack, ok := d.moveTarget(j)
 	if !ok {
@@ -160,18 +161,18 @@
 		return true
 	}
 	d.move(j, pack)
-	d.onCommit = append(d.onCommit, func() { c.log(level, "value made smaller", "key", key, "job", j.ID, "to", pack) })
+	d.onCommit = append(d.onCommit, func() { c.log(level, "value made smaller", "key", key, "job", j.ID, "pack", pack) })
 	return false
 }
 
-// addRewrite has a pack written again, with the tasks that belong there now.
+// addRewrite adds a pack to the draft, to be written with the tasks that belong there now.
 func (d *draft) addRewrite(key string) {
 	d.keys[key] = true
 	d.addCondition(key)
 }
 
-// keepIfHeaders tells whether anything is to be committed for a pack: jobs that move have
-// new headers. If nothing is, the pack need not be written either.
+// keepIfHeaders reports whether anything is to be committed for a pack, which is so if the draft
+// has new headers of jobs that move. If not, it removes the pack from the draft.
 func (d *draft) keepIfHeaders(key string) bool {
 	if len(d.headers) > 0 {
 		return true
@@ -180,7 +181,8 @@
 	return false
 }
 
-// moveTarget is a pack that a job may leave its own for, with room for its text.
+// moveTarget returns a pack with room for a job's text, to which the job can be moved. It returns
+// false if the text is too long for any pack.
 func (d *draft) moveTarget(j *Job) (pack string, ok bool) {
 	if pack, ok := d.moved[j.ID]; ok {
 		return pack, true
@@ -188,7 +190,7 @@
 	c := d.c
 	need := c.cache.textBytes(j) + len(j.ID) + 3*tuning.TaskBytes
 	if need > c.cfg.ValueLimit-2*tuning.PackSlack {
-		return "", false // it would take a whole pack, and soon not fit that
+		return "", false // it would fill a whole pack, and soon outgrow it
 	}
 	shard, _, _ := strings.Cut(j.Header.Pack, "/")
 	for number := 0; ; number++ {
@@ -203,17 +205,17 @@
 	}
 }
 
-// canGrow tells whether a value isn't too large as it is, nor lost a conflict just now.
+// canGrow reports whether a value is neither too large nor left out after a conflict.
 func (c *Controller) canGrow(key string) bool {
 	return !c.cache.oversized[key] && !c.commits.isKeyAvoided(key, c.now)
 }
 
-// hasRoomToMove tells whether the draft may take the move of a job to a pack.
+// hasRoomToMove reports whether the draft has room for moving a job to a pack.
 func (d *draft) hasRoomToMove(j *Job, pack string) bool {
 	return d.changes()+d.changesOfMove(j, pack) <= d.c.cfg.TransactionLimit && d.takesConditions(4)
 }
 
-// changesOfMove is how many changes a move adds to the draft.
+// changesOfMove returns how many changes moving a job adds to the draft.
 func (d *draft) changesOfMove(j *Job, pack string) int {
 	changes := 0
 	if d.headers[j.ID] == nil {
@@ -225,12 +227,11 @@
 	return changes
 }
 
-// move takes a job out of its pack into another one: the header names the new
-// pack, which gets the job's tasks in the same commit. What the old pack still
-// says of it counts for nothing from then on, so the old pack need not be written.
-// The commit is conditional on it all the same, and since its revision stays as it
-// is, a change of a job in a value that is too large is conditional on the job's
-// header, too (openCell).
+// move moves a job to another pack. The job's header names the new pack, which gets the job's
+// tasks in the same commit. The old pack's entry of the job is ignored from then on, so the old
+// pack need not be written, but the commit is conditional on it. Because the revision of the old
+// pack doesn't change, a change of a job in a value that is too large is also conditional on the
+// job's header (openCell).
 func (d *draft) move(j *Job, pack string) {
 	if _, ok := d.moved[j.ID]; ok {
 		return
@@ -247,18 +248,19 @@
 	d.copyCell(j, 0) // a pack holds all tasks of a job
 }
 
-// cellSplit is a chunk, or the whole of a job that fits no pack, as it is kept in cells.
+// cellSplit is the result of splitting a chunk, or all tasks of a job that fits no pack, into
+// cells.
 type cellSplit struct {
-	source string          // key of the value that the tasks come from
-	header codec.JobHeader // that names the cells
+	source string          // key of the value that held the tasks
+	header codec.JobHeader // new header, which names the cells
 	cells  []domain.Put
 }
 
-// splitCell splits the cell of task i, or the whole of a job that fits no pack, into
-// cells whose text fits whatever is booked in them. If they are too many for one
-// commit, those that the header doesn't name yet are written first, each commit
-// conditional on the value that they come from, which can't change meanwhile
-// without failing the last one.
+// splitCell splits the chunk of task i, or all tasks of a job that fits no pack, into cells whose
+// text fits a value whatever is booked in them. If there are too many cells for one commit,
+// earlier commits write cells that the header doesn't name yet. Each of these commits is
+// conditional on the value that the tasks come from. If that value changes meanwhile, the last
+// commit fails.
 func (c *Controller) splitCell(d *draft, j *Job, i int) (planned bool) {
 	if !canSplit(j, i) {
 		return false
@@ -267,14 +269,14 @@
 	d.addCondition(split.source)
 	d.addCondition(codec.KeyJob(j.ID))
 	room := c.cfg.TransactionLimit - 1 // beside the header
-	dropsSource := !c.cache.oversized[split.source]
-	if dropsSource {
+	removesSource := !c.cache.oversized[split.source]
+	if removesSource {
 		room--
 	}
 	if !c.cache.addCells(d, j, split, room) {
-		return true // the rest, and the header, come with later commits
+		return true // the rest, and the header, are written by later commits
 	}
-	if dropsSource {
+	if removesSource {
 		d.removeFromSource(j, split.source)
 	}
 	d.headers[j.ID] = &split.header
@@ -284,14 +286,14 @@
 	return true
 }
 
-// canSplit tells whether the value with task i can be split into cells: it has tasks of its own
-// and isn't a cell already.
+// canSplit reports whether the value with task i can be split into cells: the tasks are not in
+// the header, and the value is not a cell already.
 func canSplit(j *Job, i int) bool {
 	isCell := j.Header.CellSize > 0 && j.Header.IsSplit(i/j.Header.ChunkSize)
 	return !j.Header.Inline && !isCell && j.Tasks != nil
 }
 
-// cellSplit works out the cells of the chunk with task i and the header that names them.
+// cellSplit returns the cells of the chunk with task i, and the header that names them.
 func (c *Controller) cellSplit(j *Job, i int) *cellSplit {
 	header := j.Header
 	chunk := i / header.ChunkSize
@@ -299,7 +301,7 @@
 	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *header}
 	split.header.Pack, split.header.CellSize = "", cellSize(header, c.cfg.ValueLimit)
 	split.header.SplitChunks = header.WithSplit(chunk)
-	if header.CellSize == 0 { // the first chunk that is split: done tasks are counted, no longer done chunks
+	if header.CellSize == 0 { // first split of the job: the header now counts done tasks instead of done chunks
 		split.header.DoneTasks, split.header.DoneChunks = doneTasksOutside(j, from), 0
 	}
 	for cell, first := 0, from; first < to; cell, first = cell+1, first+split.header.CellSize {
@@ -313,8 +315,9 @@
 	return split
 }
 
-// cellSize is the number of tasks in a cell of a job: the same for all its chunks, and few
-// enough that the longest bookings of all fit a value, of at most limit bytes.
+// cellSize returns the number of tasks in a cell of a job. It is the same for all chunks of the
+// job, and small enough that a cell fits a value of at most limit bytes even if all its tasks
+// have the longest bookings.
 func cellSize(header *codec.JobHeader, limit int) int {
 	if header.CellSize > 0 {
 		return header.CellSize
@@ -322,15 +325,16 @@
 	return max(1, (limit-tuning.PackSlack)/tuning.TaskBytes)
 }
 
-// addCells puts the cells that are not written yet into the draft, as many as there is room
-// for. It tells whether that was all of them.
+// addCells adds the cells that are not written yet to the draft, as many as there is room for. It
+// reports whether none is left.
 func (c *cache) addCells(d *draft, j *Job, split *cellSplit, room int) (complete bool) {
 	complete = true
 	lastChange := max(c.modRevisions[split.source], c.modRevisions[codec.KeyJob(j.ID)])
 	for _, cell := range split.cells {
-		// Written already if it is there since source and header last changed. The
-		// commit that names the cells is conditional on those two: then no late one
-		// of these can have changed a cell meanwhile, and conditions are few.
+		// If there are too many cells for one commit, earlier commits wrote those that are newer
+		// than the last change of source and header. The commit that names the cells is
+		// conditional on source and header, so that no late commit of cells can have changed one
+		// of them meanwhile. This takes fewer conditions than one for each cell.
 		if len(split.cells) > room && c.modRevisions[cell.Key] > lastChange {
 			continue
 		}
@@ -344,9 +348,9 @@
 	return complete
 }
 
-// removeFromSource takes a job's tasks out of the value that they were kept in before a split. A
-// value that is not too large may be changed under the same revision by who doesn't look at the
-// header: it goes, or is written without the job.
+// removeFromSource removes a job's tasks from the value that held them before a split. It is
+// needed if that value is not too large: others may then change it, under the same revision,
+// without checking the job's header. A chunk is deleted, a pack is written without the job.
 func (d *draft) removeFromSource(j *Job, source string) {
 	if j.Header.Pack != "" {
 		d.keys[source], d.finished[j.ID] = true, true
@@ -355,8 +359,8 @@
 	}
 }
 
-// doneTasksOutside is the number of tasks in chunks that are all done, but for the chunk that
-// begins with the given task.
+// doneTasksOutside returns the number of tasks in chunks whose tasks are all done, except the
+// chunk that begins with the given task.
 func doneTasksOutside(j *Job, from int) int {
 	done := 0
 	for first := 0; first < j.Header.TaskCount; first += j.Header.ChunkSize {
@@ -367,7 +371,7 @@
 	return done
 }
 
-// doneTasks is the number of tasks in a cell of which all are done, else 0.
+// doneTasks returns the number of tasks in a cell if all of them are done, else 0.
 func doneTasks(cell []domain.Task) int {
 	for _, task := range cell {
 		if task.State != domain.Done {
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -9,14 +9,14 @@
 	"brassglade/internal/tuning"
 )
 
-// The key-value store may lower its limits without notice. All that this version
-// writes fits the smaller limits from its first moment, but values written before,
-// or by the version before, may be larger. These stay readable; a rewrite of one is
-// refused from then on.
+// The key-value store may lower its limits without notice. All that this version writes is within
+// the lower limits from the start, but values written earlier, or by the previous version, may be
+// larger. These stay readable, but rewriting one at its size is refused once the limits are
+// lower.
 
-// valueLimit is how many bytes a value may be written with. Until a refusal shows that the
-// limit fell, what is there already may be written at its size of today: jobs of
-// the version before could not go on otherwise.
+// valueLimit returns the greatest size, in bytes, with which a value may be written. Until a
+// refusal shows that the limit was lowered, existing values may be written at their present size;
+// jobs of the previous version could not continue otherwise.
 func (c *Controller) valueLimit() int {
 	if c.formats.limitsLowered {
 		return c.cfg.ValueLimit
@@ -24,11 +24,13 @@
 	return max(c.cfg.ValueLimit, c.cfg.CurrentValueLimit)
 }
 
-// mayShrinkValues tells whether values over the smaller bound are to be written smaller: once
-// all controllers read what comes of it, or when they can't be written any more as they are.
+// mayShrinkValues reports whether values over the lower limit may be made smaller: once all
+// controllers can read the result, or if the values can't be written at their present size any
+// more.
 func (c *Controller) mayShrinkValues() bool { return c.cache.isFormatOn() || c.formats.limitsLowered }
 
-// recordRefusal learns from a refused transaction that the limits fell.
+// recordRefusal counts the values of a refused transaction that are over the lower limit. Such a
+// refusal shows that the limits were lowered.
 func (c *Controller) recordRefusal(refused domain.Transaction) {
 	for _, put := range refused.Puts {
 		if len(put.Value) <= c.cfg.ValueLimit {
@@ -38,13 +40,12 @@
 		c.info("value refused as too large", "key", put.Key, "bytes", len(put.Value), "count", c.Work.TooLarge)
 		if !c.formats.limitsLowered {
 			c.formats.limitsLowered = true
-			c.info("the state service's limits fell", "value_bytes", c.cfg.ValueLimit)
+			c.info("state service limits lowered", "value_bytes", c.cfg.ValueLimit)
 		}
 	}
 }
 
-// recordSize keeps the size of a value, and the set of those that are larger than they may be
-// soon: over the limit, in bytes.
+// recordSize records the size of a value, in bytes, and whether it is over the limit.
 func (c *cache) recordSize(key string, bytes, limit int) {
 	c.valueSizes[key] = bytes
 	if bytes > limit {
@@ -54,12 +55,13 @@
 	}
 }
 
-// chunkOf makes the value of some jobs' tasks, by job, in the form that all controllers read.
+// chunkOf returns a value with the tasks of some jobs, given by job, in the format that all
+// controllers read.
 func (c *cache) chunkOf(tasksByJob map[string][]domain.Task) *codec.ChunkValue {
 	return codec.NewChunkValue(tasksByJob, c.isFormatOn())
 }
 
-// textBytes is what a job's tasks take in a value.
+// textBytes returns the length of the text of a job's tasks in a value.
 func (c *cache) textBytes(j *Job) int {
 	if j.Tasks == nil {
 		return 0
@@ -67,8 +69,8 @@
 	return len(c.chunkOf(map[string][]domain.Task{j.ID: j.Tasks}).Texts[j.ID])
 }
 
-// isOversized tells whether a value can't be written again as it is: it is too large,
-// and would be without the texts of jobs that moved or ended, too.
+// isOversized reports whether a value can't be written at its present size: it is too large, and
+// would be so even without the texts of jobs that moved or ended.
 func (c *Controller) isOversized(key string) bool {
 	if !c.cache.oversized[key] || !c.mayShrinkValues() {
 		return false
@@ -86,8 +88,9 @@
 	return len(codec.Encode(c.cache.chunkOf(live))) > c.cfg.ValueLimit-tuning.PackSlack
 }
 
-// encodeWindow leaves out loads evenly until a window's record fits its value: the
-// critic's features hardly change with a sample.
+// encodeWindow encodes a learning window's record. It leaves out loads at even intervals until
+// the record fits a value: the features of the critic hardly change if they are computed from a
+// sample.
 func (c *Controller) encodeWindow(record codec.WindowRecord) []byte {
 	value := codec.Encode(record)
 	for len(value) > c.cfg.ValueLimit && len(record.Loads) > 0 {
@@ -102,9 +105,9 @@
 	return value
 }
 
-// shortenHeader shortens what users chose freely in a header of the version before, which
-// had no bound for it: the class and the image serve as names here, and of the
-// types only those that exist count.
+// shortenHeader shortens what users chose freely in a header of the previous version, which had
+// no limit for it. The class and the image are used only as names here, and of the machine types
+// only those that exist matter.
 func (c *Controller) shortenHeader(header *codec.JobHeader) {
 	if header.Spec == nil || !c.mayShrinkValues() || !hasLongNames(header.Spec) {
 		return
@@ -116,13 +119,14 @@
 	header.Spec = &spec
 }
 
-// hasLongNames tells whether a job's description has a name or list that fitHeader may shorten.
+// hasLongNames reports whether a job's spec has a name or list that shortenHeader may shorten.
 func hasLongNames(spec *domain.JobSpec) bool {
 	return len(spec.MachineTypes) >= tuning.ManyMachineTypes || len(spec.Class) > tuning.NameBytes || len(spec.Image) > tuning.NameBytes
 }
 
-// existingTypes are those of a long list that exist; of none of them, one that doesn't,
-// since an empty list would allow all.
+// existingTypes returns the machine types of a long list that exist. If none of them does, it
+// returns the first one, since an empty list would allow all types. A short list is returned as
+// it is.
 func (c *cache) existingTypes(names []string) []string {
 	if len(names) < tuning.ManyMachineTypes || len(c.machineTypes) == 0 {
 		return names
