--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -1,6 +1,6 @@
-// Package scheduler decides for one controller, without input or output of its own. Step
-// takes one event and the steady time and returns the effects to carry out; the package
-// owns all state and is called by one goroutine.
+// Package scheduler makes the decisions of one controller and performs no input or output itself.
+// Step takes one event and the monotonic time, and returns the effects to carry out. The package
+// owns all state of the controller and must be called by one goroutine only.
 package scheduler
 
 import (
@@ -14,24 +14,25 @@
 	"brassglade/internal/tuning"
 )
 
-// WorkCounts counts what grows with the fleet, so that tests need no clock to see it.
+// WorkCounts counts operations whose number grows with the fleet, so that tests can check the
+// cost of a step without a clock.
 type WorkCounts struct {
 	Events            int            // steps
-	PendingHeartbeats int            // heartbeats waiting for their answer looked at
-	Machines          int            // machines looked at one by one (reviewMachines)
-	Targets           int            // machines weighed for tasks (choices)
-	TooLarge          int            // values refused for their size
+	PendingHeartbeats int            // pending heartbeats examined
+	Machines          int            // machines examined one by one (reviewMachines)
+	Targets           int            // machines compared as places for tasks
+	TooLarge          int            // values that the state service refused for their size
 	Bookings          [passCount]int // tasks booked in committed plans, by the pass that chose their machine
 }
 
-// Controller is the whole state of one controller. It is made of components, each with
-// the state of one concern; Step is the only way in.
+// Controller is the whole state of one controller. Each component holds the state of one concern.
+// Only Step changes the state.
 type Controller struct {
 	Work    WorkCounts
 	cfg     Settings
-	rng     *rand.Rand    // all random draws, seeded
-	now     time.Duration // steady time of the present step
-	effects []Effect      // of the present step so far
+	rng     *rand.Rand    // for all random draws; seeded
+	now     time.Duration // monotonic time of the present step
+	effects []Effect      // produced so far in the present step
 
 	membership membership.Member
 	views      views
@@ -50,7 +51,7 @@
 	waits      waitCounts
 }
 
-// New returns the state of a controller that has just started. The incarnation is unique
+// New returns the state of a controller that has just started. The incarnation must be unique
 // among all processes of all controllers.
 func New(cfg Settings, incarnation string) *Controller {
 	cfg.CurrentValueLimit = max(cfg.CurrentValueLimit, cfg.ValueLimit)
@@ -84,7 +85,7 @@
 	return c.effects
 }
 
-// dispatch hands an event to the component that it concerns.
+// dispatch passes an event to the component that handles it. It panics on an unknown type.
 func (c *Controller) dispatch(event Event) {
 	switch e := event.(type) {
 	case Tick:
@@ -123,37 +124,37 @@
 	case PeerMessageReceived:
 		c.onPeerMessage(e)
 	default:
-		panic(fmt.Sprintf("an event that take doesn't know: %T", event))
+		panic(fmt.Sprintf("unknown event type: %T", event))
 	}
 }
 
-// runDueWork does what is due now, whatever the event was. Each component decides for
-// itself whether anything is. First comes what keeps this controller in its place, then what
-// others learn from it, then its decisions, and last the answers that tell machines.
+// runDueWork does all work that is due, whatever the event was; each component checks for itself
+// whether it has any. The order is: this controller's membership, messages that others depend on,
+// decisions, and last the replies to machines.
 func (c *Controller) runDueWork() {
-	c.maintainLease() // without lease and member key nothing else counts
-	c.confirmView()   // every moment in which it isn't sent shortens what the fence allows
-	c.proposeView()   // after maintainLease, which may find the member key gone
+	c.maintainLease() // first: a controller without lease and member key may not act
+	c.confirmView()   // every delay of it shortens the time for which the controller may act
+	c.proposeView()   // after maintainLease, which may find that the member key was deleted
 	c.expireWaiters() // users need an answer even while the cache is being loaded
 	if !c.membership.IsSynced() {
-		return // nothing below may be decided on half a cache
+		return // nothing below may be decided on an incomplete cache
 	}
-	c.gossip()                  // sent even by those that may not act: peers judge by it who is cut off
-	c.updateReadiness()         // bound to no place: what GET /up says
-	c.announceFormat()          // seldom and small, so that it takes its tokens before the plan
+	c.gossip()                  // sent even if this controller may not act: peers detect by it which controllers are cut off
+	c.updateReadiness()         // sets the answer of GET /up; may come anywhere
+	c.announceFormat()          // rare and small, so that it may take its tokens before the plan
 	c.writeCordons()            // before planCommit: bookings depend on the pages of cordons
-	c.placeTasks()              // before planCommit: tasks are booked from the queues of machines
-	c.planCommit()              // takes what tokens are left
-	c.scale()                   // the leader's; what is here is booked before more is rented
-	c.endLearningWindow()       // after placing, whose loads it records
-	c.answerPendingHeartbeats() // after planCommit: an answer is delayed for the bookings that the plan may bring
-	c.reviewMachines()          // last: an answer just given renews its machine's lease
+	c.placeTasks()              // before planCommit, which books tasks from the queues of machines
+	c.planCommit()              // uses the tokens that are left
+	c.scale()                   // leader only; after planCommit, so that tasks are booked on machines here before more are rented
+	c.endLearningWindow()       // after placeTasks, whose loads it records
+	c.answerPendingHeartbeats() // after planCommit: a reply waits for the bookings that the plan may bring
+	c.reviewMachines()          // last: a reply that was just sent renews its machine's lease
 }
 
-// writeWeight is this controller's share of the changes a second, where an equal one is 1. In a
-// large fleet the leader writes gangs and cordons besides its own shard; with an equal
-// share of the changes its own jobs waited for minutes beside machines that were
-// free, and looked like those with most room.
+// writeWeight returns this controller's share of the changes a second as a multiple of an equal
+// share. In a large fleet the leader writes gangs and cordons besides its own shard. With an
+// equal share, jobs of its shard waited for minutes although machines were free, and the free
+// machines made its shard look like the one with the most room.
 func (c *Controller) writeWeight() float64 {
 	controllers := float64(len(c.cfg.Controllers))
 	if controllers < 3 || c.cache.view == nil || !c.isLargeFleet() {
@@ -165,13 +166,13 @@
 	return (controllers - tuning.LeaderWeight) / (controllers - 1)
 }
 
-// onSnapshot replaces the cache.
+// onSnapshot loads a snapshot into the cache.
 func (c *Controller) onSnapshot(snapshot SnapshotLoaded) {
 	c.loadSnapshot(snapshot)
 	c.settleConfirmations()
 }
 
-// onWatch brings the cache up to the watch's revision.
+// onWatch applies the changes up to the revision that the watch has reached.
 func (c *Controller) onWatch(watch WatchAdvanced) {
 	c.membership.WatchBegins(watch.Sent)
 	for _, kv := range watch.Items {
@@ -182,10 +183,10 @@
 	c.settleConfirmations()
 }
 
-// emit adds an effect to those of the present step.
+// emit appends an effect to those of the present step.
 func (c *Controller) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// debug, info and error add a line to the log; args are pairs of key and value.
+// debug, info and error write a line to the log; args are alternating keys and values.
 func (c *Controller) debug(message string, args ...any) { c.log(slog.LevelDebug, message, args...) }
 
 func (c *Controller) info(message string, args ...any) { c.log(slog.LevelInfo, message, args...) }
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -7,14 +7,14 @@
 	"brassglade/internal/domain"
 )
 
-// Effect is an output of Step. The caller carries out effects in order, without waiting
-// for the answers, which come back as events.
+// Effect is an output of Step. The caller carries out effects in order, without waiting for
+// responses, which come back as events.
 type Effect interface {
 	isEffect()
 }
 
-// Lanes of the budget of requests to the state service, most urgent first: a commit waits
-// while one of a lane before its own does.
+// Lanes are the priorities within the budget of requests to the state service, most urgent first:
+// a commit waits while one in a more urgent lane is waiting.
 const (
 	LaneView = iota
 	LaneUser
@@ -24,26 +24,27 @@
 
 // To the state service.
 type (
-	// ConfirmView asks whether the view still has the revision known here, and for the
-	// state service's own revision. It changes nothing. Answer: ConfirmationAnswered.
+	// ConfirmView asks the state service whether the view still has the revision that is known
+	// here, and for the service's own revision. It changes nothing. Response:
+	// ConfirmationAnswered.
 	ConfirmView struct {
 		Key         string
 		ModRevision uint64
 	}
-	// Commit carries out a transaction. Answer: CommitAnswered.
+	// Commit carries out a transaction. Response: CommitAnswered.
 	Commit struct {
 		ID          uint64
 		Lane        int
 		Transaction domain.Transaction
 	}
-	// ReadKeys reads a few keys as they are now, past the cache. Answer: KeysRead.
+	// ReadKeys reads the present values of a few keys, bypassing the cache. Response: KeysRead.
 	ReadKeys struct {
 		ID   uint64
 		Keys []string
 	}
-	// GrantLease asks for a lease. Answer: LeaseGranted.
+	// GrantLease requests a lease. Response: LeaseGranted.
 	GrantLease struct{ TTL time.Duration }
-	// RenewLease lets a lease live for its TTL from now. Answer: LeaseRenewalAnswered.
+	// RenewLease extends a lease by its TTL from now. Response: LeaseRenewalAnswered.
 	RenewLease struct{ LeaseID uint64 }
 )
 
@@ -52,13 +53,13 @@
 	// HeartbeatReply answers HeartbeatReceived.
 	HeartbeatReply struct {
 		RequestID    uint64
-		Status       int              // 200; 421: Owner is another controller; 503: not now
-		Owner        string           // of the machine, with 421
+		Status       int              // 200; 421: Owner is another controller; 503: can't be answered now
+		Owner        string           // owner of the machine, with 421
 		FencingToken uint64           // the view's epoch, with 200
 		Commands     []domain.Command // with 200
 	}
-	// SendCommands sends stops straight to an agent, where its next heartbeat is too far.
-	// It may be dropped. Answer, if it was sent: CommandsAnswered.
+	// SendCommands sends commands that stop tasks directly to an agent whose next heartbeat would
+	// come too late. It may be dropped. Response, if it was sent: CommandsAnswered.
 	SendCommands struct {
 		Machine, Addr            string
 		FencingToken, AgentEpoch uint64
@@ -69,41 +70,41 @@
 // UserReply answers a user's request.
 type UserReply struct {
 	RequestID     uint64
-	Status        int    // of HTTP; with 200 and 201 what follows but Reason is the job's state
+	Status        int    // HTTP status; with 200 and 201 the fields below, except Reason, describe the job's state
 	ID            string // of the job
 	State         string
-	Done, Running int    // tasks
-	Reason        string // why not, with any other status
+	Done, Running int    // numbers of tasks
+	Reason        string // why the request was not carried out, with any other status
 }
 
-// To the cloud, from the leader alone.
+// To the cloud provider; sent by the leader only.
 type (
-	// ListMachineTypes asks for all machine types. Answer: MachineTypesListed.
+	// ListMachineTypes requests all machine types. Response: MachineTypesListed.
 	ListMachineTypes struct{}
-	// ListInstances asks for all machines rented. Answer: InstancesListed.
+	// ListInstances requests all rented machines. Response: InstancesListed.
 	ListInstances struct{}
-	// RentMachines rents machines, once for each RentalID however often it is asked.
-	// Answer: RentalAnswered.
+	// RentMachines rents machines. It is idempotent: repeated requests with one RentalID rent
+	// once. Response: RentalAnswered.
 	RentMachines struct {
 		RentalID, Type, Zone string
 		Spot                 bool
 		Count                int
 	}
-	// ReturnMachines gives machines back. Answer: ReturnAnswered.
+	// ReturnMachines returns rented machines. Response: ReturnAnswered.
 	ReturnMachines struct{ Names []string }
 )
 
-// SendPeerMessage sends a message to another controller. It may be lost, and has no answer.
+// SendPeerMessage sends a message to another controller. It may be lost and has no response.
 type SendPeerMessage struct {
 	To      string
 	Message PeerMessage
 }
 
-// LogLine is a line for operators.
+// LogLine is a line of the log.
 type LogLine struct {
 	Level   slog.Level
 	Message string
-	Args    []any // keys and values in turn
+	Args    []any // alternating keys and values
 }
 
 func (ConfirmView) isEffect()      {}
@@ -121,13 +122,13 @@
 func (SendPeerMessage) isEffect()  {}
 func (LogLine) isEffect()          {}
 
-// Statuses of replies to users and machines, as the protocol has them.
+// HTTP statuses of replies to users and machines.
 const (
 	StatusOK          = 200
-	StatusAccepted    = 201 // a job that was not known before
+	StatusAccepted    = 201 // a job that was not known before was accepted
 	StatusMalformed   = 400
 	StatusUnknownJob  = 404
 	StatusNotOwner    = 421 // the reply names the owner
 	StatusRefused     = 422 // a job that can never run
-	StatusUnavailable = 503 // for now: to be repeated
+	StatusUnavailable = 503 // temporary: the request may be repeated
 )
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -6,66 +6,67 @@
 	"brassglade/internal/domain"
 )
 
-// Event is an input of Step. Each request that goes out as an effect is answered by one
-// event, in any order; an answer that got lost comes as a failed one.
+// Event is an input of Step. Each request that is sent as an effect is answered by one event, in
+// any order. A lost response is reported as a failed one.
 type Event interface {
 	isEvent()
 }
 
-// Tick comes from the clock, for what is due although nothing else happens.
+// Tick is sent periodically, so that due work is done even if nothing else happens.
 type Tick struct{}
 
-// What the state service says.
+// Responses of the state service.
 type (
-	// SnapshotLoaded replaces the cache. It comes first, and again when the watch has
-	// fallen behind what the state service keeps.
+	// SnapshotLoaded loads a snapshot into the cache. It is the first event, and comes again if
+	// the watch falls behind the changes that the state service retains.
 	SnapshotLoaded struct {
 		Items    []domain.KeyValue
-		Revision uint64 // of the first page; later pages may hold newer items
+		Revision uint64 // revision of the first page; later pages may hold newer items
 	}
-	// WatchAdvanced carries all changes up to Revision, in order. A watch that fails is
-	// sent again without a word here.
+	// WatchAdvanced carries all changes up to Revision, in order. A watch that fails is sent
+	// again without an event.
 	WatchAdvanced struct {
-		Sent     time.Duration // steady time at which the watch was sent; < 0: unknown
+		Sent     time.Duration // monotonic time at which the watch was sent; < 0: unknown
 		Items    []domain.KeyValue
 		Revision uint64
 	}
 	// ConfirmationAnswered answers ConfirmView.
 	ConfirmationAnswered struct {
-		OK       bool   // false: no answer, which confirms nothing
-		Same     bool   // the view is the one asked about
-		Revision uint64 // of the state service when it answered
+		OK       bool   // false: no response, which confirms nothing
+		Same     bool   // the view still has the revision that was asked about
+		Revision uint64 // revision of the state service when it responded
 	}
-	// CommitAnswered answers Commit. InDoubt, which a lost answer is as well, means that
-	// the transaction may be carried out, now or later.
+	// CommitAnswered answers Commit. The result InDoubt, which also stands for a lost response,
+	// means that the transaction may be carried out now or later.
 	CommitAnswered struct {
 		ID        uint64
 		Result    domain.CommitResult
-		Malformed bool     // refused for good: too large, or under a lease that is gone
-		Revision  uint64   // that it made, if committed
-		Failed    []string // keys whose conditions failed, of a conflict
+		Malformed bool     // refused permanently: too large, or under a lease that has expired
+		Revision  uint64   // revision that the transaction created, if committed
+		Failed    []string // keys whose conditions failed, in a conflict
 	}
 	// KeysRead answers ReadKeys.
 	KeysRead struct {
 		ID    uint64
-		OK    bool              // false: some key was not read, and Items is empty
+		OK    bool              // false: some key could not be read, and Items is empty
 		Items []domain.KeyValue // of the keys that exist
 	}
 	// LeaseGranted answers GrantLease.
 	LeaseGranted struct {
-		OK      bool // false: none, as far as is known; one may expire unused
+		OK      bool // false: no lease, as far as known; one may have been granted and expire unused
 		LeaseID uint64
 	}
-	// LeaseRenewalAnswered answers RenewLease. Neither OK nor Gone: not known.
+	// LeaseRenewalAnswered answers RenewLease. If neither OK nor Gone is set, the outcome is
+	// unknown.
 	LeaseRenewalAnswered struct {
 		OK   bool
 		Gone bool // the lease expired, and all keys under it were deleted
 	}
 )
 
-// What machines say.
+// Messages from machines.
 type (
-	// HeartbeatReceived is an agent's heartbeat, to be answered by HeartbeatReply.
+	// HeartbeatReceived is an agent's heartbeat, to be answered with HeartbeatReply.
 	HeartbeatReceived struct {
 		RequestID uint64
 		Heartbeat domain.Heartbeat
@@ -73,17 +74,17 @@
 	// CommandsAnswered answers SendCommands.
 	CommandsAnswered struct {
 		Machine   string
-		OK        bool              // false: refused, or no answer; the next heartbeat's reply repeats them
-		Heartbeat *domain.Heartbeat // what the agent said with its answer; nil: nothing
+		OK        bool              // false: refused, or no response; the reply to the next heartbeat repeats the commands
+		Heartbeat *domain.Heartbeat // the agent's state as in its response; nil: none
 	}
 )
 
-// What users ask, to be answered by UserReply.
+// Requests of users, to be answered with UserReply.
 type (
-	// JobSubmitted is a submission.
+	// JobSubmitted submits a job.
 	JobSubmitted struct {
 		RequestID uint64
-		ID        string          // chosen by the user, who repeats it to ask again; "" if unreadable
+		ID        string          // chosen by the user, who repeats a submission with the same ID; "" if unreadable
 		Spec      *domain.JobSpec // nil: malformed
 	}
 	// JobQueried asks for a job's state.
@@ -98,34 +99,34 @@
 	}
 )
 
-// What the cloud says, to the leader alone.
+// Responses of the cloud provider; received by the leader only.
 type (
 	// MachineTypesListed answers ListMachineTypes.
 	MachineTypesListed struct {
-		OK    bool // false: no answer
+		OK    bool // false: no response
 		Types []domain.MachineType
 	}
-	// InstancesListed answers ListInstances: the whole list, all pages.
+	// InstancesListed answers ListInstances with the whole list, all pages of it.
 	InstancesListed struct {
-		OK        bool // false: some page got no answer
+		OK        bool // false: some page got no response
 		Instances []domain.Instance
 	}
-	// RentalAnswered answers RentMachines. Neither OK nor NoCapacity: not known, and the
-	// same rental is asked for again.
+	// RentalAnswered answers RentMachines. If neither OK nor NoCapacity is set, the outcome is
+	// unknown, and the same rental is requested again.
 	RentalAnswered struct {
 		RentalID   string
 		OK         bool
 		NoCapacity bool     // nothing was rented
-		Names      []string // of the machines rented, perhaps fewer than asked for
+		Names      []string // machines rented, perhaps fewer than requested
 	}
 	// ReturnAnswered answers ReturnMachines.
 	ReturnAnswered struct {
 		Names []string
-		OK    bool // false: not known; they are returned again
+		OK    bool // false: the outcome is unknown, and they are returned again
 	}
 )
 
-// PeerMessageReceived is another controller's message.
+// PeerMessageReceived is a message from another controller.
 type PeerMessageReceived struct {
 	From    string
 	Message PeerMessage
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -7,37 +7,37 @@
 	"brassglade/internal/domain"
 )
 
-// Job is a job in the cache: what the key-value store says of it, and what this controller works
-// out from that. Times are of this controller's steady clock.
+// Job is a job in the cache: its records in the key-value store, and what this controller derives
+// from them. Times are of the monotonic clock of this controller.
 type Job struct {
 	ID     string
-	Header *codec.JobHeader // as committed last; never changed in place
-	Tasks  []domain.Task    // as committed; nil until a chunk was written: all are queued
+	Header *codec.JobHeader // the last committed one; never changed in place
+	Tasks  []domain.Task    // as committed; nil while no task record was written: all are queued
 
-	counts     placement // of Tasks
-	queuedHere int       // tasks now in queues of machines of this controller
-	phase      phase     // set by setPhase alone
+	counts     placement // tasks by state
+	queuedHere int       // tasks in queues of this controller's machines
+	phase      phase     // changed by setPhase only
 
-	waitReason WaitReason // what kept its tasks from starting when they were last looked at
+	waitReason WaitReason // what kept its tasks from starting when that was last determined
 
-	submittedAt int64 // ns
-	readyAt     int64 // when it could first start: all that it depends on was done; ns
+	submittedAt int64 // when it was accepted or first seen; ns
+	readyAt     int64 // when it could first start, once all its dependencies were done; ns
 
-	// Pause after failures of its tasks.
+	// Pause after tasks of the job failed.
 	failures    int
 	pausedUntil int64 // no start before this time, ns
 
-	// What it depends on.
-	dependenciesDoneAt     int64 // when the last job that it depends on was done, as far as known, ns
-	unfinishedDependencies int   // jobs that it depends on and that are not done
-	missingPieces          int   // pieces of its list of dependencies that are not here yet
-	dependencyFailed       bool  // a job that it depends on is cancelled, and so is it
+	// Dependencies.
+	dependenciesDoneAt     int64 // when the last dependency was done, as far as known; ns
+	unfinishedDependencies int   // dependencies that are not done
+	missingPieces          int   // pieces of its list of dependencies that the cache lacks
+	dependencyFailed       bool  // a dependency was cancelled, which cancels this job, too
 
-	// What it is urgent for: itself, or a job that depends on it.
+	// Urgency of the job itself, or inherited from a job that depends on it.
 	priority         domain.Priority
-	deadlineAt       int64   // when it should be done for the deadline, if deadlineSeconds > 0; ns
-	deadlineSeconds  float64 // the deadline that this comes from, s
-	beyondObjectives bool    // too late for any objective, as it was when the jobs were last ordered
+	deadlineAt       int64   // when it should be done to meet the deadline, if deadlineSeconds > 0; ns
+	deadlineSeconds  float64 // length of the deadline that deadlineAt is derived from, s
+	beyondObjectives bool    // too late for all its objectives when the jobs were last ordered
 }
 
 // task returns the committed record of task i.
@@ -48,14 +48,15 @@
 	return j.Tasks[i]
 }
 
-// age is how long ago the job could first start.
+// age returns how long ago the job could first start.
 func (j *Job) age(now time.Duration) time.Duration { return now - time.Duration(j.readyAt) }
 
-// isFinal: nothing will change any more about how the job ended.
+// isFinal reports whether the job is over, done or cancelled, so that its outcome can't change
+// any more.
 func (j *Job) isFinal() bool { return j.Header.State != domain.StateOpen || j.dependencyFailed }
 
-// cancelled by its user, or for a job that it depends on.
+// cancelled reports whether the job was cancelled by its user or because a dependency was.
 func (j *Job) cancelled() bool { return j.Header.State == domain.StateCancelled || j.dependencyFailed }
 
-// isPaused tells whether none of the job's tasks may start yet, after errors of others.
+// isPaused reports whether no task of the job may start yet because earlier ones failed.
 func (j *Job) isPaused(now time.Duration) bool { return int64(now) < j.pausedUntil }
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -6,40 +6,41 @@
 	"brassglade/internal/domain"
 )
 
-// Settings is what a controller needs of the settings file; package config derives it.
+// Settings are the settings of one controller. Package config derives them from the settings
+// file.
 type Settings struct {
-	Controller  string            // this controller
-	Zone        string            // its zone
-	Controllers []string          // all controllers of the deployment, this one included, sorted
+	Controller  string            // name of this controller
+	Zone        string            // this controller's zone
+	Controllers []string          // all controllers of the deployment, including this one, sorted
 	Zones       []string          // of the deployment, in the order of the settings file
 	ZoneOf      map[string]string // controller -> zone
 	Teams       map[string]domain.Quota
 
 	HeartbeatInterval time.Duration // between two heartbeats of an agent
-	WorkerLease       time.Duration // an agent without an answer for as long stops its tasks
-	CancelWithin      time.Duration // from a user's cancellation until nothing of the job runs
-	GangPeerWait      time.Duration // a gang's task ends if it lacks its peers for as long (gang_peer_s)
-	FenceAge          time.Duration // age of a confirmation up to which the controller acts
-	InstanceListLag   time.Duration // by which the cloud's list of instances may be late
+	WorkerLease       time.Duration // an agent that gets no answer for this long stops its tasks
+	CancelWithin      time.Duration // from a cancellation by a user until no task of the job runs
+	GangPeerWait      time.Duration // a gang's task ends if it lacks its peers for this long (gang_peer_s)
+	FenceAge          time.Duration // greatest age of a confirmation with which the controller may act
+	InstanceListLag   time.Duration // how far the cloud's list of instances may be out of date
 
-	ValueLimit        int // bytes; the least that a value's bound is or will be: what is written stays within it
-	CurrentValueLimit int // bytes; the bound of today, for what the version before wrote; 0: ValueLimit
-	TransactionLimit  int // changes; the least that a transaction's bound is or will be
+	ValueLimit        int // bytes; the lowest limit on a value's size, now or in future: all values are written within it
+	CurrentValueLimit int // bytes; the present limit, for values of the previous version; 0: ValueLimit
+	TransactionLimit  int // changes; the lowest limit on a transaction's size, now or in future
 
-	WriteRate     float64 // changes a second that this controller plans to make; 0: no bound
-	FairWriteRate float64 // an equal share of the deployment's changes a second; WriteRate may be more
-	ReadRate      float64 // requests a second that this controller plans to make; 0: no bound
+	WriteRate     float64 // changes a second that this controller plans to make; 0: no limit
+	FairWriteRate float64 // an equal share of the deployment's changes a second; WriteRate may be higher
+	ReadRate      float64 // requests a second that this controller plans to make; 0: no limit
 
 	StartWithin       map[string]float64   // class -> seconds within which its tasks should start
 	FinishWithin      map[string][]float64 // class -> seconds within which its jobs should be done
-	GuaranteeWithin   float64              // seconds within which work in a guarantee should start
-	DeadlineMultiples []float64            // multiples of a deadline that count
-	SpareMachines     int                  // kept warm for a class with such an objective; operators may change it
-	Learn             bool                 // weights follow what was learned; operators may turn it off
+	GuaranteeWithin   float64              // seconds within which tasks within their team's guarantee should start
+	DeadlineMultiples []float64            // multiples of a job's deadline that are objectives
+	SpareMachines     int                  // machines kept free for a class with an objective for starts; operators may change it
+	Learn             bool                 // learned weights are used; operators may turn it off
 
-	Seed        uint64 // of all random draws
-	WallClockMS int64  // time of day when the steady clock was 0, ms; for order and ages only
+	Seed        uint64 // for all random draws
+	WallClockMS int64  // time of day when the monotonic clock was 0, ms; used for order and ages only
 
 	DisabledGuard  Guard // tests only
-	PreviousFormat bool  // tests only: never announces the format, as the version before
+	PreviousFormat bool  // tests only: never announces the format, like the previous version
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// PlanningPass names the pass of planning that chose a task's machine.
+// PlanningPass identifies the pass of planning that chose a task's machine.
 type PlanningPass int
 
-// The passes of one plan.
+// The passes of a plan.
 const (
 	PassQueue      PlanningPass = iota // from the queue of a machine of this controller's shard
-	PassCached                         // the leader's, over jobs whose image is on a machine with room
-	PassAny                            // the leader's, over all jobs that it places
-	PassLargeArray                     // the leader's, over large arrays
+	PassCached                         // leader only: over jobs whose image is cached on a machine with room
+	PassAny                            // leader only: over all jobs that the leader places
+	PassLargeArray                     // leader only: over large arrays
 	passCount
 )
 
-// String is the name in logs and metrics.
+// String returns the name of the pass in logs and metrics.
 func (p PlanningPass) String() string {
 	return [passCount]string{"queue", "cached", "any", "large_array"}[p]
 }
 
-// PlanningPasses lists all passes.
+// PlanningPasses returns all passes.
 func PlanningPasses() []PlanningPass {
 	return []PlanningPass{PassQueue, PassCached, PassAny, PassLargeArray}
 }
 
-// Status is what a controller knows of itself at one moment.
+// Status describes a controller at one moment.
 type Status struct {
 	Epoch           uint64        // of the view, and the fencing token of all commands; 0: none yet
 	Leader          string        // the view's leader
-	IsLeader        bool          // this controller is that leader
-	MayAct          bool          // view, lease and cache are confirmed: it may answer agents
-	Revision        uint64        // of the state service, up to which the cache has every change
-	ConfirmationAge time.Duration // age of the newest confirmation; < 0: none yet
-	Machines        int           // known here
-	OpenJobs        int           // accepted and not over
+	IsLeader        bool          // this controller is the leader
+	MayAct          bool          // view, lease and cache are confirmed: the controller may answer agents
+	Revision        uint64        // revision of the state service up to which the cache has every change
+	ConfirmationAge time.Duration // age of the latest confirmation; < 0: none yet
+	Machines        int           // machines known to this controller
+	OpenJobs        int           // jobs accepted and not over
 	Work            WorkCounts
 
-	// Waiting counts the waiting tasks that this controller places, as of the last second.
-	// It is not changed later.
+	// Waiting counts the waiting tasks that this controller places. It is updated once a second;
+	// the map is not changed after it is returned.
 	Waiting map[WaitingTasks]int
 }
 
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -13,19 +13,19 @@
 	"brassglade/internal/tuning"
 )
 
-// views is what this controller weighs when it proposes views, and what it derives from
-// the present one.
+// views is the state that this controller uses to propose views, and what it derives from the
+// present view.
 type views struct {
 	proposing          bool
-	nextProposal       steady.Gate              // no proposal before
-	nextReview         steady.Gate              // not looked whether one is needed before
-	adoptedAt          time.Duration            // when the view was taken from the watch
-	redirects          map[string][]redirect    // heartbeats sent on to their owners, by machine
-	lastRedirect       map[string]redirectMark  // newest heartbeat that was sent on, by machine
-	notServingSince    map[string]time.Duration // by controller
-	allPeersFreshSince steady.Instant           // since when all serving peers are heard
-	zoneSilentAt       map[string]time.Duration // when most of a zone's machines were last silent
-	ownersView         *domain.View             // that ownerByMachine was made for
+	nextProposal       steady.Gate              // no proposal before then
+	nextReview         steady.Gate              // no check whether a view is needed before then
+	adoptedAt          time.Duration            // when the present view came with the watch
+	redirects          map[string][]redirect    // heartbeats redirected to their owners, by machine
+	lastRedirect       map[string]redirectMark  // latest redirected heartbeat, by machine
+	notServingSince    map[string]time.Duration // by controller; while it is a member but not serving
+	allPeersFreshSince steady.Instant           // since when messages of all serving peers arrive
+	zoneSilentAt       map[string]time.Duration // by zone; when most of its machines were last silent
+	ownersView         *domain.View             // the view that ownerByMachine was computed for
 	ownerByMachine     map[string]string
 	overrideChanges    map[string]overrideChange // by machine
 	overrideSeenAt     map[string]time.Duration  // when an override was first seen, by machine
@@ -39,9 +39,9 @@
 	}
 }
 
-// --- a new view arrives ---
+// --- adopting a view ---
 
-// adoptView takes a newer view from the watch.
+// adoptView makes a view that came with the watch the present one.
 func (c *Controller) adoptView(view *domain.View) {
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = view, c.now
@@ -49,7 +49,7 @@
 	c.settleOwnership(old)
 	c.clearQueues()
 	c.views.noteOverrides(old, view, c.now)
-	c.planner.pendingReleases = map[attemptID]bool{} // their transactions named the old view
+	c.planner.pendingReleases = map[attemptID]bool{} // their transactions are conditional on the old view
 	c.commits.inDoubt = inDoubtCommit{}
 	c.reportShareOverruns()
 	if old == nil || old.Leader != view.Leader {
@@ -62,8 +62,8 @@
 	c.info("view", args...)
 }
 
-// clearQueues empties the queues of all machines: who owns them, and which tasks wait
-// here, may have changed.
+// clearQueues empties the queues of all machines, because the owners of the machines, and the
+// tasks that wait in this shard, may have changed.
 func (c *Controller) clearQueues() {
 	c.queues.machineOf = map[domain.TaskID]string{}
 	for _, m := range c.heartbeats.machines {
@@ -74,13 +74,12 @@
 	}
 }
 
-// reportShareOverruns logs where a controller has more booked than its share of a team's
-// limit allows.
+// reportShareOverruns logs where a controller has booked more than its share of a team's limit.
 func (c *Controller) reportShareOverruns() {
-	for team, byNode := range c.cache.usage {
-		for node, use := range byNode {
-			if share := c.cache.shares[team].ByNode[node]; !share.Fits(quota.Bounded(use, c.cfg.Teams[team].Limit)) {
-				c.info("bookings exceed a node's share", "team", team, "node", node, "share", share, "bookings", use)
+	for team, byController := range c.cache.usage {
+		for controller, use := range byController {
+			if share := c.cache.shares[team].ByNode[controller]; !share.Fits(quota.Bounded(use, c.cfg.Teams[team].Limit)) {
+				c.info("bookings exceed a node's share", "team", team, "controller", controller, "share", share, "bookings", use)
 			}
 		}
 	}
@@ -88,8 +87,9 @@
 
 // --- proposals ---
 
-// proposeView proposes a new view where the member keys, or machines that can't reach
-// their owners, ask for one. Only the conditional write decides.
+// proposeView proposes a new view if the member keys have changed, or if machines can't reach
+// their owners. Several controllers may propose one at the same time; the condition on the
+// present view lets only one succeed.
 func (c *Controller) proposeView() {
 	if !c.canProposeView() {
 		return
@@ -114,24 +114,23 @@
 	})
 }
 
-// canProposeView tells whether this controller may propose a view, and it is time to see
-// whether one is needed.
+// canProposeView reports whether this controller may propose a view and the next check is due.
 func (c *Controller) canProposeView() bool {
 	return !c.views.proposing && c.membership.IsSynced() &&
 		c.membership.HasMemberKey(c.cache.members[c.cfg.Controller]) &&
 		c.views.nextProposal.IsOpen(c.now) && c.views.nextReview.IsOpen(c.now)
 }
 
-// viewProposal is a view in the making.
+// viewProposal is a view that is being composed.
 type viewProposal struct {
 	present          *domain.View
 	next             *domain.View
-	changed          bool // it differs from the present view, overrides aside
-	overridesChanged bool // a machine is given to this controller
+	changed          bool // differs from the present view in more than overrides
+	overridesChanged bool // a machine is assigned to this controller by an override
 }
 
-// desiredView is the view that this controller would rather have, nil if the present one
-// will do.
+// desiredView returns the view that should replace the present one; nil: the present view need
+// not change.
 func (c *Controller) desiredView() *domain.View {
 	present := c.cache.view
 	next := &domain.View{Members: maps.Clone(c.cache.members), OwnerOverrides: map[string]string{}}
@@ -156,40 +155,41 @@
 	return next
 }
 
-// chooseServing has all members serve, less those that no machine reached lately.
+// chooseServing lets all members serve, except those that were taken out of service lately
+// (tuning.ServeAgainAfter).
 func (c *Controller) chooseServing(proposal *viewProposal, members []string) {
-	for _, node := range members {
-		stayed := proposal.present.Members[node] == proposal.next.Members[node]
-		if stayed && !slices.Contains(proposal.present.Serving, node) {
-			since, ok := c.views.notServingSince[node]
+	for _, controller := range members {
+		stayed := proposal.present.Members[controller] == proposal.next.Members[controller]
+		if stayed && !slices.Contains(proposal.present.Serving, controller) {
+			since, ok := c.views.notServingSince[controller]
 			if !ok {
-				c.views.notServingSince[node], since = c.now, c.now
+				c.views.notServingSince[controller], since = c.now, c.now
 			}
 			if c.now-since < tuning.ServeAgainAfter {
 				continue
 			}
 			proposal.changed = true
 		}
-		delete(c.views.notServingSince, node)
-		proposal.next.Serving = append(proposal.next.Serving, node)
+		delete(c.views.notServingSince, controller)
+		proposal.next.Serving = append(proposal.next.Serving, controller)
 	}
 }
 
-// excludeUnreachable takes owners that many machines can't reach out of service, but never
-// the last one.
+// excludeUnreachable takes owners that many machines can't reach out of service, except the last
+// serving controller.
 func (c *Controller) excludeUnreachable(proposal *viewProposal, owners map[string]bool) {
 	for owner := range owners {
 		if len(proposal.next.Serving) > 1 && slices.Contains(proposal.next.Serving, owner) {
-			proposal.next.Serving = slices.DeleteFunc(proposal.next.Serving, func(node string) bool { return node == owner })
+			proposal.next.Serving = slices.DeleteFunc(proposal.next.Serving, func(controller string) bool { return controller == owner })
 			proposal.changed = true
 			clear(c.views.redirects)
 		}
 	}
 }
 
-// chooseZoned decides whether machines belong to the controllers of their own zones.
-// Overrides have room for only some of the machines that can't reach their owners while
-// zones are apart, and each would be a change of the view.
+// chooseZoned decides whether machines belong to controllers of their own zone only. This is
+// needed while zones are cut off from each other: overrides have room for only some of the
+// machines that can't reach their owners, and each override would be a change of the view.
 func (c *Controller) chooseZoned(proposal *viewProposal, lost *lostOwners) {
 	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
 	if proposal.next.Zoned != proposal.present.Zoned {
@@ -204,9 +204,9 @@
 	}
 }
 
-// zonesReconnected tells whether the zones are no longer apart: all serving controllers
-// have been heard for a while. Only the leader's word counts, so that a controller cut off
-// from its peers alone doesn't decide.
+// zonesReconnected reports whether the zones are connected again: messages of all serving
+// controllers have arrived for a while, and the view is not new. Only the leader may decide this,
+// so that a controller that is cut off from its peers alone does not.
 func (c *Controller) zonesReconnected() bool {
 	if !c.arePeersFresh() {
 		c.views.allPeersFreshSince = steady.Instant{}
@@ -215,6 +215,6 @@
 	if !c.views.allPeersFreshSince.IsKnown() {
 		c.views.allPeersFreshSince = steady.At(c.now)
 	}
-	heardFor := c.now - c.views.allPeersFreshSince.Time()
-	return c.isLeader() && heardFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
+	freshFor := c.now - c.views.allPeersFreshSince.Time()
+	return c.isLeader() && freshFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
 }
