--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -11,8 +11,8 @@
 	"brassglade/internal/domain"
 )
 
-// TestChunksStayWithinValueLimit: bookings wait while a value is full, and whatever ends and
-// is booked again in whatever order, the value never outgrows its bound.
+// TestChunksStayWithinValueLimit: bookings wait while a value is full, so the value never exceeds
+// its limit, whatever tasks are booked, end and are booked again in whatever order.
 func TestChunksStayWithinValueLimit(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for round := 0; round < 40; round++ {
@@ -21,7 +21,7 @@
 		id := jobName(1)
 		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Shard: "c-0", AcceptOrder: 3,
 			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: n}}), ModRevision: 3})
-		j, most := c.cache.jobs[id], 0
+		j, largest := c.cache.jobs[id], 0
 		for step := uint64(10); step < 300; step++ {
 			d := c.newDraft()
 			for k := 0; k < 8; k++ {
@@ -35,19 +35,19 @@
 				}
 			}
 			if !c.planner.reserveLongestTexts && c.hasValueTooLarge(d.transaction()) {
-				c.planner.reserveLongestTexts = true // planned anew with room for the worst (planCommit)
+				c.planner.reserveLongestTexts = true // planned again with room for the longest texts, as in planCommit
 				continue
 			}
 			c.planner.reserveLongestTexts = false
 			for _, p := range d.transaction().Puts {
-				if most = max(most, len(p.Value)); len(p.Value) > c.cfg.ValueLimit {
+				if largest = max(largest, len(p.Value)); len(p.Value) > c.cfg.ValueLimit {
 					t.Fatalf("round %d: %s has %d bytes", round, p.Key, len(p.Value))
 				}
 				c.apply(domain.KeyValue{Key: p.Key, Value: p.Value, ModRevision: step})
 			}
 		}
-		if most < 300 {
-			t.Fatalf("round %d: hardly anything was booked", round)
+		if largest < 300 {
+			t.Fatalf("round %d: too little was booked to test the limit", round)
 		}
 	}
 }
--- a/internal/scheduler/commits_test.go
+++ b/internal/scheduler/commits_test.go
@@ -8,35 +8,36 @@
 	"brassglade/internal/tuning"
 )
 
-// TestWriteTokensRefill: the budget of changes grows back, by a second's worth at most, and who becomes
-// leader or is no longer starts at the full rate.
+// TestWriteTokensRefill: tokens accrue up to one second's worth, a rate that refusals reduced
+// grows back, and a controller that becomes the leader, or stops being it, starts at its full
+// rate.
 func TestWriteTokensRefill(t *testing.T) {
-	const most = 8.0
+	const fullRate = 8.0
 	for name, test := range map[string]struct {
 		before               commits
 		elapsed              time.Duration
 		isLeader             bool
 		wantRate, wantTokens float64
 	}{
-		"half a second":                  {commits{rate: most}, 500 * time.Millisecond, false, most, most / 2},
-		"a minute is worth a second":     {commits{rate: most}, time.Minute, false, most, most},
-		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRegain*most, 2 + tuning.RateRegain*most},
-		"never beyond the most":          {commits{rate: most, tokens: 5}, time.Hour, false, most, most},
-		"a smaller share of the changes": {commits{rate: 3 * most, tokens: 2 * most}, 0, false, most, most},
-		"becomes leader, after refusals": {commits{rate: 2}, 0, true, most, 0},
-		"still leads, after refusals":    {commits{rate: 2, isLeaderRate: true}, 0, true, 2, 0},
-		"leads no longer":                {commits{rate: 2, isLeaderRate: true}, 0, false, most, 0},
-		"owes changes":                   {commits{rate: most, tokens: -most}, 500 * time.Millisecond, false, most, -most / 2},
+		"half a second":                  {commits{rate: fullRate}, 500 * time.Millisecond, false, fullRate, fullRate / 2},
+		"at most one second's worth":     {commits{rate: fullRate}, time.Minute, false, fullRate, fullRate},
+		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRegain*fullRate, 2 + tuning.RateRegain*fullRate},
+		"at most the full rate":          {commits{rate: fullRate, tokens: 5}, time.Hour, false, fullRate, fullRate},
+		"full rate became smaller":       {commits{rate: 3 * fullRate, tokens: 2 * fullRate}, 0, false, fullRate, fullRate},
+		"becomes leader, after refusals": {commits{rate: 2}, 0, true, fullRate, 0},
+		"remains leader, after refusals": {commits{rate: 2, isLeaderRate: true}, 0, true, 2, 0},
+		"stops being leader":             {commits{rate: 2, isLeaderRate: true}, 0, false, fullRate, 0},
+		"negative tokens":                {commits{rate: fullRate, tokens: -fullRate}, 500 * time.Millisecond, false, fullRate, -fullRate / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			budget := test.before
-			budget.tokensAt = time.Minute
-			budget.refill(time.Minute+test.elapsed, most, test.isLeader)
-			if math.Abs(budget.rate-test.wantRate) > 1e-9 || math.Abs(budget.tokens-test.wantTokens) > 1e-9 {
-				t.Errorf("rate %g, %g tokens; want %g, %g", budget.rate, budget.tokens, test.wantRate, test.wantTokens)
+			state := test.before
+			state.tokensAt = time.Minute
+			state.refill(time.Minute+test.elapsed, fullRate, test.isLeader)
+			if math.Abs(state.rate-test.wantRate) > 1e-9 || math.Abs(state.tokens-test.wantTokens) > 1e-9 {
+				t.Errorf("rate %g, %g tokens; want %g, %g", state.rate, state.tokens, test.wantRate, test.wantTokens)
 			}
-			if budget.isLeaderRate != test.isLeader || budget.tokensAt != time.Minute+test.elapsed {
-				t.Errorf("leader's rate %v at %v", budget.isLeaderRate, budget.tokensAt)
+			if state.isLeaderRate != test.isLeader || state.tokensAt != time.Minute+test.elapsed {
+				t.Errorf("leader's rate %v at %v", state.isLeaderRate, state.tokensAt)
 			}
 		})
 	}
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -14,7 +14,7 @@
 	"brassglade/internal/ownership"
 )
 
-// previousVersionValues reads the kept values of the version before.
+// previousVersionValues reads values that the previous version wrote.
 func previousVersionValues(t *testing.T) (snapshot SnapshotLoaded) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/before.values")
@@ -36,7 +36,8 @@
 	return snapshot
 }
 
-// TestReadsValuesOfPreviousVersion: what the version before wrote means the same here.
+// TestReadsValuesOfPreviousVersion: values that the previous version wrote are read with the same
+// meaning.
 func TestReadsValuesOfPreviousVersion(t *testing.T) {
 	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, CurrentValueLimit: 4096, TransactionLimit: 4}, "x")
 	c.loadSnapshot(previousVersionValues(t))
@@ -48,7 +49,7 @@
 		t.Error("machine types, cordons, shares or windows are not as written")
 	}
 	if c.cache.isFormatOn() {
-		t.Error("the format is on though nobody announced it")
+		t.Error("the format is on though no controller announced it")
 	}
 	for id, want := range map[string]struct {
 		phase                phase
@@ -71,56 +72,56 @@
 	}
 }
 
-// TestFormatEnabledOnceAllAnnounced: the new format is announced only behind a view that has this
-// incarnation, turned on only by the leader once every controller of the settings, not
-// only of the view, has announced it, and stays on.
+// TestFormatEnabledOnceAllAnnounced: a controller announces the new format only behind a view
+// with its incarnation. Only the leader turns the format on, after every controller of the
+// settings, not only of the view, has announced it. The format stays on after a restart.
 func TestFormatEnabledOnceAllAnnounced(t *testing.T) {
 	c := acting()
 	c.cfg.Controllers = []string{"c-0", "c-1", "c-2"}
 	c.cache.format = 0
-	turn := func() (keys []string) {
+	announce := func() (keys []string) {
 		c.now += time.Second
 		c.confirmNow()
 		c.announceFormat()
 		return commitAll(t, c)
 	}
-	c.cache.view.Members = map[string]string{"c-0": "an earlier one"}
-	if keys := turn(); len(keys) > 0 {
+	c.cache.view.Members = map[string]string{"c-0": "an earlier incarnation"}
+	if keys := announce(); len(keys) > 0 {
 		t.Fatalf("%v is written behind a view that doesn't have this incarnation", keys)
 	}
 	c.cache.view.Members = c.cache.members
-	if keys := turn(); !slices.Equal(keys, []string{"b/format/c-0"}) {
+	if keys := announce(); !slices.Equal(keys, []string{"b/format/c-0"}) {
 		t.Fatalf("wrote %v", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
-	if keys := turn(); len(keys) > 0 || c.cache.isFormatOn() {
-		t.Fatalf("%v is written while c-2 may come back as it was", keys)
+	if keys := announce(); len(keys) > 0 || c.cache.isFormatOn() {
+		t.Fatalf("%v is written though c-2 may come back with the previous version", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
 	c.cache.view.Leader = "c-1"
-	if keys := turn(); len(keys) > 0 {
-		t.Fatalf("%v is written by one that doesn't lead", keys)
+	if keys := announce(); len(keys) > 0 {
+		t.Fatalf("%v is written by a controller that isn't the leader", keys)
 	}
 	c.cache.view.Leader = "c-0"
-	if keys := turn(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.isFormatOn() {
+	if keys := announce(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.isFormatOn() {
 		t.Fatalf("wrote %v", keys)
 	}
-	// One that restarts learns of it from what is stored.
+	// A restarted controller reads from the key-value store that the format is on.
 	restarted := New(Settings{Controller: "c-2"}, "z")
 	restarted.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
 	if !restarted.cache.isFormatOn() {
-		t.Error("off again after a restart")
+		t.Error("the format is off after a restart")
 	}
 }
 
-// The new limits that TestEachKindFitsAgain checks against.
+// The lowered limits in TestValuesFitLoweredLimits.
 const (
 	loweredValueLimit       = 2048 // bytes
 	loweredTransactionLimit = 4    // changes
 )
 
-// TestValuesFitLoweredLimits: values of each kind that are larger than the new limits, 2
-// KiB and 4 changes, are written again within them after the limits fell.
+// TestValuesFitLoweredLimits: after the limits were lowered to 2 KiB and 4 changes, larger values
+// of each kind are written again within them.
 func TestValuesFitLoweredLimits(t *testing.T) {
 	t.Run("view", viewFitsAgain)
 	t.Run("cordon page", cordonPageFitsAgain)
@@ -130,14 +131,15 @@
 	t.Run("pack and chunk", packAndChunkFitAgain)
 }
 
-// withLoweredLimits is an acting controller that knows that the limits fell below what was stored.
+// withLoweredLimits returns an acting controller that knows that the limits were lowered below
+// the size of stored values.
 func withLoweredLimits() *Controller {
 	c := acting()
 	c.cfg.CurrentValueLimit, c.formats.limitsLowered = 8192, true
 	return c
 }
 
-// checkLimits checks that the changes of a transaction are within the new limits.
+// checkLimits checks that the changes of a transaction are within the lowered limits.
 func checkLimits(t *testing.T, puts []domain.Put) {
 	t.Helper()
 	if len(puts) > loweredTransactionLimit {
@@ -150,7 +152,7 @@
 	}
 }
 
-// viewFitsAgain: a view full of overrides.
+// viewFitsAgain tests a view with many overrides.
 func viewFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	c.cfg.Controllers = []string{"c-0", "c-1"}
@@ -163,13 +165,12 @@
 	c.cache.members, c.cache.view = members, &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: []string{"c-0", "c-1"}, OwnerOverrides: overrides}
 	view := c.desiredView()
 	if view == nil {
-		t.Fatal("a view that is too large stays")
+		t.Fatal("a view that is too large is not replaced")
 	}
 	checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(view)}})
 }
 
-// cordonPageFitsAgain: a page of machines that are drained to be given back, one of which is
-// gone.
+// cordonPageFitsAgain tests a page of 400 draining machines, one of which becomes gone.
 func cordonPageFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	page := codec.CordonPage{Draining: map[string]string{}}
@@ -184,11 +185,11 @@
 	}
 	commitAll(t, c)
 	if c.cache.cordons["n-000007"].State != domain.CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
-		t.Errorf("n-000007 is %q, %d machines are drained", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
+		t.Errorf("n-000007 is %q, %d machines are draining", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
 	}
 }
 
-// machineTypesFitAgain: forty machine types.
+// machineTypesFitAgain tests forty machine types.
 func machineTypesFitAgain(t *testing.T) {
 	c := withLoweredLimits()
 	var types []domain.MachineType
@@ -206,7 +207,7 @@
 	}
 }
 
-// windowFitsAgain: a window of 2,000 loads.
+// windowFitsAgain tests a learning window of 2,000 loads.
 func windowFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	record := codec.WindowRecord{CriticWeights: make([]float64, 4)}
@@ -216,11 +217,11 @@
 	value := c.encodeWindow(record)
 	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: value}})
 	if len(value) < 700 {
-		t.Error("hardly any load is left")
+		t.Error("too few loads are left")
 	}
 }
 
-// headerFitsAgain: a header with names and a list that its user chose freely.
+// headerFitsAgain tests a header with a long class and a long list of machine types.
 func headerFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
@@ -237,7 +238,7 @@
 	}
 }
 
-// bookedTasks are n booked tasks, each on a machine of its own from the given number on.
+// bookedTasks returns n booked tasks, each on a different machine, numbered from firstMachine.
 func bookedTasks(n, firstMachine int) []domain.Task {
 	tasks := make([]domain.Task, n)
 	for i := range tasks {
@@ -246,8 +247,9 @@
 	return tasks
 }
 
-// packAndChunkFitAgain: a pack of thirty jobs, and a chunk that is split: planSplits until all
-// fit. Another controller that reads what is stored then knows the same bookings.
+// packAndChunkFitAgain tests a pack of thirty jobs and a chunk, both too large. It calls
+// planSplits until both fit. A controller that reads the stored values must then know the same
+// bookings.
 func packAndChunkFitAgain(t *testing.T) {
 	c := withLoweredLimits()
 	applyLargePackAndChunk(t, c)
@@ -285,7 +287,7 @@
 }
 
 // applyLargePackAndChunk gives a controller jobs 0 to 29 in one pack that is too large, and job
-// 50 with one chunk that is.
+// 50 with a chunk that is too large.
 func applyLargePackAndChunk(t *testing.T, c *Controller) {
 	t.Helper()
 	pack := codec.ChunkValue{Texts: map[string]string{}}
@@ -306,8 +308,8 @@
 	}
 }
 
-// checkSameBookings checks that two controllers know the same bookings of the jobs of
-// applyLargePackAndChunk, and all of them.
+// checkSameBookings checks that two controllers know the same bookings of the jobs from
+// applyLargePackAndChunk, and that none is missing.
 func checkSameBookings(t *testing.T, writer, reader *Controller) {
 	t.Helper()
 	for i := 0; i <= 50; i++ {
@@ -320,7 +322,7 @@
 			want = 139
 		}
 		if written.counts.booked != want || read.counts.booked != want || !slices.Equal(written.Tasks, read.Tasks) {
-			t.Errorf("job %d has %d bookings here and %d there", i, written.counts.booked, read.counts.booked)
+			t.Errorf("job %d has %d bookings at the writer and %d at the reader", i, written.counts.booked, read.counts.booked)
 		}
 	}
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -9,18 +9,19 @@
 	"brassglade/internal/domain"
 )
 
-// TestCordonPagesAndOverridesFitValueLimit: with 1,500 machines and values of 4 KiB neither the pages of cordons
-// nor the overrides of a view outgrow their value, or they could never be written again.
+// TestCordonPagesAndOverridesFitValueLimit: with 1,500 machines and a limit of 4 KiB, neither the
+// pages of cordons nor the overrides of a view exceed the limit of a value. A value that did
+// could never be written again.
 func TestCordonPagesAndOverridesFitValueLimit(t *testing.T) {
 	c := leaderOfTwo()
 	t.Run("pages of cordons", func(t *testing.T) { cordonPagesStaySmall(t, c) })
 	t.Run("overrides of a view", func(t *testing.T) { overridesStaySmall(t, c) })
 }
 
-// manyMachines is the size of the fleet of TestValuesStaySmall.
+// manyMachines is the fleet size in TestCordonPagesAndOverridesFitValueLimit.
 const manyMachines = 1500
 
-// leaderOfTwo leads another controller, c-1, with values of 4 KiB.
+// leaderOfTwo returns the leader of two controllers, c-0 and c-1, with a value limit of 4 KiB.
 func leaderOfTwo() *Controller {
 	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1"}, ValueLimit: 4096, TransactionLimit: 8, FenceAge: 7 * time.Second}, "x")
 	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: map[string]string{"c-0": "x", "c-1": "y"}, Serving: []string{"c-0", "c-1"}}
@@ -31,7 +32,7 @@
 	return c
 }
 
-// cordonPagesStaySmall: all machines are drained and gone, again and again.
+// cordonPagesStaySmall drains all machines and marks them as gone, repeatedly.
 func cordonPagesStaySmall(t *testing.T, c *Controller) {
 	for round := 0; round < 30; round++ {
 		advanceCordons(c)
@@ -52,7 +53,7 @@
 	}
 }
 
-// advanceCordons drains the machines that aren't cordoned, and has those gone that drain.
+// advanceCordons drains the machines without a cordon, and marks the draining ones as gone.
 func advanceCordons(c *Controller) {
 	for i := 0; i < manyMachines; i++ {
 		machine := fmt.Sprintf("n-%06d", i)
@@ -65,7 +66,7 @@
 	}
 }
 
-// overridesStaySmall: all machines of the other controller report here.
+// overridesStaySmall has all machines of the other controller send their heartbeats here.
 func overridesStaySmall(t *testing.T, c *Controller) {
 	for i := 0; i < manyMachines; i++ {
 		machine := fmt.Sprintf("n-%06d", 5000+i)
@@ -83,24 +84,24 @@
 	}
 }
 
-// TestRefusedCommitRefundsTokens: what the key-value store refuses it doesn't count.
-// A leader whose commits of eight changes were refused seven times of sixteen
-// had paid a second's worth of its changes for each, and gangs waited beside
-// eighty idle machines that were reserved for them.
+// TestRefusedCommitRefundsTokens: the key-value store doesn't count what it refuses. Without the
+// refund, a leader whose commits of eight changes were refused seven times of sixteen spent a
+// second's worth of tokens on each of them, and gangs waited beside eighty idle machines that
+// were reserved for them.
 func TestRefusedCommitRefundsTokens(t *testing.T) {
 	c := New(Settings{Controller: "c-0", WriteRate: 8}, "x")
 	transaction := domain.Transaction{Puts: make([]domain.Put, 8)}
 	pending := c.commit(LaneTask, transaction, func(domain.CommitResult, CommitAnswered) {})
 	if c.commits.tokens != 0 {
-		t.Fatalf("%g left", c.commits.tokens)
+		t.Fatalf("%g tokens left after a commit", c.commits.tokens)
 	}
 	c.onCommit(CommitAnswered{ID: pending.id, Result: domain.Refused})
 	if c.commits.tokens != 8 {
-		t.Errorf("%g left after a refusal", c.commits.tokens)
+		t.Errorf("%g tokens left after a refusal", c.commits.tokens)
 	}
 	pending = c.commit(LaneTask, transaction, func(domain.CommitResult, CommitAnswered) {})
 	c.onCommit(CommitAnswered{ID: pending.id, Result: domain.InDoubt}) // it may have been carried out
 	if c.commits.tokens != 0 {
-		t.Errorf("%g left after an unknown outcome", c.commits.tokens)
+		t.Errorf("%g tokens left after an unknown outcome", c.commits.tokens)
 	}
 }
