--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -55,9 +55,9 @@
 	runTimeMS int64 // expected run times, ms
 }
 
-// count adds the given number of tasks of one request and expected run time; a negative number
+// add adds the given number of tasks of one request and expected run time; a negative number
 // subtracts them.
-func (s *taskSum) count(request domain.Resources, runTimeMS, times int64) {
+func (s *taskSum) add(request domain.Resources, runTimeMS, times int64) {
 	s.used = s.used.Plus(request, times)
 	s.tasks += int(times)
 	s.runTimeMS += times * runTimeMS
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -185,12 +185,12 @@
 	}
 	runTimeMS := c.bookings[id].runTimeMS
 	sums := c.occupancy[task.Machine]
-	sums.count(spec.Request, runTimeMS, times)
+	sums.add(spec.Request, runTimeMS, times)
 	if reservesMachines(spec) {
 		sums.gangTasks += int(times)
 	}
 	if preemptible(spec) {
-		sums.preemptible.count(spec.Request, runTimeMS, times)
+		sums.preemptible.add(spec.Request, runTimeMS, times)
 	}
 	sums.zone = task.Zone
 	c.occupancy[task.Machine] = sums
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -21,7 +21,7 @@
 // isWorthDelaying tells whether an answer given now would soon have had commands in it. A
 // machine that has to wait for its next heartbeat starts its next task seconds later.
 func (c *Controller) isWorthDelaying(m *Machine) bool {
-	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
+	if c.commits.taskCommit != nil && c.commits.affectedMachines[m.Name] {
 		return true // the commit in flight concerns it
 	}
 	if c.cache.hasUnstartedBooking(m) {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -16,21 +16,21 @@
 // A task commit moves tasks between states. At most one is in flight. It is drafted in draft.go,
 // filled by the stages of a plan (plan.go), and sent and completed in this file.
 type commits struct {
-	nextID          uint64                    // numbers commits and reads; each id is used once
-	pending         map[uint64]*pendingCommit // commits without a response, by id
-	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
-	nextTaskCommit  steady.Gate               // no task commit before then; set after one that was refused or is in doubt
-	minRevision     uint64                    // the cache must reach this revision before the next task commit
-	inDoubt         inDoubtCommit             // excludes a task commit whose outcome is unknown
-	rate            float64                   // present rate of task commits, changes a second
-	tokens          float64                   // changes that may be made now; negative after urgent commits
-	tokensAt        time.Duration             // when tokens were last refilled
-	isLeaderRate    bool                      // rate is the rate of a leader
-	lastChanges     int                       // number of changes in the last task commit
-	machines        map[string]bool           // machines whose bookings the task commit in flight changes
-	avoidUntil      map[string]time.Duration  // key -> time until which task commits leave it out
-	oversizedInPlan map[string]bool           // results of isOversized during the present plan, by key
-	fullValues      map[string]bool           // keys of values that had no room for a booking
+	nextID           uint64                    // numbers commits and reads; each id is used once
+	pending          map[uint64]*pendingCommit // commits without a response, by id
+	taskCommit       *pendingCommit            // the one task commit in flight; nil: none
+	nextTaskCommit   steady.Gate               // no task commit before then; set after one that was refused or is in doubt
+	minRevision      uint64                    // the cache must reach this revision before the next task commit
+	inDoubt          inDoubtCommit             // excludes a task commit whose outcome is unknown
+	rate             float64                   // present rate of task commits, changes a second
+	tokens           float64                   // changes that may be made now; negative after urgent commits
+	tokensAt         time.Duration             // when tokens were last refilled
+	isLeaderRate     bool                      // rate is the rate of a leader
+	lastChanges      int                       // number of changes in the last task commit
+	affectedMachines map[string]bool           // machines whose bookings the task commit in flight changes
+	avoidUntil       map[string]time.Duration  // key -> time until which task commits leave it out
+	oversizedInPlan  map[string]bool           // results of isOversized during the present plan, by key
+	fullValues       map[string]bool           // keys of values that had no room for a booking
 }
 
 // newCommits returns the state for a rate in changes a second, with one second's worth of tokens.
@@ -191,7 +191,7 @@
 	for _, attempt := range d.releases {
 		c.planner.pendingReleases[attempt] = true
 	}
-	c.commits.machines = d.machines
+	c.commits.affectedMachines = d.machines
 	c.debug("sending task commit", "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
 		"headers", len(d.headers), "values", len(d.keys)+len(d.rawPuts), "teams", len(d.shares),
 		"tasks", len(d.changed), "released", len(d.releases),
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -18,8 +18,8 @@
 	t.Run("overrides of a view", func(t *testing.T) { overridesStaySmall(t, c) })
 }
 
-// manyMachines is the fleet size in TestCordonPagesAndOverridesFitValueLimit.
-const manyMachines = 1500
+// fleetSize is the fleet size in TestCordonPagesAndOverridesFitValueLimit.
+const fleetSize = 1500
 
 // leaderOfTwo returns the leader of two controllers, c-0 and c-1, with a value limit of 4 KiB.
 func leaderOfTwo() *Controller {
@@ -55,7 +55,7 @@
 
 // advanceCordons drains the machines without a cordon, and marks the draining ones as gone.
 func advanceCordons(c *Controller) {
-	for i := 0; i < manyMachines; i++ {
+	for i := 0; i < fleetSize; i++ {
 		machine := fmt.Sprintf("n-%06d", i)
 		switch c.cache.cordons[machine].State {
 		case "":
@@ -68,13 +68,13 @@
 
 // overridesStaySmall has all machines of the other controller send their heartbeats here.
 func overridesStaySmall(t *testing.T, c *Controller) {
-	for i := 0; i < manyMachines; i++ {
+	for i := 0; i < fleetSize; i++ {
 		machine := fmt.Sprintf("n-%06d", 5000+i)
 		if c.ownerOf(machine) == "c-1" {
 			c.views.redirects[machine] = []redirect{{c.now - 8*time.Second, "c-1/y", 2, "a"}, {c.now - 2*time.Second, "c-1/y", 1, "a"}}
 		}
 	}
-	c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, manyMachines)}
+	c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, fleetSize)}
 	view := c.desiredView()
 	if view == nil || len(view.OwnerOverrides) < 50 {
 		t.Fatalf("no overrides: %+v", view)
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -265,7 +265,7 @@
 	if !canSplit(j, i) {
 		return false
 	}
-	split := c.cellSplit(j, i)
+	split := c.newCellSplit(j, i)
 	d.addCondition(split.source)
 	d.addCondition(codec.KeyJob(j.ID))
 	room := c.cfg.TransactionLimit - 1 // beside the header
@@ -293,8 +293,8 @@
 	return !j.Header.Inline && !isCell && j.Tasks != nil
 }
 
-// cellSplit returns the cells of the chunk with task i, and the header that names them.
-func (c *Controller) cellSplit(j *Job, i int) *cellSplit {
+// newCellSplit returns the cells of the chunk with task i, and the header that names them.
+func (c *Controller) newCellSplit(j *Job, i int) *cellSplit {
 	header := j.Header
 	chunk := i / header.ChunkSize
 	from, to := header.Chunk(i)
