--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -215,7 +215,7 @@
 			callback()
 		}
 	case domain.Conflict:
-		c.debug("task commit conflict", "failed_keys", answer.Failed)
+		c.debug("task commit conflict", "failed", answer.Failed)
 		c.commits.minRevision = max(c.commits.minRevision, answer.Revision)
 		c.avoidConflictedKeys(answer.Failed)
 	default:
