--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -21,7 +21,7 @@
 // isWorthDelaying tells whether an answer given now would soon have had commands in it. A
 // machine that has to wait for its next heartbeat starts its next task seconds later.
 func (c *Controller) isWorthDelaying(m *Machine) bool {
-	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
+	if c.commits.taskCommit != nil && c.commits.affectedMachines[m.Name] {
 		return true // the commit in flight concerns it
 	}
 	if c.cache.hasUnstartedBooking(m) {
@@ -204,7 +204,7 @@
 func (c *Controller) stopCommand(m *Machine, report domain.TaskReport) (domain.Command, bool) {
 	stop := domain.Command{Kind: domain.StopTask, Task: report.Task, Attempt: report.Attempt, Reason: domain.ReasonNotBooked}
 	j := c.cache.jobs[report.Task.Job]
-	if j == nil || j.final() || !c.cache.isBooking(m, report) {
+	if j == nil || j.isFinal() || !c.cache.isBooking(m, report) {
 		return stop, true // nobody has any use for it
 	}
 	task, spec := j.task(report.Task.Index), j.Header.Spec
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -14,8 +14,8 @@
 	"brassglade/internal/ownership"
 )
 
-// valuesOfBefore reads the kept values of the version before.
-func valuesOfBefore(t *testing.T) (snapshot SnapshotLoaded) {
+// previousVersionValues reads values that the previous version wrote.
+func previousVersionValues(t *testing.T) (snapshot SnapshotLoaded) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/before.values")
 	if err != nil {
@@ -36,10 +36,11 @@
 	return snapshot
 }
 
-// TestBeforeValuesAreRead: what the version before wrote means the same here.
-func TestBeforeValuesAreRead(t *testing.T) {
-	c := New(Settings{Node: "c-0", Nodes: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, ValueLimitNow: 4096, TransactionLimit: 4}, "x")
-	c.loadSnapshot(valuesOfBefore(t))
+// TestReadsValuesOfPreviousVersion: values that the previous version wrote are read with the same
+// meaning.
+func TestReadsValuesOfPreviousVersion(t *testing.T) {
+	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, CurrentValueLimit: 4096, TransactionLimit: 4}, "x")
+	c.loadSnapshot(previousVersionValues(t))
 	if view := c.cache.view; view == nil || view.Epoch != 2 || view.Leader != "c-0" || len(view.Serving) != 3 || len(c.cache.members) != 3 {
 		t.Errorf("view %+v", view)
 	}
@@ -47,8 +48,8 @@
 		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
 		t.Error("machine types, cordons, shares or windows are not as written")
 	}
-	if c.cache.formatOn() {
-		t.Error("the format is on though nobody announced it")
+	if c.cache.isFormatOn() {
+		t.Error("the format is on though no controller announced it")
 	}
 	for id, want := range map[string]struct {
 		phase                phase
@@ -71,57 +72,57 @@
 	}
 }
 
-// TestFormatNeedsAll: the new format is announced only behind a view that has this
-// incarnation, turned on only by the leader once every controller of the settings, not
-// only of the view, has announced it, and stays on.
-func TestFormatNeedsAll(t *testing.T) {
+// TestFormatEnabledOnceAllAnnounced: a controller announces the new format only behind a view
+// with its incarnation. Only the leader turns the format on, after every controller of the
+// settings, not only of the view, has announced it. The format stays on after a restart.
+func TestFormatEnabledOnceAllAnnounced(t *testing.T) {
 	c := acting()
-	c.cfg.Nodes = []string{"c-0", "c-1", "c-2"}
+	c.cfg.Controllers = []string{"c-0", "c-1", "c-2"}
 	c.cache.format = 0
-	turn := func() (keys []string) {
+	announce := func() (keys []string) {
 		c.now += time.Second
 		c.confirmNow()
 		c.announceFormat()
 		return commitAll(t, c)
 	}
-	c.cache.view.Members = map[string]string{"c-0": "an earlier one"}
-	if keys := turn(); len(keys) > 0 {
+	c.cache.view.Members = map[string]string{"c-0": "an earlier incarnation"}
+	if keys := announce(); len(keys) > 0 {
 		t.Fatalf("%v is written behind a view that doesn't have this incarnation", keys)
 	}
 	c.cache.view.Members = c.cache.members
-	if keys := turn(); !slices.Equal(keys, []string{"b/format/c-0"}) {
+	if keys := announce(); !slices.Equal(keys, []string{"b/format/c-0"}) {
 		t.Fatalf("wrote %v", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
-	if keys := turn(); len(keys) > 0 || c.cache.formatOn() {
-		t.Fatalf("%v is written while c-2 may come back as it was", keys)
+	if keys := announce(); len(keys) > 0 || c.cache.isFormatOn() {
+		t.Fatalf("%v is written though c-2 may come back with the previous version", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-2", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 901})
 	c.cache.view.Leader = "c-1"
-	if keys := turn(); len(keys) > 0 {
-		t.Fatalf("%v is written by one that doesn't lead", keys)
+	if keys := announce(); len(keys) > 0 {
+		t.Fatalf("%v is written by a controller that isn't the leader", keys)
 	}
 	c.cache.view.Leader = "c-0"
-	if keys := turn(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.formatOn() {
+	if keys := announce(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.isFormatOn() {
 		t.Fatalf("wrote %v", keys)
 	}
-	// One that restarts learns of it from what is stored.
-	restarted := New(Settings{Node: "c-2"}, "z")
+	// A restarted controller reads from the key-value store that the format is on.
+	restarted := New(Settings{Controller: "c-2"}, "z")
 	restarted.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
-	if !restarted.cache.formatOn() {
-		t.Error("off again after a restart")
+	if !restarted.cache.isFormatOn() {
+		t.Error("the format is off after a restart")
 	}
 }
 
-// The new limits that TestEachKindFitsAgain checks against.
+// The lowered limits in TestValuesFitLoweredLimits.
 const (
-	fallenValueLimit       = 2048 // bytes
-	fallenTransactionLimit = 4    // changes
+	loweredValueLimit       = 2048 // bytes
+	loweredTransactionLimit = 4    // changes
 )
 
-// TestEachKindFitsAgain: values of each kind that are larger than the new limits, 2
-// KiB and 4 changes, are written again within them after the limits fell.
-func TestEachKindFitsAgain(t *testing.T) {
+// TestValuesFitLoweredLimits: after the limits were lowered to 2 KiB and 4 changes, larger values
+// of each kind are written again within them.
+func TestValuesFitLoweredLimits(t *testing.T) {
 	t.Run("view", viewFitsAgain)
 	t.Run("cordon page", cordonPageFitsAgain)
 	t.Run("machine types", machineTypesFitAgain)
@@ -130,30 +131,31 @@
 	t.Run("pack and chunk", packAndChunkFitAgain)
 }
 
-// afterLimitsFell is an acting controller that knows that the limits fell below what was stored.
-func afterLimitsFell() *Controller {
+// withLoweredLimits returns an acting controller that knows that the limits were lowered below
+// the size of stored values.
+func withLoweredLimits() *Controller {
 	c := acting()
-	c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
+	c.cfg.CurrentValueLimit, c.formats.limitsLowered = 8192, true
 	return c
 }
 
-// checkLimits checks that the changes of a transaction are within the new limits.
+// checkLimits checks that the changes of a transaction are within the lowered limits.
 func checkLimits(t *testing.T, puts []domain.Put) {
 	t.Helper()
-	if len(puts) > fallenTransactionLimit {
+	if len(puts) > loweredTransactionLimit {
 		t.Errorf("%d changes", len(puts))
 	}
 	for _, put := range puts {
-		if len(put.Value) > fallenValueLimit {
+		if len(put.Value) > loweredValueLimit {
 			t.Errorf("%s has %d bytes", put.Key, len(put.Value))
 		}
 	}
 }
 
-// viewFitsAgain: a view full of overrides.
+// viewFitsAgain tests a view with many overrides.
 func viewFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
-	c.cfg.Nodes = []string{"c-0", "c-1"}
+	c := withLoweredLimits()
+	c.cfg.Controllers = []string{"c-0", "c-1"}
 	members := map[string]string{"c-0": "x", "c-1": "y"}
 	overrides := map[string]string{}
 	for i := 0; i < 200; i++ {
@@ -163,15 +165,14 @@
 	c.cache.members, c.cache.view = members, &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: []string{"c-0", "c-1"}, OwnerOverrides: overrides}
 	view := c.desiredView()
 	if view == nil {
-		t.Fatal("a view that is too large stays")
+		t.Fatal("a view that is too large is not replaced")
 	}
 	checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(view)}})
 }
 
-// cordonPageFitsAgain: a page of machines that are drained to be given back, one of which is
-// gone.
+// cordonPageFitsAgain tests a page of 400 draining machines, one of which becomes gone.
 func cordonPageFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	page := codec.CordonPage{Draining: map[string]string{}}
 	for i := 0; i < 400; i++ {
 		page.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
@@ -184,13 +185,13 @@
 	}
 	commitAll(t, c)
 	if c.cache.cordons["n-000007"].State != domain.CordonGone || len(c.cache.cordonPages["c-0"].Draining) < 50 {
-		t.Errorf("n-000007 is %q, %d machines are drained", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
+		t.Errorf("n-000007 is %q, %d machines are draining", c.cache.cordons["n-000007"].State, len(c.cache.cordonPages["c-0"].Draining))
 	}
 }
 
-// machineTypesFitAgain: forty machine types.
+// machineTypesFitAgain tests forty machine types.
 func machineTypesFitAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	var types []domain.MachineType
 	for i := 0; i < 40; i++ {
 		types = append(types, domain.MachineType{Name: fmt.Sprintf("type-%02d", i), Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 256000}, ImageCacheGB: 150, FetchGBPerS: 0.25, Price: 27.6,
@@ -206,9 +207,9 @@
 	}
 }
 
-// windowFitsAgain: a window of 2,000 loads.
+// windowFitsAgain tests a learning window of 2,000 loads.
 func windowFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	record := codec.WindowRecord{CriticWeights: make([]float64, 4)}
 	for i := 0; i < 2000; i++ {
 		record.Loads = append(record.Loads, float64(i)+0.5)
@@ -216,13 +217,13 @@
 	value := c.encodeWindow(record)
 	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: value}})
 	if len(value) < 700 {
-		t.Error("hardly any load is left")
+		t.Error("too few loads are left")
 	}
 }
 
-// headerFitsAgain: a header with names and a list that its user chose freely.
+// headerFitsAgain tests a header with a long class and a long list of machine types.
 func headerFitsAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Pack: "c-0/0", Shard: "c-0", AcceptOrder: 3, Spec: &domain.JobSpec{Class: strings.Repeat("c", 1500), Team: "red", Shape: domain.Array, TaskCount: 1}}
 	for i := 0; i < 300; i++ {
 		header.Spec.MachineTypes = append(header.Spec.MachineTypes, fmt.Sprintf("type-%d", i))
@@ -237,7 +238,7 @@
 	}
 }
 
-// bookedTasks are n booked tasks, each on a machine of its own from the given number on.
+// bookedTasks returns n booked tasks, each on a different machine, numbered from firstMachine.
 func bookedTasks(n, firstMachine int) []domain.Task {
 	tasks := make([]domain.Task, n)
 	for i := range tasks {
@@ -246,10 +247,11 @@
 	return tasks
 }
 
-// packAndChunkFitAgain: a pack of thirty jobs, and a chunk that is split: planSplits until all
-// fit. Another controller that reads what is stored then knows the same bookings.
+// packAndChunkFitAgain tests a pack of thirty jobs and a chunk, both too large. It calls
+// planSplits until both fit. A controller that reads the stored values must then know the same
+// bookings.
 func packAndChunkFitAgain(t *testing.T) {
-	c := afterLimitsFell()
+	c := withLoweredLimits()
 	applyLargePackAndChunk(t, c)
 	stored := map[string][]byte{}
 	for id, j := range c.cache.jobs {
@@ -268,14 +270,14 @@
 			stored[put.Key] = put.Value
 		}
 		if d.changes() > 0 {
-			c.sendPlan(d)
+			c.commitDraft(d)
 			commitAll(t, c)
 		}
 	}
 	if len(c.cache.oversized) > 0 {
 		t.Errorf("still too large: %v", c.cache.oversized)
 	}
-	reader := New(Settings{Node: "c-1", ValueLimit: 2048}, "y")
+	reader := New(Settings{Controller: "c-1", ValueLimit: 2048}, "y")
 	snapshot := SnapshotLoaded{Revision: 99}
 	for key, value := range stored {
 		snapshot.Items = append(snapshot.Items, domain.KeyValue{Key: key, Value: value, ModRevision: 99})
@@ -285,7 +287,7 @@
 }
 
 // applyLargePackAndChunk gives a controller jobs 0 to 29 in one pack that is too large, and job
-// 50 with one chunk that is.
+// 50 with a chunk that is too large.
 func applyLargePackAndChunk(t *testing.T, c *Controller) {
 	t.Helper()
 	pack := codec.ChunkValue{Texts: map[string]string{}}
@@ -306,8 +308,8 @@
 	}
 }
 
-// checkSameBookings checks that two controllers know the same bookings of the jobs of
-// applyLargePackAndChunk, and all of them.
+// checkSameBookings checks that two controllers know the same bookings of the jobs from
+// applyLargePackAndChunk, and that none is missing.
 func checkSameBookings(t *testing.T, writer, reader *Controller) {
 	t.Helper()
 	for i := 0; i <= 50; i++ {
@@ -320,7 +322,7 @@
 			want = 139
 		}
 		if written.counts.booked != want || read.counts.booked != want || !slices.Equal(written.Tasks, read.Tasks) {
-			t.Errorf("job %d has %d bookings here and %d there", i, written.counts.booked, read.counts.booked)
+			t.Errorf("job %d has %d bookings at the writer and %d at the reader", i, written.counts.booked, read.counts.booked)
 		}
 	}
 }
