--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -43,7 +43,7 @@
 			c.reportUnreadable(codec.KeyJob(id), err)
 		}
 	}
-	c.settlePhase(j)
+	c.updatePhases(j)
 	if j.final() && header.Spec == nil {
 		c.cache.forgetTasks(j)
 	}
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -16,7 +16,7 @@
 func TestChunksStayWritable(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	for round := 0; round < 40; round++ {
-		c := acting()
+		c := actingController()
 		n := (c.cfg.ValueLimit - tuning.PackSlack) / tuning.ChunkBytes
 		id := jobName(1)
 		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Shard: "c-0", AcceptOrder: 3,
@@ -34,11 +34,11 @@
 					d.release(j, i, false)
 				}
 			}
-			if !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
-				c.planner.reserveLongestTexts = true // planned anew with room for the worst (planCommit)
+			if !c.planner.assumeMaxBookingBytes && c.tooLarge(d.transaction()) {
+				c.planner.assumeMaxBookingBytes = true // planned anew with room for the worst (planCommit)
 				continue
 			}
-			c.planner.reserveLongestTexts = false
+			c.planner.assumeMaxBookingBytes = false
 			for _, p := range d.transaction().Puts {
 				if most = max(most, len(p.Value)); len(p.Value) > c.cfg.ValueLimit {
 					t.Fatalf("round %d: %s has %d bytes", round, p.Key, len(p.Value))
--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -30,7 +30,7 @@
 		{"gone already", gone, domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			c := acting()
+			c := actingController()
 			if test.written.State != "" {
 				c.cache.cordons["n"] = test.written
 			}
@@ -48,7 +48,7 @@
 // TestCordonPageTakesWhatFits: a page forgets the machines gone longest to take another
 // cordon, but none with bookings left to release, and then takes the cordon not at all.
 func TestCordonPageTakesWhatFits(t *testing.T) {
-	c := acting()
+	c := actingController()
 	long := strings.Repeat("n", 100)
 	drain := domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
 	page := codec.CordonPage{Draining: map[string]string{}, Gone: []string{long + "1", long + "2"}}
@@ -73,7 +73,7 @@
 // TestIdleCordonsWait: in a large fleet cordons of idle machines wait for others, and any
 // are written no more often than at an interval.
 func TestIdleCordonsWait(t *testing.T) {
-	c := acting()
+	c := actingController()
 	for i := range 4000 {
 		c.heartbeats.addMachine(jobName(i))
 	}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -45,10 +45,10 @@
 	return phaseWaiting
 }
 
-// settlePhase puts a job into the phase that its header and those before it call for,
+// updatePhases puts a job into the phase that its header and those before it call for,
 // and all after it: from one to the next over a list, however long the users'
 // pipelines are, each edge once.
-func (c *Controller) settlePhase(j *Job) {
+func (c *Controller) updatePhases(j *Job) {
 	work := []*Job{j}
 	for len(work) > 0 {
 		job := work[len(work)-1]
@@ -61,7 +61,7 @@
 		for _, dependent := range c.cache.dependents[job.ID] {
 			if job.phase == phaseDone {
 				dependent.unfinishedDependencies--
-				dependent.dependenciesDoneAt = max(dependent.dependenciesDoneAt, c.endOf(job))
+				dependent.dependenciesDoneAt = max(dependent.dependenciesDoneAt, c.doneTime(job))
 			} else if c.guard(GuardCascade) {
 				dependent.dependencyFailed = true
 			}
@@ -75,10 +75,10 @@
 func (c *Controller) setPhase(j *Job, next phase) {
 	old := j.phase
 	if old == phaseOpen && next != old {
-		c.leaveOpen(j)
+		c.removeOpenJob(j)
 	}
 	if next == phaseOpen && next != old {
-		c.enterOpen(j)
+		c.addOpenJob(j)
 	}
 	if next == phaseCancelled && !j.Header.Released {
 		c.cache.awaitingRelease[j.ID] = j
@@ -91,17 +91,17 @@
 	}
 }
 
-// leaveOpen takes a job out of those whose tasks may start, and its tasks out of queues.
-func (c *Controller) leaveOpen(j *Job) {
+// removeOpenJob takes a job out of those whose tasks may start, and its tasks out of queues.
+func (c *Controller) removeOpenJob(j *Job) {
 	if k := slices.Index(c.cache.openJobs, j); k >= 0 {
 		c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
 	}
 	c.dequeueTasks(j, j.Header.TaskCount)
 }
 
-// enterOpen puts a job among those whose tasks may start. Order and ages count from the last
+// addOpenJob puts a job among those whose tasks may start. Order and ages count from the last
 // job before it; after a restart from the times that the headers tell.
-func (c *Controller) enterOpen(j *Job) {
+func (c *Controller) addOpenJob(j *Job) {
 	j.readyAt = int64(c.now)
 	if c.cache.loadingSnapshot {
 		j.readyAt = max(j.submittedAt, j.dependenciesDoneAt)
@@ -112,8 +112,8 @@
 	}
 }
 
-// endOf is when a job was done, as its header tells or, if it doesn't, now.
-func (c *Controller) endOf(j *Job) int64 {
+// doneTime is when a job was done, as its header tells or, if it doesn't, now.
+func (c *Controller) doneTime(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
 		return min(int64(c.now), c.steadyTime(j.Header.DoneAtMS))
 	}
@@ -132,9 +132,9 @@
 		c.cache.countMissingPieces(j)
 	}
 	spec.Dependencies = codec.ParseNames(spec.DependencyText)
-	c.dependOn(j, spec.Dependencies)
+	c.addDependencies(j, spec.Dependencies)
 	if j.missingPieces == 0 {
-		c.takeDependencyPieces(j)
+		c.resolveDependencyPieces(j)
 	}
 	for _, dependent := range c.cache.dependents[j.ID] {
 		c.queues.inheritUrgency(j, dependent)
@@ -142,13 +142,13 @@
 	c.propagateUrgency(j)
 }
 
-// dependOn joins a job to those that it depends on, as far as they are not over.
-func (c *Controller) dependOn(j *Job, ids []string) {
+// addDependencies joins a job to those that it depends on, as far as they are not over.
+func (c *Controller) addDependencies(j *Job, ids []string) {
 	for _, id := range ids {
 		needed := c.cache.jobs[id]
 		switch {
 		case needed != nil && needed.phase == phaseDone:
-			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.endOf(needed))
+			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.doneTime(needed))
 		case needed != nil && needed.phase == phaseCancelled:
 			j.dependencyFailed = c.guard(GuardCascade)
 			if !j.dependencyFailed {
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -23,8 +23,8 @@
 	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(header), ModRevision: order}
 }
 
-// overHeader is the header of a job that is over, as it is stored.
-func overHeader(id string, state domain.JobState, revision uint64) domain.KeyValue {
+// finalHeader is the header of a job that is over, as it is stored.
+func finalHeader(id string, state domain.JobState, revision uint64) domain.KeyValue {
 	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: state, TaskCount: 2, Released: state == domain.StateCancelled}), ModRevision: revision}
 }
 
@@ -46,9 +46,9 @@
 	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4; 6 is cancelled; 7
 	// depends on nothing.
 	kvs := []domain.KeyValue{
-		overHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
+		finalHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
-		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), overHeader(jobName(6), domain.StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
+		openHeader(t, jobName(5), 15, 1, 0, jobName(4)), finalHeader(jobName(6), domain.StateCancelled, 21), openHeader(t, jobName(7), 17, 1, 0),
 	}
 	random := rand.New(rand.NewPCG(3, 4))
 	for round := 0; round < 50; round++ {
@@ -65,11 +65,11 @@
 				t.Fatalf("job %d: cancelled %v", i, j.cancelled())
 			}
 		}
-		c.apply(overHeader(jobName(1), domain.StateDone, 30))
+		c.apply(finalHeader(jobName(1), domain.StateDone, 30))
 		if j := c.cache.jobs[jobName(3)]; j.phase != phaseWaiting {
 			t.Fatal("starts before all that it depends on is done")
 		}
-		c.apply(overHeader(jobName(2), domain.StateDone, 31))
+		c.apply(finalHeader(jobName(2), domain.StateDone, 31))
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(3), jobName(7)}) {
 			t.Fatalf("may start: %v", got)
 		}
@@ -89,7 +89,7 @@
 	if len(c.cache.openJobs) != 1 {
 		t.Fatalf("%d may start", len(c.cache.openJobs))
 	}
-	c.apply(overHeader(jobName(0), domain.StateCancelled, n+10))
+	c.apply(finalHeader(jobName(0), domain.StateCancelled, n+10))
 	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
 		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.cache.dependents))
 	}
@@ -107,16 +107,16 @@
 		if got := c.cache.jobs[jobName(9999)].phase; got != phaseWaiting {
 			t.Fatalf("phase %d with %d done", got, i)
 		}
-		c.apply(overHeader(id, domain.StateDone, uint64(4000+i)))
+		c.apply(finalHeader(id, domain.StateDone, uint64(4000+i)))
 	}
 	if c.cache.jobs[jobName(9999)].phase != phaseOpen {
 		t.Error("the fan never opens")
 	}
 }
 
-// TestUrgencyPassesBack: all stages have the priority of the last one, and each a
+// TestUrgencyPropagation: all stages have the priority of the last one, and each a
 // deadline that leaves time for those after it, on the longest path.
-func TestUrgencyPassesBack(t *testing.T) {
+func TestUrgencyPropagation(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
 		c := New(Settings{Node: "c-0"}, "x")
 		kvs := []domain.KeyValue{
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestAgesSurviveRestarts: a controller that reads a snapshot orders jobs as the others
+// TestJobAgesAfterRestart: a controller that reads a snapshot orders jobs as the others
 // do, by the times that the headers tell.
-func TestAgesSurviveRestarts(t *testing.T) {
+func TestJobAgesAfterRestart(t *testing.T) {
 	wall := int64(1_700_000_000_000)
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
 	c := New(Settings{Node: "c-0", WallClockMS: wall}, "x")
@@ -158,8 +158,8 @@
 	}
 }
 
-// acting is a controller that may act, with one machine type.
-func acting() *Controller {
+// actingController is a controller that may act, with one machine type.
+func actingController() *Controller {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
 	c.now = time.Minute
@@ -172,8 +172,8 @@
 	return c
 }
 
-// said returns the last answer to a user.
-func said(c *Controller) (reply UserReply) {
+// lastReply returns the last answer to a user.
+func lastReply(c *Controller) (reply UserReply) {
 	for _, effect := range c.effects {
 		if answer, ok := effect.(UserReply); ok {
 			reply = answer
@@ -212,11 +212,11 @@
 	return keys
 }
 
-// TestAJobMayDependOnThousands: a submission may name thousands of jobs. The list lies in
+// TestThousandsOfDependencies: a submission may name thousands of jobs. The list lies in
 // pieces beside the header, which comes last; another controller that reads them in any
 // order knows the same jobs, and a job none of whose pieces is there yet waits.
-func TestAJobMayDependOnThousands(t *testing.T) {
-	c := acting()
+func TestThousandsOfDependencies(t *testing.T) {
+	c := actingController()
 	var needs []string
 	for i := 0; i < 4000; i++ {
 		c.apply(openHeader(t, jobName(i), uint64(i+200), 0, 0))
@@ -226,8 +226,8 @@
 	c.effects = nil
 	c.onJobSubmitted(submission("job-999999", append(needs, needs...)...)) // duplicates count once
 	keys := commitAll(t, c)
-	if len(keys) < 10 || keys[len(keys)-1] != "b/job/job-999999" || said(c).Status != 201 {
-		t.Fatalf("%d keys written, %+v", len(keys), said(c))
+	if len(keys) < 10 || keys[len(keys)-1] != "b/job/job-999999" || lastReply(c).Status != 201 {
+		t.Fatalf("%d keys written, %+v", len(keys), lastReply(c))
 	}
 	j := c.cache.jobs["job-999999"]
 	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
@@ -249,33 +249,33 @@
 		if other.cache.jobs[j.ID].phase != phaseWaiting {
 			t.Fatalf("starts with %d of 4000 done", i)
 		}
-		other.apply(overHeader(id, domain.StateDone, uint64(10000+i)))
+		other.apply(finalHeader(id, domain.StateDone, uint64(10000+i)))
 	}
 	if other.cache.jobs[j.ID].phase != phaseOpen {
 		t.Error("never opens")
 	}
 }
 
-// submitAndAnswer has the controller take a submission and answer it once it has reached a
+// submitAndReply has the controller take a submission and answer it once it has reached a
 // read index and read the header that its cache lacks.
-func submitAndAnswer(t *testing.T, c *Controller, submitted JobSubmitted, elsewhere domain.KeyValue) {
+func submitAndReply(t *testing.T, c *Controller, submitted JobSubmitted, elsewhere domain.KeyValue) {
 	t.Helper()
 	c.effects = nil
 	c.onJobSubmitted(submitted)
 	for id := range c.requests.lookups {
 		c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
 	}
-	if len(c.requests.waiting) > 0 && said(c).Status != 0 {
-		t.Errorf("answered %d before its read index", said(c).Status)
+	if len(c.requests.waiting) > 0 && lastReply(c).Status != 0 {
+		t.Errorf("answered %d before its read index", lastReply(c).Status)
 	}
 	c.reachReadIndex()
 	c.wakeWaiters()
 	commitAll(t, c)
 }
 
-// TestWhatAJobMayDependOn: what the answer to a submission is, and from which
+// TestDependencyValidation: what the answer to a submission is, and from which
 // knowledge.
-func TestWhatAJobMayDependOn(t *testing.T) {
+func TestDependencyValidation(t *testing.T) {
 	service := openHeader(t, jobName(3), 8, 0, 0)
 	service.Value = []byte(strings.Replace(string(service.Value), `"array"`, `"service"`, 1))
 	elsewhere := openHeader(t, jobName(5), 90, 0, 0) // the state service has it, the cache lacks it
@@ -294,12 +294,12 @@
 		"nothing but known names": {nil, 201, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := acting()
-			for _, kv := range []domain.KeyValue{overHeader(jobName(1), domain.StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, overHeader(jobName(4), domain.StateCancelled, 9)} {
+			c := actingController()
+			for _, kv := range []domain.KeyValue{finalHeader(jobName(1), domain.StateDone, 5), openHeader(t, jobName(2), 6, 0, 0), service, finalHeader(jobName(4), domain.StateCancelled, 9)} {
 				c.apply(kv)
 			}
-			submitAndAnswer(t, c, submission(jobName(9), test.needs...), elsewhere)
-			if reply := said(c); reply.Status != test.status {
+			submitAndReply(t, c, submission(jobName(9), test.needs...), elsewhere)
+			if reply := lastReply(c); reply.Status != test.status {
 				t.Errorf("%+v", reply)
 			}
 			if got := slices.Contains(openIDs(c), jobName(9)); got != test.open {
@@ -310,20 +310,20 @@
 			}
 			// A repeat gets 200 whatever it names now.
 			if test.status == 201 {
-				submitAndAnswer(t, c, submission(jobName(9), jobName(8)), elsewhere)
-				if reply := said(c); reply.Status != 200 {
+				submitAndReply(t, c, submission(jobName(9), jobName(8)), elsewhere)
+				if reply := lastReply(c); reply.Status != 200 {
 					t.Errorf("a repeat gets %d", reply.Status)
 				}
 			}
 		})
 	}
 	// Before all controllers know what dependencies are.
-	c := acting()
+	c := actingController()
 	c.cache.format = 0
-	c.apply(overHeader(jobName(1), domain.StateDone, 5))
+	c.apply(finalHeader(jobName(1), domain.StateDone, 5))
 	c.effects = nil
 	c.onJobSubmitted(submission(jobName(9), jobName(1)))
-	if reply := said(c); reply.Status != 503 {
+	if reply := lastReply(c); reply.Status != 503 {
 		t.Errorf("before the switch: %+v", reply)
 	}
 }
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -27,9 +27,9 @@
 	if c.cache.countMissingPieces(j); j.missingPieces > 0 {
 		return
 	}
-	c.takeDependencyPieces(j)
+	c.resolveDependencyPieces(j)
 	c.propagateUrgency(j)
-	c.settlePhase(j)
+	c.updatePhases(j)
 }
 
 // countMissingPieces counts the pieces of a job's list that are not here yet.
@@ -42,19 +42,19 @@
 	}
 }
 
-// takeDependencyPieces joins a job to all that its list names. The pieces are all here, and
+// resolveDependencyPieces joins a job to all that its list names. The pieces are all here, and
 // are forgotten.
-func (c *Controller) takeDependencyPieces(j *Job) {
+func (c *Controller) resolveDependencyPieces(j *Job) {
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-		c.takeDependencyPiece(j, k)
+		c.resolveDependencyPiece(j, k)
 	}
 }
 
-// takeDependencyPiece joins a job to those that the k-th piece of its list names.
-func (c *Controller) takeDependencyPiece(j *Job, k int) {
+// resolveDependencyPiece joins a job to those that the k-th piece of its list names.
+func (c *Controller) resolveDependencyPiece(j *Job, k int) {
 	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
 	ids := codec.ParseNames(c.cache.dependencyPieces[key])
 	delete(c.cache.dependencyPieces, key)
 	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
-	c.dependOn(j, ids)
+	c.addDependencies(j, ids)
 }
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -33,10 +33,10 @@
 
 	// What the stages of the plan after this one have to know.
 
-	changed     map[domain.TaskID]bool      // tasks whose copies were changed
-	copiedCells map[string][]int            // first tasks of the cells of each job that cells has
-	usage       map[string]domain.Resources // by team, what the draft adds to this controller's bookings
-	usedOn      map[string]domain.Resources // by machine, what it adds to the bookings there; negative after releases
+	changed        map[domain.TaskID]bool      // tasks whose copies were changed
+	copiedCells    map[string][]int            // first tasks of the cells of each job that cells has
+	usageByTeam    map[string]domain.Resources // by team, what the draft adds to this controller's bookings
+	usageByMachine map[string]domain.Resources // by machine, what it adds to the bookings there; negative after releases
 
 	// The budget of the transaction, of which each stage may use some.
 
@@ -56,23 +56,23 @@
 // newDraft is an empty draft but for the value by which it excludes a commit in doubt.
 func (c *Controller) newDraft() *draft {
 	d := &draft{
-		c:           c,
-		headers:     map[string]*codec.JobHeader{},
-		cells:       map[cellRef][]domain.Task{},
-		keys:        map[string]bool{},
-		shares:      map[string]codec.TeamShares{},
-		finished:    map[string]bool{},
-		leaving:     map[string]string{},
-		moved:       map[string]string{},
-		conditions:  map[string]bool{},
-		changed:     map[domain.TaskID]bool{},
-		copiedCells: map[string][]int{},
-		usage:       map[string]domain.Resources{},
-		usedOn:      map[string]domain.Resources{},
-		maxChanges:  c.cfg.TransactionLimit,
-		maxBytes:    tuning.TxnBytes,
-		growth:      map[string]int{},
-		machines:    map[string]bool{},
+		c:              c,
+		headers:        map[string]*codec.JobHeader{},
+		cells:          map[cellRef][]domain.Task{},
+		keys:           map[string]bool{},
+		shares:         map[string]codec.TeamShares{},
+		finished:       map[string]bool{},
+		leaving:        map[string]string{},
+		moved:          map[string]string{},
+		conditions:     map[string]bool{},
+		changed:        map[domain.TaskID]bool{},
+		copiedCells:    map[string][]int{},
+		usageByTeam:    map[string]domain.Resources{},
+		usageByMachine: map[string]domain.Resources{},
+		maxChanges:     c.cfg.TransactionLimit,
+		maxBytes:       tuning.TxnBytes,
+		growth:         map[string]int{},
+		machines:       map[string]bool{},
 	}
 	d.excludeInDoubt()
 	return d
@@ -118,8 +118,8 @@
 	return header
 }
 
-// ref names the cell with task i.
-func (j *Job) ref(i int) cellRef {
+// cellRef names the cell with task i.
+func (j *Job) cellRef(i int) cellRef {
 	from, _ := j.Header.Cell(i)
 	return cellRef{j.ID, from}
 }
@@ -136,7 +136,7 @@
 
 // copyCell takes a copy of the records of the cell with task i into the draft.
 func (d *draft) copyCell(j *Job, i int) {
-	ref := j.ref(i)
+	ref := j.cellRef(i)
 	if d.cells[ref] == nil {
 		d.copiedCells[j.ID] = append(d.copiedCells[j.ID], ref.from)
 	}
@@ -145,7 +145,7 @@
 
 // peek reads task i as the draft has it, without touching its cell.
 func (d *draft) peek(j *Job, i int) domain.Task {
-	if ref := j.ref(i); d.cells[ref] != nil {
+	if ref := j.cellRef(i); d.cells[ref] != nil {
 		return d.cells[ref][i-ref.from]
 	}
 	return j.task(i)
@@ -153,8 +153,8 @@
 
 // --- its budget ---
 
-// takesConditions tells whether the transaction may have n further conditions.
-func (d *draft) takesConditions(n int) bool {
+// hasRoomForConditions tells whether the transaction may have n further conditions.
+func (d *draft) hasRoomForConditions(n int) bool {
 	return len(d.conditions)+n <= tuning.ConditionsPerChange*d.c.cfg.TransactionLimit
 }
 
@@ -178,7 +178,7 @@
 	key     string // of the value that is written
 	header  bool   // the job's header is written
 	grows   bool   // the value may get longer
-	leaveTo string // pack to which the job goes with this change; "": it stays
+	newPack string // pack to which the job goes with this change; "": it stays
 }
 
 // hasRoomToGrow tells whether a change of task i that may make its value longer, as a
@@ -199,7 +199,7 @@
 // and one team at most. What can't be changed for a reason that another commit takes away is
 // remembered for that commit.
 func (d *draft) hasRoomFor(change taskChange) bool {
-	refusal := d.refuse(&change)
+	refusal := d.checkChange(&change)
 	switch refusal {
 	case refusedForeignValue:
 		d.c.planner.foreignValues[change.key] = true
@@ -208,27 +208,27 @@
 	case refusedFullValue:
 		d.c.commits.fullValues[change.key] = true
 	case notRefused:
-		if change.leaveTo != "" {
-			d.leaving[change.job.ID] = change.leaveTo
+		if change.newPack != "" {
+			d.leaving[change.job.ID] = change.newPack
 		}
 	}
 	return refusal == notRefused
 }
 
-// refuse is the first reason that speaks against a change, which it leads to another value
+// checkChange is the first reason that speaks against a change, which it leads to another value
 // where the task's job has to leave its own.
-func (d *draft) refuse(change *taskChange) roomRefusal {
-	if refusal := d.refuseByTurn(change); refusal != notRefused {
+func (d *draft) checkChange(change *taskChange) roomRefusal {
+	if refusal := d.checkShard(change); refusal != notRefused {
 		return refusal
 	}
-	if refusal := d.refuseBySize(change); refusal != notRefused {
+	if refusal := d.checkValueSize(change); refusal != notRefused {
 		return refusal
 	}
-	return d.refuseByBudget(change)
+	return d.checkBudget(change)
 }
 
-// refuseByTurn keeps own values and one of another shard apart (planCommit says why).
-func (d *draft) refuseByTurn(change *taskChange) roomRefusal {
+// checkShard keeps own values and one of another shard apart (planCommit says why).
+func (d *draft) checkShard(change *taskChange) roomRefusal {
 	foreign := d.c.isForeign(change.job)
 	switch {
 	case foreign && change.key != d.foreignKey:
@@ -239,15 +239,15 @@
 	return notRefused
 }
 
-// refuseBySize refuses what would make a value too large to be written. A pack's job leaves
+// checkValueSize refuses what would make a value too large to be written. A pack's job leaves
 // a value that is so already with this change; a chunk is split first.
-func (d *draft) refuseBySize(change *taskChange) roomRefusal {
+func (d *draft) checkValueSize(change *taskChange) roomRefusal {
 	header := change.job.Header
 	if header.Inline {
 		change.header = true
 		return notRefused
 	}
-	if d.mayNotWrite(change) {
+	if d.isUnwritable(change) {
 		if header.Pack == "" {
 			return refusedOversized
 		}
@@ -255,7 +255,7 @@
 		if !ok {
 			return refusedOversized
 		}
-		change.leaveTo, change.key, change.header = pack, codec.PrefixPack+pack, true
+		change.newPack, change.key, change.header = pack, codec.PrefixPack+pack, true
 	}
 	if change.grows && d.isFullValue(change) {
 		return refusedFullValue
@@ -263,9 +263,9 @@
 	return notRefused
 }
 
-// mayNotWrite tells whether the value of a change can't be written any more as it is, or
+// isUnwritable tells whether the value of a change can't be written any more as it is, or
 // must not grow.
-func (d *draft) mayNotWrite(change *taskChange) bool {
+func (d *draft) isUnwritable(change *taskChange) bool {
 	return (d.c.formats.limitsFell || change.grows && d.c.cache.formatOn()) && d.c.isOversizedInPlan(change.key)
 }
 
@@ -278,8 +278,8 @@
 	return d.c.cache.valueSizes[change.key]+d.growth[change.key]+2*tuning.TaskBytes+len(change.job.ID) > bound-tuning.PackSlack
 }
 
-// refuseByBudget refuses what the transaction has no changes, bytes or conditions for.
-func (d *draft) refuseByBudget(change *taskChange) roomRefusal {
+// checkBudget refuses what the transaction has no changes, bytes or conditions for.
+func (d *draft) checkBudget(change *taskChange) roomRefusal {
 	j, changes, bytes := change.job, d.changes(), d.bytes
 	if !d.keys[change.key] && !j.Header.Inline {
 		changes++
@@ -295,7 +295,7 @@
 	if changes > d.maxChanges || bytes > d.maxBytes {
 		return refusedFullDraft
 	}
-	if !d.takesConditions(1 + d.newConditions(change)) {
+	if !d.hasRoomForConditions(1 + d.newConditions(change)) {
 		return refusedForConditions
 	}
 	return notRefused
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -8,7 +8,7 @@
 
 // task returns the copy of task i to change.
 func (d *draft) task(j *Job, i int) *domain.Task {
-	ref := j.ref(i)
+	ref := j.cellRef(i)
 	if d.cells[ref] == nil {
 		d.openCell(j, i)
 	}
@@ -22,7 +22,7 @@
 	if pack, ok := d.leaving[j.ID]; ok {
 		d.move(j, pack)
 	}
-	if d.cells[j.ref(i)] == nil {
+	if d.cells[j.cellRef(i)] == nil {
 		d.copyCell(j, i)
 	}
 	// While a value is too large, jobs may leave it without a change of its
@@ -65,22 +65,22 @@
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
 	}
 	d.machines[place.machine] = true
-	d.growth[d.keyOf(j, i)] += d.c.bookBytes()
-	d.countUsage(j.Header.Spec, 1)
-	d.usedOn[place.machine] = d.usedOn[place.machine].Plus(j.Header.Spec.Request, 1)
+	d.growth[d.keyOf(j, i)] += d.c.bookingBytes()
+	d.addUsage(j.Header.Spec, 1)
+	d.usageByMachine[place.machine] = d.usageByMachine[place.machine].Plus(j.Header.Spec.Request, 1)
 }
 
-// countUsage counts tasks into what this controller's bookings take of their team's limit; a
+// addUsage counts tasks into what this controller's bookings take of their team's limit; a
 // negative number: out of it.
-func (d *draft) countUsage(spec *domain.JobSpec, tasks int64) {
-	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, tasks)
+func (d *draft) addUsage(spec *domain.JobSpec, tasks int64) {
+	d.usageByTeam[spec.Team] = d.usageByTeam[spec.Team].Plus(spec.Request, tasks)
 	d.settleShare(spec.Team, spec.Request)
 }
 
-// bookBytes is what a booking is planned to add to its value: what it mostly takes,
+// bookingBytes is what a booking is planned to add to its value: what it mostly takes,
 // or, when a draft came out too large by that, the most that it may take.
-func (c *Controller) bookBytes() int {
-	if c.cache.formatOn() && !c.planner.reserveLongestTexts {
+func (c *Controller) bookingBytes() int {
+	if c.cache.formatOn() && !c.planner.assumeMaxBookingBytes {
 		return tuning.TaskBytesShort
 	}
 	return tuning.TaskBytes
@@ -101,9 +101,9 @@
 	spec, task := j.Header.Spec, d.task(j, i)
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
 	d.machines[task.Machine] = true
-	d.usedOn[task.Machine] = d.usedOn[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
+	d.usageByMachine[task.Machine] = d.usageByMachine[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
 	if task.Shard == d.c.cfg.Node {
-		d.countUsage(spec, -1)
+		d.addUsage(spec, -1)
 	}
 	task.Machine, task.AgentEpoch, task.Zone = "", 0, ""
 	task.State, task.Shard = domain.Queued, ""
@@ -113,13 +113,13 @@
 	}
 	d.finish(j, i)
 	if spec.Shape == domain.Gang {
-		d.finishMates(j)
+		d.finishRestOfGang(j)
 	}
 }
 
-// finishMates finishes the queued tasks of a gang of which one is done. They complete
+// finishRestOfGang finishes the queued tasks of a gang of which one is done. They complete
 // together: a mate whose own end was never reported is done, too.
-func (d *draft) finishMates(j *Job) {
+func (d *draft) finishRestOfGang(j *Job) {
 	for i := 0; i < j.Header.TaskCount; i++ {
 		if d.peek(j, i).State == domain.Queued {
 			d.finish(j, i)
@@ -131,7 +131,7 @@
 // cell ends the job.
 func (d *draft) finish(j *Job, i int) {
 	*d.task(j, i) = domain.Task{State: domain.Done}
-	cell := d.cells[j.ref(i)]
+	cell := d.cells[j.cellRef(i)]
 	if doneTasks(cell) < len(cell) {
 		return
 	}
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -9,9 +9,9 @@
 	"brassglade/internal/tuning"
 )
 
-// TestDraftSaysWhyItRefuses: a draft says why it takes no change of a task, and what another commit
+// TestDraftRefusalReasons: a draft says why it takes no change of a task, and what another commit
 // has to do before is remembered for that one.
-func TestDraftSaysWhyItRefuses(t *testing.T) {
+func TestDraftRefusalReasons(t *testing.T) {
 	const pack = codec.PrefixPack + "c-0/0"
 	for name, test := range map[string]struct {
 		prepare func(c *Controller, d *draft)
@@ -44,12 +44,12 @@
 		}, refusedOversized, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := acting()
+			c := actingController()
 			c.apply(openJob(t, 1, 400, 1, 1000))
 			j, d := c.cache.jobs[jobName(1)], c.newDraft()
 			test.prepare(c, d)
 			c.planner.dirty = false
-			if got := d.refuse(&taskChange{job: j, source: pack, key: pack, grows: true}); got != test.want {
+			if got := d.checkChange(&taskChange{job: j, source: pack, key: pack, grows: true}); got != test.want {
 				t.Errorf("refused by %d, want %d", got, test.want)
 			}
 			if got := d.hasRoomToGrow(j, 0); got != (test.want == notRefused) {
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestOversizedPackIsLeft: a small job leaves a pack that is too large to be written with its
+// TestJobLeavesOversizedPack: a small job leaves a pack that is too large to be written with its
 // next change, and its header names the new one.
-func TestOversizedPackIsLeft(t *testing.T) {
+func TestJobLeavesOversizedPack(t *testing.T) {
 	const pack = codec.PrefixPack + "c-0/0"
-	c := acting()
+	c := actingController()
 	c.apply(openJob(t, 1, 2, 1, 1000))
 	c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
 	j, d := c.cache.jobs[jobName(1)], c.newDraft()
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -9,8 +9,8 @@
 	"brassglade/internal/domain"
 )
 
-// tasksOfValue are the tasks that a pack, chunk or cell holds, by job.
-type tasksOfValue map[string][]domain.Task
+// tasksByJob are the tasks that a pack, chunk or cell holds, by job.
+type tasksByJob map[string][]domain.Task
 
 // transaction writes the draft as one transaction, conditional on all that it read.
 func (d *draft) transaction() domain.Transaction {
@@ -57,7 +57,7 @@
 	if tasks == nil {
 		return nil
 	}
-	return d.c.cache.chunkOf(tasksOfValue{id: tasks})
+	return d.c.cache.chunkOf(tasksByJob{id: tasks})
 }
 
 // appendValues appends packs, chunks and cells, by key. A pack is written even when it
@@ -78,10 +78,10 @@
 
 // tasksByValue are the tasks of the values to write, by key: those that the draft has
 // copies of, and in packs those of all other jobs as they are.
-func (d *draft) tasksByValue() map[string]tasksOfValue {
-	values := map[string]tasksOfValue{}
+func (d *draft) tasksByValue() map[string]tasksByJob {
+	values := map[string]tasksByJob{}
 	for key := range d.keys {
-		values[key] = tasksOfValue{}
+		values[key] = tasksByJob{}
 		if kind, pack := codec.ParseKey(key); kind == codec.KindPack {
 			d.addUntouchedJobs(values[key], pack)
 		}
@@ -98,7 +98,7 @@
 }
 
 // addUntouchedJobs adds the tasks of a pack's jobs that the draft neither changes nor moves.
-func (d *draft) addUntouchedJobs(value tasksOfValue, pack string) {
+func (d *draft) addUntouchedJobs(value tasksByJob, pack string) {
 	jobs := d.c.cache.jobsByPack[pack]
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		j := jobs[id]
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -75,7 +75,7 @@
 // incarnation, turned on only by the leader once every controller of the settings, not
 // only of the view, has announced it, and stays on.
 func TestFormatNeedsAll(t *testing.T) {
-	c := acting()
+	c := actingController()
 	c.cfg.Nodes = []string{"c-0", "c-1", "c-2"}
 	c.cache.format = 0
 	turn := func() (keys []string) {
@@ -132,7 +132,7 @@
 
 // afterLimitsFell is an acting controller that knows that the limits fell below what was stored.
 func afterLimitsFell() *Controller {
-	c := acting()
+	c := actingController()
 	c.cfg.ValueLimitNow, c.formats.limitsFell = 8192, true
 	return c
 }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -65,21 +65,21 @@
 	pass         PlanningPass
 	machines     []inventoryMachine // with room for some job, in the inventory's order
 	claims       map[string]quotaClaim
-	placeless    map[gangKind]bool // kinds of gangs that found no place
-	waitingTeams map[string]bool   // whose limit must come free for a gang that holds machines back
+	unplaceable  map[placementKey]bool // kinds of gangs that found no place
+	blockedTeams map[string]bool       // whose limit must come free for a gang that holds machines back
 }
 
 // newGangPass begins a walk over the machines with room.
 func (c *Controller) newGangPass(d *draft, pass PlanningPass, machines []inventoryMachine, claims map[string]quotaClaim) *gangPass {
 	return &gangPass{
 		c: c, draft: d, pass: pass, machines: machines, claims: claims,
-		placeless: map[gangKind]bool{}, waitingTeams: map[string]bool{},
+		unplaceable: map[placementKey]bool{}, blockedTeams: map[string]bool{},
 	}
 }
 
-// gangKind is what a job's place depends on. Of jobs alike, none is tried once one found no
+// placementKey is what a job's place depends on. Of jobs alike, none is tried once one found no
 // place: at size most of those waiting are alike.
-type gangKind struct {
+type placementKey struct {
 	team, zone            string
 	machineTypes          string // joined by commas
 	request               domain.Resources
@@ -87,9 +87,9 @@
 	spot, oneZone, spread bool
 }
 
-// gangKindOf is what the place of a job depends on.
-func gangKindOf(spec *domain.JobSpec) gangKind {
-	return gangKind{
+// placementKeyOf is what the place of a job depends on.
+func placementKeyOf(spec *domain.JobSpec) placementKey {
+	return placementKey{
 		team: spec.Team, zone: spec.Zone, machineTypes: strings.Join(spec.MachineTypes, ","), request: spec.Request,
 		tasks: spec.TaskCount, spot: spec.Spot, oneZone: spec.OneZone, spread: spec.Spread,
 	}
@@ -100,11 +100,11 @@
 func (p *gangPass) book(jobs []*Job) bool {
 	for _, j := range jobs {
 		spec := j.Header.Spec
-		kind := gangKindOf(spec)
+		kind := placementKeyOf(spec)
 		if p.pass == PassCached && !p.isCachedSomewhere(spec) {
 			continue
 		}
-		if reason := p.knownReason(spec.Team, kind); reason != WaitsForNothing {
+		if reason := p.knownWaitReason(spec.Team, kind); reason != WaitsForNothing {
 			p.c.noteWait(j, reason, p.claims, p.draft.teamUsed(spec.Team))
 			continue
 		}
@@ -115,24 +115,24 @@
 		if len(p.draft.changed) > before || !p.foundNoPlace(j) {
 			continue
 		}
-		p.placeless[kind] = true
+		p.unplaceable[kind] = true
 		if p.pass == PassCached || !j.holdsMachinesBack(p.c.now) {
 			continue
 		}
-		if p.teamAllows(spec) {
+		if p.quotaAllowsGang(spec) {
 			return false
 		}
-		p.waitingTeams[spec.Team] = true
+		p.blockedTeams[spec.Team] = true
 	}
 	return true
 }
 
-// knownReason is why no job of a kind has to be tried, by what became of those before.
-func (p *gangPass) knownReason(team string, kind gangKind) WaitReason {
+// knownWaitReason is why no job of a kind has to be tried, by what became of those before.
+func (p *gangPass) knownWaitReason(team string, kind placementKey) WaitReason {
 	switch {
-	case p.placeless[kind]:
+	case p.unplaceable[kind]:
 		return WaitsForMachine
-	case p.waitingTeams[team]:
+	case p.blockedTeams[team]:
 		return WaitsForGangs
 	}
 	return WaitsForNothing
@@ -144,9 +144,9 @@
 	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
 }
 
-// teamAllows tells whether a team's limit has room for all of a gang, so that machines are
+// quotaAllowsGang tells whether a team's limit has room for all of a gang, so that machines are
 // all it waits for.
-func (p *gangPass) teamAllows(spec *domain.JobSpec) bool {
+func (p *gangPass) quotaAllowsGang(spec *domain.JobSpec) bool {
 	return quota.Within(p.draft.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), p.c.cfg.Teams[spec.Team].Limit)
 }
 
@@ -210,7 +210,7 @@
 	if spec.Shape == domain.Gang && !c.quotaAllowsPlaced(j, d.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), claims) {
 		return true
 	}
-	picks := (&picker{
+	picks := (&machineChooser{
 		c: c, draft: d, job: j, placed: placed, zones: bindingZones(j, d), machines: machines, claims: claims,
 	}).choose()
 	if spec.Shape == domain.Gang {
@@ -221,15 +221,15 @@
 			c.planner.dirty = true
 			return false
 		}
-		d.bookPick(j, picked, j.task(picked.task).Attempt+1, pass)
+		d.bookAssignment(j, picked, j.task(picked.task).Attempt+1, pass)
 	}
 	return true
 }
 
 // bookGang books all tasks of a gang under one attempt; false: they don't go into what
 // is left of the draft, and wait for an emptier one.
-func (c *Controller) bookGang(d *draft, j *Job, picks []pick, pass PlanningPass) bool {
-	if !d.takesGang(j) {
+func (c *Controller) bookGang(d *draft, j *Job, picks []assignment, pass PlanningPass) bool {
+	if !d.hasRoomForGang(j) {
 		c.planner.dirty = true
 		return false
 	}
@@ -239,18 +239,18 @@
 	}
 	for _, picked := range picks {
 		d.hasRoomToGrow(j, picked.task) // there is; asked since a job leaves a pack that is too large so
-		d.bookPick(j, picked, attempt+1, pass)
+		d.bookAssignment(j, picked, attempt+1, pass)
 	}
 	return true
 }
 
-// takesGang tells whether the draft has room for all values of a gang, at their largest,
+// hasRoomForGang tells whether the draft has room for all values of a gang, at their largest,
 // and for conditions on them, its header, its team's share and the cordons of its machines.
-func (d *draft) takesGang(j *Job) bool {
+func (d *draft) hasRoomForGang(j *Job) bool {
 	cells, cfg := j.Header.CellCount(), &d.c.cfg
 	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Nodes))
 	return d.changes()+cells+1 <= d.maxChanges && d.bytes+cells*cfg.ValueLimit <= tuning.TxnBytes &&
-		d.takesConditions(cells+2+cordonPages)
+		d.hasRoomForConditions(cells+2+cordonPages)
 }
 
 // finishGang finishes the queued tasks of a gang of which one is done, as earlier versions
@@ -269,21 +269,21 @@
 	return true
 }
 
-// bookPick books a task where it was picked to go.
-func (d *draft) bookPick(j *Job, picked pick, attempt uint64, pass PlanningPass) {
+// bookAssignment books a task where it was picked to go.
+func (d *draft) bookAssignment(j *Job, picked assignment, attempt uint64, pass PlanningPass) {
 	place := picked.machine.place()
 	d.book(j, picked.task, place, attempt)
 	d.recordBooking(domain.TaskID{Job: j.ID, Index: picked.task}, place, attempt, pass)
 }
 
-// pick is a task put on a machine.
-type pick struct {
+// assignment is a task put on a machine.
+type assignment struct {
 	task    int
 	machine *inventoryMachine
 }
 
-// picker chooses machines for the queued tasks of one job that the leader places.
-type picker struct {
+// machineChooser chooses machines for the queued tasks of one job that the leader places.
+type machineChooser struct {
 	c        *Controller
 	draft    *draft
 	job      *Job
@@ -295,11 +295,11 @@
 
 // choose picks machines for as many tasks as it can: in the zone that takes most of them,
 // where all must be in one.
-func (p *picker) choose() []pick {
+func (p *machineChooser) choose() []assignment {
 	if !p.job.Header.Spec.OneZone {
 		return p.chooseIn("")
 	}
-	var best []pick
+	var best []assignment
 	for _, zone := range oneZoneChoices(p.zones, p.c.cfg.Zones) {
 		if picks := p.chooseIn(zone); len(picks) > len(best) {
 			best = picks
@@ -309,31 +309,31 @@
 }
 
 // chooseIn picks machines of one zone, or of any where none is named.
-func (p *picker) chooseIn(zone string) []pick {
+func (p *machineChooser) chooseIn(zone string) []assignment {
 	d, j := p.draft, p.job
 	spec := j.Header.Spec
-	chosen := &placesInZone{picker: p, zone: zone, used: map[string]domain.Resources{}, byZone: maps.Clone(p.zones)}
+	chosen := &zoneAssignments{machineChooser: p, zone: zone, used: map[string]domain.Resources{}, byZone: maps.Clone(p.zones)}
 	room := chosen.machinesWithRoom()
-	used, most := d.teamUsed(spec.Team), p.most()
-	for i := 0; i < spec.TaskCount && len(chosen.picks) < most; i++ {
+	used, most := d.teamUsed(spec.Team), p.maxTasks()
+	for i := 0; i < spec.TaskCount && len(chosen.assignments) < most; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
 		if used = used.Plus(spec.Request, 1); !p.c.quotaAllowsPlaced(j, used, p.claims) {
 			break
 		}
-		best := slices.IndexFunc(room, chosen.takes)
+		best := slices.IndexFunc(room, chosen.accepts)
 		if best < 0 {
 			p.c.noteWait(j, WaitsForMachine, p.claims, used)
 			break
 		}
 		chosen.add(i, room[best])
 	}
-	return chosen.picks
+	return chosen.assignments
 }
 
-// most is how many further tasks of the job this plan may book.
-func (p *picker) most() int {
+// maxTasks is how many further tasks of the job this plan may book.
+func (p *machineChooser) maxTasks() int {
 	switch {
 	case p.job.Header.Spec.Shape == domain.Gang:
 		return p.job.Header.Spec.TaskCount
@@ -344,17 +344,17 @@
 	return max(0, tuning.TasksAtOnce-max(0, inDraft))
 }
 
-// placesInZone are a job's tasks put on machines of one zone, or of any, so far.
-type placesInZone struct {
-	*picker
-	zone   string // "": any
-	picks  []pick
-	used   map[string]domain.Resources // by machine
-	byZone map[string]int              // the job's tasks, booked ones and these
+// zoneAssignments are a job's tasks put on machines of one zone, or of any, so far.
+type zoneAssignments struct {
+	*machineChooser
+	zone        string // "": any
+	assignments []assignment
+	used        map[string]domain.Resources // by machine
+	byZone      map[string]int              // the job's tasks, booked ones and these
 }
 
-// takes tells whether one more task of the job may go to a machine.
-func (p *placesInZone) takes(m *inventoryMachine) bool {
+// accepts tells whether one more task of the job may go to a machine.
+func (p *zoneAssignments) accepts(m *inventoryMachine) bool {
 	spec := p.job.Header.Spec
 	if p.zone != "" && m.zone != p.zone || spreadOverZones(spec) && p.byZone[m.zone] >= mostPerZone(spec) {
 		return false
@@ -363,22 +363,22 @@
 }
 
 // machinesWithRoom are the machines that take a task, best first.
-func (p *placesInZone) machinesWithRoom() []*inventoryMachine {
+func (p *zoneAssignments) machinesWithRoom() []*inventoryMachine {
 	var room []*inventoryMachine
 	for i := range p.machines {
-		if m := &p.machines[i]; p.takes(m) {
+		if m := &p.machines[i]; p.accepts(m) {
 			room = append(room, m)
 		}
 	}
 	spec := p.job.Header.Spec
-	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return p.c.comparePlaces(spec, a, b) })
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return p.c.compareMachines(spec, a, b) })
 	return room
 }
 
 // add puts a task on a machine.
-func (p *placesInZone) add(task int, m *inventoryMachine) {
+func (p *zoneAssignments) add(task int, m *inventoryMachine) {
 	spec := p.job.Header.Spec
-	p.picks = append(p.picks, pick{task: task, machine: m})
+	p.assignments = append(p.assignments, assignment{task: task, machine: m})
 	p.used[m.name] = p.used[m.name].Plus(spec.Request, 1)
 	if spreadOverZones(spec) {
 		p.byZone[m.zone]++
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -16,14 +16,14 @@
 // booked there and not yet started.
 func booked(t *testing.T, drop Guard) (*Controller, *Machine) {
 	t.Helper()
-	c := acting()
+	c := actingController()
 	c.cfg.DisabledGuard, c.cfg.WorkerLease, c.cfg.HeartbeatInterval = drop, 20*time.Second, 3*time.Second
 	c.apply(openJob(t, 1, 1, 1, 1000))
 	m := c.heartbeats.addMachine("n-000001")
 	m.ownedEpoch, m.ownedSince = 1, c.now
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 1, PreemptionNotice: -1}, true)
 	c.enqueue(domain.TaskID{Job: jobName(1), Index: 0}, m)
-	commit := planned(t, c)
+	commit := planTaskCommit(t, c)
 	c.onCommit(CommitAnswered{ID: commit.ID, Result: domain.Committed, Revision: 150})
 	if c.cache.jobs[jobName(1)].task(0).State != domain.Booked {
 		t.Fatal("not booked")
@@ -65,7 +65,7 @@
 			_, _ = ordered(c, m, 3, 8)
 			pending := c.commits.taskCommit
 			if pending == nil {
-				pending = c.commits.pending[planned(t, c).ID]
+				pending = c.commits.pending[planTaskCommit(t, c).ID]
 			}
 			c.onCommit(CommitAnswered{ID: pending.id, Result: domain.InDoubt})
 			c.commits.nextTaskCommit.Close(c.now + time.Minute)
@@ -94,13 +94,13 @@
 			c, m := booked(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
 			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
-			commit := planned(t, c)
+			commit := planTaskCommit(t, c)
 			return slices.ContainsFunc(commit.Transaction.Conditions, func(k domain.Condition) bool { return k.Key == codec.PrefixCordons+c.cordonPageOf(m.Name) })
 		},
 		// Of a snapshot's pages the first is the oldest: a chunk on a later one may
 		// belong to a header that is not there yet, and its revision would hide it.
 		GuardSnapshot: func(t *testing.T, drop Guard) bool {
-			c := acting()
+			c := actingController()
 			c.cfg.DisabledGuard = drop
 			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, Shard: "c-0", AcceptOrder: 1, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}}
 			chunk := domain.KeyValue{Key: codec.PrefixTask + jobName(5) + "/0", ModRevision: 120, Value: codec.Encode(c.cache.chunkOf(map[string][]domain.Task{jobName(5): {{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Zone: "a", Shard: "c-0"}}}))}
@@ -127,7 +127,7 @@
 			c, _ := booked(t, drop)
 			c.effects = nil
 			c.onJobQueried(JobQueried{1, jobName(1)})
-			return said(c).Status == 0
+			return lastReply(c).Status == 0
 		},
 		GuardNeverRuns: func(t *testing.T, drop Guard) bool {
 			c, _ := booked(t, drop)
@@ -135,10 +135,10 @@
 		},
 		// A controller that was cut off takes a job for unknown that another one accepted.
 		GuardReadIndex + " ": func(t *testing.T, drop Guard) bool {
-			c := acting()
+			c := actingController()
 			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(drop)))
 			c.onJobQueried(JobQueried{1, jobName(7)})
-			return said(c).Status == 0
+			return lastReply(c).Status == 0
 		},
 	} {
 		t.Run(string(guard), func(t *testing.T) {
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -10,16 +10,16 @@
 	"brassglade/internal/tuning"
 )
 
-// largeArray tells whether the leader places the job's tasks only because there are
+// isLargeArray tells whether the leader places the job's tasks only because there are
 // so many of them: each may go anywhere its job allows.
-func largeArray(spec *domain.JobSpec) bool {
+func isLargeArray(spec *domain.JobSpec) bool {
 	return spec.Shape != domain.Gang && !spec.OneZone && !spec.Spread && spec.TaskCount >= tuning.LargeJobTasks
 }
 
 // reservesMachines tells whether the leader reserves machines for jobs like this one. It
 // doesn't for large arrays, which take the room that other jobs leave: for thousands of
 // waiting tasks it would reserve all machines that fit, and shards place nothing on those.
-func reservesMachines(spec *domain.JobSpec) bool { return placedByLeader(spec) && !largeArray(spec) }
+func reservesMachines(spec *domain.JobSpec) bool { return placedByLeader(spec) && !isLargeArray(spec) }
 
 // planLargeArrays books tasks of large arrays, by priority and then first come,
 // first served. Only the leader does.
@@ -27,7 +27,7 @@
 	if !c.isLeader() {
 		return
 	}
-	jobs := c.cache.waitingJobs(largeArray, c.now)
+	jobs := c.cache.waitingJobs(isLargeArray, c.now)
 	if len(jobs) == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 	if len(owners) == 0 {
 		return true
 	}
-	left := d.largeArrayTasksAtOnce(j)
+	left := d.maxLargeArrayTasks(j)
 	rooms := map[string][]*inventoryMachine{} // by owner
 	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.Header.CellEnd(from) {
 		if !j.anyQueued(from) {
@@ -73,7 +73,7 @@
 		owner := owners[cell%len(owners)]
 		room, known := rooms[owner]
 		if !known {
-			room = c.roomOf(d, j.Header.Spec, machines, owner)
+			room = c.ownerMachinesWithRoom(d, j.Header.Spec, machines, owner)
 		}
 		booking := c.bookCell(d, j, from, left, room, claims)
 		left -= booking.tasks
@@ -85,8 +85,8 @@
 	return true
 }
 
-// largeArrayTasksAtOnce is how many tasks of a large array one plan may book.
-func (d *draft) largeArrayTasksAtOnce(j *Job) int {
+// maxLargeArrayTasks is how many tasks of a large array one plan may book.
+func (d *draft) maxLargeArrayTasks(j *Job) int {
 	if j.isDoubtful() {
 		return 1 - placementOf(j, d).booked
 	}
@@ -118,15 +118,15 @@
 	return owners
 }
 
-// roomOf lists an owner's machines with room for a task of the job, best first.
-func (c *Controller) roomOf(d *draft, spec *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
+// ownerMachinesWithRoom lists an owner's machines with room for a task of the job, best first.
+func (c *Controller) ownerMachinesWithRoom(d *draft, spec *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
 	var room []*inventoryMachine
 	for i := range machines {
 		if m := &machines[i]; m.owner == owner && c.cache.fitsOn(spec, m, domain.Resources{}, d) {
 			room = append(room, m)
 		}
 	}
-	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return c.comparePlaces(spec, a, b) })
+	slices.SortStableFunc(room, func(a, b *inventoryMachine) int { return c.compareMachines(spec, a, b) })
 	return room
 }
 
@@ -155,7 +155,7 @@
 			break
 		}
 		m := booking.room[0]
-		d.bookPick(j, pick{task: i, machine: m}, j.task(i).Attempt+1, PassLargeArray)
+		d.bookAssignment(j, assignment{task: i, machine: m}, j.task(i).Attempt+1, PassLargeArray)
 		booking.tasks++
 		if !c.cache.freeOn(m.name, c.cache.machineType(m.machineType).Capacity, d).Fits(spec.Request) {
 			booking.room = booking.room[1:]
@@ -181,9 +181,9 @@
 	return true
 }
 
-// comparePlaces orders machines for a task of a job that the leader places: first those
+// compareMachines orders machines for a task of a job that the leader places: first those
 // that have its image, then those reserved for such jobs, spot machines, and the fullest.
-func (c *Controller) comparePlaces(spec *domain.JobSpec, a, b *inventoryMachine) int {
+func (c *Controller) compareMachines(spec *domain.JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
 		trueFirst(a.hasImage(spec.Image), b.hasImage(spec.Image)),
 		trueFirst(c.scaling.reserved[a.name], c.scaling.reserved[b.name]),
--- a/internal/scheduler/machine_room.go
+++ b/internal/scheduler/machine_room.go
@@ -11,7 +11,7 @@
 func (c *cache) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
 	free := size.Plus(c.occupancy[name].used, -1)
 	if d != nil {
-		free = free.Plus(d.usedOn[name], -1)
+		free = free.Plus(d.usageByMachine[name], -1)
 	}
 	return free
 }
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -13,11 +13,11 @@
 // placeTasks queues the tasks of this shard on its machines, hands some over to other shards
 // and steals from these.
 func (c *Controller) placeTasks() {
-	if !c.mayAct() || !c.beginPlacing() {
+	if !c.mayAct() || !c.beginPlacementRun() {
 		return
 	}
 	machines := c.placementMachines()
-	run := c.newPlacing(machines)
+	run := c.newPlacementRun(machines)
 	jobs := c.jobsByUrgency()
 	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].scarce) {
 		for _, j := range jobs {
@@ -34,9 +34,9 @@
 	}
 }
 
-// beginPlacing begins a run of placing if it is time: if something changed or the last run is
+// beginPlacementRun begins a run of placing if it is time: if something changed or the last run is
 // long ago, and in either case a pace after the last one. False: it is not time.
-func (c *Controller) beginPlacing() bool {
+func (c *Controller) beginPlacementRun() bool {
 	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
@@ -93,31 +93,31 @@
 // includes tells whether the round is for a job.
 func (r placeRound) includes(j *Job) bool { return !r.split || j.beyondAims == r.late }
 
-// placing is one run of placeTasks.
-type placing struct {
-	c          *Controller
-	targets    []target
-	largeFleet bool // jobs are handed over as a whole
-	teams      *teamRoom
-	roomy      map[taskKind][]int // the targets whose queues still take a task of that kind
+// placementRun is one run of placeTasks.
+type placementRun struct {
+	c             *Controller
+	targets       []target
+	largeFleet    bool // jobs are handed over as a whole
+	teams         *teamHeadroom
+	targetsByKind map[taskKind][]int // the targets whose queues still take a task of that kind
 }
 
-// newPlacing looks at the machines as they are. It also takes off their queues what its
+// newPlacementRun looks at the machines as they are. It also takes off their queues what its
 // team has no room for any more.
-func (c *Controller) newPlacing(machines []*Machine) *placing {
-	run := &placing{c: c, targets: make([]target, len(machines)), roomy: map[taskKind][]int{}}
+func (c *Controller) newPlacementRun(machines []*Machine) *placementRun {
+	run := &placementRun{c: c, targets: make([]target, len(machines)), targetsByKind: map[taskKind][]int{}}
 	for i, m := range machines {
 		run.targets[i] = c.newTarget(m)
 	}
 	c.setScarce(run.targets)
 	run.largeFleet = c.isLargeFleet()
 	c.queues.poolRunTime = 0
-	run.teams = c.newTeamRoom()
+	run.teams = c.newTeamHeadroom()
 	return run
 }
 
 // placeJob queues tasks of one job, or has it handed over to another shard as a whole.
-func (p *placing) placeJob(j *Job, round placeRound) {
+func (p *placementRun) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Node
 	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.passJob(j) {
@@ -140,7 +140,7 @@
 		if round.cached {
 			break // the next round looks at the other machines
 		}
-		p.leaveInPool(j)
+		p.addPendingLoad(j)
 		if p.largeFleet {
 			break
 		}
@@ -149,12 +149,12 @@
 
 // placeNext lets one more task of a job go somewhere; false: its team has no room for it, or
 // nothing can take it now.
-func (p *placing) placeNext(j *Job, id domain.TaskID, choices []policy.Choice, round placeRound) bool {
+func (p *placementRun) placeNext(j *Job, id domain.TaskID, choices []policy.Choice, round placeRound) bool {
 	if !p.teams.allows(j) {
 		return false
 	}
 	if p.place(j, id, choices) {
-		p.teams.take(j.Header.Spec)
+		p.teams.addTask(j.Header.Spec)
 		return true
 	}
 	if !round.cached {
@@ -182,9 +182,9 @@
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
 }
 
-// leaveInPool counts what stays in the shard's pool for now into its load, unless it is late
+// addPendingLoad counts what stays in the shard's pool for now into its load, unless it is late
 // beyond all aims: one task, or in a large fleet all the others of the job.
-func (p *placing) leaveInPool(j *Job) {
+func (p *placementRun) addPendingLoad(j *Job) {
 	spec := j.Header.Spec
 	machineType := p.c.anyFittingType(spec)
 	if machineType == nil || j.beyondAims {
@@ -210,7 +210,7 @@
 
 // place draws where one task goes, from the choices of its job, and lets it go there; false:
 // nothing can take it now, or it drew to stay in the shard's pool.
-func (p *placing) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
+func (p *placementRun) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
 	// A task is handed over once at most, so that it can't wander.
@@ -236,7 +236,7 @@
 		return true
 	}
 	p.enqueue(j, id, chosen.Ref)
-	p.reweigh(j, choices, chosen.Ref)
+	p.updateChoices(j, choices, chosen.Ref)
 	return true
 }
 
@@ -256,7 +256,7 @@
 }
 
 // enqueue puts a task last in a target's queue and brings the target up to date.
-func (p *placing) enqueue(j *Job, id domain.TaskID, index int) {
+func (p *placementRun) enqueue(j *Job, id domain.TaskID, index int) {
 	target, image := &p.targets[index], j.Header.Spec.Image
 	p.c.enqueue(id, target.machine)
 	target.queued++
@@ -266,8 +266,8 @@
 	target.load = p.c.load(target.machine)
 }
 
-// reweigh brings a job's choices up to date after a target took a task.
-func (p *placing) reweigh(j *Job, choices []policy.Choice, index int) {
+// updateChoices brings a job's choices up to date after a target took a task.
+func (p *placementRun) updateChoices(j *Job, choices []policy.Choice, index int) {
 	cheapest := p.c.leastPrice(j.Header.Spec)
 	for i := range choices {
 		if choices[i].Ref == index && !p.weigh(&choices[i], j, cheapest) {
@@ -277,18 +277,18 @@
 	}
 }
 
-// teamRoom is what teams may still start beside what is booked and queued here. Tasks that
+// teamHeadroom is what teams may still start beside what is booked and queued here. Tasks that
 // can't start would fill the small queues and keep others from idle machines.
-type teamRoom struct {
+type teamHeadroom struct {
 	c      *Controller
 	claims map[string]quotaClaim
 	used   map[string]domain.Resources
 }
 
-// newTeamRoom sums up what teams use by bookings and by the queues here, and takes off the queues
+// newTeamHeadroom sums up what teams use by bookings and by the queues here, and takes off the queues
 // what its team has no room for any more.
-func (c *Controller) newTeamRoom() *teamRoom {
-	room := &teamRoom{c, c.claims(nil), map[string]domain.Resources{}}
+func (c *Controller) newTeamHeadroom() *teamHeadroom {
+	room := &teamHeadroom{c, c.claims(nil), map[string]domain.Resources{}}
 	for name := range c.cfg.Teams {
 		room.used[name] = c.teamUsed(name, nil)
 	}
@@ -303,14 +303,14 @@
 				c.dequeue(id) // another shard took the room meanwhile
 				continue
 			}
-			room.take(j.Header.Spec)
+			room.addTask(j.Header.Spec)
 		}
 	}
 	return room
 }
 
 // allows tells whether the team of a job may start one more task of it.
-func (r *teamRoom) allows(j *Job) bool {
+func (r *teamHeadroom) allows(j *Job) bool {
 	if !r.c.guard(GuardQuota) {
 		return true
 	}
@@ -323,7 +323,7 @@
 	return verdict == quota.Admitted
 }
 
-// take counts one more task of a job as started.
-func (r *teamRoom) take(spec *domain.JobSpec) {
+// addTask counts one more task of a job as started.
+func (r *teamHeadroom) addTask(spec *domain.JobSpec) {
 	r.used[spec.Team] = r.used[spec.Team].Plus(spec.Request, 1)
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -8,11 +8,11 @@
 	"brassglade/internal/domain"
 )
 
-// twoZones is a leader that may act, with a machine for four tasks in each zone, both with the
+// twoZoneLeader is a leader that may act, with a machine for four tasks in each zone, both with the
 // image, and one open job of n tasks.
-func twoZones(t *testing.T, change func(*codec.JobHeader)) (*Controller, *Job) {
+func twoZoneLeader(t *testing.T, change func(*codec.JobHeader)) (*Controller, *Job) {
 	t.Helper()
-	c := acting()
+	c := actingController()
 	c.cfg.Zones = []string{"a", "b"}
 	for i, zone := range c.cfg.Zones {
 		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
@@ -36,10 +36,10 @@
 	header.Spec.Shape, header.TaskCount, header.ChunkSize, header.Spec.TaskCount = domain.Gang, 2, 2, 2
 }
 
-// TestTwoPassesOneZone: the leader walks its jobs twice in one plan. The second walk must
+// TestZoneRulesAcrossPasses: the leader walks its jobs twice in one plan. The second walk must
 // count what the first one booked in the same draft, of which no record exists yet. Before,
 // it chose a zone anew (docs/incidents/production-wrong-place.md).
-func TestTwoPassesOneZone(t *testing.T) {
+func TestZoneRulesAcrossPasses(t *testing.T) {
 	for name, test := range map[string]struct {
 		guard  Guard
 		change func(*codec.JobHeader)
@@ -51,7 +51,7 @@
 		"anywhere in its own zone":    {"", func(h *codec.JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, j := twoZones(t, test.change)
+			c, j := twoZoneLeader(t, test.change)
 			c.cfg.DisabledGuard = test.guard
 			d := c.newDraft()
 			c.planGangs(d)
@@ -73,12 +73,12 @@
 	return zones
 }
 
-// TestSpreadCountsTheDraft: one machine's zone has room for all tasks, half of which may
+// TestSpreadLimitCountsDraft: one machine's zone has room for all tasks, half of which may
 // be there; the second walk must not book the other half.
-func TestSpreadCountsTheDraft(t *testing.T) {
+func TestSpreadLimitCountsDraft(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 4} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
-			c, j := twoZones(t, spreadOfFour)
+			c, j := twoZoneLeader(t, spreadOfFour)
 			c.cfg.DisabledGuard = guard
 			c.heartbeats.machines["n-000001"].noBookingsUntil = c.now + 1e9
 			d := c.newDraft()
@@ -90,10 +90,10 @@
 	}
 }
 
-// TestLeftInTwoZones: a job whose tasks an earlier version put in two zones gets no more
+// TestOneZoneJobInTwoZones: a job whose tasks an earlier version put in two zones gets no more
 // until one zone is left, and then all further ones there.
-func TestLeftInTwoZones(t *testing.T) {
-	c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
+func TestOneZoneJobInTwoZones(t *testing.T) {
+	c, j := twoZoneLeader(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	for i, zone := range c.cfg.Zones {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: fmt.Sprintf("n-%06d", i), AgentEpoch: 1, Shard: "c-0", Zone: zone})
 	}
@@ -112,7 +112,7 @@
 
 // TestPlacementCountsTheDraft: counts follow the draft, for releases as for bookings.
 func TestPlacementCountsTheDraft(t *testing.T) {
-	c, j := twoZones(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
+	c, j := twoZoneLeader(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	c.setTask(j, 0, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	d := c.newDraft()
 	d.release(j, 0, false)
@@ -129,12 +129,12 @@
 	}
 }
 
-// TestBookedGangFoundItsPlace: a gang booked in the first walk found a place; one like it
+// TestBookedGangKindStaysPlaceable: a gang booked in the first walk found a place; one like it
 // must be tried in the second walk, too.
-func TestBookedGangFoundItsPlace(t *testing.T) {
+func TestBookedGangKindStaysPlaceable(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 0} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
-			c, j := twoZones(t, gangOfTwo)
+			c, j := twoZoneLeader(t, gangOfTwo)
 			c.cfg.DisabledGuard = guard
 			other := *j.Header
 			spec := *j.Header.Spec
@@ -151,15 +151,15 @@
 	}
 }
 
-// TestGangEndsTogether: one task of a gang is done and the other's machine lost its lease,
+// TestGangFinishesTogether: one task of a gang is done and the other's machine lost its lease,
 // and both come into one draft. All are done; before, the second was queued again, and no
 // plan ever looked at the job again.
-func TestGangEndsTogether(t *testing.T) {
+func TestGangFinishesTogether(t *testing.T) {
 	for guard, want := range map[Guard]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
-			c, j := twoZones(t, gangOfTwo)
+			c, j := twoZoneLeader(t, gangOfTwo)
 			c.cfg.DisabledGuard = guard
-			d := gangLosesItsLastTask(c, j)
+			d := releasePartlyDoneGang(c, j)
 			if got := d.header(j).State; got != want {
 				t.Errorf("the job is %s, want %s", got, want)
 			}
@@ -167,9 +167,9 @@
 	}
 }
 
-// gangLosesItsLastTask drafts the releases of a gang's two tasks: the first is done, the
+// releasePartlyDoneGang drafts the releases of a gang's two tasks: the first is done, the
 // second's machine began a new agent epoch.
-func gangLosesItsLastTask(c *Controller, j *Job) *draft {
+func releasePartlyDoneGang(c *Controller, j *Job) *draft {
 	for i, name := range []string{"n-000000", "n-000001"} {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
 	}
@@ -181,10 +181,10 @@
 	return d
 }
 
-// TestGangLeftHalfDone: a gang that an earlier version left with one task done and one
+// TestHalfDoneGangFinishes: a gang that an earlier version left with one task done and one
 // queued comes to its end.
-func TestGangLeftHalfDone(t *testing.T) {
-	c, j := twoZones(t, gangOfTwo)
+func TestHalfDoneGangFinishes(t *testing.T) {
+	c, j := twoZoneLeader(t, gangOfTwo)
 	c.setTask(j, 0, domain.Task{State: domain.Done})
 	c.setTask(j, 1, domain.Task{State: domain.Queued, Attempt: 1})
 	d := c.newDraft()
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -8,20 +8,20 @@
 
 // planner is what lasts from one plan to the next.
 type planner struct {
-	dirty               bool                     // something changed since the last plan
-	nextPlan            steady.Gate              // a pace after the last one
-	largeArraysTurn     bool                     // large arrays went first in the last plan
-	largestReleasesTurn bool                     // the next releases go by how much their values have to change
-	reserveLongestTexts bool                     // the next draft keeps room for the longest texts
-	splitTurn           bool                     // the next commit brings a value to its new size
-	foreignTurn         bool                     // the next commit is for a value of another shard
-	foreignValues       map[string]bool          // values of other shards that wait for a change from here
-	lastForeignValue    string                   // the last one that was changed
-	releasesFrom        string                   // machine at which releases begin
-	taskHandovers       map[domain.TaskID]string // to be handed over, and to which shard
-	jobHandovers        map[string]string        // untouched jobs to be handed over, and to which shard
-	pendingReleases     map[attemptID]bool       // attempts that a commit releases: no start of them may go out
-	preempted           map[attemptID]bool       // bookings to be stopped for tasks that wait on the same machine
+	dirty                 bool                     // something changed since the last plan
+	nextPlan              steady.Gate              // a pace after the last one
+	largeArraysTurn       bool                     // large arrays went first in the last plan
+	largestReleasesTurn   bool                     // the next releases go by how much their values have to change
+	assumeMaxBookingBytes bool                     // the next draft keeps room for the longest texts
+	splitTurn             bool                     // the next commit brings a value to its new size
+	foreignTurn           bool                     // the next commit is for a value of another shard
+	foreignValues         map[string]bool          // values of other shards that wait for a change from here
+	lastForeignValue      string                   // the last one that was changed
+	firstReleaseMachine   string                   // machine at which releases begin
+	taskHandovers         map[domain.TaskID]string // to be handed over, and to which shard
+	jobHandovers          map[string]string        // untouched jobs to be handed over, and to which shard
+	pendingReleases       map[attemptID]bool       // attempts that a commit releases: no start of them may go out
+	preempted             map[attemptID]bool       // bookings to be stopped for tasks that wait on the same machine
 }
 
 // newPlanner has planned nothing yet.
@@ -77,13 +77,13 @@
 		c.planner.taskHandovers = map[domain.TaskID]string{}
 		return
 	}
-	if c.cache.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
+	if c.cache.formatOn() && !c.planner.assumeMaxBookingBytes && c.tooLarge(d.transaction()) {
 		// The same again, at once, with room for the longest texts.
-		c.planner.reserveLongestTexts, c.planner.dirty = true, true
+		c.planner.assumeMaxBookingBytes, c.planner.dirty = true, true
 		c.planner.nextPlan.Close(c.now)
 		return
 	}
-	c.planner.reserveLongestTexts = false
+	c.planner.assumeMaxBookingBytes = false
 	c.sendPlan(d)
 }
 
@@ -136,12 +136,12 @@
 	{(*draft).allowAll, (*Controller).planGangStops},
 	// A gang needs many machines at once, and starts before the rest takes some of them.
 	// Two changes stay for the releases that make room for all else.
-	{(*draft).leaveTwoChanges, (*Controller).planGangs},
+	{(*draft).reserveTwoChanges, (*Controller).planGangs},
 	// Large arrays go before other jobs' tasks and after them in turns.
-	{(*draft).leaveTwoChanges, (*Controller).planLargeArraysFirst},
+	{(*draft).reserveTwoChanges, (*Controller).planLargeArraysFirst},
 	// Releases before bookings, which may use the room in the same commit. A quarter stays
 	// for bookings, or a backlog of ends would leave machines idle.
-	{(*draft).leaveQuarter, (*Controller).planReleases},
+	{(*draft).reserveQuarter, (*Controller).planReleases},
 	{(*draft).allowAll, (*Controller).planBookings},
 	{(*draft).allowAll, (*Controller).planLargeArraysLast},
 	// What is not booked here may go elsewhere.
@@ -174,15 +174,15 @@
 // allowAll lets a stage fill the draft.
 func (d *draft) allowAll() { d.maxChanges, d.maxBytes = d.c.cfg.TransactionLimit, tuning.TxnBytes }
 
-// leaveTwoChanges keeps two changes from a stage, unless transactions are small.
-func (d *draft) leaveTwoChanges() {
+// reserveTwoChanges keeps two changes from a stage, unless transactions are small.
+func (d *draft) reserveTwoChanges() {
 	most := d.c.cfg.TransactionLimit
 	d.maxChanges = min(most, max(tuning.SmallTransaction, most-2))
 }
 
-// leaveQuarter keeps a quarter of changes and bytes from a stage, unless the draft is that
+// reserveQuarter keeps a quarter of changes and bytes from a stage, unless the draft is that
 // full already: two changes are always allowed.
-func (d *draft) leaveQuarter() {
+func (d *draft) reserveQuarter() {
 	most := d.c.cfg.TransactionLimit
 	d.maxChanges = min(most, max(d.changes()+2, most-most/4))
 	d.maxBytes = max(d.bytes, tuning.TxnBytes-tuning.TxnBytes/4)
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -70,7 +70,7 @@
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
-		if !c.waitsOn(d, m, j, id) || c.planner.isHeldBack(j, id, c.now) {
+		if !c.waitsOn(d, m, j, id) || c.planner.isPostponed(j, id, c.now) {
 			continue
 		}
 		if m.failedHere(j) {
@@ -104,9 +104,9 @@
 	return task.State == domain.Queued && c.cache.taskShard(j, task) == c.cfg.Node
 }
 
-// isHeldBack tells whether a task doesn't start now: its job pauses after an error, or it
+// isPostponed tells whether a task doesn't start now: its job pauses after an error, or it
 // is about to be handed over.
-func (p *planner) isHeldBack(j *Job, id domain.TaskID, now time.Duration) bool {
+func (p *planner) isPostponed(j *Job, id domain.TaskID, now time.Duration) bool {
 	return j.isPaused(now) || p.taskHandovers[id] != "" || p.jobHandovers[id.Job] != ""
 }
 
@@ -139,7 +139,7 @@
 // all isn't worth the time.
 func (d *draft) isNearlyFull() bool {
 	most := d.c.cfg.TransactionLimit
-	return d.changes() >= most-2 && most > tuning.SmallTransaction || !d.takesConditions(3)
+	return d.changes() >= most-2 && most > tuning.SmallTransaction || !d.hasRoomForConditions(3)
 }
 
 // queueByPriority is a machine's queue, first come, first served among tasks of the same
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -36,7 +36,7 @@
 		c.planner.dirty = true
 		if !full {
 			full = true
-			c.planner.releasesFrom = proven.machine.Name
+			c.planner.firstReleaseMachine = proven.machine.Name
 		}
 	}
 	c.planCancelledJobs(d)
@@ -48,7 +48,7 @@
 func (c *Controller) provenReleases() (releases []provenRelease, byValue map[string]int) {
 	byValue = map[string]int{}
 	names := c.heartbeats.machineNames()
-	first, _ := slices.BinarySearch(names, c.planner.releasesFrom)
+	first, _ := slices.BinarySearch(names, c.planner.firstReleaseMachine)
 	for _, name := range slices.Concat(names[first:], names[:first]) {
 		if len(c.cache.bookedOn[name]) == 0 || !c.owns(name) {
 			continue
@@ -57,7 +57,7 @@
 		for _, id := range c.provenOffTasks(m) {
 			j := c.cache.jobs[id.Job]
 			proven := c.releaseOf(m, j, id)
-			if !proven.reported && c.willSendStartAgain(m, j, id) {
+			if !proven.reported && c.willResendStart(m, j, id) {
 				continue
 			}
 			if c.isAvoided(j, id.Index) {
@@ -97,10 +97,10 @@
 	}
 }
 
-// willSendStartAgain tells whether the start of a booking that the machine doesn't know of
+// willResendStart tells whether the start of a booking that the machine doesn't know of
 // was lost on the way and is simply sent again: the agent that it is for is there, no commit
 // releases it, and the booking still has a purpose.
-func (c *Controller) willSendStartAgain(m *Machine, j *Job, id domain.TaskID) bool {
+func (c *Controller) willResendStart(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	isForThisAgent := m.agentEpoch == task.AgentEpoch && m.abandonedEpoch < task.AgentEpoch
 	return isForThisAgent && c.cache.cordons[m.Name].State == "" &&
@@ -167,15 +167,15 @@
 		if j.counts.booked > 0 || c.cache.shardOf(j) != c.cfg.Node || j.Header.Spec == nil {
 			continue
 		}
-		if d.isTurnOf(j) && d.takesEndOf(j) {
-			d.endCancelled(j)
+		if d.coversValueOf(j) && d.hasRoomForEndOf(j) {
+			d.finishCancelledJob(j)
 		}
 	}
 }
 
-// isTurnOf tells whether the draft is for the value that holds the job's tasks; another
+// coversValueOf tells whether the draft is for the value that holds the job's tasks; another
 // shard's value is remembered to get its turn.
-func (d *draft) isTurnOf(j *Job) bool {
+func (d *draft) coversValueOf(j *Job) bool {
 	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
 	}
@@ -187,16 +187,16 @@
 	return true
 }
 
-// takesEndOf tells whether the draft has room for the end of a cancelled job and doesn't
+// hasRoomForEndOf tells whether the draft has room for the end of a cancelled job and doesn't
 // change its tasks otherwise. Of a job with many values it needs room for half a transaction.
-func (d *draft) takesEndOf(j *Job) bool {
+func (d *draft) hasRoomForEndOf(j *Job) bool {
 	most := d.c.cfg.TransactionLimit
-	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), most/2) <= most && d.takesConditions(8)
+	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), most/2) <= most && d.hasRoomForConditions(8)
 }
 
-// endCancelled writes that a cancelled job is over, and drops its tasks from as many values
+// finishCancelledJob writes that a cancelled job is over, and drops its tasks from as many values
 // as there are changes left for.
-func (d *draft) endCancelled(j *Job) {
+func (d *draft) finishCancelledJob(j *Job) {
 	c := d.c
 	header := d.header(j)
 	d.finished[j.ID] = true
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -11,11 +11,11 @@
 	"brassglade/internal/steady"
 )
 
-// stocked is a controller of five that may act, with idle machines and a job of many tasks
+// controllerWithQueues is a controller of five that may act, with idle machines and a job of many tasks
 // in their queues, in the smallest transactions in use.
-func stocked(t *testing.T, machines int) *Controller {
+func controllerWithQueues(t *testing.T, machines int) *Controller {
 	t.Helper()
-	c := acting()
+	c := actingController()
 	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
@@ -40,7 +40,7 @@
 // six kept back for each further change, and 28 bytes planned for each booking, half
 // of 1,168 machines stood idle beside a backlog.
 func TestSmallTransactionsBookMany(t *testing.T) {
-	c := stocked(t, 30)
+	c := controllerWithQueues(t, 30)
 	d := c.newDraft()
 	for i := 0; i < 4; i++ { // what releases put in before
 		d.addCondition(fmt.Sprintf("b/pack/c-0/%d", 90+i))
@@ -55,12 +55,12 @@
 	}
 }
 
-// TestUrgentGoesAhead: a small urgent task that fits doesn't wait in a machine's
+// TestUrgentTaskOvertakesQueue: a small urgent task that fits doesn't wait in a machine's
 // queue behind a large one that doesn't; tasks of one priority stay in order.
-func TestUrgentGoesAhead(t *testing.T) {
+func TestUrgentTaskOvertakesQueue(t *testing.T) {
 	for priority, want := range map[int]string{1: "", 2: jobName(3)} {
 		t.Run(fmt.Sprint("priority ", priority), func(t *testing.T) {
-			c := acting()
+			c := actingController()
 			m := c.heartbeats.addMachine("n-000001")
 			c.recordHeartbeat(m, &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 1, PreemptionNotice: -1}, true)
 			c.cache.occupancy[m.Name] = occupancy{taskSum: taskSum{used: domain.Resources{CPU: 14000}}}
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestEachShardKeepsItsRoomAwake: in a wide fleet each shard keeps the room that its own jobs need.
+// TestShardsKeepOwnMachinesAwake: in a wide fleet each shard keeps the room that its own jobs need.
 // By the sum over all, the shard with a backlog rested the machines that it wanted.
-func TestEachShardKeepsItsRoomAwake(t *testing.T) {
+func TestShardsKeepOwnMachinesAwake(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
@@ -107,8 +107,8 @@
 	}
 }
 
-// planned returns the task commit that the controller wants now; empty: none.
-func planned(t *testing.T, c *Controller) Commit {
+// planTaskCommit returns the task commit that the controller wants now; empty: none.
+func planTaskCommit(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
 	c.confirmNow()
@@ -141,12 +141,12 @@
 	return false
 }
 
-// TestCommitsInDoubtExcludeEachOther: a commit without an answer may be carried out
+// TestInDoubtCommitsExcludeEachOther: a commit without an answer may be carried out
 // after newer ones of this controller. Two that change different values, each within the
 // controller's share of a team's limit, together broke the limit, so the later ones write a
 // value of the first again. The team's key is left out of them, since it lost a
 // conflict just now and the share has room.
-func TestCommitsInDoubtExcludeEachOther(t *testing.T) {
+func TestInDoubtCommitsExcludeEachOther(t *testing.T) {
 	for kind, test := range map[string]struct {
 		pack   string
 		inline bool
@@ -155,12 +155,12 @@
 		t.Run(kind, func(t *testing.T) {
 			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: test.pack, Inline: test.inline, Shard: "c-0", AcceptOrder: 1,
 				Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 1000}, EstimatedRuntime: 10, Spot: true}}
-			c, m := withLimitedTeam(t, header)
+			c, m := limitedTeamController(t, header)
 			if test.team {
 				c.dequeueAll(m.Name)
 				delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // it has too large a share, and gives it back
 			}
-			first := planned(t, c)
+			first := planTaskCommit(t, c)
 			if len(first.Transaction.Puts) == 0 {
 				t.Fatal("nothing planned")
 			}
@@ -169,12 +169,12 @@
 			for i := range 4 {
 				c.enqueue(domain.TaskID{Job: jobName(1), Index: i}, m)
 			}
-			second := planned(t, c)
+			second := planTaskCommit(t, c)
 			if len(second.Transaction.Puts) == 0 || !excludeEachOther(first.Transaction, second.Transaction) {
 				t.Errorf("both %v and %v may be carried out", first.Transaction, second.Transaction)
 			}
 			c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
-			third := planned(t, c)
+			third := planTaskCommit(t, c)
 			if !excludeEachOther(first.Transaction, third.Transaction) || !excludeEachOther(second.Transaction, third.Transaction) {
 				t.Errorf("the third, %v, excludes not all before it", third.Transaction)
 			}
@@ -186,12 +186,12 @@
 	}
 }
 
-// withLimitedTeam is a controller with a share of a team's limit whose key lost a conflict just
+// limitedTeamController is a controller with a share of a team's limit whose key lost a conflict just
 // now, and a machine with the four tasks of job 2, of the given header, in its queue. Job 1 is
 // in a pack.
-func withLimitedTeam(t *testing.T, header codec.JobHeader) (*Controller, *Machine) {
+func limitedTeamController(t *testing.T, header codec.JobHeader) (*Controller, *Machine) {
 	t.Helper()
-	c := acting()
+	c := actingController()
 	c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
 	c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
 	c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
@@ -210,7 +210,7 @@
 func TestLargeArraysReserveNoMachines(t *testing.T) {
 	for shape, reserved := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
 		t.Run(string(shape), func(t *testing.T) {
-			c := stocked(t, 10)
+			c := controllerWithQueues(t, 10)
 			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 3000, ChunkSize: 100, Shard: "c-0", AcceptOrder: 50,
 				Spec: &domain.JobSpec{Class: "large", Team: "red", Shape: shape, Priority: 1, TaskCount: 3000, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 5}}
 			if shape == domain.Gang {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -38,7 +38,7 @@
 func (c *Controller) teamUsed(team string, d *draft) domain.Resources {
 	used := c.cache.usage[team][c.cfg.Node]
 	if d != nil {
-		used = used.Plus(d.usage[team], 1)
+		used = used.Plus(d.usageByTeam[team], 1)
 	}
 	for controller, share := range c.cache.shares[team].ByNode {
 		if controller != c.cfg.Node {
@@ -141,7 +141,7 @@
 
 // ownUsage is what this controller has booked for a team, with the draft's bookings.
 func (d *draft) ownUsage(team string) domain.Resources {
-	return d.c.cache.usage[team][d.c.cfg.Node].Plus(d.usage[team], 1)
+	return d.c.cache.usage[team][d.c.cfg.Node].Plus(d.usageByTeam[team], 1)
 }
 
 // ownShare is this controller's share of a team's limit.
@@ -218,7 +218,7 @@
 func (d *draft) settleShares() {
 	c := d.c
 	for _, team := range slices.Sorted(maps.Keys(c.cache.shares)) {
-		if d.changes() >= c.cfg.TransactionLimit || !d.takesConditions(4) {
+		if d.changes() >= c.cfg.TransactionLimit || !d.hasRoomForConditions(4) {
 			return
 		}
 		if _, ok := d.shares[team]; !ok {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -242,7 +242,7 @@
 			continue
 		}
 		shard := ""
-		if isLarge && work.job != nil && !largeArray(work.spec) {
+		if isLarge && work.job != nil && !isLargeArray(work.spec) {
 			shard = c.cache.shardOf(work.job)
 		}
 		wanted[shard] = wanted[shard].Plus(work.spec.Request, int64(work.tasks))
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -38,7 +38,7 @@
 		{"busy", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, tasks: 1}, nil, nil, ""},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			c := acting()
+			c := actingController()
 			c.now = long
 			c.scaling.knownSince["n"] = 0
 			if test.change != nil {
@@ -74,7 +74,7 @@
 			func(c *Controller) { c.cache.bookedOn["n"] = map[domain.TaskID]bool{id: true} }, true},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			c := acting()
+			c := actingController()
 			c.cache.cordons["n"] = test.cordon
 			if test.change != nil {
 				test.change(c)
@@ -89,7 +89,7 @@
 // TestPackThereAndPlanned: work goes first to machines that are there, then to those planned
 // for other work, and new machines are planned for the rest alone.
 func TestPackThereAndPlanned(t *testing.T) {
-	c := acting()
+	c := actingController()
 	c.cache.machineTypes[0].Price = 1
 	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
 	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 8000}}
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -210,7 +210,7 @@
 
 // hasRoomToMove tells whether the draft may take the move of a job to a pack.
 func (d *draft) hasRoomToMove(j *Job, pack string) bool {
-	return d.changes()+d.changesOfMove(j, pack) <= d.c.cfg.TransactionLimit && d.takesConditions(4)
+	return d.changes()+d.changesOfMove(j, pack) <= d.c.cfg.TransactionLimit && d.hasRoomForConditions(4)
 }
 
 // changesOfMove is how many changes a move adds to the draft.
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -32,7 +32,7 @@
 
 // passJob draws once whether a job of which nothing could start here stays in
 // this shard or goes to another, each at its mean load; true: it goes.
-func (p *placing) passJob(j *Job) bool {
+func (p *placementRun) passJob(j *Job) bool {
 	c, spec := p.c, j.Header.Spec
 	if !isUntouched(j) || j.Header.Handovers > 0 || c.queues.jobsStaying[j.ID] || j.queuedHere > 0 || c.isSettling(j) {
 		return false
@@ -58,7 +58,7 @@
 }
 
 // couldRun tells whether some target, were it empty, could run a task of the job.
-func (p *placing) couldRun(spec *domain.JobSpec) bool {
+func (p *placementRun) couldRun(spec *domain.JobSpec) bool {
 	for i := range p.targets {
 		target := &p.targets[i]
 		if target.machineType.Capacity.Fits(spec.Request) && allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) {
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -12,7 +12,7 @@
 // stealing is an acting controller with a peer and idle machines of its own.
 func stealing(t *testing.T, machines int) *Controller {
 	t.Helper()
-	c := acting()
+	c := actingController()
 	c.cfg.Nodes = []string{"c-0", "c-1"}
 	c.cache.view.Serving = []string{"c-0", "c-1"}
 	c.cache.view.OwnerOverrides = map[string]string{}
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -93,8 +93,8 @@
 
 // roomyTargets are the targets whose queues still take a task of a kind. Where every
 // slot is wanted these are few, while hundreds of jobs ask for them in one plan.
-func (p *placing) roomyTargets(kind taskKind) []int {
-	indices, known := p.roomy[kind]
+func (p *placementRun) roomyTargets(kind taskKind) []int {
+	indices, known := p.targetsByKind[kind]
 	if !known {
 		for i := range p.targets {
 			if p.targets[i].machineType.Capacity.Fits(kind.request) {
@@ -108,13 +108,13 @@
 			kept = append(kept, i)
 		}
 	}
-	p.roomy[kind] = kept
+	p.targetsByKind[kind] = kept
 	return kept
 }
 
 // choices are this shard's machines that may take a task of the job, weighed; never nil.
 // Cached: only those that have its image, or will have it.
-func (p *placing) choices(j *Job, cached bool) []policy.Choice {
+func (p *placementRun) choices(j *Job, cached bool) []policy.Choice {
 	c, spec := p.c, j.Header.Spec
 	roomy := p.roomyTargets(c.kindOf(j))
 	cheapest := c.leastPrice(spec)
@@ -138,7 +138,7 @@
 
 // weigh fills in what a choice's target costs a task of the job now; false: the mask
 // takes it out. Cheapest is the least price of a slot for such a task.
-func (p *placing) weigh(choice *policy.Choice, j *Job, cheapest float64) bool {
+func (p *placementRun) weigh(choice *policy.Choice, j *Job, cheapest float64) bool {
 	target, spec, kind := &p.targets[choice.Ref], j.Header.Spec, p.c.kindOf(j)
 	if target.isFull(kind) {
 		return false
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -24,7 +24,7 @@
 func waitingJob(t *testing.T) (*Controller, *Machine) {
 	t.Helper()
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 10}
-	c, m := withLimitedTeam(t, codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Shard: "c-0", AcceptOrder: 3, Spec: spec})
+	c, m := limitedTeamController(t, codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Shard: "c-0", AcceptOrder: 3, Spec: spec})
 	clear(c.commits.avoidUntil)
 	c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 40000}}}
 	return c, m
