--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,29 +10,29 @@
 	"brassglade/internal/tuning"
 )
 
-// Jobs that depend on others. A final state never changes, so a committed header that
-// says done is proof enough for all that comes after it, and one that says cancelled
-// cancels all that depends on it: nothing of these has started. Both follow from what
-// every controller reads at the same revision; no write stands between a cancellation and
-// its consequences.
+// Jobs that depend on other jobs. The final state of a job never changes. A committed header
+// that says "done" is therefore enough for its dependents to start, and one that says
+// "cancelled" cancels all its dependents, none of which has started. Every controller derives
+// both from the headers it reads at the same revision; no further write is needed between a
+// cancellation and its consequences.
 
-// phase is where a job in the cache stands.
+// phase is the phase of a job in the cache, derived from its header and its dependencies.
 type phase int
 
 const (
-	phaseNew       phase = iota // just met
-	phaseWaiting                // a job that it depends on is not done: in no queue, in no count
+	phaseNew       phase = iota // not determined yet
+	phaseWaiting                // a job that it depends on is not done; not queued and not counted
 	phaseOpen                   // its tasks may start
 	phaseDone                   // all tasks done
-	phaseCancelled              // by its user, or for a job that it depends on
+	phaseCancelled              // by its user, or because a job that it depends on was cancelled
 )
 
-// mayStart is the one place that says whether tasks of a job may start at all.
+// mayStart reports whether tasks of a job may start at all. No other code decides this.
 func (c *Controller) mayStart(j *Job) bool {
 	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardDependencies)
 }
 
-// phaseOf is the phase that a job's header and those before it call for.
+// phaseOf returns the phase that follows from a job's header and its dependencies.
 func (c *Controller) phaseOf(j *Job) phase {
 	switch {
 	case j.Header.State == domain.StateDone:
@@ -45,17 +45,17 @@
 	return phaseWaiting
 }
 
-// updatePhases puts a job into the phase that its header and those before it call for,
-// and all after it: from one to the next over a list, however long the users'
-// pipelines are, each edge once.
+// updatePhases brings the phase of a job up to date, and then the phases of its direct and
+// indirect dependents. It uses a work list instead of recursion, since users' pipelines may be
+// of any length, and follows each dependency once.
 func (c *Controller) updatePhases(j *Job) {
-	work := []*Job{j}
-	for len(work) > 0 {
-		job := work[len(work)-1]
-		work = work[:len(work)-1]
-		was := job.phase
+	pending := []*Job{j}
+	for len(pending) > 0 {
+		job := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		previous := job.phase
 		c.setPhase(job, c.phaseOf(job))
-		if job.phase == was || job.phase < phaseDone {
+		if job.phase == previous || job.phase < phaseDone {
 			continue
 		}
 		for _, dependent := range c.cache.dependents[job.ID] {
@@ -65,13 +65,13 @@
 			} else if c.guard(GuardCascade) {
 				dependent.dependencyFailed = true
 			}
-			work = append(work, dependent)
+			pending = append(pending, dependent)
 		}
 		delete(c.cache.dependents, job.ID)
 	}
 }
 
-// setPhase is the one change of a job's phase.
+// setPhase changes a job's phase. No other code does.
 func (c *Controller) setPhase(j *Job, next phase) {
 	old := j.phase
 	if old == phaseOpen && next != old {
@@ -91,7 +91,7 @@
 	}
 }
 
-// removeOpenJob takes a job out of those whose tasks may start, and its tasks out of queues.
+// removeOpenJob removes a job from the open jobs and its tasks from the machines' queues.
 func (c *Controller) removeOpenJob(j *Job) {
 	if k := slices.Index(c.cache.openJobs, j); k >= 0 {
 		c.cache.openJobs = append(c.cache.openJobs[:k:k], c.cache.openJobs[k+1:]...)
@@ -99,8 +99,8 @@
 	c.dequeueTasks(j, j.Header.TaskCount)
 }
 
-// addOpenJob puts a job among those whose tasks may start. Order and ages count from the last
-// job before it; after a restart from the times that the headers tell.
+// addOpenJob adds a job to the open jobs. Its order and age count from the end of its last
+// dependency; after a restart, from the times in the headers.
 func (c *Controller) addOpenJob(j *Job) {
 	j.readyAt = int64(c.now)
 	if c.cache.loadingSnapshot {
@@ -112,7 +112,8 @@
 	}
 }
 
-// doneTime is when a job was done, as its header tells or, if it doesn't, now.
+// doneTime returns when a job was done, in ns of this controller's monotonic clock: the time in
+// its header while a snapshot is loaded, if the header has one, and the present time otherwise.
 func (c *Controller) doneTime(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
 		return min(int64(c.now), c.steadyTime(j.Header.DoneAtMS))
@@ -120,7 +121,8 @@
 	return int64(c.now)
 }
 
-// linkDependencies reads what a job just met depends on and joins it to those jobs.
+// linkDependencies reads the dependencies of a job that is new in the cache and links the job
+// with them.
 func (c *Controller) linkDependencies(j *Job) {
 	spec := j.Header.Spec
 	if spec == nil {
@@ -142,7 +144,7 @@
 	c.propagateUrgency(j)
 }
 
-// addDependencies joins a job to those that it depends on, as far as they are not over.
+// addDependencies registers a job as a dependent of each given job that is not over.
 func (c *Controller) addDependencies(j *Job, ids []string) {
 	for _, id := range ids {
 		needed := c.cache.jobs[id]
@@ -161,25 +163,25 @@
 	}
 }
 
-// inheritUrgency makes a job as urgent as a dependent, which needs it. True: it became more
-// so.
+// inheritUrgency makes a job at least as urgent as a job that depends on it. It reports whether
+// the job became more urgent.
 func (q *queues) inheritUrgency(j, dependent *Job) bool {
 	if dependent.Header.Spec == nil || dependent.phase >= phaseDone {
 		return false
 	}
-	more := dependent.priority > j.priority
+	raised := dependent.priority > j.priority
 	j.priority = max(j.priority, dependent.priority)
 	if dependent.deadlineSeconds > 0 {
 		latest := dependent.deadlineAt - int64((q.runTime(dependent.Header.Spec)+tuning.StartLag)*float64(time.Second))
 		if j.deadlineSeconds == 0 || latest < j.deadlineAt {
-			j.deadlineAt, j.deadlineSeconds, more = latest, dependent.deadlineSeconds, true
+			j.deadlineAt, j.deadlineSeconds, raised = latest, dependent.deadlineSeconds, true
 		}
 	}
-	return more
+	return raised
 }
 
-// latestFirst is a heap of jobs, the latest accepted first. A job is accepted after all
-// that it depends on, so each comes up once, with all that it has to pass on.
+// latestFirst is a heap of jobs, the one accepted last on top. A job is accepted after all its
+// dependencies, so propagateUrgency visits each job once, when its urgency is final.
 type latestFirst []*Job
 
 func (l latestFirst) Len() int           { return len(l) }
@@ -193,15 +195,15 @@
 	return last
 }
 
-// propagateUrgency passes a job's priority and deadline on to all before it that are not
-// over: the latest finish of each is the least, over those that need it, of theirs
-// less their own time.
+// propagateUrgency passes a job's priority and deadline on to its direct and indirect
+// dependencies that are not over. The latest finish of a job is the earliest, over its
+// dependents, of their latest finish less their run time.
 func (c *Controller) propagateUrgency(j *Job) {
 	jobs := latestFirst{j}
-	waiting := map[*Job]bool{j: true} // in the heap
+	inHeap := map[*Job]bool{j: true} // jobs in the heap
 	for len(jobs) > 0 {
 		dependent := heap.Pop(&jobs).(*Job)
-		delete(waiting, dependent)
+		delete(inHeap, dependent)
 		if dependent.Header.Spec == nil {
 			continue
 		}
@@ -210,8 +212,8 @@
 			if needed == nil || needed.phase >= phaseDone {
 				continue
 			}
-			if c.queues.inheritUrgency(needed, dependent) && !waiting[needed] {
-				waiting[needed] = true
+			if c.queues.inheritUrgency(needed, dependent) && !inHeap[needed] {
+				inHeap[needed] = true
 				heap.Push(&jobs, needed)
 			}
 		}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,7 +12,7 @@
 	"brassglade/internal/domain"
 )
 
-// openHeader is the header of a new job as it is stored.
+// openHeader returns the stored header of a new job of two tasks.
 func openHeader(t *testing.T, id string, order uint64, priority int, deadline float64, needs ...string) domain.KeyValue {
 	t.Helper()
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
@@ -23,15 +23,15 @@
 	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(header), ModRevision: order}
 }
 
-// finalHeader is the header of a job that is over, as it is stored.
+// finalHeader returns the stored header of a job that is over.
 func finalHeader(id string, state domain.JobState, revision uint64) domain.KeyValue {
 	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: state, TaskCount: 2, Released: state == domain.StateCancelled}), ModRevision: revision}
 }
 
-// jobName is the ID of the i-th job.
+// jobName returns the ID of the i-th job.
 func jobName(i int) string { return fmt.Sprintf("job-%06d", i) }
 
-// openIDs are the jobs whose tasks may start, in order.
+// openIDs returns the IDs of the jobs whose tasks may start, in order.
 func openIDs(c *Controller) []string {
 	var ids []string
 	for _, j := range c.cache.openJobs {
@@ -40,11 +40,11 @@
 	return ids
 }
 
-// TestDependenciesArriveInAnyOrder: whatever order headers arrive in, as in a snapshot's pages,
-// the same jobs may start and the same are cancelled.
+// TestDependenciesArriveInAnyOrder checks that the same jobs may start and the same are cancelled
+// in whatever order headers arrive. They arrive in any order in the pages of a snapshot.
 func TestDependenciesArriveInAnyOrder(t *testing.T) {
-	// 0 is done; 1 and 2 depend on it; 3 on 1 and 2; 4 on 3 and 6; 5 on 4; 6 is cancelled; 7
-	// depends on nothing.
+	// Job 0 is done and job 6 is cancelled. Jobs 1 and 2 depend on 0, 3 on 1 and 2, 4 on 3 and
+	// 6, 5 on 4, and 7 on none.
 	kvs := []domain.KeyValue{
 		finalHeader(jobName(0), domain.StateDone, 20), openHeader(t, jobName(1), 11, 1, 0, jobName(0)), openHeader(t, jobName(2), 12, 1, 0, jobName(0)),
 		openHeader(t, jobName(3), 13, 1, 0, jobName(1), jobName(2)), openHeader(t, jobName(4), 14, 1, 0, jobName(3), jobName(6)),
@@ -58,27 +58,27 @@
 			c.apply(kv)
 		}
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(1), jobName(2), jobName(7)}) {
-			t.Fatalf("may start: %v", got)
+			t.Fatalf("jobs that may start: %v", got)
 		}
 		for i, want := range map[int]bool{3: false, 4: true, 5: true, 7: false} {
 			if j := c.cache.jobs[jobName(i)]; j.cancelled() != want || j.final() != want {
-				t.Fatalf("job %d: cancelled %v", i, j.cancelled())
+				t.Fatalf("job %d: cancelled = %v", i, j.cancelled())
 			}
 		}
 		c.apply(finalHeader(jobName(1), domain.StateDone, 30))
 		if j := c.cache.jobs[jobName(3)]; j.phase != phaseWaiting {
-			t.Fatal("starts before all that it depends on is done")
+			t.Fatal("a job may start before all its dependencies are done")
 		}
 		c.apply(finalHeader(jobName(2), domain.StateDone, 31))
 		if got := openIDs(c); !slices.Equal(got, []string{jobName(3), jobName(7)}) {
-			t.Fatalf("may start: %v", got)
+			t.Fatalf("jobs that may start: %v", got)
 		}
 	}
 }
 
-// TestLongPipelines: users' graphs may be as long and as wide as they like. The
-// cancellation of the root of a chain of 50,000 reaches its end, and each job of a
-// fan of 2,000 is looked at a few times, not once for each pair.
+// TestLongPipelines checks that users' dependency graphs may be of any length and width. The
+// cancellation of the first job of a chain of 50,000 jobs reaches the last one, and the time for a
+// job that depends on 2,000 others grows with their number, not with its square.
 func TestLongPipelines(t *testing.T) {
 	c := New(Settings{Node: "c-0"}, "x")
 	const n = 50000
@@ -87,11 +87,11 @@
 		c.apply(openHeader(t, jobName(i), uint64(i+1), 0, 0, jobName(i-1)))
 	}
 	if len(c.cache.openJobs) != 1 {
-		t.Fatalf("%d may start", len(c.cache.openJobs))
+		t.Fatalf("%d jobs may start, want 1", len(c.cache.openJobs))
 	}
 	c.apply(finalHeader(jobName(0), domain.StateCancelled, n+10))
 	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
-		t.Errorf("the last job is in phase %d, %d edges left", j.phase, len(c.cache.dependents))
+		t.Errorf("the last job is in phase %d; %d jobs still have dependents listed", j.phase, len(c.cache.dependents))
 	}
 	c = New(Settings{Node: "c-0"}, "x")
 	var all []string
@@ -102,20 +102,20 @@
 	c.apply(openHeader(t, jobName(9999), 3000, 2, 100, all...))
 	for i, id := range all {
 		if c.cache.jobs[id].priority != 2 {
-			t.Fatal("priority not passed back")
+			t.Fatal("priority not passed on to a dependency")
 		}
 		if got := c.cache.jobs[jobName(9999)].phase; got != phaseWaiting {
-			t.Fatalf("phase %d with %d done", got, i)
+			t.Fatalf("phase %d with %d dependencies done", got, i)
 		}
 		c.apply(finalHeader(id, domain.StateDone, uint64(4000+i)))
 	}
 	if c.cache.jobs[jobName(9999)].phase != phaseOpen {
-		t.Error("the fan never opens")
+		t.Error("the job may not start though all its dependencies are done")
 	}
 }
 
-// TestUrgencyPropagation: all stages have the priority of the last one, and each a
-// deadline that leaves time for those after it, on the longest path.
+// TestUrgencyPropagation checks that all stages of a pipeline get the priority of the last one, and
+// each a deadline that leaves time for the stages after it on the longest path.
 func TestUrgencyPropagation(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
 		c := New(Settings{Node: "c-0"}, "x")
@@ -130,7 +130,7 @@
 			c.apply(kv)
 		}
 		due := func(i int) float64 { return time.Duration(c.cache.jobs[jobName(i)].deadlineAt).Seconds() }
-		for i, want := range map[int]float64{5: 100, 4: 82, 2: 82, 3: 64, 1: 46} { // each stage takes 10 s and 8 s
+		for i, want := range map[int]float64{5: 100, 4: 82, 2: 82, 3: 64, 1: 46} { // per stage 10 s of run time and 8 s of tuning.StartLag
 			if j := c.cache.jobs[jobName(i)]; j.priority != 2 || due(i) != want || j.deadlineSeconds != 100 {
 				t.Errorf("job %d: priority %d, due %.0f s, want %.0f s", i, j.priority, due(i), want)
 			}
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestJobAgesAfterRestart: a controller that reads a snapshot orders jobs as the others
-// do, by the times that the headers tell.
+// TestJobAgesAfterRestart checks that a controller that loads a snapshot takes the ages of jobs from
+// the times in the headers, so that it orders jobs as the other controllers do.
 func TestJobAgesAfterRestart(t *testing.T) {
 	wall := int64(1_700_000_000_000)
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
@@ -151,14 +151,14 @@
 	}})
 	j := c.cache.jobs[jobName(2)]
 	if age := (c.now - time.Duration(j.readyAt)).Seconds(); age != 32 {
-		t.Errorf("it could start %.0f s ago, want 32 s", age)
+		t.Errorf("the job could start %.0f s ago, want 32 s", age)
 	}
 	if left := time.Duration(j.deadlineAt - int64(c.now)).Seconds(); left != 8 {
-		t.Errorf("%.0f s are left, want 8 s", left)
+		t.Errorf("%.0f s are left until the deadline, want 8 s", left)
 	}
 }
 
-// actingController is a controller that may act, with one machine type.
+// actingController returns a controller that may act, with one machine type.
 func actingController() *Controller {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, ValueLimit: 2048, TransactionLimit: 4, FenceAge: 7 * time.Second,
 		Teams: map[string]domain.Quota{"red": {}}}, "x")
@@ -172,7 +172,7 @@
 	return c
 }
 
-// lastReply returns the last answer to a user.
+// lastReply returns the last reply to a user, or the zero value if there is none.
 func lastReply(c *Controller) (reply UserReply) {
 	for _, effect := range c.effects {
 		if answer, ok := effect.(UserReply); ok {
@@ -182,19 +182,20 @@
 	return reply
 }
 
-// submission is one of a job of one task that depends on the needed ones.
+// submission returns the submission of a job of one task with the given dependencies.
 func submission(id string, needs ...string) JobSubmitted {
 	return JobSubmitted{RequestID: 1, ID: id, Spec: &domain.JobSpec{ID: id, Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}, Dependencies: needs}}
 }
 
-// commitAll carries out what the controller wants committed, until nothing is left.
+// commitAll answers the controller's commits as committed until none is left, and returns the keys
+// that were written. It fails the test if a commit is too large.
 func commitAll(t *testing.T, c *Controller) (keys []string) {
 	t.Helper()
 	for len(c.commits.pending) > 0 {
 		for _, id := range []uint64{c.commits.nextID} {
 			pending := c.commits.pending[id]
 			if pending == nil {
-				t.Fatal("an older commit is still under way")
+				t.Fatal("an older commit is still in flight")
 			}
 			if len(pending.transaction.Puts) > c.cfg.TransactionLimit || len(pending.transaction.Conditions) > 4*c.cfg.TransactionLimit {
 				t.Fatalf("%d changes, %d conditions", len(pending.transaction.Puts), len(pending.transaction.Conditions))
@@ -212,9 +213,9 @@
 	return keys
 }
 
-// TestThousandsOfDependencies: a submission may name thousands of jobs. The list lies in
-// pieces beside the header, which comes last; another controller that reads them in any
-// order knows the same jobs, and a job none of whose pieces is there yet waits.
+// TestThousandsOfDependencies checks that a submission may name thousands of jobs. Their list is
+// stored in pieces beside the header, which is written last. Another controller that reads the
+// header before the pieces finds the same dependencies, and the job waits until all pieces arrived.
 func TestThousandsOfDependencies(t *testing.T) {
 	c := actingController()
 	var needs []string
@@ -233,31 +234,31 @@
 	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
 		t.Fatalf("%d jobs needed, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
-	// Another controller, the header first.
+	// Another controller reads the header first.
 	other := New(Settings{Node: "c-1"}, "y")
 	other.apply(domain.KeyValue{Key: codec.KeyJob(j.ID), Value: codec.Encode(j.Header), ModRevision: 9000})
 	if other.cache.jobs[j.ID].phase != phaseWaiting {
-		t.Fatal("starts without its list")
+		t.Fatal("the job may start without its list of dependencies")
 	}
 	for k, text := range codec.JoinNames(needs, c.cfg.ValueLimit-400) {
 		other.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
 	}
 	if other.cache.jobs[j.ID].unfinishedDependencies != 4000 {
-		t.Fatalf("the other controller knows of %d", other.cache.jobs[j.ID].unfinishedDependencies)
+		t.Fatalf("the other controller knows of %d dependencies, want 4000", other.cache.jobs[j.ID].unfinishedDependencies)
 	}
 	for i, id := range needs {
 		if other.cache.jobs[j.ID].phase != phaseWaiting {
-			t.Fatalf("starts with %d of 4000 done", i)
+			t.Fatalf("the job may start with %d of 4000 dependencies done", i)
 		}
 		other.apply(finalHeader(id, domain.StateDone, uint64(10000+i)))
 	}
 	if other.cache.jobs[j.ID].phase != phaseOpen {
-		t.Error("never opens")
+		t.Error("the job may not start though all its dependencies are done")
 	}
 }
 
-// submitAndReply has the controller take a submission and answer it once it has reached a
-// read index and read the header that its cache lacks.
+// submitAndReply has the controller take a submission, answer its lookups with the header that its
+// cache lacks, reach the read index, and reply.
 func submitAndReply(t *testing.T, c *Controller, submitted JobSubmitted, elsewhere domain.KeyValue) {
 	t.Helper()
 	c.effects = nil
@@ -266,32 +267,32 @@
 		c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
 	}
 	if len(c.requests.waiting) > 0 && lastReply(c).Status != 0 {
-		t.Errorf("answered %d before its read index", lastReply(c).Status)
+		t.Errorf("replied %d before reaching the read index", lastReply(c).Status)
 	}
 	c.reachReadIndex()
 	c.wakeWaiters()
 	commitAll(t, c)
 }
 
-// TestDependencyValidation: what the answer to a submission is, and from which
-// knowledge.
+// TestDependencyValidation checks the reply to submissions with various dependencies, in the cache
+// or only in the state service.
 func TestDependencyValidation(t *testing.T) {
 	service := openHeader(t, jobName(3), 8, 0, 0)
 	service.Value = []byte(strings.Replace(string(service.Value), `"array"`, `"service"`, 1))
-	elsewhere := openHeader(t, jobName(5), 90, 0, 0) // the state service has it, the cache lacks it
+	elsewhere := openHeader(t, jobName(5), 90, 0, 0) // in the state service, but not in the cache
 	for name, test := range map[string]struct {
 		needs  []string
 		status int
 		open   bool
 	}{
-		"a done one":              {[]string{jobName(1)}, 201, true},
-		"a waiting one, twice":    {[]string{jobName(2), jobName(2)}, 201, false},
-		"a service":               {[]string{jobName(3)}, 422, false},
-		"one never accepted":      {[]string{jobName(8)}, 422, false},
-		"itself":                  {[]string{jobName(9)}, 422, false},
-		"a cancelled one":         {[]string{jobName(2), jobName(4)}, 201, false},
-		"one accepted elsewhere":  {[]string{jobName(5)}, 201, false},
-		"nothing but known names": {nil, 201, true},
+		"done job":                           {[]string{jobName(1)}, 201, true},
+		"waiting job, named twice":           {[]string{jobName(2), jobName(2)}, 201, false},
+		"service":                            {[]string{jobName(3)}, 422, false},
+		"job never accepted":                 {[]string{jobName(8)}, 422, false},
+		"job itself":                         {[]string{jobName(9)}, 422, false},
+		"cancelled job":                      {[]string{jobName(2), jobName(4)}, 201, false},
+		"job accepted by another controller": {[]string{jobName(5)}, 201, false},
+		"none":                               {nil, 201, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := actingController()
@@ -303,27 +304,27 @@
 				t.Errorf("%+v", reply)
 			}
 			if got := slices.Contains(openIDs(c), jobName(9)); got != test.open {
-				t.Errorf("may start %v", got)
+				t.Errorf("may start: %v", got)
 			}
-			if j := c.cache.jobs[jobName(9)]; name == "a cancelled one" && (j == nil || !j.cancelled()) {
-				t.Error("accepted, but not cancelled")
+			if j := c.cache.jobs[jobName(9)]; name == "cancelled job" && (j == nil || !j.cancelled()) {
+				t.Error("the job is not cancelled though a dependency is")
 			}
-			// A repeat gets 200 whatever it names now.
+			// A repeated submission gets 200, whatever dependencies it names.
 			if test.status == 201 {
 				submitAndReply(t, c, submission(jobName(9), jobName(8)), elsewhere)
 				if reply := lastReply(c); reply.Status != 200 {
-					t.Errorf("a repeat gets %d", reply.Status)
+					t.Errorf("a repeated submission gets %d, want 200", reply.Status)
 				}
 			}
 		})
 	}
-	// Before all controllers know what dependencies are.
+	// Not all controllers support dependencies yet.
 	c := actingController()
 	c.cache.format = 0
 	c.apply(finalHeader(jobName(1), domain.StateDone, 5))
 	c.effects = nil
 	c.onJobSubmitted(submission(jobName(9), jobName(1)))
 	if reply := lastReply(c); reply.Status != 503 {
-		t.Errorf("before the switch: %+v", reply)
+		t.Errorf("in the previous format: %+v, want status 503", reply)
 	}
 }
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -6,12 +6,13 @@
 	"brassglade/internal/codec"
 )
 
-// How the names of the jobs that a job depends on are kept. Only those that are not done
-// need to be named; most submissions name a few, which lie in the header. Longer lists lie
-// in pieces beside it, written before it under a name of their own, so that a header never
-// refers to a list that is not there.
+// Storage of the IDs of the jobs that a job depends on. Only jobs that are not done need to be
+// named. Most submissions name a few, which are stored in the header. A longer list is stored
+// in pieces under keys of its own, which are written before the header, so that a header never
+// refers to a list that does not exist.
 
-// applyDependencyPiece takes a piece of a list. Its header mostly comes later.
+// applyDependencyPiece puts a piece of a dependency list into the cache, and links the job if
+// this was the last missing piece. The job's header usually comes later.
 func (c *Controller) applyDependencyPiece(key string, value []byte) {
 	text, err := codec.Decode[string](value)
 	if value == nil || err != nil {
@@ -32,7 +33,7 @@
 	c.updatePhases(j)
 }
 
-// countMissingPieces counts the pieces of a job's list that are not here yet.
+// countMissingPieces counts the pieces of a job's dependency list that the cache lacks.
 func (c *cache) countMissingPieces(j *Job) {
 	j.missingPieces = 0
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
@@ -42,15 +43,16 @@
 	}
 }
 
-// resolveDependencyPieces joins a job to all that its list names. The pieces are all here, and
-// are forgotten.
+// resolveDependencyPieces links a job with all jobs that its dependency list names and drops the
+// pieces from the cache, which must have all of them.
 func (c *Controller) resolveDependencyPieces(j *Job) {
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
 		c.resolveDependencyPiece(j, k)
 	}
 }
 
-// resolveDependencyPiece joins a job to those that the k-th piece of its list names.
+// resolveDependencyPiece links a job with the jobs named in the k-th piece of its list and drops
+// the piece from the cache.
 func (c *Controller) resolveDependencyPiece(j *Job, k int) {
 	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
 	ids := codec.ParseNames(c.cache.dependencyPieces[key])
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -6,15 +6,15 @@
 	"brassglade/internal/tuning"
 )
 
-// cellRef names a cell of a job by its first task.
+// cellRef identifies a cell of a job by its first task.
 type cellRef struct {
 	job  string
 	from int
 }
 
-// draft gathers the changes of one task commit on copies of the records. Stages of a plan
-// add to it (draft_tasks.go) as long as there is room (hasRoomFor); transaction writes it
-// (draft_transaction.go).
+// draft collects the changes of one task commit in copies of the records. The stages of a plan
+// add to it (draft_tasks.go) while there is room (hasRoomFor); transaction turns it into a
+// transaction (draft_transaction.go).
 type draft struct {
 	c *Controller
 
@@ -22,38 +22,38 @@
 
 	headers  map[string]*codec.JobHeader // by job, copies
 	cells    map[cellRef][]domain.Task   // copies of the records, cell by cell
-	keys     map[string]bool             // packs, chunks and cells to write, which contain them
-	shares   map[string]codec.TeamShares // by team, shares of limits to write
+	keys     map[string]bool             // keys of the packs, chunks and cells to write, which contain them
+	shares   map[string]codec.TeamShares // by team, shares of its limit to write
 	rawPuts  []domain.Put                // cells of a value that is being split, already encoded
-	finished map[string]bool             // jobs that are over: their tasks go
-	leaving  map[string]string           // jobs that leave a pack that is too large with their next change, by job the pack they go to
-	moved    map[string]string           // those that did
+	finished map[string]bool             // jobs that are over, whose tasks are removed
+	leaving  map[string]string           // by job in an oversized pack: the pack it moves to with its next change
+	moved    map[string]string           // by job that this draft moves: the pack it moves to
 
-	conditions map[string]bool // keys that must not have changed since the cache read them
+	conditions map[string]bool // keys whose values must not change before the commit
 
-	// What the stages of the plan after this one have to know.
+	// What later stages of the plan need to know.
 
 	changed        map[domain.TaskID]bool      // tasks whose copies were changed
-	copiedCells    map[string][]int            // first tasks of the cells of each job that cells has
-	usageByTeam    map[string]domain.Resources // by team, what the draft adds to this controller's bookings
-	usageByMachine map[string]domain.Resources // by machine, what it adds to the bookings there; negative after releases
+	copiedCells    map[string][]int            // by job, first tasks of its cells in the field cells
+	usageByTeam    map[string]domain.Resources // by team, additions to this controller's bookings
+	usageByMachine map[string]domain.Resources // by machine, additions to its bookings; negative after releases
 
-	// The budget of the transaction, of which each stage may use some.
+	// The budget of the transaction, of which each stage may use a part.
 
-	foreignKey string         // the one value of another shard that this draft may change; "": none, but its own
-	maxChanges int            // changes that the present stage may fill the draft up to
-	maxBytes   int            // bytes that the present stage may fill the draft up to
-	bytes      int            // that the values may take
+	foreignKey string         // the only value to change, of another shard; "": this shard's values
+	maxChanges int            // the most changes that the draft may have after the present stage
+	maxBytes   int            // the most bytes that the draft may have after the present stage
+	bytes      int            // upper bound of the size of all values to write
 	growth     map[string]int // by key, bytes by which the value may grow
 
-	// What to do when it is sent and once it is committed.
+	// What to do when the draft is sent and once it is committed.
 
-	machines map[string]bool // whose bookings change
-	releases []attemptID     // no start of these may be sent any more
-	onCommit []func()        // in order
+	machines map[string]bool // machines whose bookings change
+	releases []attemptID     // attempts for which no start may be sent any more
+	onCommit []func()        // called in this order
 }
 
-// newDraft is an empty draft but for the value by which it excludes a commit in doubt.
+// newDraft returns a draft that is empty except for the value that excludes an in-doubt commit.
 func (c *Controller) newDraft() *draft {
 	d := &draft{
 		c:              c,
@@ -78,12 +78,12 @@
 	return d
 }
 
-// --- what is in the draft ---
+// Contents of the draft.
 
-// changes is how many values the transaction will write.
+// changes returns the number of values that the transaction will write.
 func (d *draft) changes() int { return len(d.headers) + len(d.keys) + len(d.shares) + len(d.rawPuts) }
 
-// keyOf is where the draft keeps task i of a job.
+// keyOf returns the key of the value to which the draft writes task i of a job.
 func (d *draft) keyOf(j *Job, i int) string {
 	if pack, ok := d.moved[j.ID]; ok {
 		return codec.PrefixPack + pack
@@ -91,10 +91,11 @@
 	return j.Header.KeyOf(j.ID, i)
 }
 
-// addCondition makes the commit fail if the key's value changes before.
+// addCondition makes the commit fail if the key's value changes before it.
 func (d *draft) addCondition(key string) { d.conditions[key] = true }
 
-// addValue has a pack, chunk or cell written, on the condition that it didn't change.
+// addValue adds a pack, chunk or cell to the values to write, on the condition that it has not
+// changed.
 func (d *draft) addValue(key string) {
 	if d.keys[key] {
 		return
@@ -104,7 +105,7 @@
 	d.addCondition(key)
 }
 
-// header is the copy of a job's header to change.
+// header returns the draft's copy of a job's header, for the caller to change.
 func (d *draft) header(j *Job) *codec.JobHeader {
 	header := d.headers[j.ID]
 	if header == nil {
@@ -118,13 +119,13 @@
 	return header
 }
 
-// cellRef names the cell with task i.
+// cellRef returns the reference of the cell that has task i.
 func (j *Job) cellRef(i int) cellRef {
 	from, _ := j.Header.Cell(i)
 	return cellRef{j.ID, from}
 }
 
-// copyOfCell copies the records of the cell with task i.
+// copyOfCell returns a copy of the records of the cell that has task i.
 func (j *Job) copyOfCell(i int) []domain.Task {
 	from, to := j.Header.Cell(i)
 	tasks := make([]domain.Task, to-from)
@@ -134,7 +135,7 @@
 	return tasks
 }
 
-// copyCell takes a copy of the records of the cell with task i into the draft.
+// copyCell puts a copy of the records of the cell that has task i into the draft.
 func (d *draft) copyCell(j *Job, i int) {
 	ref := j.cellRef(i)
 	if d.cells[ref] == nil {
@@ -143,7 +144,7 @@
 	d.cells[ref] = j.copyOfCell(i)
 }
 
-// peek reads task i as the draft has it, without touching its cell.
+// peek returns task i as it is in the draft, without adding its cell to the draft.
 func (d *draft) peek(j *Job, i int) domain.Task {
 	if ref := j.cellRef(i); d.cells[ref] != nil {
 		return d.cells[ref][i-ref.from]
@@ -151,60 +152,60 @@
 	return j.task(i)
 }
 
-// --- its budget ---
+// Budget of the draft.
 
-// hasRoomForConditions tells whether the transaction may have n further conditions.
+// hasRoomForConditions reports whether the transaction may have n further conditions.
 func (d *draft) hasRoomForConditions(n int) bool {
 	return len(d.conditions)+n <= tuning.ConditionsPerChange*d.c.cfg.TransactionLimit
 }
 
-// roomRefusal is why a draft doesn't take a change of a task.
+// roomRefusal is the reason why a draft does not take a change of a task.
 type roomRefusal int
 
 const (
 	notRefused           roomRefusal = iota
-	refusedForeignValue              // the value is another shard's, and not the one whose turn it is
-	refusedOwnValue                  // the draft is for a value of another shard alone
-	refusedOversized                 // the value is too large to be written, and the job can't leave it now
-	refusedFullValue                 // the value takes no more bookings until others of it end
-	refusedFullDraft                 // no changes or bytes are left to this stage
-	refusedForConditions             // no conditions are left
+	refusedForeignValue              // the value belongs to another shard, and the draft is not for it
+	refusedOwnValue                  // the value belongs to this shard, the draft is for another shard
+	refusedOversized                 // the value is too large to be written, and the job cannot leave it now
+	refusedFullValue                 // the value has no room for another booking until some of its tasks end
+	refusedFullDraft                 // this stage has no changes or bytes left
+	refusedForConditions             // the transaction has no conditions left
 )
 
-// taskChange is a change of one task that a draft is asked to take.
+// taskChange is a change of one task that is to be added to a draft.
 type taskChange struct {
 	job     *Job
 	source  string // key of the value that has the task now
-	key     string // of the value that is written
-	header  bool   // the job's header is written
+	key     string // key of the value that will be written
+	header  bool   // the job's header is written, too
 	grows   bool   // the value may get longer
-	newPack string // pack to which the job goes with this change; "": it stays
+	newPack string // pack to which the job moves with this change; "": none
 }
 
-// hasRoomToGrow tells whether a change of task i that may make its value longer, as a
-// booking or a handover does, may still go in.
+// hasRoomToGrow reports whether the draft has room for a change of task i that may make its
+// value longer, such as a booking or a handover.
 func (d *draft) hasRoomToGrow(j *Job, i int) bool {
 	key := j.Header.KeyOf(j.ID, i)
 	return d.hasRoomFor(taskChange{job: j, source: key, key: key, grows: true})
 }
 
-// hasRoomToEnd tells whether the release or the end of task i may still go in. done: it ends
-// well, which the job's header may have to say.
+// hasRoomToEnd reports whether the draft has room for the release or the end of task i. A task
+// that is done may also need a change of the job's header.
 func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool {
 	key := j.Header.KeyOf(j.ID, i)
 	return d.hasRoomFor(taskChange{job: j, source: key, key: key, header: done})
 }
 
-// hasRoomFor tells whether the change of one more task may still go in: one value, one header
-// and one team at most. What can't be changed for a reason that another commit takes away is
-// remembered for that commit.
+// hasRoomFor reports whether the draft has room for the change of one more task, which changes
+// at most one value, one header and one team's key. If another kind of commit has to come first,
+// it makes a note for that commit.
 func (d *draft) hasRoomFor(change taskChange) bool {
 	refusal := d.checkChange(&change)
 	switch refusal {
 	case refusedForeignValue:
 		d.c.planner.foreignValues[change.key] = true
 	case refusedOversized:
-		d.c.planner.dirty = true // a split comes first
+		d.c.planner.dirty = true // the value has to be split first
 	case refusedFullValue:
 		d.c.commits.fullValues[change.key] = true
 	case notRefused:
@@ -215,8 +216,8 @@
 	return refusal == notRefused
 }
 
-// checkChange is the first reason that speaks against a change, which it leads to another value
-// where the task's job has to leave its own.
+// checkChange returns the first reason against a change. If the job has to leave its pack with
+// this change, it directs the change to the job's new pack.
 func (d *draft) checkChange(change *taskChange) roomRefusal {
 	if refusal := d.checkShard(change); refusal != notRefused {
 		return refusal
@@ -227,7 +228,8 @@
 	return d.checkBudget(change)
 }
 
-// checkShard keeps own values and one of another shard apart (planCommit says why).
+// checkShard refuses changes of other shards' values in a draft for own values, and of all but
+// one value in a draft for another shard's value. The reason is given at planCommit.
 func (d *draft) checkShard(change *taskChange) roomRefusal {
 	foreign := d.c.isForeign(change.job)
 	switch {
@@ -239,8 +241,9 @@
 	return notRefused
 }
 
-// checkValueSize refuses what would make a value too large to be written. A pack's job leaves
-// a value that is so already with this change; a chunk is split first.
+// checkValueSize refuses a change that would make a value too large to be written. If the value
+// already is too large, a job leaves its pack with this change, whereas a chunk has to be split
+// first.
 func (d *draft) checkValueSize(change *taskChange) roomRefusal {
 	header := change.job.Header
 	if header.Inline {
@@ -263,13 +266,13 @@
 	return notRefused
 }
 
-// isUnwritable tells whether the value of a change can't be written any more as it is, or
-// must not grow.
+// isUnwritable reports whether the value of a change is so large that it cannot be written as it
+// is, or must not grow.
 func (d *draft) isUnwritable(change *taskChange) bool {
 	return (d.c.formats.limitsFell || change.grows && d.c.cache.formatOn()) && d.c.isOversizedInPlan(change.key)
 }
 
-// isFullValue tells whether the value has no room for one more booking.
+// isFullValue reports whether the value has no room for one more booking.
 func (d *draft) isFullValue(change *taskChange) bool {
 	bound := d.c.valueBound()
 	if d.c.cache.formatOn() {
@@ -278,7 +281,7 @@
 	return d.c.cache.valueSizes[change.key]+d.growth[change.key]+2*tuning.TaskBytes+len(change.job.ID) > bound-tuning.PackSlack
 }
 
-// checkBudget refuses what the transaction has no changes, bytes or conditions for.
+// checkBudget refuses a change for which the transaction has no changes, bytes or conditions left.
 func (d *draft) checkBudget(change *taskChange) roomRefusal {
 	j, changes, bytes := change.job, d.changes(), d.bytes
 	if !d.keys[change.key] && !j.Header.Inline {
@@ -301,9 +304,8 @@
 	return notRefused
 }
 
-// newConditions is how many conditions a change adds. They are few where transactions are
-// small: counted as they are, the view's among them, with one for the page of the machine's
-// cordon.
+// newConditions returns the number of conditions that a change adds, including one for the page
+// of the machine's cordon. They are counted exactly, since small transactions may have few.
 func (d *draft) newConditions(change *taskChange) int {
 	j, count := change.job, 1
 	for _, key := range [4]string{change.key, change.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -6,7 +6,7 @@
 	"brassglade/internal/tuning"
 )
 
-// task returns the copy of task i to change.
+// task returns the draft's copy of task i, for the caller to change.
 func (d *draft) task(j *Job, i int) *domain.Task {
 	ref := j.cellRef(i)
 	if d.cells[ref] == nil {
@@ -16,7 +16,7 @@
 	return &d.cells[ref][i-ref.from]
 }
 
-// openCell takes the cell with task i into the draft, to be written with its value.
+// openCell copies the cell that has task i into the draft and has its value written.
 func (d *draft) openCell(j *Job, i int) {
 	source := j.Header.KeyOf(j.ID, i)
 	if pack, ok := d.leaving[j.ID]; ok {
@@ -25,8 +25,8 @@
 	if d.cells[j.cellRef(i)] == nil {
 		d.copyCell(j, i)
 	}
-	// While a value is too large, jobs may leave it without a change of its
-	// revision (move, splitCell): only their headers show it.
+	// While a value is too large, jobs may leave it without a change of its revision (move,
+	// splitCell). Only their headers show it.
 	if d.c.cache.oversized[source] {
 		d.addCondition(codec.KeyJob(j.ID))
 	}
@@ -41,25 +41,25 @@
 	}
 }
 
-// bookingPlace is where a task is booked: on a machine, with its agent of an epoch.
+// bookingPlace is the machine that a task is booked on, with its zone and the epoch of its agent.
 type bookingPlace struct {
 	machine, zone string
 	agentEpoch    uint64
 }
 
-// place is where a task on the machine is booked.
+// place returns the machine as the place of a booking.
 func (m *Machine) place() bookingPlace { return bookingPlace{m.Name, m.Zone, m.agentEpoch} }
 
-// place is where a task on the machine is booked.
+// place returns the machine as the place of a booking.
 func (m *inventoryMachine) place() bookingPlace { return bookingPlace{m.name, m.zone, m.agentEpoch} }
 
-// book books an attempt of task i of j within the draft.
+// book adds the booking of an attempt of task i to the draft.
 func (d *draft) book(j *Job, i int, place bookingPlace, attempt uint64) {
 	if !d.c.mayStart(j) {
-		panic("booking " + j.ID + " before its dependencies are done") // no list of open jobs has it
+		panic("booking " + j.ID + " before its dependencies are done") // not an open job
 	}
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
+	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
 	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Node}
 	if d.c.guard(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
@@ -70,15 +70,16 @@
 	d.usageByMachine[place.machine] = d.usageByMachine[place.machine].Plus(j.Header.Spec.Request, 1)
 }
 
-// addUsage counts tasks into what this controller's bookings take of their team's limit; a
-// negative number: out of it.
+// addUsage adds the requests of a number of tasks to the usage of their team by this
+// controller's bookings; a negative number subtracts them.
 func (d *draft) addUsage(spec *domain.JobSpec, tasks int64) {
 	d.usageByTeam[spec.Team] = d.usageByTeam[spec.Team].Plus(spec.Request, tasks)
 	d.settleShare(spec.Team, spec.Request)
 }
 
-// bookingBytes is what a booking is planned to add to its value: what it mostly takes,
-// or, when a draft came out too large by that, the most that it may take.
+// bookingBytes returns how many bytes a booking is planned to add to its value: the usual size, or
+// the largest one if a draft planned with the usual size came out too large or the shorter format
+// is not in use yet.
 func (c *Controller) bookingBytes() int {
 	if c.cache.formatOn() && !c.planner.assumeMaxBookingBytes {
 		return tuning.TaskBytesShort
@@ -94,14 +95,14 @@
 	})
 }
 
-// release takes a task that is proven off its machine off its booking, and finishes it if
-// it is done. No start of the attempt may go out any more, since this transaction may be
-// carried out late.
+// release removes the booking of a task that is proven off its machine, and finishes the task if
+// it is done. No start of the attempt may be sent from then on, since this transaction may be
+// carried out late, even if its commit seems to have failed.
 func (d *draft) release(j *Job, i int, done bool) {
 	spec, task := j.Header.Spec, d.task(j, i)
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
 	d.machines[task.Machine] = true
-	d.usageByMachine[task.Machine] = d.usageByMachine[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
+	d.usageByMachine[task.Machine] = d.usageByMachine[task.Machine].Plus(spec.Request, -1) // this commit may book there again
 	if task.Shard == d.c.cfg.Node {
 		d.addUsage(spec, -1)
 	}
@@ -117,8 +118,8 @@
 	}
 }
 
-// finishRestOfGang finishes the queued tasks of a gang of which one is done. They complete
-// together: a mate whose own end was never reported is done, too.
+// finishRestOfGang finishes the queued tasks of a gang of which one task is done. The tasks of a
+// gang complete together: a task whose own end was never reported is done, too.
 func (d *draft) finishRestOfGang(j *Job) {
 	for i := 0; i < j.Header.TaskCount; i++ {
 		if d.peek(j, i).State == domain.Queued {
@@ -127,8 +128,8 @@
 	}
 }
 
-// finish records that a task is done. The last task of a cell changes the header; the last
-// cell ends the job.
+// finish records that a task is done. If it is the last one of its cell, the header is changed;
+// if the cell is the last one of the job, the job is done.
 func (d *draft) finish(j *Job, i int) {
 	*d.task(j, i) = domain.Task{State: domain.Done}
 	cell := d.cells[j.cellRef(i)]
@@ -141,10 +142,9 @@
 	}
 }
 
-// countDoneCell counts a cell of which all tasks are done, and tells whether it was the
-// job's last one.
+// countDoneCell counts a cell whose tasks are all done. It reports whether it was the job's last.
 func countDoneCell(header *codec.JobHeader, tasks int) bool {
-	if header.CellSize > 0 { // some chunk is split: cells are of two sizes
+	if header.CellSize > 0 { // a chunk was split, so that cells differ in size
 		header.DoneTasks += tasks
 		return header.DoneTasks >= header.TaskCount
 	}
@@ -152,7 +152,8 @@
 	return header.DoneChunks*header.ChunkSize >= header.TaskCount
 }
 
-// finishJob ends a job of which all tasks are done. Its header says all there is to know.
+// finishJob records the end of a job whose tasks are all done. From then on its header alone
+// describes it.
 func (d *draft) finishJob(j *Job, header *codec.JobHeader) {
 	header.State, header.Spec, header.SplitChunks, header.CellSize = domain.StateDone, nil, nil, 0
 	if d.c.cache.formatOn() {
@@ -161,16 +162,16 @@
 	d.finished[j.ID] = true
 }
 
-// handOver gives a queued task to another shard.
+// handOver moves a queued task to another shard.
 func (d *draft) handOver(j *Job, i int, to string) {
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled, or handed over with its job
+	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	task.Shard = to
 }
 
-// handOverJob gives an untouched job to another shard, in a pack of that shard where one
-// has room for it.
+// handOverJob moves a job, none of whose tasks was booked or handed over, to another shard, and
+// to a pack of that shard if one has room for it.
 func (d *draft) handOverJob(j *Job, to string) {
 	header := d.header(j)
 	header.Shard, header.Handovers = to, header.Handovers+1
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -9,21 +9,21 @@
 	"brassglade/internal/tuning"
 )
 
-// TestDraftRefusalReasons: a draft says why it takes no change of a task, and what another commit
-// has to do before is remembered for that one.
+// TestDraftRefusalReasons checks for which reason a draft refuses a change of a task, and that a
+// value that another commit has to shrink first is remembered for that commit.
 func TestDraftRefusalReasons(t *testing.T) {
 	const pack = codec.PrefixPack + "c-0/0"
 	for name, test := range map[string]struct {
 		prepare func(c *Controller, d *draft)
 		want    roomRefusal
-		full    bool // the value is to be relieved
-		dirty   bool // planned again
+		full    bool // the value is marked as full
+		dirty   bool // another plan is requested
 	}{
-		"empty draft":   {func(*Controller, *draft) {}, notRefused, false, false},
-		"no change":     {func(_ *Controller, d *draft) { d.maxChanges = 1 }, refusedFullDraft, false, false},
-		"no bytes":      {func(_ *Controller, d *draft) { d.maxBytes = d.bytes }, refusedFullDraft, false, false},
-		"foreign draft": {func(_ *Controller, d *draft) { d.foreignKey = codec.PrefixPack + "c-1/0" }, refusedOwnValue, false, false},
-		"no conditions": {func(_ *Controller, d *draft) {
+		"empty draft":                     {func(*Controller, *draft) {}, notRefused, false, false},
+		"no changes left":                 {func(_ *Controller, d *draft) { d.maxChanges = 1 }, refusedFullDraft, false, false},
+		"no bytes left":                   {func(_ *Controller, d *draft) { d.maxBytes = d.bytes }, refusedFullDraft, false, false},
+		"draft for another shard's value": {func(_ *Controller, d *draft) { d.foreignKey = codec.PrefixPack + "c-1/0" }, refusedOwnValue, false, false},
+		"no conditions left": {func(_ *Controller, d *draft) {
 			for i := range 13 {
 				d.addCondition(fmt.Sprint("key ", i))
 			}
@@ -31,10 +31,10 @@
 		"full value": {func(c *Controller, _ *draft) {
 			c.cache.valueSizes[pack] = c.cfg.ValueLimit - tuning.PackSlack
 		}, refusedFullValue, true, false},
-		"full by the draft": {func(c *Controller, d *draft) {
+		"value filled by the draft": {func(c *Controller, d *draft) {
 			d.growth[pack] = c.cfg.ValueLimit - tuning.PackSlack
 		}, refusedFullValue, true, false},
-		"oversized, no other pack takes the job": {func(c *Controller, _ *draft) {
+		"oversized value, no other pack with room for the job": {func(c *Controller, _ *draft) {
 			c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
 			j := c.cache.jobs[jobName(1)]
 			j.Tasks = make([]domain.Task, 400)
@@ -50,20 +50,20 @@
 			test.prepare(c, d)
 			c.planner.dirty = false
 			if got := d.checkChange(&taskChange{job: j, source: pack, key: pack, grows: true}); got != test.want {
-				t.Errorf("refused by %d, want %d", got, test.want)
+				t.Errorf("refused for reason %d, want %d", got, test.want)
 			}
 			if got := d.hasRoomToGrow(j, 0); got != (test.want == notRefused) {
-				t.Errorf("room %v", got)
+				t.Errorf("has room: %v", got)
 			}
 			if full := c.commits.fullValues[pack]; full != test.full || c.planner.dirty != test.dirty {
-				t.Errorf("full %v, planned again %v", full, c.planner.dirty)
+				t.Errorf("marked as full: %v; another plan requested: %v", full, c.planner.dirty)
 			}
 		})
 	}
 }
 
-// TestJobLeavesOversizedPack: a small job leaves a pack that is too large to be written with its
-// next change, and its header names the new one.
+// TestJobLeavesOversizedPack checks that a job leaves a pack that is too large to be written with
+// its next change, and that its header names the new pack.
 func TestJobLeavesOversizedPack(t *testing.T) {
 	const pack = codec.PrefixPack + "c-0/0"
 	c := actingController()
@@ -71,7 +71,7 @@
 	c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
 	j, d := c.cache.jobs[jobName(1)], c.newDraft()
 	if !d.hasRoomToGrow(j, 0) {
-		t.Fatal("no room")
+		t.Fatal("the draft has no room for the change")
 	}
 	d.book(j, 0, bookingPlace{machine: "n-000001", zone: "a", agentEpoch: 1}, 1)
 	if d.headers[j.ID] == nil || d.headers[j.ID].Pack != "c-0/1" || d.keys[pack] || !d.conditions[pack] {
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -9,20 +9,21 @@
 	"brassglade/internal/domain"
 )
 
-// tasksByJob are the tasks that a pack, chunk or cell holds, by job.
+// tasksByJob holds the tasks of a pack, chunk or cell, by job.
 type tasksByJob map[string][]domain.Task
 
-// transaction writes the draft as one transaction, conditional on all that it read.
+// transaction returns the transaction that writes the draft, conditional on all that it read.
 func (d *draft) transaction() domain.Transaction {
-	puts := d.appendHeaders(nil) // first: a cache takes a chunk only below a header
+	puts := d.appendHeaders(nil) // first, since a cache drops a chunk whose job's header it lacks
 	puts = append(puts, d.rawPuts...)
 	puts = d.appendValues(puts)
 	puts = d.appendShares(puts)
 	return domain.Transaction{Conditions: d.transactionConditions(), Puts: puts}
 }
 
-// transactionConditions names the view, by which a controller that lost its shard writes
-// nothing more, and then all that the draft read.
+// transactionConditions returns the conditions of the transaction. The first is on the view, so
+// that a controller that lost its shard writes nothing more; the others are on all values that
+// the draft read.
 func (d *draft) transactionConditions() []domain.Condition {
 	revisions := d.c.cache.modRevisions
 	conditions := []domain.Condition{{Key: codec.KeyView, ModRevision: revisions[codec.KeyView]}}
@@ -32,7 +33,7 @@
 	return conditions
 }
 
-// appendHeaders appends the headers, by job; some carry their tasks.
+// appendHeaders appends the headers, ordered by job. Inline headers contain their jobs' tasks.
 func (d *draft) appendHeaders(puts []domain.Put) []domain.Put {
 	for _, id := range slices.Sorted(maps.Keys(d.headers)) {
 		header := d.headers[id]
@@ -44,8 +45,8 @@
 	return puts
 }
 
-// inlineTasks are the tasks that a header carries; nil: of a job that is over, or that
-// nothing happened to yet.
+// inlineTasks returns the tasks that a header contains, or nil if the job is over or none of its
+// tasks has changed yet.
 func (d *draft) inlineTasks(id string, header *codec.JobHeader) *codec.ChunkValue {
 	if d.finished[id] || header.Spec == nil {
 		return nil
@@ -60,8 +61,8 @@
 	return d.c.cache.chunkOf(tasksByJob{id: tasks})
 }
 
-// appendValues appends packs, chunks and cells, by key. A pack is written even when it
-// holds nothing any more; a chunk or cell without tasks is deleted if it is there.
+// appendValues appends packs, chunks and cells, ordered by key. A pack is written even if it is
+// empty; a chunk or cell without tasks is deleted if it exists.
 func (d *draft) appendValues(puts []domain.Put) []domain.Put {
 	values := d.tasksByValue()
 	for _, key := range slices.Sorted(maps.Keys(d.keys)) {
@@ -76,8 +77,8 @@
 	return puts
 }
 
-// tasksByValue are the tasks of the values to write, by key: those that the draft has
-// copies of, and in packs those of all other jobs as they are.
+// tasksByValue returns the tasks of the values to write, by key: the draft's copies and, in
+// packs, the tasks of all other jobs as they are.
 func (d *draft) tasksByValue() map[string]tasksByJob {
 	values := map[string]tasksByJob{}
 	for key := range d.keys {
@@ -97,7 +98,7 @@
 	return values
 }
 
-// addUntouchedJobs adds the tasks of a pack's jobs that the draft neither changes nor moves.
+// addUntouchedJobs adds the tasks of those jobs in a pack that the draft neither changes nor moves.
 func (d *draft) addUntouchedJobs(value tasksByJob, pack string) {
 	jobs := d.c.cache.jobsByPack[pack]
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
@@ -109,7 +110,7 @@
 	}
 }
 
-// appendShares appends the shares of teams' limits, by team.
+// appendShares appends the shares of teams' limits, ordered by team.
 func (d *draft) appendShares(puts []domain.Put) []domain.Put {
 	for _, team := range slices.Sorted(maps.Keys(d.shares)) {
 		puts = append(puts, domain.Put{Key: codec.PrefixTeam + team, Value: codec.Encode(d.shares[team])})
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,10 +12,10 @@
 	"brassglade/internal/tuning"
 )
 
-// planGangs books the jobs that the leader places: gangs at once or not at all, the others
-// task by task within their zone rules. It walks them twice: first those whose image is on
-// a machine with room, since a fetch takes a large fraction of a run and uses the team's
-// limit as long; then all.
+// planGangs books the jobs that the leader reserves machines for: gangs as a whole or not at
+// all, other jobs task by task within their zone rules. It makes two passes. The first one
+// considers only jobs whose image is on a machine with room, since fetching an image takes a
+// large fraction of a run and uses the team's limit for as long; the second considers all jobs.
 func (c *Controller) planGangs(d *draft) {
 	if !c.isLeader() {
 		return
@@ -26,8 +26,8 @@
 	}
 	d.sortByGuarantee(jobs)
 	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
-	anyHoldsBack := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
-	if !anyHoldsBack { // else strictly in order
+	anyBlocks := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
+	if !anyBlocks { // otherwise the order of the jobs is kept strictly
 		if !c.newGangPass(d, PassCached, machines, claims).book(jobs) {
 			return
 		}
@@ -35,7 +35,7 @@
 	c.newGangPass(d, PassAny, machines, claims).book(jobs)
 }
 
-// sortByGuarantee orders jobs: what teams are owed first, then by priority.
+// sortByGuarantee orders jobs: those within their team's guarantee first, then by priority.
 func (d *draft) sortByGuarantee(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		return cmp.Or(
@@ -45,31 +45,32 @@
 	})
 }
 
-// blocksOthers tells whether a job that the leader places has waited for so long that others
-// wait for it: not for ever, it may not be possible.
+// blocksOthers reports whether a job that the leader places has waited for so long that other
+// jobs have to wait for it. This ends after tuning.GangBlock, since the job may be impossible to
+// place.
 func (j *Job) blocksOthers(now time.Duration) bool {
 	age := j.age(now)
 	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
 }
 
-// holdsMachinesBack tells whether a job of several tasks has waited for so long that smaller
-// ones that came later must not take each machine as it falls free.
+// holdsMachinesBack reports whether a job of several tasks has waited for so long that smaller
+// jobs that came later must not take each machine as it becomes free.
 func (j *Job) holdsMachinesBack(now time.Duration) bool {
 	return j.Header.Spec.TaskCount > 1 && j.blocksOthers(now)
 }
 
-// gangPass is one walk over the jobs that the leader places.
+// gangPass is one pass over the jobs that the leader reserves machines for.
 type gangPass struct {
 	c            *Controller
 	draft        *draft
 	pass         PlanningPass
-	machines     []inventoryMachine // with room for some job, in the inventory's order
+	machines     []inventoryMachine // machines with room for a task of any of the jobs, in the inventory's order
 	claims       map[string]quotaClaim
-	unplaceable  map[placementKey]bool // kinds of gangs that found no place
-	blockedTeams map[string]bool       // whose limit must come free for a gang that holds machines back
+	unplaceable  map[placementKey]bool // gangs like these found no place in this pass
+	blockedTeams map[string]bool       // teams whose limit a gang that holds machines back waits for
 }
 
-// newGangPass begins a walk over the machines with room.
+// newGangPass returns a pass over the given machines, which have room.
 func (c *Controller) newGangPass(d *draft, pass PlanningPass, machines []inventoryMachine, claims map[string]quotaClaim) *gangPass {
 	return &gangPass{
 		c: c, draft: d, pass: pass, machines: machines, claims: claims,
@@ -77,17 +78,17 @@
 	}
 }
 
-// placementKey is what a job's place depends on. Of jobs alike, none is tried once one found no
-// place: at size most of those waiting are alike.
+// placementKey is everything that decides where a job fits. Once a gang has found no place, no
+// other one with the same key is tried: in large deployments most waiting gangs are alike.
 type placementKey struct {
 	team, zone            string
-	machineTypes          string // joined by commas
+	machineTypes          string // separated by commas
 	request               domain.Resources
 	tasks                 int
 	spot, oneZone, spread bool
 }
 
-// placementKeyOf is what the place of a job depends on.
+// placementKeyOf returns the placement key of a job.
 func placementKeyOf(spec *domain.JobSpec) placementKey {
 	return placementKey{
 		team: spec.Team, zone: spec.Zone, machineTypes: strings.Join(spec.MachineTypes, ","), request: spec.Request,
@@ -95,8 +96,8 @@
 	}
 }
 
-// book walks the jobs; false: the draft is full, or the machines have to come free for a
-// gang that holds them back.
+// book books the jobs in their order. It returns false if the draft is full, or if machines have
+// to become free for a gang that holds them back.
 func (p *gangPass) book(jobs []*Job) bool {
 	for _, j := range jobs {
 		spec := j.Header.Spec
@@ -127,7 +128,8 @@
 	return true
 }
 
-// knownWaitReason is why no job of a kind has to be tried, by what became of those before.
+// knownWaitReason returns why a job need not be tried, given the earlier jobs of this pass, or
+// WaitsForNothing if it has to be tried.
 func (p *gangPass) knownWaitReason(team string, kind placementKey) WaitReason {
 	switch {
 	case p.unplaceable[kind]:
@@ -138,19 +140,20 @@
 	return WaitsForNothing
 }
 
-// foundNoPlace tells whether all of a gang still waits, and is not booked in this draft.
+// foundNoPlace reports whether a job is a gang none of whose tasks is booked, in the draft or
+// before.
 func (p *gangPass) foundNoPlace(j *Job) bool {
 	spec := j.Header.Spec
 	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
 }
 
-// quotaAllowsGang tells whether a team's limit has room for all of a gang, so that machines are
-// all it waits for.
+// quotaAllowsGang reports whether a team's limit has room for all tasks of a gang, so that the
+// gang waits for machines alone.
 func (p *gangPass) quotaAllowsGang(spec *domain.JobSpec) bool {
 	return quota.Within(p.draft.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), p.c.cfg.Teams[spec.Team].Limit)
 }
 
-// isCachedSomewhere tells whether a machine with room for a task of the job has its image.
+// isCachedSomewhere reports whether a machine with room for a task of the job has its image.
 func (p *gangPass) isCachedSomewhere(spec *domain.JobSpec) bool {
 	for i := range p.machines {
 		m := &p.machines[i]
@@ -161,8 +164,8 @@
 	return false
 }
 
-// machinesWithRoom are the machines of the inventory that have room for a task of any of
-// the jobs.
+// machinesWithRoom returns the machines of the inventory that are not cordoned and have room for
+// a task of any of the jobs.
 func (c *Controller) machinesWithRoom(jobs []*Job, d *draft) []inventoryMachine {
 	var requests []domain.Resources
 	for _, j := range jobs {
@@ -184,7 +187,7 @@
 	return machines
 }
 
-// fitsAny tells whether one of the requests fits.
+// fitsAny reports whether any of the requests fits.
 func fitsAny(free domain.Resources, requests []domain.Resources) bool {
 	for _, request := range requests {
 		if free.Fits(request) {
@@ -194,7 +197,7 @@
 	return false
 }
 
-// bookByLeader adds a job's bookings to the draft; false: the draft is full.
+// bookByLeader adds a job's bookings to the draft. It returns false if the draft is full.
 func (c *Controller) bookByLeader(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim, pass PlanningPass) bool {
 	spec := j.Header.Spec
 	if c.isAvoided(j, 0) {
@@ -205,7 +208,7 @@
 	}
 	placed := placementOf(j, d)
 	if spec.Shape == domain.Gang && placed.queued < spec.TaskCount {
-		return true // booked in this draft, or some of the old attempt are not proven off yet
+		return true // booked in this draft, or some tasks of the last attempt are not proven off yet
 	}
 	if spec.Shape == domain.Gang && !c.quotaAllowsPlaced(j, d.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), claims) {
 		return true
@@ -226,8 +229,8 @@
 	return true
 }
 
-// bookGang books all tasks of a gang under one attempt; false: they don't go into what
-// is left of the draft, and wait for an emptier one.
+// bookGang books all tasks of a gang under one attempt number. It returns false if they do not
+// fit the rest of the draft and have to wait for an emptier one.
 func (c *Controller) bookGang(d *draft, j *Job, picks []assignment, pass PlanningPass) bool {
 	if !d.hasRoomForGang(j) {
 		c.planner.dirty = true
@@ -238,14 +241,14 @@
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
 	for _, picked := range picks {
-		d.hasRoomToGrow(j, picked.task) // there is; asked since a job leaves a pack that is too large so
+		d.hasRoomToGrow(j, picked.task) // has room; also lets the job leave an oversized pack
 		d.bookAssignment(j, picked, attempt+1, pass)
 	}
 	return true
 }
 
-// hasRoomForGang tells whether the draft has room for all values of a gang, at their largest,
-// and for conditions on them, its header, its team's share and the cordons of its machines.
+// hasRoomForGang reports whether the draft has room for all values of a gang at their largest,
+// and for conditions on these, its header, its team's key and the cordons of its machines.
 func (d *draft) hasRoomForGang(j *Job) bool {
 	cells, cfg := j.Header.CellCount(), &d.c.cfg
 	cordonPages := min(j.Header.Spec.TaskCount, len(cfg.Nodes))
@@ -253,8 +256,8 @@
 		d.hasRoomForConditions(cells+2+cordonPages)
 }
 
-// finishGang finishes the queued tasks of a gang of which one is done, as earlier versions
-// could leave them; false: the draft is full.
+// finishGang finishes the queued tasks of a gang of which one task is done; earlier versions
+// could leave a gang in this state. It returns false if the draft is full.
 func (c *Controller) finishGang(d *draft, j *Job) bool {
 	for i := 0; i < j.Header.TaskCount; i++ {
 		if d.peek(j, i).State != domain.Queued {
@@ -269,14 +272,14 @@
 	return true
 }
 
-// bookAssignment books a task where it was picked to go.
+// bookAssignment books a task on the machine that it was assigned to.
 func (d *draft) bookAssignment(j *Job, picked assignment, attempt uint64, pass PlanningPass) {
 	place := picked.machine.place()
 	d.book(j, picked.task, place, attempt)
 	d.recordBooking(domain.TaskID{Job: j.ID, Index: picked.task}, place, attempt, pass)
 }
 
-// assignment is a task put on a machine.
+// assignment is a machine chosen for a task that is not booked yet.
 type assignment struct {
 	task    int
 	machine *inventoryMachine
@@ -287,14 +290,14 @@
 	c        *Controller
 	draft    *draft
 	job      *Job
-	placed   placement      // of the job, in the draft
-	zones    map[string]int // its booked tasks by zone, as far as its other tasks depend on them
+	placed   placement      // the job's tasks by state, with the draft's changes
+	zones    map[string]int // its booked tasks by zone, if the job has a zone rule that depends on them
 	machines []inventoryMachine
 	claims   map[string]quotaClaim
 }
 
-// choose picks machines for as many tasks as it can: in the zone that takes most of them,
-// where all must be in one.
+// choose assigns as many tasks as it can. If all tasks must be in one zone, it takes the zone
+// with room for most of them.
 func (p *machineChooser) choose() []assignment {
 	if !p.job.Header.Spec.OneZone {
 		return p.chooseIn("")
@@ -308,7 +311,7 @@
 	return best
 }
 
-// chooseIn picks machines of one zone, or of any where none is named.
+// chooseIn assigns as many tasks as it can to machines of a zone; "": of any zone.
 func (p *machineChooser) chooseIn(zone string) []assignment {
 	d, j := p.draft, p.job
 	spec := j.Header.Spec
@@ -332,7 +335,7 @@
 	return chosen.assignments
 }
 
-// maxTasks is how many further tasks of the job this plan may book.
+// maxTasks returns how many further tasks of the job this plan may book.
 func (p *machineChooser) maxTasks() int {
 	switch {
 	case p.job.Header.Spec.Shape == domain.Gang:
@@ -344,16 +347,17 @@
 	return max(0, tuning.TasksAtOnce-max(0, inDraft))
 }
 
-// zoneAssignments are a job's tasks put on machines of one zone, or of any, so far.
+// zoneAssignments are the assignments made so far for a job's tasks to machines of one zone, or
+// of any.
 type zoneAssignments struct {
 	*machineChooser
 	zone        string // "": any
 	assignments []assignment
-	used        map[string]domain.Resources // by machine
-	byZone      map[string]int              // the job's tasks, booked ones and these
+	used        map[string]domain.Resources // by machine, requests of the assigned tasks
+	byZone      map[string]int              // the job's tasks, both booked and assigned
 }
 
-// accepts tells whether one more task of the job may go to a machine.
+// accepts reports whether one more task of the job may be assigned to a machine.
 func (p *zoneAssignments) accepts(m *inventoryMachine) bool {
 	spec := p.job.Header.Spec
 	if p.zone != "" && m.zone != p.zone || spreadOverZones(spec) && p.byZone[m.zone] >= mostPerZone(spec) {
@@ -362,7 +366,7 @@
 	return p.c.cache.fitsOn(spec, m, p.used[m.name], p.draft)
 }
 
-// machinesWithRoom are the machines that take a task, best first.
+// machinesWithRoom returns the machines that accept a task, best first.
 func (p *zoneAssignments) machinesWithRoom() []*inventoryMachine {
 	var room []*inventoryMachine
 	for i := range p.machines {
@@ -375,7 +379,7 @@
 	return room
 }
 
-// add puts a task on a machine.
+// add assigns a task to a machine.
 func (p *zoneAssignments) add(task int, m *inventoryMachine) {
 	spec := p.job.Header.Spec
 	p.assignments = append(p.assignments, assignment{task: task, machine: m})
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -10,19 +10,19 @@
 	"brassglade/internal/tuning"
 )
 
-// isLargeArray tells whether the leader places the job's tasks only because there are
-// so many of them: each may go anywhere its job allows.
+// isLargeArray reports whether the leader places the job's tasks only because there are so many.
+// Each task may run on any machine that the job allows.
 func isLargeArray(spec *domain.JobSpec) bool {
 	return spec.Shape != domain.Gang && !spec.OneZone && !spec.Spread && spec.TaskCount >= tuning.LargeJobTasks
 }
 
-// reservesMachines tells whether the leader reserves machines for jobs like this one. It
-// doesn't for large arrays, which take the room that other jobs leave: for thousands of
-// waiting tasks it would reserve all machines that fit, and shards place nothing on those.
+// reservesMachines reports whether the leader reserves machines for jobs like this one. It
+// reserves none for large arrays, which take the room that other jobs leave: for thousands of
+// waiting tasks it would reserve every machine that fits, and shards place no tasks there.
 func reservesMachines(spec *domain.JobSpec) bool { return placedByLeader(spec) && !isLargeArray(spec) }
 
-// planLargeArrays books tasks of large arrays, by priority and then first come,
-// first served. Only the leader does.
+// planLargeArrays books tasks of large arrays, by priority and then in the order of acceptance.
+// Only the leader does this.
 func (c *Controller) planLargeArrays(d *draft) {
 	if !c.isLeader() {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// waitingJobs are the open jobs that match, have tasks to book and don't pause after
-// an error.
+// waitingJobs returns the open jobs that match, have tasks to book and do not pause after a
+// failure.
 func (c *cache) waitingJobs(matches func(*domain.JobSpec) bool, now time.Duration) []*Job {
 	var jobs []*Job
 	for _, j := range c.openJobs {
@@ -52,10 +52,10 @@
 	return jobs
 }
 
-// bookLargeArray adds bookings of the job's next tasks to the draft; false: the draft
-// is full. Tasks that share a value go to machines of one owner. If they were spread
-// over all machines, every owner would change most of the array's values to release
-// its tasks, and such commits have no room left for the bookings of other jobs.
+// bookLargeArray adds bookings of the job's next tasks to the draft. It returns false if the
+// draft is full. Tasks that share a value are booked on machines of one owner: if they were
+// spread over all machines, every owner would change most of the array's values to release its
+// tasks, and such commits would have no room left for the bookings of other jobs.
 func (c *Controller) bookLargeArray(d *draft, j *Job, machines []inventoryMachine, claims map[string]quotaClaim) bool {
 	if c.isAvoided(j, 0) {
 		return true
@@ -85,7 +85,7 @@
 	return true
 }
 
-// maxLargeArrayTasks is how many tasks of a large array one plan may book.
+// maxLargeArrayTasks returns how many tasks of a large array one plan may book.
 func (d *draft) maxLargeArrayTasks(j *Job) int {
 	if j.isDoubtful() {
 		return 1 - placementOf(j, d).booked
@@ -93,7 +93,7 @@
 	return tuning.LargeAtOnce
 }
 
-// anyQueued tells whether a task of the cell that begins with task from is queued.
+// anyQueued reports whether any task of the cell that begins with task from is queued.
 func (j *Job) anyQueued(from int) bool {
 	for i, end := from, j.Header.CellEnd(from); i < end; i++ {
 		if j.task(i).State == domain.Queued {
@@ -103,8 +103,8 @@
 	return false
 }
 
-// ownersFitting are the controllers with machines that may take a task of the job,
-// sorted by name.
+// ownersFitting returns the controllers that own a machine that can run a task of the job, sorted
+// by name.
 func (c *Controller) ownersFitting(spec *domain.JobSpec) []string {
 	var owners []string
 	for _, m := range c.inventory() {
@@ -118,7 +118,7 @@
 	return owners
 }
 
-// ownerMachinesWithRoom lists an owner's machines with room for a task of the job, best first.
+// ownerMachinesWithRoom returns an owner's machines with room for a task of the job, best first.
 func (c *Controller) ownerMachinesWithRoom(d *draft, spec *domain.JobSpec, machines []inventoryMachine, owner string) []*inventoryMachine {
 	var room []*inventoryMachine
 	for i := range machines {
@@ -130,9 +130,9 @@
 	return room
 }
 
-// cellBooking is what became of the queued tasks of a cell.
+// cellBooking is the result of booking the queued tasks of a cell.
 type cellBooking struct {
-	tasks     int                 // booked
+	tasks     int                 // number of tasks booked
 	room      []*inventoryMachine // machines that still have room
 	draftFull bool
 }
@@ -151,7 +151,7 @@
 		}
 		if !d.hasRoomToGrow(j, i) {
 			c.planner.dirty = true
-			booking.draftFull = d.changes() >= d.maxChanges // else this value alone is full
+			booking.draftFull = d.changes() >= d.maxChanges // otherwise only this value is full
 			break
 		}
 		m := booking.room[0]
@@ -164,8 +164,9 @@
 	return booking
 }
 
-// quotaAllowsPlaced tells whether a team's use, with a task of a job that the leader places
-// in it, stays within its limit and leaves a starving job its share.
+// quotaAllowsPlaced reports whether a team may use the given resources, which include a task of a
+// job that the leader places: whether they are within the team's limit and leave a starving job
+// what it claims.
 func (c *Controller) quotaAllowsPlaced(j *Job, used domain.Resources, claims map[string]quotaClaim) bool {
 	spec := j.Header.Spec
 	claim := claims[spec.Team]
@@ -181,8 +182,9 @@
 	return true
 }
 
-// compareMachines orders machines for a task of a job that the leader places: first those
-// that have its image, then those reserved for such jobs, spot machines, and the fullest.
+// compareMachines orders machines for a task of a job that the leader places: first those that
+// have its image, then those reserved for such jobs, then spot machines, then those with the most
+// bookings.
 func (c *Controller) compareMachines(spec *domain.JobSpec, a, b *inventoryMachine) int {
 	return cmp.Or(
 		trueFirst(a.hasImage(spec.Image), b.hasImage(spec.Image)),
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -10,8 +10,8 @@
 	"brassglade/internal/tuning"
 )
 
-// placeTasks queues the tasks of this shard on its machines, hands some over to other shards
-// and steals from these.
+// placeTasks puts the tasks of this shard into the queues of its machines, decides which ones are
+// handed over to other shards, and steals tasks from other shards.
 func (c *Controller) placeTasks() {
 	if !c.mayAct() || !c.beginPlacementRun() {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// beginPlacementRun begins a run of placing if it is time: if something changed or the last run is
-// long ago, and in either case a pace after the last one. False: it is not time.
+// beginPlacementRun reports whether a run of placeTasks is due: something changed or the last
+// full run is long ago, and in either case the planning pace has passed since the last run.
 func (c *Controller) beginPlacementRun() bool {
 	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
 		c.queues.lastDrawAt = c.now
@@ -53,8 +53,8 @@
 	return true
 }
 
-// placementMachines are this controller's machines that take tasks, in order of name. The
-// queues of all others are emptied.
+// placementMachines returns this controller's machines that take tasks, ordered by name. It
+// empties the queues of the others.
 func (c *Controller) placementMachines() []*Machine {
 	var machines []*Machine
 	for _, name := range c.heartbeats.machineNames() {
@@ -68,16 +68,16 @@
 	return machines
 }
 
-// placeRound is one walk over the jobs in their order.
+// placeRound is one pass over the jobs in their order.
 type placeRound struct {
-	split  bool // only jobs that are late beyond all aims, or only the others
-	late   bool
-	cached bool // only on machines that have the image or are fetching it
+	split  bool // limited to jobs that are late for all their objectives, or to the others
+	late   bool // if split: which of the two
+	cached bool // only machines that have the image or are fetching it
 }
 
-// placeRounds lists the rounds of one run. Where every slot is wanted, what can still be in
-// time goes first, and within that a task whose image is there goes before one that would keep
-// the slot waiting for a fetch as long as a quarter of a run.
+// placeRounds returns the rounds of one run. Where room is scarce, jobs that can still meet an
+// objective go first. Among these, tasks whose image is on a machine go before tasks that would
+// keep the slot waiting for a fetch, which can take a quarter of a run.
 func placeRounds(scarce bool) []placeRound {
 	if !scarce {
 		return []placeRound{{}}
@@ -90,7 +90,7 @@
 	}
 }
 
-// includes tells whether the round is for a job.
+// includes reports whether the round considers a job.
 func (r placeRound) includes(j *Job) bool { return !r.split || j.beyondAims == r.late }
 
 // placementRun is one run of placeTasks.
@@ -99,11 +99,11 @@
 	targets       []target
 	largeFleet    bool // jobs are handed over as a whole
 	teams         *teamHeadroom
-	targetsByKind map[taskKind][]int // the targets whose queues still take a task of that kind
+	targetsByKind map[taskKind][]int // by kind of task, indices of the targets whose queues still take one
 }
 
-// newPlacementRun looks at the machines as they are. It also takes off their queues what its
-// team has no room for any more.
+// newPlacementRun begins a run with the present state of the machines. It also removes tasks from
+// their queues for which the team has no room any more.
 func (c *Controller) newPlacementRun(machines []*Machine) *placementRun {
 	run := &placementRun{c: c, targets: make([]target, len(machines)), targetsByKind: map[taskKind][]int{}}
 	for i, m := range machines {
@@ -116,7 +116,8 @@
 	return run
 }
 
-// placeJob queues tasks of one job, or has it handed over to another shard as a whole.
+// placeJob puts tasks of one job into queues, or has the job handed over to another shard as a
+// whole.
 func (p *placementRun) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Node
@@ -124,7 +125,7 @@
 		return
 	}
 	full := false
-	var choices []policy.Choice // made for the first task of the job, kept up for the others
+	var choices []policy.Choice // computed for the job's first task, updated after each task
 	for i := 0; i < j.Header.TaskCount && j.mayQueueMore(); i++ {
 		id := domain.TaskID{Job: j.ID, Index: i}
 		if !c.isUnplaced(j, id, j.task(i), isHome) {
@@ -138,7 +139,7 @@
 			continue
 		}
 		if round.cached {
-			break // the next round looks at the other machines
+			break // the next round considers the other machines
 		}
 		p.addPendingLoad(j)
 		if p.largeFleet {
@@ -147,8 +148,8 @@
 	}
 }
 
-// placeNext lets one more task of a job go somewhere; false: its team has no room for it, or
-// nothing can take it now.
+// placeNext places one more task of a job. It returns false if the team has no room for the task,
+// or if the task stays pending in this shard.
 func (p *placementRun) placeNext(j *Job, id domain.TaskID, choices []policy.Choice, round placeRound) bool {
 	if !p.teams.allows(j) {
 		return false
@@ -163,13 +164,13 @@
 	return false
 }
 
-// mayQueueMore tells whether one more task of the job may wait in a queue here.
+// mayQueueMore reports whether one more task of the job may wait in a queue here.
 func (j *Job) mayQueueMore() bool {
 	return j.queuedHere < tuning.QueuedPerJob && !(j.isDoubtful() && j.counts.booked+j.queuedHere > 0)
 }
 
-// isUnplaced tells whether a task waits in this shard and in no queue yet. A task without a
-// shard of its own is in its job's.
+// isUnplaced reports whether a task waits in this shard but in no queue yet. A task without a
+// shard of its own belongs to its job's shard; isHome is whether that is this one.
 func (c *Controller) isUnplaced(j *Job, id domain.TaskID, task domain.Task, isHome bool) bool {
 	switch {
 	case task.State != domain.Queued:
@@ -182,8 +183,9 @@
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
 }
 
-// addPendingLoad counts what stays in the shard's pool for now into its load, unless it is late
-// beyond all aims: one task, or in a large fleet all the others of the job.
+// addPendingLoad adds to the shard's load the run time of what stays pending for now: one task,
+// or in a large fleet all other tasks of the job. Jobs that are late for all objectives do not
+// count.
 func (p *placementRun) addPendingLoad(j *Job) {
 	spec := j.Header.Spec
 	machineType := p.c.anyFittingType(spec)
@@ -198,7 +200,7 @@
 	p.c.queues.poolRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
 }
 
-// anyFittingType is the first machine type that can run tasks of the job; nil: none.
+// anyFittingType returns the first machine type that can run tasks of the job, or nil.
 func (c *Controller) anyFittingType(spec *domain.JobSpec) *domain.MachineType {
 	for i := range c.cache.machineTypes {
 		if machineTypeFits(spec, &c.cache.machineTypes[i]) {
@@ -208,12 +210,13 @@
 	return nil
 }
 
-// place draws where one task goes, from the choices of its job, and lets it go there; false:
-// nothing can take it now, or it drew to stay in the shard's pool.
+// place draws where one task goes, from the choices of its job, and puts it into that machine's
+// queue or marks it for handover to that shard. It returns false if nothing can take the task
+// now, or if the draw left it pending in this shard.
 func (p *placementRun) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
-	// A task is handed over once at most, so that it can't wander.
+	// A task is handed over at most once, so that it cannot move from shard to shard for ever.
 	if j.task(id.Index).Shard == "" && !c.queues.tasksStaying[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
@@ -240,8 +243,8 @@
 	return true
 }
 
-// appendPeers adds the other shards, each at its mean load, that were heard of lately and
-// have a machine for a task of the job.
+// appendPeers appends the other serving shards as choices, each at its mean load, that sent a
+// message lately and have a machine for a task of the job.
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
 	for _, node := range c.cache.view.Serving {
 		peer := c.peers.byName[node]
@@ -255,7 +258,7 @@
 	return offers
 }
 
-// enqueue puts a task last in a target's queue and brings the target up to date.
+// enqueue appends a task to a target's queue and updates the target.
 func (p *placementRun) enqueue(j *Job, id domain.TaskID, index int) {
 	target, image := &p.targets[index], j.Header.Spec.Image
 	p.c.enqueue(id, target.machine)
@@ -266,27 +269,28 @@
 	target.load = p.c.load(target.machine)
 }
 
-// updateChoices brings a job's choices up to date after a target took a task.
+// updateChoices updates a job's choices after a target took a task.
 func (p *placementRun) updateChoices(j *Job, choices []policy.Choice, index int) {
 	cheapest := p.c.leastPrice(j.Header.Spec)
 	for i := range choices {
 		if choices[i].Ref == index && !p.weigh(&choices[i], j, cheapest) {
-			choices[i].Ref = noTarget // the mask takes it out
+			choices[i].Ref = noTarget // excludes it from further draws
 			choices[i].Load, choices[i].Cost = math.Inf(1), 0
 		}
 	}
 }
 
-// teamHeadroom is what teams may still start beside what is booked and queued here. Tasks that
-// can't start would fill the small queues and keep others from idle machines.
+// teamHeadroom tracks what each team may still start besides what is booked and what is in the
+// queues here. Tasks that cannot start would fill the small queues and keep other tasks from idle
+// machines.
 type teamHeadroom struct {
 	c      *Controller
 	claims map[string]quotaClaim
 	used   map[string]domain.Resources
 }
 
-// newTeamHeadroom sums up what teams use by bookings and by the queues here, and takes off the queues
-// what its team has no room for any more.
+// newTeamHeadroom sums up what teams use by bookings and by the queues here, and removes tasks
+// from the queues for which the team has no room any more.
 func (c *Controller) newTeamHeadroom() *teamHeadroom {
 	room := &teamHeadroom{c, c.claims(nil), map[string]domain.Resources{}}
 	for name := range c.cfg.Teams {
@@ -300,7 +304,7 @@
 				continue
 			}
 			if !room.allows(j) {
-				c.dequeue(id) // another shard took the room meanwhile
+				c.dequeue(id) // another shard used the room in the meantime
 				continue
 			}
 			room.addTask(j.Header.Spec)
@@ -309,7 +313,7 @@
 	return room
 }
 
-// allows tells whether the team of a job may start one more task of it.
+// allows reports whether the team of a job may start one more task of it.
 func (r *teamHeadroom) allows(j *Job) bool {
 	if !r.c.guard(GuardQuota) {
 		return true
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -4,24 +4,24 @@
 	"brassglade/internal/domain"
 )
 
-// This file is the one place that answers where a job's tasks are, seen from a draft (nil:
-// as committed). Every rule about a job's tasks together asks it:
+// This file alone determines where a job's tasks are, as seen from a draft or, with a nil draft,
+// as committed. Every rule on the tasks of a job as a whole uses it:
 //
-//   - Committed bookings count as the cache has them, until their release is committed.
-//     A release is drafted only for what is proven off its machine (isProvenOff).
-//   - What is in the draft counts in place of the committed record: one plan may look at
-//     a job several times, and its commit is carried out as a whole or not at all.
-//   - A commit of this controller that is in doubt doesn't count. The draft and that commit
-//     exclude each other (in_doubt.go): if it was carried out, this one won't be.
-//   - Another leader's commits count once they are in the cache. Those that aren't were
-//     conditional on an older view, and all such come before this controller's view.
+//   - A committed booking counts as it is in the cache until its release is committed. Only a
+//     booking that is proven off its machine is released (isProvenOff).
+//   - A change in the draft counts in place of the committed record: one plan may look at a job
+//     several times, and its commit is carried out as a whole or not at all.
+//   - An in-doubt commit of this controller does not count. It and the draft exclude each other
+//     (in_doubt.go): if the former was carried out, the latter will not be.
+//   - Commits of other leaders count once they are in the cache. Those that are not were
+//     conditional on an older view, and precede this controller's view.
 
 // placement counts a job's tasks by state.
 type placement struct {
 	queued, booked, done int
 }
 
-// placementOf counts a job's tasks as the draft would leave them.
+// placementOf counts a job's tasks by state as they would be after the draft.
 func placementOf(j *Job, d *draft) placement {
 	counts := j.counts
 	d.eachCopied(j, func(committed, drafted *domain.Task) {
@@ -31,7 +31,7 @@
 	return counts
 }
 
-// count adds n tasks of a state; n < 0: takes them away.
+// count adds n tasks of a state; n may be negative.
 func (p *placement) count(state domain.TaskState, n int) {
 	switch state {
 	case domain.Queued:
@@ -43,8 +43,8 @@
 	}
 }
 
-// bookedZones counts a job's booked tasks by zone as the draft would leave them. A zone
-// without any is not listed.
+// bookedZones counts a job's booked tasks by zone as they would be after the draft. Zones without
+// a booked task are left out.
 func bookedZones(j *Job, d *draft) map[string]int {
 	zones := map[string]int{}
 	for i := range j.Tasks {
@@ -57,7 +57,7 @@
 	return zones
 }
 
-// countZone adds a task n times to its zone if it is booked.
+// countZone adds n to the count of a task's zone if the task is booked.
 func countZone(zones map[string]int, task *domain.Task, n int) {
 	if task.State != domain.Booked {
 		return
@@ -67,7 +67,8 @@
 	}
 }
 
-// eachCopied calls visit for each task of the job that the draft (nil: none) has a copy of.
+// eachCopied calls visit for each task of the job that the draft has a copy of. The draft may be
+// nil.
 func (d *draft) eachCopied(j *Job, visit func(committed, drafted *domain.Task)) {
 	if d == nil || !d.c.guard(GuardDraft) {
 		return
@@ -81,10 +82,10 @@
 	}
 }
 
-// oneZoneChoices are the zones that further tasks of a job may go to whose tasks must all
-// be in one, given its booked ones: any of all while there are none, then theirs. No zone
-// where they are in several, as earlier versions could leave them: a start in any of these
-// would break the rule until the tasks in the others have ended.
+// oneZoneChoices returns the zones that further tasks of a job may go to if all its tasks must be
+// in one zone, given its booked ones: all zones if none is booked, else the zone of the booked
+// ones. If these are in several zones, as earlier versions could leave them, it returns none: a
+// start in any zone would break the rule until the tasks in the others have ended.
 func oneZoneChoices(booked map[string]int, all []string) []string {
 	if len(booked) == 0 {
 		return all
@@ -98,6 +99,6 @@
 	return nil
 }
 
-// mostPerZone is how many tasks of a job may be in one zone whose tasks must be spread:
-// at most half, rounded up.
+// mostPerZone returns how many tasks of a job may be in one zone if they must be spread over
+// zones: half of them, rounded up.
 func mostPerZone(spec *domain.JobSpec) int { return (spec.TaskCount + 1) / 2 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -8,8 +8,9 @@
 	"brassglade/internal/domain"
 )
 
-// twoZoneLeader is a leader that may act, with a machine for four tasks in each zone, both with the
-// image, and one open job of n tasks.
+// twoZoneLeader returns a leader that may act, with two zones, and one open job of six tasks, or as
+// changed by change. Each zone has one machine, which has room for four such tasks and has the
+// job's image.
 func twoZoneLeader(t *testing.T, change func(*codec.JobHeader)) (*Controller, *Job) {
 	t.Helper()
 	c := actingController()
@@ -26,19 +27,20 @@
 	return c, c.cache.jobs[jobName(1)]
 }
 
-// spreadOfFour makes a job one of four tasks, half of which each zone may take.
+// spreadOfFour changes a job to four tasks that must be spread over zones, two in each.
 func spreadOfFour(header *codec.JobHeader) {
 	header.Spec.Spread, header.TaskCount, header.ChunkSize, header.Spec.TaskCount = true, 4, 4, 4
 }
 
-// gangOfTwo makes a job a gang of two tasks.
+// gangOfTwo changes a job to a gang of two tasks.
 func gangOfTwo(header *codec.JobHeader) {
 	header.Spec.Shape, header.TaskCount, header.ChunkSize, header.Spec.TaskCount = domain.Gang, 2, 2, 2
 }
 
-// TestZoneRulesAcrossPasses: the leader walks its jobs twice in one plan. The second walk must
-// count what the first one booked in the same draft, of which no record exists yet. Before,
-// it chose a zone anew (docs/incidents/production-wrong-place.md).
+// TestZoneRulesAcrossPasses guards against tasks in a wrong zone. The leader makes two passes over
+// its jobs in one plan. The second pass must count what the first one booked in the draft, which is
+// not committed yet; when it did not, it chose a zone anew
+// (docs/incidents/production-wrong-place.md).
 func TestZoneRulesAcrossPasses(t *testing.T) {
 	for name, test := range map[string]struct {
 		guard  Guard
@@ -46,9 +48,9 @@
 		want   string
 	}{
 		"one zone":                    {"", func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4]"},
-		"one zone, without the draft": {GuardDraft, func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
-		"at most half":                {"", spreadOfFour, "map[a:2 b:2]"},
-		"anywhere in its own zone":    {"", func(h *codec.JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
+		"one zone, draft not counted": {GuardDraft, func(h *codec.JobHeader) { h.Spec.OneZone = true }, "map[a:4 b:2]"},
+		"at most half per zone":       {"", spreadOfFour, "map[a:2 b:2]"},
+		"zone named by the job":       {"", func(h *codec.JobHeader) { h.Spec.OneZone, h.Spec.Zone = true, "b" }, "map[b:4]"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, j := twoZoneLeader(t, test.change)
@@ -62,7 +64,7 @@
 	}
 }
 
-// bookedIn counts a draft's bookings of a job by zone, from its copies alone.
+// bookedIn counts a draft's booked tasks of a job by zone, without placementOf and bookedZones.
 func bookedIn(d *draft, j *Job) map[string]int {
 	zones := map[string]int{}
 	for i := 0; i < j.Header.TaskCount; i++ {
@@ -73,8 +75,9 @@
 	return zones
 }
 
-// TestSpreadLimitCountsDraft: one machine's zone has room for all tasks, half of which may
-// be there; the second walk must not book the other half.
+// TestSpreadLimitCountsDraft checks the limit of tasks per zone across the leader's two passes. Only
+// one zone has room, for all tasks, but half of them may be there; the second pass must not book the
+// other half.
 func TestSpreadLimitCountsDraft(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 4} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
@@ -90,8 +93,9 @@
 	}
 }
 
-// TestOneZoneJobInTwoZones: a job whose tasks an earlier version put in two zones gets no more
-// until one zone is left, and then all further ones there.
+// TestOneZoneJobInTwoZones checks that a job that must be in one zone, but whose tasks an earlier
+// version put in two, gets no more tasks until those in one of the zones have ended, and then all
+// further ones in the other.
 func TestOneZoneJobInTwoZones(t *testing.T) {
 	c, j := twoZoneLeader(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	for i, zone := range c.cfg.Zones {
@@ -100,7 +104,7 @@
 	d := c.newDraft()
 	c.planGangs(d)
 	if booked := len(d.changed); booked != 0 {
-		t.Errorf("%d tasks are booked while others are in two zones", booked)
+		t.Errorf("%d further tasks are booked while the job is in two zones", booked)
 	}
 	c.setTask(j, 0, domain.Task{State: domain.Done})
 	d = c.newDraft()
@@ -110,7 +114,8 @@
 	}
 }
 
-// TestPlacementCountsTheDraft: counts follow the draft, for releases as for bookings.
+// TestPlacementCountsTheDraft checks that placementOf and bookedZones count the releases, bookings
+// and ends in a draft.
 func TestPlacementCountsTheDraft(t *testing.T) {
 	c, j := twoZoneLeader(t, func(h *codec.JobHeader) { h.Spec.OneZone = true })
 	c.setTask(j, 0, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000000", AgentEpoch: 1, Shard: "c-0", Zone: "a"})
@@ -118,19 +123,20 @@
 	d.release(j, 0, false)
 	d.book(j, 1, bookingPlace{machine: "n-000001", zone: "b", agentEpoch: 1}, 1)
 	d.finish(j, 2)
-	if at := placementOf(j, d); at != (placement{queued: 4, booked: 1, done: 1}) {
-		t.Errorf("in the draft: %+v", at)
+	if counts := placementOf(j, d); counts != (placement{queued: 4, booked: 1, done: 1}) {
+		t.Errorf("placement in the draft: %+v", counts)
 	}
-	if at := placementOf(j, nil); at != (placement{queued: 5, booked: 1}) {
-		t.Errorf("committed: %+v", at)
+	if counts := placementOf(j, nil); counts != (placement{queued: 5, booked: 1}) {
+		t.Errorf("committed placement: %+v", counts)
 	}
 	if got := fmt.Sprint(bookedZones(j, d), bookedZones(j, nil)); got != "map[b:1] map[a:1]" {
-		t.Errorf("zones %s", got)
+		t.Errorf("booked tasks by zone, in the draft and committed: %s", got)
 	}
 }
 
-// TestBookedGangKindStaysPlaceable: a gang booked in the first walk found a place; one like it
-// must be tried in the second walk, too.
+// TestBookedGangKindStaysPlaceable checks that a gang that the first pass booked does not count as
+// one that found no place: a gang with the same placement key must still be tried in the second
+// pass.
 func TestBookedGangKindStaysPlaceable(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 0} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
@@ -151,9 +157,9 @@
 	}
 }
 
-// TestGangFinishesTogether: one task of a gang is done and the other's machine lost its lease,
-// and both come into one draft. All are done; before, the second was queued again, and no
-// plan ever looked at the job again.
+// TestGangFinishesTogether guards against a gang that never ends. One draft has the end of one task
+// and the release of the other, whose machine lost its lease. Both tasks must be done; when the
+// second was queued again, no plan ever considered the job again.
 func TestGangFinishesTogether(t *testing.T) {
 	for guard, want := range map[Guard]domain.JobState{"": domain.StateDone, GuardDraft: domain.StateOpen} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
@@ -161,14 +167,14 @@
 			c.cfg.DisabledGuard = guard
 			d := releasePartlyDoneGang(c, j)
 			if got := d.header(j).State; got != want {
-				t.Errorf("the job is %s, want %s", got, want)
+				t.Errorf("the job's state is %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-// releasePartlyDoneGang drafts the releases of a gang's two tasks: the first is done, the
-// second's machine began a new agent epoch.
+// releasePartlyDoneGang returns a draft with the releases of a gang's two tasks: the first is done,
+// and the agent of the second's machine began a new epoch.
 func releasePartlyDoneGang(c *Controller, j *Job) *draft {
 	for i, name := range []string{"n-000000", "n-000001"} {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: name, AgentEpoch: 1, Shard: "c-0", Zone: "a"})
@@ -181,8 +187,8 @@
 	return d
 }
 
-// TestHalfDoneGangFinishes: a gang that an earlier version left with one task done and one
-// queued comes to its end.
+// TestHalfDoneGangFinishes checks that a gang that an earlier version left with one task done and
+// one queued is finished.
 func TestHalfDoneGangFinishes(t *testing.T) {
 	c, j := twoZoneLeader(t, gangOfTwo)
 	c.setTask(j, 0, domain.Task{State: domain.Done})
@@ -190,6 +196,6 @@
 	d := c.newDraft()
 	c.planGangs(d)
 	if got := d.header(j).State; got != domain.StateDone {
-		t.Errorf("the job is %s", got)
+		t.Errorf("the job's state is %s, want done", got)
 	}
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -6,25 +6,25 @@
 	"brassglade/internal/tuning"
 )
 
-// planner is what lasts from one plan to the next.
+// planner is the state that is kept from one plan to the next.
 type planner struct {
 	dirty                 bool                     // something changed since the last plan
-	nextPlan              steady.Gate              // a pace after the last one
-	largeArraysTurn       bool                     // large arrays went first in the last plan
-	largestReleasesTurn   bool                     // the next releases go by how much their values have to change
-	assumeMaxBookingBytes bool                     // the next draft keeps room for the longest texts
-	splitTurn             bool                     // the next commit brings a value to its new size
-	foreignTurn           bool                     // the next commit is for a value of another shard
-	foreignValues         map[string]bool          // values of other shards that wait for a change from here
-	lastForeignValue      string                   // the last one that was changed
-	firstReleaseMachine   string                   // machine at which releases begin
-	taskHandovers         map[domain.TaskID]string // to be handed over, and to which shard
-	jobHandovers          map[string]string        // untouched jobs to be handed over, and to which shard
-	pendingReleases       map[attemptID]bool       // attempts that a commit releases: no start of them may go out
+	nextPlan              steady.Gate              // when the next plan may be made, a pace after the last one
+	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; changes with each
+	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; changes with each
+	assumeMaxBookingBytes bool                     // the next draft plans with the largest size of a booking
+	splitTurn             bool                     // this commit may split a value; changes with each
+	foreignTurn           bool                     // the next commit may be for a value of another shard; changes with each
+	foreignValues         map[string]bool          // other shards' values that wait for a change by this controller
+	lastForeignValue      string                   // key of the one that was changed last
+	firstReleaseMachine   string                   // machine whose releases come first in the next plan
+	taskHandovers         map[domain.TaskID]string // by task to be handed over: the shard that gets it
+	jobHandovers          map[string]string        // by job to be handed over as a whole: the shard that gets it
+	pendingReleases       map[attemptID]bool       // attempts that a commit releases; no start of them may be sent
 	preempted             map[attemptID]bool       // bookings to be stopped for tasks that wait on the same machine
 }
 
-// newPlanner has planned nothing yet.
+// newPlanner returns a planner that has planned nothing yet.
 func newPlanner() planner {
 	return planner{
 		foreignValues:   map[string]bool{},
@@ -35,21 +35,22 @@
 	}
 }
 
-// attemptID names one attempt of a task.
+// attemptID identifies one attempt of a task.
 type attemptID struct {
 	Task    domain.TaskID
 	Attempt uint64
 }
 
-// planCommit sends the next task commit if there is something to commit. It is planned only
-// once it can go out: what waits for credit meanwhile is outrun by others' commits.
+// planCommit plans and sends the next task commit if there is something to commit. It plans only
+// when a commit can be sent at once: a plan that had to wait for credit would lose against
+// commits that others make in the meantime.
 //
 // A commit is for one of three things, in turns: a value that has to be split, one value of
-// another shard, or all that this controller's own values need. Own values and one of
-// another shard never go together: any change of the other shard's fails the whole commit,
-// and with several of them in each a controller can lose every time, for minutes. A draft
-// that repeats a value in doubt (in_doubt.go) isn't empty: own values wait until it is
-// through.
+// another shard, or everything that this shard's values need. Own values and another shard's
+// are never mixed: a change of another shard's value by its own controller fails the whole
+// commit, and with several such values in each commit a controller can lose every time, for
+// minutes. While a commit is in doubt every draft repeats one of its values (in_doubt.go) and so
+// is not empty: own values then wait until the outcome is known.
 func (c *Controller) planCommit() {
 	if !c.planner.dirty || !c.planner.nextPlan.IsOpen(c.now) || !c.canCommitTasks() {
 		return
@@ -57,7 +58,7 @@
 	c.planner.nextPlan.Close(c.now + c.pace())
 	c.planner.dirty = false
 	clear(c.commits.oversizedInPlan)
-	d := c.newDraft() // forgets the commit in doubt if that is settled by now
+	d := c.newDraft() // forgets the in-doubt commit if its outcome is known by now
 	if c.takeSplitTurn() {
 		c.planSplits(d)
 		if d.changes() > 0 {
@@ -78,7 +79,7 @@
 		return
 	}
 	if c.cache.formatOn() && !c.planner.assumeMaxBookingBytes && c.tooLarge(d.transaction()) {
-		// The same again, at once, with room for the longest texts.
+		// Plan again at once, with the largest size of a booking.
 		c.planner.assumeMaxBookingBytes, c.planner.dirty = true, true
 		c.planner.nextPlan.Close(c.now)
 		return
@@ -87,22 +88,22 @@
 	c.sendPlan(d)
 }
 
-// takeSplitTurn tells whether this commit is to split a value, which every second one is
-// while there are values to split.
+// takeSplitTurn reports whether this commit is to split a value: every second one is while there
+// are values to split.
 func (c *Controller) takeSplitTurn() bool {
 	c.planner.splitTurn = !c.planner.splitTurn
 	return c.planner.splitTurn && c.maySplit()
 }
 
-// maySplit tells whether there are values to split, all controllers read split ones, and no
-// commit that may still change one is unsettled.
+// maySplit reports whether there are values to split, this is possible (mayShrinkValues), and no
+// in-doubt commit may still change one.
 func (c *Controller) maySplit() bool {
 	anyToSplit := len(c.cache.oversized)+len(c.commits.fullValues) > 0
 	return anyToSplit && c.commits.inDoubt.key == "" && c.mayShrinkValues()
 }
 
-// planForeignValue plans the changes of one value of another shard, if it is the turn of
-// those and one waits.
+// planForeignValue plans the changes of one value of another shard, if it is the turn of such
+// values and one waits.
 func (c *Controller) planForeignValue(d *draft) {
 	if key := c.nextForeignValue(); key != "" && c.planner.foreignTurn {
 		d.foreignKey, c.planner.lastForeignValue = key, key
@@ -112,52 +113,52 @@
 	c.planner.foreignTurn = !c.planner.foreignTurn
 }
 
-// planOwnValues plans the changes of this shard's values, and notes which ones of other
-// shards wait.
+// planOwnValues plans the changes of this shard's values, and collects the other shards' values
+// that wait for a change.
 func (c *Controller) planOwnValues(d *draft) {
 	clear(c.planner.foreignValues)
 	c.planTasks(d)
 	c.planner.dirty = c.planner.dirty || len(c.planner.foreignValues) > 0
 }
 
-// planStage is one step of a plan. It adds what it can to the draft; what finds no room
-// there sets planner.dirty, so that the next plan tries again.
+// planStage is one stage of a plan. It adds what it can to the draft. If the draft has no room for
+// something, the stage sets planner.dirty, so that the next plan tries again.
 type planStage struct {
 	budget func(*draft)
 	plan   func(*Controller, *draft)
 }
 
-// planStages are the steps of a plan of own values. A transaction takes few changes and
-// bytes, and each stage leaves some to those after it: finishes alone, of many jobs, would
-// fill one after the other. Stages that book ask what teams' limits are claimed for (claims)
-// anew, each with what those before it drafted.
+// planStages are the stages of a plan for own values. A transaction has few changes and bytes, and
+// each stage leaves some to the later ones: otherwise the ends of many jobs' tasks alone would
+// fill one transaction after another. Stages that book tasks compute the claims on teams' limits
+// (claims) anew, with what earlier stages drafted.
 var planStages = [...]planStage{
-	// Gangs on machines that go away have seconds left to save their progress.
+	// Gangs on machines about to be taken away have only seconds left to save their progress.
 	{(*draft).allowAll, (*Controller).planGangStops},
-	// A gang needs many machines at once, and starts before the rest takes some of them.
-	// Two changes stay for the releases that make room for all else.
+	// A gang needs many machines at once, so it is placed before other jobs take some of them.
+	// Two changes are left for releases, which make room for everything else.
 	{(*draft).reserveTwoChanges, (*Controller).planGangs},
-	// Large arrays go before other jobs' tasks and after them in turns.
+	// Large arrays alternate between going before and after other jobs' tasks.
 	{(*draft).reserveTwoChanges, (*Controller).planLargeArraysFirst},
-	// Releases before bookings, which may use the room in the same commit. A quarter stays
-	// for bookings, or a backlog of ends would leave machines idle.
+	// Releases come before bookings, which may use the room in the same commit. A quarter of the
+	// transaction is left for bookings, or a backlog of ended tasks would keep machines idle.
 	{(*draft).reserveQuarter, (*Controller).planReleases},
 	{(*draft).allowAll, (*Controller).planBookings},
 	{(*draft).allowAll, (*Controller).planLargeArraysLast},
-	// What is not booked here may go elsewhere.
+	// What is not booked here may be handed over to another shard.
 	{(*draft).allowAll, (*Controller).planHandovers},
-	// Last, when the use of each team's limit is known.
+	// This stage is last, since the use of each team's limit is known only then.
 	{(*draft).allowAll, (*Controller).planShares},
 }
 
-// foreignStages are the steps of a plan for one value of another shard: what this
-// controller's machines do with that shard's tasks.
+// foreignStages are the stages of a plan for one value of another shard. They cover what
+// happens to that shard's tasks on this controller's machines.
 var foreignStages = [...]planStage{
 	{(*draft).allowAll, (*Controller).planReleases},
 	{(*draft).allowAll, (*Controller).planBookings},
 }
 
-// planTasks fills a draft stage by stage.
+// planTasks runs the stages of a plan on a draft.
 func (c *Controller) planTasks(d *draft) {
 	stages := planStages[:]
 	if d.foreignKey != "" {
@@ -171,36 +172,36 @@
 	}
 }
 
-// allowAll lets a stage fill the draft.
+// allowAll lets a stage use the whole budget of the draft.
 func (d *draft) allowAll() { d.maxChanges, d.maxBytes = d.c.cfg.TransactionLimit, tuning.TxnBytes }
 
-// reserveTwoChanges keeps two changes from a stage, unless transactions are small.
+// reserveTwoChanges reserves two changes for later stages, unless transactions are small.
 func (d *draft) reserveTwoChanges() {
-	most := d.c.cfg.TransactionLimit
-	d.maxChanges = min(most, max(tuning.SmallTransaction, most-2))
+	limit := d.c.cfg.TransactionLimit
+	d.maxChanges = min(limit, max(tuning.SmallTransaction, limit-2))
 }
 
-// reserveQuarter keeps a quarter of changes and bytes from a stage, unless the draft is that
-// full already: two changes are always allowed.
+// reserveQuarter reserves a quarter of the changes and bytes for later stages, as far as they are
+// not used yet. The present stage always gets two changes, if the transaction has them.
 func (d *draft) reserveQuarter() {
-	most := d.c.cfg.TransactionLimit
-	d.maxChanges = min(most, max(d.changes()+2, most-most/4))
+	limit := d.c.cfg.TransactionLimit
+	d.maxChanges = min(limit, max(d.changes()+2, limit-limit/4))
 	d.maxBytes = max(d.bytes, tuning.TxnBytes-tuning.TxnBytes/4)
 }
 
-// planLargeArraysFirst books large arrays where it is their turn to go first.
+// planLargeArraysFirst books large arrays in plans in which they go before other jobs' tasks.
 func (c *Controller) planLargeArraysFirst(d *draft) {
 	if c.planner.largeArraysTurn {
 		c.planLargeArrays(d)
 	}
 }
 
-// planLargeArraysLast books large arrays where they didn't go first.
+// planLargeArraysLast books large arrays in all other plans.
 func (c *Controller) planLargeArraysLast(d *draft) {
 	if !c.planner.largeArraysTurn {
 		c.planLargeArrays(d)
 	}
 }
 
-// planShares writes teams' shares of limits that no longer match what is used.
+// planShares writes the teams' shares of limits that no longer match their use.
 func (c *Controller) planShares(d *draft) { d.settleShares() }
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -9,16 +9,16 @@
 	"brassglade/internal/tuning"
 )
 
-// bookingCandidate is the head of a machine's queue, with room for it there.
+// bookingCandidate is the first startable task in a machine's queue; the machine has room for it.
 type bookingCandidate struct {
 	machine *Machine
 	task    domain.TaskID
 	job     *Job
-	isOwed  bool // to its team, within the team's guarantee
+	isOwed  bool // within its team's guarantee
 }
 
-// compareBookingCandidates orders heads of queues: what teams are owed first, then by
-// priority, then first come, first served.
+// compareBookingCandidates orders candidates: those within their team's guarantee first, then by
+// priority, then in the order of acceptance.
 func compareBookingCandidates(a, b bookingCandidate) int {
 	return cmp.Or(
 		trueFirst(a.isOwed, b.isOwed),
@@ -27,7 +27,7 @@
 	)
 }
 
-// planBookings starts heads of queues where there is room, one a machine in each round.
+// planBookings books tasks from the machines' queues, at most one per machine in each round.
 func (c *Controller) planBookings(d *draft) {
 	if !c.guard(GuardBook) {
 		return
@@ -51,8 +51,8 @@
 	}
 }
 
-// machinesToBook are this controller's machines with a queue that take bookings and aren't
-// reserved for jobs placed by the leader.
+// machinesToBook returns this controller's machines that have a queue, take bookings, and are not
+// reserved for jobs that the leader places.
 func (c *Controller) machinesToBook() []*Machine {
 	var machines []*Machine
 	for _, name := range c.heartbeats.machineNames() {
@@ -64,8 +64,8 @@
 	return machines
 }
 
-// headOfQueue is the first task in a machine's queue that could start now; false: none, or
-// the first one has no room yet and is waited for.
+// headOfQueue returns the first task in a machine's queue that could start now. It returns false
+// if there is none, or if a task that may start does not fit yet and the others wait for it.
 func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.cache.queueByPriority(m) {
@@ -83,19 +83,19 @@
 		}
 		spec := j.Header.Spec
 		if !c.quotaAllows(j, d, claims) {
-			continue // waits for its team without blocking others
+			continue // it waits for its team's quota without blocking others
 		}
 		if !free.Fits(spec.Request) {
 			c.noteWait(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
-			return bookingCandidate{}, false // first come, first served
+			return bookingCandidate{}, false // the queue waits for room for its first task
 		}
 		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isOwed(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
 
-// waitsOn tells whether a task in a machine's queue is still to be started there: the queue
-// may be older than the cache.
+// waitsOn reports whether a task in a machine's queue is still to be started there. The queue may
+// be older than the cache.
 func (c *Controller) waitsOn(d *draft, m *Machine, j *Job, id domain.TaskID) bool {
 	if c.queues.machineOf[id] != m.Name || j == nil || j.phase != phaseOpen || d.changed[id] {
 		return false
@@ -104,14 +104,14 @@
 	return task.State == domain.Queued && c.cache.taskShard(j, task) == c.cfg.Node
 }
 
-// isPostponed tells whether a task doesn't start now: its job pauses after an error, or it
-// is about to be handed over.
+// isPostponed reports whether a task must not start now: its job pauses after a failure, or the
+// task is about to be handed over.
 func (p *planner) isPostponed(j *Job, id domain.TaskID, now time.Duration) bool {
 	return j.isPaused(now) || p.taskHandovers[id] != "" || p.jobHandovers[id.Job] != ""
 }
 
-// bookCandidates books those that the draft and their teams' limits take, and tells whether
-// another round may book more: false if none was booked, or the draft is full.
+// bookCandidates books the candidates that the draft and their teams' limits have room for. It
+// reports whether another round may book more: not if none was booked or the draft is full.
 func (c *Controller) bookCandidates(d *draft, candidates []bookingCandidate, claims map[string]quotaClaim) bool {
 	anyBooked := false
 	for _, candidate := range candidates {
@@ -124,7 +124,7 @@
 			if d.isNearlyFull() {
 				return false
 			}
-			continue // its pack is full; others may still go in
+			continue // its value is full; others may still have room
 		}
 		attempt := j.task(candidate.task.Index).Attempt + 1
 		place := candidate.machine.place()
@@ -135,16 +135,16 @@
 	return anyBooked
 }
 
-// isNearlyFull tells whether the draft takes hardly any further bookings, and trying them
-// all isn't worth the time.
+// isNearlyFull reports whether the draft has so little room for further bookings that trying them
+// all is not worth the time.
 func (d *draft) isNearlyFull() bool {
-	most := d.c.cfg.TransactionLimit
-	return d.changes() >= most-2 && most > tuning.SmallTransaction || !d.hasRoomForConditions(3)
+	limit := d.c.cfg.TransactionLimit
+	return d.changes() >= limit-2 && limit > tuning.SmallTransaction || !d.hasRoomForConditions(3)
 }
 
-// queueByPriority is a machine's queue, first come, first served among tasks of the same
-// priority. A small urgent task that fits must not wait behind a large one that
-// doesn't: on a day of pipelines their last jobs waited 30 s so.
+// queueByPriority returns a machine's queue, sorted by priority and, within a priority, in the
+// order of arrival. A small urgent task that fits must not wait behind a large one that does
+// not: in a scenario with pipelines, their last jobs waited 30 s that way.
 func (c *cache) queueByPriority(m *Machine) []domain.TaskID {
 	for i := 1; i < len(m.queue); i++ {
 		if c.priorityOf(m.queue[i]) > c.priorityOf(m.queue[i-1]) {
@@ -155,7 +155,7 @@
 	return m.queue
 }
 
-// priorityOf is the priority of a task's job; 0: the cache doesn't have it any more.
+// priorityOf returns the priority of a task's job, or 0 if the cache no longer has the job.
 func (c *cache) priorityOf(id domain.TaskID) domain.Priority {
 	if j := c.jobs[id.Job]; j != nil {
 		return j.priority
--- a/internal/scheduler/plan_gang_stops.go
+++ b/internal/scheduler/plan_gang_stops.go
@@ -2,9 +2,9 @@
 
 import "brassglade/internal/domain"
 
-// planGangStops asks for the orderly stop of gangs that have a task on a machine about to
-// be taken away: the header carries it to all owners, which stop their tasks well within
-// gang_peer_s of each other.
+// planGangStops requests the orderly stop of gangs that have a task on a machine about to be taken
+// away. The job's header tells all owners of the gang's machines, which stop their tasks well
+// within gang_peer_s of each other.
 func (c *Controller) planGangStops(d *draft) {
 	for _, name := range c.heartbeats.machineNames() {
 		if len(c.cache.bookedOn[name]) == 0 || !c.cache.isGoingAway(c.heartbeats.machines[name]) || !c.owns(name) {
@@ -20,15 +20,15 @@
 	}
 }
 
-// isGoingAway tells whether the cloud gave notice for a machine, or it is drained since it
-// is faulty.
+// isGoingAway reports whether the cloud announced the preemption of a machine, or the machine is
+// drained because it is faulty.
 func (c *cache) isGoingAway(m *Machine) bool {
 	cordon := c.cordons[m.Name]
 	return m.preemptionAt >= 0 || cordon.State == domain.CordonDrain && cordon.Reason == domain.DrainFaulty
 }
 
-// needsGangStop tells whether a booked task is one of a gang that nobody stopped yet. A
-// gang of one is stopped by its machine's owner alone.
+// needsGangStop reports whether a booked task belongs to a gang whose present attempt has not been
+// stopped yet. A gang of one task is stopped by its machine's owner alone.
 func needsGangStop(j *Job, task domain.Task) bool {
 	spec := j.Header.Spec
 	return spec != nil && spec.Shape == domain.Gang && spec.TaskCount > 1 &&
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -7,15 +7,16 @@
 	"brassglade/internal/domain"
 )
 
-// planHandovers writes the shards of jobs and tasks that were passed on or stolen. What finds no room
-// waits for the next plan.
+// planHandovers records the new shards of jobs and tasks that were handed over or stolen. Those
+// for which the draft has no room wait for the next plan.
 func (c *Controller) planHandovers(d *draft) {
 	if c.planJobHandovers(d) {
 		c.planTaskHandovers(d)
 	}
 }
 
-// planJobHandovers hands over untouched jobs with all their tasks; false: the draft is full.
+// planJobHandovers hands over whole jobs, none of whose tasks was booked or handed over. It
+// returns false if the draft is full.
 func (c *Controller) planJobHandovers(d *draft) bool {
 	for _, id := range slices.Sorted(maps.Keys(c.planner.jobHandovers)) {
 		if d.changes() >= c.cfg.TransactionLimit || !d.hasRoomForConditions(4) {
@@ -30,14 +31,15 @@
 		d.handOverJob(j, to)
 		d.onCommit = append(d.onCommit, func() {
 			c.learner.passes += j.Header.TaskCount
-			c.debug("job handed over", "job", id, "to", to)
+			c.debug("job handed over", "job", id, "shard", to)
 		})
 	}
 	return true
 }
 
-// canHandOverJob tells whether a job may still go to another shard with all its tasks: nothing
-// happened to it since that was decided, and its new controller still serves.
+// canHandOverJob reports whether a job may still be handed over to a shard as a whole: none of its
+// tasks was booked, queued or handed over since that was decided, and the shard's controller
+// still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
 		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Node
@@ -59,13 +61,13 @@
 		c.dequeue(id)
 		d.onCommit = append(d.onCommit, func() {
 			c.learner.passes++
-			c.debug("task handed over", "task", id, "to", to)
+			c.debug("task handed over", "task", id, "shard", to)
 		})
 	}
 }
 
-// canHandOverTask tells whether a task still waits here, this plan doesn't book it, and its
-// new controller still serves.
+// canHandOverTask reports whether a task still waits in this shard, is not booked by this plan, and
+// the controller of its new shard still serves.
 func (c *Controller) canHandOverTask(d *draft, j *Job, id domain.TaskID, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && !d.changed[id] && j.task(id.Index).State == domain.Queued &&
 		slices.Contains(c.cache.view.Serving, to) && c.cache.taskShard(j, j.task(id.Index)) == c.cfg.Node
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -8,16 +8,16 @@
 	"brassglade/internal/domain"
 )
 
-// provenRelease is a booking whose attempt is proven off its machine.
+// provenRelease is the release of a booking whose attempt is proven off its machine.
 type provenRelease struct {
 	machine  *Machine
 	task     domain.TaskID
-	report   domain.TaskReport // the machine's last one of the task
-	reported bool              // of this very attempt
+	report   domain.TaskReport // the machine's last report on the task
+	reported bool              // the report is on this attempt
 	done     bool
 }
 
-// planReleases commits outcomes and releases of this controller's machines.
+// planReleases records the ends of tasks on this controller's machines and releases their bookings.
 func (c *Controller) planReleases(d *draft) {
 	releases, byValue := c.provenReleases()
 	if c.takeLargestReleasesTurn(d, len(byValue)) {
@@ -28,10 +28,10 @@
 	full := false
 	for _, proven := range releases {
 		j := c.cache.jobs[proven.task.Job]
-		done := proven.done || j.isGangDone(d) // a mate's end may stand in this very draft
+		done := proven.done || j.isGangDone(d) // the end of another task of the gang may be in this draft
 		if d.hasRoomToEnd(j, proven.task.Index, done) {
 			c.release(d, j, proven, done)
-			continue // others may change values that are in already
+			continue // others may be in values that the draft writes already
 		}
 		c.planner.dirty = true
 		if !full {
@@ -42,9 +42,9 @@
 	c.planCancelledJobs(d)
 }
 
-// provenReleases are the bookings on this controller's machines that are over, machine by
-// machine, and how many there are of each value. They begin where the last full draft
-// stopped, so that none is always left out.
+// provenReleases returns the bookings on this controller's machines that can be released, machine
+// by machine, and their number in each value, by key. It begins with the machine at which the last
+// full draft stopped, so that none is left out every time.
 func (c *Controller) provenReleases() (releases []provenRelease, byValue map[string]int) {
 	byValue = map[string]int{}
 	names := c.heartbeats.machineNames()
@@ -70,7 +70,7 @@
 	return releases, byValue
 }
 
-// provenOffTasks are the tasks booked on a machine that are proven off it, in order.
+// provenOffTasks returns the tasks booked on a machine that are proven off it, sorted.
 func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
@@ -81,8 +81,8 @@
 	return inOrder(ids)
 }
 
-// releaseOf is the release of a task that is proven off its machine, with what the
-// machine said of it.
+// releaseOf returns the release of a task that is proven off its machine, with the machine's last
+// report on it.
 func (c *Controller) releaseOf(m *Machine, j *Job, id domain.TaskID) provenRelease {
 	task := j.task(id.Index)
 	report, known := m.reported[id]
@@ -97,9 +97,9 @@
 	}
 }
 
-// willResendStart tells whether the start of a booking that the machine doesn't know of
-// was lost on the way and is simply sent again: the agent that it is for is there, no commit
-// releases it, and the booking still has a purpose.
+// willResendStart reports whether the start of a booking that the machine does not know of was
+// lost on the way and will be sent again: the agent that it was for is still there, no commit
+// releases the booking, and the booking is still needed.
 func (c *Controller) willResendStart(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	isForThisAgent := m.agentEpoch == task.AgentEpoch && m.abandonedEpoch < task.AgentEpoch
@@ -107,9 +107,9 @@
 		!c.planner.pendingReleases[attemptID{id, task.Attempt}] && c.isStillWanted(m, j, id)
 }
 
-// isStillWanted tells whether a booking still has a purpose: its job is open and neither
-// its gang was stopped or broken nor its machine is about to be taken away, to be emptied,
-// or to make room for a task that waits there.
+// isStillWanted reports whether a booking is still needed: its job is open, its gang was neither
+// stopped nor broken, and its machine is not about to be taken away, emptied, or used for a task
+// that preempts it.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	switch {
@@ -125,22 +125,22 @@
 	return true
 }
 
-// takeLargestReleasesTurn tells whether those values go first that have most to change.
-// Where more wait for a change than go into one commit, a backlog with many values takes
-// all changes a second for two or three releases each otherwise. In turns with the order of
-// machines, so that none is left out.
+// takeLargestReleasesTurn reports whether the values with the most releases go first in this plan.
+// If more values wait for releases than fit one commit, a backlog that is spread over many values
+// would otherwise take all changes for two or three releases each. This alternates with the order
+// by machine, so that no value is left out.
 func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
 	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
 	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
 }
 
-// valueOf is the key of the value that holds a task.
+// valueOf returns the key of the value that holds a task.
 func (c *cache) valueOf(id domain.TaskID) string {
 	return c.jobs[id.Job].Header.KeyOf(id.Job, id.Index)
 }
 
-// release puts a release into the draft. A task of a job that was cancelled meanwhile isn't
-// finished any more.
+// release adds a release to the draft. A task whose job was cancelled in the meantime is not
+// recorded as done.
 func (c *Controller) release(d *draft, j *Job, proven provenRelease, done bool) {
 	attempt := j.task(proven.task.Index).Attempt
 	d.release(j, proven.task.Index, done && j.Header.State == domain.StateOpen)
@@ -153,14 +153,14 @@
 	})
 }
 
-// isGangDone tells whether the job is a gang of which one task is done, in the draft or (nil)
-// as committed, and hence all are.
+// isGangDone reports whether the job is a gang of which one task is done, in the draft or, with a
+// nil draft, as committed. All its tasks are then done.
 func (j *Job) isGangDone(d *draft) bool {
 	return j.Header.Spec.Shape == domain.Gang && placementOf(j, d).done > 0
 }
 
-// planCancelledJobs takes away the tasks of cancelled jobs whose last booking is gone: they
-// need no further care.
+// planCancelledJobs records the end of cancelled jobs whose last booking was released, and removes
+// their tasks. Nothing more has to be done for such jobs.
 func (c *Controller) planCancelledJobs(d *draft) {
 	for _, id := range slices.Sorted(maps.Keys(c.cache.awaitingRelease)) {
 		j := c.cache.awaitingRelease[id]
@@ -173,8 +173,8 @@
 	}
 }
 
-// coversValueOf tells whether the draft is for the value that holds the job's tasks; another
-// shard's value is remembered to get its turn.
+// coversValueOf reports whether the draft is for the value that holds the job's tasks. A value of
+// another shard is remembered for a later draft.
 func (d *draft) coversValueOf(j *Job) bool {
 	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
@@ -187,14 +187,14 @@
 	return true
 }
 
-// hasRoomForEndOf tells whether the draft has room for the end of a cancelled job and doesn't
-// change its tasks otherwise. Of a job with many values it needs room for half a transaction.
+// hasRoomForEndOf reports whether the draft has room for the end of a cancelled job and has no copy
+// of its tasks. A job with many values needs room for half a transaction.
 func (d *draft) hasRoomForEndOf(j *Job) bool {
-	most := d.c.cfg.TransactionLimit
-	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), most/2) <= most && d.hasRoomForConditions(8)
+	limit := d.c.cfg.TransactionLimit
+	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), limit/2) <= limit && d.hasRoomForConditions(8)
 }
 
-// finishCancelledJob writes that a cancelled job is over, and drops its tasks from as many values
+// finishCancelledJob records the end of a cancelled job, and removes its tasks from as many values
 // as there are changes left for.
 func (d *draft) finishCancelledJob(j *Job) {
 	c := d.c
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -11,12 +11,12 @@
 	"brassglade/internal/steady"
 )
 
-// controllerWithQueues is a controller of five that may act, with idle machines and a job of many tasks
-// in their queues, in the smallest transactions in use.
+// controllerWithQueues returns a controller, one of five, that may act. It has idle machines with
+// tasks of one large job in their queues, and the smallest transactions in use.
 func controllerWithQueues(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := actingController()
-	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // which share the pages of cordons
+	c.cfg.Nodes = []string{"c-0", "c-1", "c-2", "c-3", "c-4"} // pages of cordons are spread over all five
 	c.apply(openJob(t, 1, 4*machines, 1, 1000))
 	for i := 0; i < machines; i++ {
 		m := c.heartbeats.addMachine(fmt.Sprintf("n-%06d", i))
@@ -28,7 +28,7 @@
 	return c
 }
 
-// openJob is the header of an array in the pack c-0/0; cpu is what each task asks for, in
+// openJob returns the header of an array in the pack c-0/0; cpu is the request of each task, in
 // thousandths of a core.
 func openJob(t *testing.T, number, tasks, priority int, cpu int64) domain.KeyValue {
 	t.Helper()
@@ -36,13 +36,13 @@
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(priority), TaskCount: tasks, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
-// TestSmallTransactionsBookMany: a commit of 4 changes may have 16 conditions. With
-// six kept back for each further change, and 28 bytes planned for each booking, half
-// of 1,168 machines stood idle beside a backlog.
+// TestSmallTransactionsBookMany guards against idle machines beside a backlog where a commit has 4
+// changes and 16 conditions. When six conditions were reserved for each further change and 28 bytes
+// planned for each booking, half of 1,168 machines were idle.
 func TestSmallTransactionsBookMany(t *testing.T) {
 	c := controllerWithQueues(t, 30)
 	d := c.newDraft()
-	for i := 0; i < 4; i++ { // what releases put in before
+	for i := 0; i < 4; i++ { // conditions of earlier releases
 		d.addCondition(fmt.Sprintf("b/pack/c-0/%d", 90+i))
 	}
 	c.planBookings(d)
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestUrgentTaskOvertakesQueue: a small urgent task that fits doesn't wait in a machine's
-// queue behind a large one that doesn't; tasks of one priority stay in order.
+// TestUrgentTaskOvertakesQueue checks that a small urgent task that fits does not wait in a
+// machine's queue behind a large one that does not, and that tasks of the same priority keep their
+// order.
 func TestUrgentTaskOvertakesQueue(t *testing.T) {
 	for priority, want := range map[int]string{1: "", 2: jobName(3)} {
 		t.Run(fmt.Sprint("priority ", priority), func(t *testing.T) {
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestShardsKeepOwnMachinesAwake: in a wide fleet each shard keeps the room that its own jobs need.
-// By the sum over all, the shard with a backlog rested the machines that it wanted.
+// TestShardsKeepOwnMachinesAwake checks that in a large fleet each shard keeps the machines in use
+// that its own jobs need. When the need was compared with the sum over all shards, the shard with
+// a backlog lost machines to resting that it needed.
 func TestShardsKeepOwnMachinesAwake(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
@@ -103,11 +105,12 @@
 		}
 	}
 	if awake["c-0"] < 300 {
-		t.Errorf("%v machines are awake by shard; c-0 wants 300", awake)
+		t.Errorf("machines in use by shard: %v; c-0 needs 300", awake)
 	}
 }
 
-// planTaskCommit returns the task commit that the controller wants now; empty: none.
+// planTaskCommit returns the task commit that the controller sends one second later, or the zero
+// value if it sends none.
 func planTaskCommit(t *testing.T, c *Controller) Commit {
 	t.Helper()
 	c.now += time.Second
@@ -122,8 +125,8 @@
 	return Commit{}
 }
 
-// excludeEachOther tells whether two transactions change a value that both found unchanged:
-// whichever is carried out first, the other never is.
+// excludeEachOther reports whether two transactions change a value that both found in the same
+// state: once either is carried out, the other cannot be.
 func excludeEachOther(a, b domain.Transaction) bool {
 	had := map[string]uint64{}
 	for _, condition := range a.Conditions {
@@ -141,16 +144,16 @@
 	return false
 }
 
-// TestInDoubtCommitsExcludeEachOther: a commit without an answer may be carried out
-// after newer ones of this controller. Two that change different values, each within the
-// controller's share of a team's limit, together broke the limit, so the later ones write a
-// value of the first again. The team's key is left out of them, since it lost a
-// conflict just now and the share has room.
+// TestInDoubtCommitsExcludeEachOther guards against a broken team limit. A commit without a response
+// may be carried out after newer ones of the same controller. Two commits that change different
+// values, each within the controller's share of the limit, together broke it; later commits
+// therefore write a value of the first one again. The team's key is not in them, since it
+// lost a conflict just now and the share has room.
 func TestInDoubtCommitsExcludeEachOther(t *testing.T) {
 	for kind, test := range map[string]struct {
 		pack   string
 		inline bool
-		team   bool // the team's key is written, and nothing else
+		team   bool // the first commit writes the team's key and nothing else
 	}{"pack": {pack: "c-0/1"}, "chunk": {}, "header": {inline: true}, "team": {pack: "c-0/1", team: true}} {
 		t.Run(kind, func(t *testing.T) {
 			header := codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Pack: test.pack, Inline: test.inline, Shard: "c-0", AcceptOrder: 1,
@@ -158,11 +161,11 @@
 			c, m := limitedTeamController(t, header)
 			if test.team {
 				c.dequeueAll(m.Name)
-				delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // it has too large a share, and gives it back
+				delete(c.commits.avoidUntil, codec.PrefixTeam+"red") // gives back a part of its share, which is too large
 			}
 			first := planTaskCommit(t, c)
 			if len(first.Transaction.Puts) == 0 {
-				t.Fatal("nothing planned")
+				t.Fatal("no task commit was planned")
 			}
 			c.onCommit(CommitAnswered{ID: first.ID, Result: domain.InDoubt})
 			c.dequeueAll(m.Name)
@@ -171,24 +174,24 @@
 			}
 			second := planTaskCommit(t, c)
 			if len(second.Transaction.Puts) == 0 || !excludeEachOther(first.Transaction, second.Transaction) {
-				t.Errorf("both %v and %v may be carried out", first.Transaction, second.Transaction)
+				t.Errorf("the first commit %v and the second %v may both be carried out", first.Transaction, second.Transaction)
 			}
 			c.onCommit(CommitAnswered{ID: second.ID, Result: domain.InDoubt})
 			third := planTaskCommit(t, c)
 			if !excludeEachOther(first.Transaction, third.Transaction) || !excludeEachOther(second.Transaction, third.Transaction) {
-				t.Errorf("the third, %v, excludes not all before it", third.Transaction)
+				t.Errorf("the third commit %v does not exclude both earlier ones", third.Transaction)
 			}
 			c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
 			if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
-				t.Errorf("%d values are written again though all is settled", d.changes())
+				t.Errorf("%d values are written again though the outcome is known", d.changes())
 			}
 		})
 	}
 }
 
-// limitedTeamController is a controller with a share of a team's limit whose key lost a conflict just
-// now, and a machine with the four tasks of job 2, of the given header, in its queue. Job 1 is
-// in a pack.
+// limitedTeamController returns a controller that has a share of a team's limit, the team's key
+// having lost a conflict just now, and a machine with the four tasks of job 2 in its queue. The
+// header of job 2 is given; job 1 is in a pack.
 func limitedTeamController(t *testing.T, header codec.JobHeader) (*Controller, *Machine) {
 	t.Helper()
 	c := actingController()
@@ -205,8 +208,8 @@
 	return c, m
 }
 
-// TestLargeArraysReserveNoMachines: the leader reserves machines for gangs that wait, not for
-// an array of thousands of tasks, which would keep all of them from other jobs.
+// TestLargeArraysReserveNoMachines checks that the leader reserves machines for waiting gangs, but
+// not for an array of thousands of tasks, which would keep all machines from other jobs.
 func TestLargeArraysReserveNoMachines(t *testing.T) {
 	for shape, reserved := range map[domain.Shape]bool{domain.Array: false, domain.Gang: true} {
 		t.Run(string(shape), func(t *testing.T) {
@@ -219,7 +222,7 @@
 			c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(9)), Value: codec.Encode(header), ModRevision: 60})
 			pending := c.pendingWork(c.machines())
 			if len(pending) < 2 {
-				t.Fatalf("%d jobs want machines", len(pending))
+				t.Fatalf("%d jobs with pending work, want at least 2", len(pending))
 			}
 			c.planReservations(c.machines(), pending)
 			if got := len(c.scaling.reserved) > 0; got != reserved {
