--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -77,8 +77,8 @@
 }
 
 // TestLongPipelines checks that users' dependency graphs may be of any length and width. The
-// cancellation of the first job of a chain of 50,000 jobs reaches the last one, and the time for a
-// job that depends on 2,000 others grows with their number, not with its square.
+// cancellation of the first job of a chain of 50,000 jobs reaches the last one. Each of 2,000
+// dependencies of a job is considered a few times, not once for each pair of them.
 func TestLongPipelines(t *testing.T) {
 	c := New(Settings{Node: "c-0"}, "x")
 	const n = 50000
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -96,8 +96,8 @@
 }
 
 // release removes the booking of a task that is proven off its machine, and finishes the task if
-// it is done. No start of the attempt may be sent from then on, since this transaction may be
-// carried out late, even if its commit seems to have failed.
+// it is done. No start of the attempt may be sent once the transaction is, since it may be carried
+// out late.
 func (d *draft) release(j *Job, i int, done bool) {
 	spec, task := j.Header.Spec, d.task(j, i)
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -26,8 +26,8 @@
 	}
 	d.sortByGuarantee(jobs)
 	machines, claims := c.machinesWithRoom(jobs, d), c.claims(d)
-	anyBlocks := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
-	if !anyBlocks { // otherwise the order of the jobs is kept strictly
+	machinesHeldBack := slices.ContainsFunc(jobs, func(j *Job) bool { return j.holdsMachinesBack(c.now) })
+	if !machinesHeldBack { // otherwise the order of the jobs is kept strictly
 		if !c.newGangPass(d, PassCached, machines, claims).book(jobs) {
 			return
 		}
@@ -140,8 +140,8 @@
 	return WaitsForNothing
 }
 
-// foundNoPlace reports whether a job is a gang none of whose tasks is booked, in the draft or
-// before.
+// foundNoPlace reports whether a job is a gang all of whose tasks are queued, with the draft's
+// changes counted.
 func (p *gangPass) foundNoPlace(j *Job) bool {
 	spec := j.Header.Spec
 	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -13,8 +13,9 @@
 //     several times, and its commit is carried out as a whole or not at all.
 //   - An in-doubt commit of this controller does not count. It and the draft exclude each other
 //     (in_doubt.go): if the former was carried out, the latter will not be.
-//   - Commits of other leaders count once they are in the cache. Those that are not were
-//     conditional on an older view, and precede this controller's view.
+//   - Commits of other leaders count once they are in the cache. Those of earlier leaders were
+//     conditional on an older view, so they were carried out before the present view was
+//     written, and a cache that has the view has them, too.
 
 // placement counts a job's tasks by state.
 type placement struct {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -8,7 +8,7 @@
 
 // planner is the state that is kept from one plan to the next.
 type planner struct {
-	dirty                 bool                     // something changed since the last plan
+	dirty                 bool                     // something changed since the last plan, or did not fit it
 	nextPlan              steady.Gate              // when the next plan may be made, a pace after the last one
 	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; changes with each
 	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; changes with each
@@ -46,11 +46,11 @@
 // commits that others make in the meantime.
 //
 // A commit is for one of three things, in turns: a value that has to be split, one value of
-// another shard, or everything that this shard's values need. Own values and another shard's
-// are never mixed: a change of another shard's value by its own controller fails the whole
-// commit, and with several such values in each commit a controller can lose every time, for
-// minutes. While a commit is in doubt every draft repeats one of its values (in_doubt.go) and so
-// is not empty: own values then wait until the outcome is known.
+// another shard, or everything that this shard's values need. Values of this shard and of another
+// are never changed in the same commit: a change of the other value by its own controller fails
+// the whole commit, and with several such values in each commit a controller can lose every time,
+// for minutes. While a commit is in doubt every draft repeats one of its values (in_doubt.go) and
+// so is not empty: own values then wait until the outcome is known.
 func (c *Controller) planCommit() {
 	if !c.planner.dirty || !c.planner.nextPlan.IsOpen(c.now) || !c.canCommitTasks() {
 		return
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -127,8 +127,8 @@
 
 // takeLargestReleasesTurn reports whether the values with the most releases go first in this plan.
 // If more values wait for releases than fit one commit, a backlog that is spread over many values
-// would otherwise take all changes for two or three releases each. This alternates with the order
-// by machine, so that no value is left out.
+// would otherwise use up all changes of a second for two or three releases each. This alternates
+// with the order by machine, so that no value is left out.
 func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
 	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
 	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
@@ -154,7 +154,7 @@
 }
 
 // isGangDone reports whether the job is a gang of which one task is done, in the draft or, with a
-// nil draft, as committed. All its tasks are then done.
+// nil draft, as committed. All its tasks then count as done.
 func (j *Job) isGangDone(d *draft) bool {
 	return j.Header.Spec.Shape == domain.Gang && placementOf(j, d).done > 0
 }
