--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -301,7 +301,7 @@
 			}
 			submitAndReply(t, c, submission(jobName(9), test.needs...), elsewhere)
 			if reply := lastReply(c); reply.Status != test.status {
-				t.Errorf("%+v", reply)
+				t.Errorf("reply %+v", reply)
 			}
 			if got := slices.Contains(openIDs(c), jobName(9)); got != test.open {
 				t.Errorf("may start: %v", got)
