--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -6,12 +6,13 @@
 	"brassglade/internal/codec"
 )
 
-// How the names of the jobs that a job depends on are kept. Only those that are not done
-// need to be named; most submissions name a few, which lie in the header. Longer lists lie
-// in pieces beside it, written before it under a name of their own, so that a header never
-// refers to a list that is not there.
+// Storage of the IDs of the jobs that a job depends on. Only jobs that are not done need to be
+// named. Most submissions name a few, which are stored in the header. A longer list is stored
+// in pieces under keys of its own, which are written before the header, so that a header never
+// refers to a list that does not exist.
 
-// applyDependencyPiece takes a piece of a list. Its header mostly comes later.
+// applyDependencyPiece puts a piece of a dependency list into the cache, and links the job if
+// this was the last missing piece. The job's header usually comes later.
 func (c *Controller) applyDependencyPiece(key string, value []byte) {
 	text, err := codec.Decode[string](value)
 	if value == nil || err != nil {
@@ -27,12 +28,12 @@
 	if c.cache.countMissingPieces(j); j.missingPieces > 0 {
 		return
 	}
-	c.takeDependencyPieces(j)
+	c.resolveDependencyPieces(j)
 	c.propagateUrgency(j)
-	c.settlePhase(j)
+	c.updatePhases(j)
 }
 
-// countMissingPieces counts the pieces of a job's list that are not here yet.
+// countMissingPieces counts the pieces of a job's dependency list that the cache lacks.
 func (c *cache) countMissingPieces(j *Job) {
 	j.missingPieces = 0
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
@@ -42,19 +43,20 @@
 	}
 }
 
-// takeDependencyPieces joins a job to all that its list names. The pieces are all here, and
-// are forgotten.
-func (c *Controller) takeDependencyPieces(j *Job) {
+// resolveDependencyPieces links a job with all jobs that its dependency list names and drops the
+// pieces from the cache, which must have all of them.
+func (c *Controller) resolveDependencyPieces(j *Job) {
 	for k := 0; k < j.Header.Spec.DependencyListPieces; k++ {
-		c.takeDependencyPiece(j, k)
+		c.resolveDependencyPiece(j, k)
 	}
 }
 
-// takeDependencyPiece joins a job to those that the k-th piece of its list names.
-func (c *Controller) takeDependencyPiece(j *Job, k int) {
+// resolveDependencyPiece links a job with the jobs named in the k-th piece of its list and drops
+// the piece from the cache.
+func (c *Controller) resolveDependencyPiece(j *Job, k int) {
 	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
 	ids := codec.ParseNames(c.cache.dependencyPieces[key])
 	delete(c.cache.dependencyPieces, key)
 	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
-	c.dependOn(j, ids)
+	c.addDependencies(j, ids)
 }
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -6,9 +6,9 @@
 	"brassglade/internal/tuning"
 )
 
-// task returns the copy of task i to change.
+// task returns the draft's copy of task i, for the caller to change.
 func (d *draft) task(j *Job, i int) *domain.Task {
-	ref := j.ref(i)
+	ref := j.cellRef(i)
 	if d.cells[ref] == nil {
 		d.openCell(j, i)
 	}
@@ -16,17 +16,17 @@
 	return &d.cells[ref][i-ref.from]
 }
 
-// openCell takes the cell with task i into the draft, to be written with its value.
+// openCell copies the cell that has task i into the draft and has its value written.
 func (d *draft) openCell(j *Job, i int) {
 	source := j.Header.KeyOf(j.ID, i)
 	if pack, ok := d.leaving[j.ID]; ok {
 		d.move(j, pack)
 	}
-	if d.cells[j.ref(i)] == nil {
+	if d.cells[j.cellRef(i)] == nil {
 		d.copyCell(j, i)
 	}
-	// While a value is too large, jobs may leave it without a change of its
-	// revision (move, splitCell): only their headers show it.
+	// While a value is too large, jobs may leave it without a change of its revision (move,
+	// splitCell). Only their headers show it.
 	if d.c.cache.oversized[source] {
 		d.addCondition(codec.KeyJob(j.ID))
 	}
@@ -41,46 +41,47 @@
 	}
 }
 
-// bookingPlace is where a task is booked: on a machine, with its agent of an epoch.
+// bookingPlace is the machine that a task is booked on, with its zone and the epoch of its agent.
 type bookingPlace struct {
 	machine, zone string
 	agentEpoch    uint64
 }
 
-// place is where a task on the machine is booked.
+// place returns the machine as the place of a booking.
 func (m *Machine) place() bookingPlace { return bookingPlace{m.Name, m.Zone, m.agentEpoch} }
 
-// place is where a task on the machine is booked.
+// place returns the machine as the place of a booking.
 func (m *inventoryMachine) place() bookingPlace { return bookingPlace{m.name, m.zone, m.agentEpoch} }
 
-// book books an attempt of task i of j within the draft.
+// book adds the booking of an attempt of task i to the draft.
 func (d *draft) book(j *Job, i int, place bookingPlace, attempt uint64) {
 	if !d.c.mayStart(j) {
-		panic("booking " + j.ID + " before its dependencies are done") // no list of open jobs has it
+		panic("booking " + j.ID + " before its dependencies are done") // not an open job
 	}
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
+	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
 	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Controller}
 	if d.c.guard(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
 	}
 	d.machines[place.machine] = true
-	d.growth[d.keyOf(j, i)] += d.c.bookBytes()
-	d.countUsage(j.Header.Spec, 1)
-	d.usedOn[place.machine] = d.usedOn[place.machine].Plus(j.Header.Spec.Request, 1)
+	d.growth[d.keyOf(j, i)] += d.c.bookingBytes()
+	d.addUsage(j.Header.Spec, 1)
+	d.usageByMachine[place.machine] = d.usageByMachine[place.machine].Plus(j.Header.Spec.Request, 1)
 }
 
-// countUsage counts tasks into what this controller's bookings take of their team's limit; a
-// negative number: out of it.
-func (d *draft) countUsage(spec *domain.JobSpec, tasks int64) {
-	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, tasks)
+// addUsage adds the requests of a number of tasks to the usage of their team by this
+// controller's bookings; a negative number subtracts them.
+func (d *draft) addUsage(spec *domain.JobSpec, tasks int64) {
+	d.usageByTeam[spec.Team] = d.usageByTeam[spec.Team].Plus(spec.Request, tasks)
 	d.settleShare(spec.Team, spec.Request)
 }
 
-// bookBytes is what a booking is planned to add to its value: what it mostly takes,
-// or, when a draft came out too large by that, the most that it may take.
-func (c *Controller) bookBytes() int {
-	if c.cache.isFormatOn() && !c.planner.reserveLongestTexts {
+// bookingBytes returns how many bytes a booking is planned to add to its value: the usual size, or
+// the largest one if a draft planned with the usual size came out too large or the shorter format
+// is not in use yet.
+func (c *Controller) bookingBytes() int {
+	if c.cache.isFormatOn() && !c.planner.assumeMaxBookingBytes {
 		return tuning.TaskBytesShort
 	}
 	return tuning.TaskBytes
@@ -94,16 +95,16 @@
 	})
 }
 
-// release takes a task that is proven off its machine off its booking, and finishes it if
-// it is done. No start of the attempt may go out any more, since this transaction may be
-// carried out late.
+// release removes the booking of a task that is proven off its machine, and finishes the task if
+// it is done. No start of the attempt may be sent once the transaction is, since it may be carried
+// out late.
 func (d *draft) release(j *Job, i int, done bool) {
 	spec, task := j.Header.Spec, d.task(j, i)
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
 	d.machines[task.Machine] = true
-	d.usedOn[task.Machine] = d.usedOn[task.Machine].Plus(spec.Request, -1) // the same commit may book there again
+	d.usageByMachine[task.Machine] = d.usageByMachine[task.Machine].Plus(spec.Request, -1) // this commit may book there again
 	if task.Shard == d.c.cfg.Controller {
-		d.countUsage(spec, -1)
+		d.addUsage(spec, -1)
 	}
 	task.Machine, task.AgentEpoch, task.Zone = "", 0, ""
 	task.State, task.Shard = domain.Queued, ""
@@ -113,13 +114,13 @@
 	}
 	d.finish(j, i)
 	if spec.Shape == domain.Gang {
-		d.finishMates(j)
+		d.finishRestOfGang(j)
 	}
 }
 
-// finishMates finishes the queued tasks of a gang of which one is done. They complete
-// together: a mate whose own end was never reported is done, too.
-func (d *draft) finishMates(j *Job) {
+// finishRestOfGang finishes the queued tasks of a gang of which one task is done. The tasks of a
+// gang complete together: a task whose own end was never reported is done, too.
+func (d *draft) finishRestOfGang(j *Job) {
 	for i := 0; i < j.Header.TaskCount; i++ {
 		if d.peek(j, i).State == domain.Queued {
 			d.finish(j, i)
@@ -127,11 +128,11 @@
 	}
 }
 
-// finish records that a task is done. The last task of a cell changes the header; the last
-// cell ends the job.
+// finish records that a task is done. If it is the last one of its cell, the header is changed;
+// if the cell is the last one of the job, the job is done.
 func (d *draft) finish(j *Job, i int) {
 	*d.task(j, i) = domain.Task{State: domain.Done}
-	cell := d.cells[j.ref(i)]
+	cell := d.cells[j.cellRef(i)]
 	if doneTasks(cell) < len(cell) {
 		return
 	}
@@ -141,10 +142,9 @@
 	}
 }
 
-// countDoneCell counts a cell of which all tasks are done, and tells whether it was the
-// job's last one.
+// countDoneCell counts a cell whose tasks are all done. It reports whether it was the job's last.
 func countDoneCell(header *codec.JobHeader, tasks int) bool {
-	if header.CellSize > 0 { // some chunk is split: cells are of two sizes
+	if header.CellSize > 0 { // a chunk was split, so that cells differ in size
 		header.DoneTasks += tasks
 		return header.DoneTasks >= header.TaskCount
 	}
@@ -152,7 +152,8 @@
 	return header.DoneChunks*header.ChunkSize >= header.TaskCount
 }
 
-// finishJob ends a job of which all tasks are done. Its header says all there is to know.
+// finishJob records the end of a job whose tasks are all done. From then on its header alone
+// describes it.
 func (d *draft) finishJob(j *Job, header *codec.JobHeader) {
 	header.State, header.Spec, header.SplitChunks, header.CellSize = domain.StateDone, nil, nil, 0
 	if d.c.cache.isFormatOn() {
@@ -161,16 +162,16 @@
 	d.finished[j.ID] = true
 }
 
-// handOver gives a queued task to another shard.
+// handOver moves a queued task to another shard.
 func (d *draft) handOver(j *Job, i int, to string) {
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled, or handed over with its job
+	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	task.Shard = to
 }
 
-// handOverJob gives an untouched job to another shard, in a pack of that shard where one
-// has room for it.
+// handOverJob moves a job, none of whose tasks was booked or handed over, to another shard, and
+// to a pack of that shard if one has room for it.
 func (d *draft) handOverJob(j *Job, to string) {
 	header := d.header(j)
 	header.Shard, header.Handovers = to, header.Handovers+1
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -76,7 +76,7 @@
 // with its incarnation. Only the leader turns the format on, after every controller of the
 // settings, not only of the view, has announced it. The format stays on after a restart.
 func TestFormatEnabledOnceAllAnnounced(t *testing.T) {
-	c := acting()
+	c := actingController()
 	c.cfg.Controllers = []string{"c-0", "c-1", "c-2"}
 	c.cache.format = 0
 	announce := func() (keys []string) {
@@ -134,7 +134,7 @@
 // withLoweredLimits returns an acting controller that knows that the limits were lowered below
 // the size of stored values.
 func withLoweredLimits() *Controller {
-	c := acting()
+	c := actingController()
 	c.cfg.CurrentValueLimit, c.formats.limitsLowered = 8192, true
 	return c
 }
