--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -3,41 +3,41 @@
 import (
 	"time"
 
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // StartConfirmation tells whether the view is to be confirmed now, and takes the request
 // as sent if so. newestReader is when the last reader asked who still waits for a read
 // index, if any does.
-func (m *Member) StartConfirmation(now time.Duration, newestReader steady.Instant) bool {
-	if m.confirming || !m.synced || !m.confirmation.IsOpen(now) {
+func (m *Member) StartConfirmation(now time.Duration, newestReader monotime.Instant) bool {
+	if m.confirming || !m.synced || !m.nextConfirmation.HasPassed(now) {
 		return false
 	}
-	readerWaits := newestReader.IsKnown() && newestReader.Time() >= m.confirmationSent
-	if now-m.confirmationSent < tuning.ConfirmationInterval && m.fence.IsKnown() && !readerWaits {
+	readerWaits := newestReader.IsSet() && newestReader.Time() >= m.confirmationSentAt
+	if now-m.confirmationSentAt < tuning.ConfirmationInterval && m.viewConfirmedAt.IsSet() && !readerWaits {
 		return false
 	}
-	m.confirming, m.confirmationSent = true, now
+	m.confirming, m.confirmationSentAt = true, now
 	return true
 }
 
 // ConfirmSoon lets the next confirmation be sent without further pause.
-func (m *Member) ConfirmSoon(now time.Duration) { m.confirmation.Advance(now) }
+func (m *Member) ConfirmSoon(now time.Duration) { m.nextConfirmation.BringForward(now) }
 
 // ConfirmationAnswered takes the state service's answer: sameView tells whether the view
 // is still the one asked about, revision is what the cache must reach before it counts.
 func (m *Member) ConfirmationAnswered(now time.Duration, sameView bool, revision uint64) {
 	m.confirming, m.stateReachable = false, true
-	m.confirmation.Close(now + m.confirmationGap())
-	m.stateAnswered = steady.At(m.confirmationSent)
-	m.unsettled = append(m.unsettled, confirmed{m.confirmationSent, revision, sameView})
+	m.nextConfirmation.Set(now + m.confirmationGap())
+	m.stateAnsweredAt = monotime.At(m.confirmationSentAt)
+	m.awaitingCache = append(m.awaitingCache, pendingConfirmation{m.confirmationSentAt, revision, sameView})
 }
 
 // ConfirmationFailed says that the confirmation got no answer.
 func (m *Member) ConfirmationFailed(now time.Duration) {
 	m.confirming, m.stateReachable = false, false
-	m.confirmation.Close(now + tuning.ConfirmationRetry)
+	m.nextConfirmation.Set(now + tuning.ConfirmationRetry)
 }
 
 // confirmationGap keeps what readers can cause to a part of this controller's requests.
@@ -51,45 +51,45 @@
 // CacheReached counts the confirmations that the cache, now at the revision, has caught up
 // with. Without that a controller whose watch hangs would act on old cancellations.
 func (m *Member) CacheReached(revision uint64) {
-	waiting := m.unsettled[:0]
-	for _, answer := range m.unsettled {
+	waiting := m.awaitingCache[:0]
+	for _, answer := range m.awaitingCache {
 		if answer.revision > revision {
 			waiting = append(waiting, answer)
 			continue
 		}
-		m.readIndex = steady.Latest(m.readIndex, steady.At(answer.sent))
+		m.readIndex = monotime.Latest(m.readIndex, monotime.At(answer.sent))
 		if answer.sameView {
-			m.fence = steady.Latest(m.fence, steady.At(answer.sent))
+			m.viewConfirmedAt = monotime.Latest(m.viewConfirmedAt, monotime.At(answer.sent))
 		}
 	}
 	if len(waiting) > tuning.MaxUnsettledConfirmations {
 		waiting = waiting[len(waiting)-tuning.MaxUnsettledConfirmations:]
 	}
-	m.unsettled = waiting
+	m.awaitingCache = waiting
 }
 
-// WatchBegins says that changes of a watch sent at that time are being applied; sent < 0:
+// BeginWatchUpdate says that changes of a watch sent at that time are being applied; sent < 0:
 // nobody knows when.
-func (m *Member) WatchBegins(sent time.Duration) {
-	m.watchSent = steady.Instant{}
+func (m *Member) BeginWatchUpdate(sent time.Duration) {
+	m.watchSentAt = monotime.Instant{}
 	if sent >= 0 {
-		m.watchSent = steady.At(sent)
+		m.watchSentAt = monotime.At(sent)
 	}
 }
 
-// WatchEnds says that the changes are applied.
-func (m *Member) WatchEnds() { m.watchSent = steady.Instant{} }
+// EndWatchUpdate says that the changes are applied.
+func (m *Member) EndWatchUpdate() { m.watchSentAt = monotime.Instant{} }
 
 // ViewChanged says that the cache took another view. The confirmations so far were about
 // the old one; the watch that brings the new one, if it does, shows that it held at some
 // time after the watch was sent.
-func (m *Member) ViewChanged() { m.fence = m.watchSent }
+func (m *Member) ViewChanged() { m.viewConfirmedAt = m.watchSentAt }
 
-// Confirmed is the sending time of the newest confirmation of the present view.
-func (m *Member) Confirmed() steady.Instant { return m.fence }
+// ViewConfirmedAt is the sending time of the newest confirmation of the present view.
+func (m *Member) ViewConfirmedAt() monotime.Instant { return m.viewConfirmedAt }
 
 // ReadIndex is the sending time of the newest read index that the cache has reached.
-func (m *Member) ReadIndex() steady.Instant { return m.readIndex }
+func (m *Member) ReadIndex() monotime.Instant { return m.readIndex }
 
 // HasReadIndex tells whether the cache has reached a read index asked for at or after
 // that time: it then has everything that was committed before.
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -32,22 +32,22 @@
 func (m *Member) MaintainLease(now time.Duration, incarnationInCache string) LeaseRequests {
 	var due LeaseRequests
 	switch {
-	case m.lease == LeaseNone && m.renewal.IsOpen(now):
+	case m.lease == LeaseNone && m.nextRenewal.HasPassed(now):
 		m.renewalSentAt = now
 		m.lease = LeaseRequested
 		due.Grant = true
-	case m.lease == LeaseHeld && m.memberKeyWriting.IsOpen(now):
+	case m.lease == LeaseHeld && m.nextMemberKeyWrite.HasPassed(now):
 		m.lease = MemberKeyWriting
 		due.WriteMemberKey = true
 	}
-	if m.lease >= LeaseHeld && !m.renewing && m.renewal.IsOpen(now) {
+	if m.lease >= LeaseHeld && !m.renewing && m.nextRenewal.HasPassed(now) {
 		m.renewing, m.renewalSentAt = true, now
 		due.Renew = true
 	}
 	// The cache may show that the member key is gone although the lease lives: an older
 	// incarnation's lease expired, or a late write of it came through. It gets half an
 	// interval to show this incarnation's own write.
-	if m.lease == MemberKeyWritten && m.synced && incarnationInCache != m.incarnation && m.renewal.IsOpen(now+tuning.LeaseRenewalInterval/2) {
+	if m.lease == MemberKeyWritten && m.synced && incarnationInCache != m.incarnation && m.nextRenewal.HasPassed(now+tuning.LeaseRenewalInterval/2) {
 		m.lease = LeaseHeld
 	}
 	return due
@@ -56,7 +56,7 @@
 // LeaseGranted takes the answer to the request for a lease.
 func (m *Member) LeaseGranted(now time.Duration, granted bool, id uint64) {
 	if !granted {
-		m.renewal.Close(now + tuning.ConfirmationRetry)
+		m.nextRenewal.Set(now + tuning.ConfirmationRetry)
 		m.lease = LeaseNone
 		return
 	}
@@ -80,20 +80,20 @@
 	m.renewing = false
 	switch outcome {
 	case LeaseGone:
-		m.renewal.Close(now)
+		m.nextRenewal.Set(now)
 		m.lease = LeaseNone
 	case Renewed:
 		m.leaseConfirmed()
 	default:
-		m.renewal.Close(now + tuning.ConfirmationRetry)
+		m.nextRenewal.Set(now + tuning.ConfirmationRetry)
 	}
 }
 
 // leaseConfirmed counts the lease from when its request was sent, the earliest time at
 // which the state service can have started it.
 func (m *Member) leaseConfirmed() {
-	m.leaseRenewed = steady.At(m.renewalSentAt)
-	m.renewal.Close(m.renewalSentAt + tuning.LeaseRenewalInterval)
+	m.leaseRenewedAt = monotime.At(m.renewalSentAt)
+	m.nextRenewal.Set(m.renewalSentAt + tuning.LeaseRenewalInterval)
 }
 
 // MemberKeyAnswered takes the outcome of writing the member key. A late one, of a lease
@@ -106,8 +106,8 @@
 	default:
 		// Not at once: a lease that expired refuses the key each time, until the
 		// renewal says so.
-		m.memberKeyWriting.Close(now + tuning.ConfirmationRetry)
-		m.renewal.Advance(now + tuning.ConfirmationRetry)
+		m.nextMemberKeyWrite.Set(now + tuning.ConfirmationRetry)
+		m.nextRenewal.BringForward(now + tuning.ConfirmationRetry)
 		m.lease = LeaseHeld
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 )
 
 // LeaseState is how far a controller is on its way to a written member key.
@@ -43,28 +43,28 @@
 	incarnation string
 	synced      bool // the cache holds a whole snapshot
 
-	lease            LeaseState
-	leaseID          uint64
-	leaseRenewed     steady.Instant // sending time of the last renewal that succeeded
-	renewal          steady.Gate    // no request for a lease or its renewal before
-	renewalSentAt    time.Duration
-	renewing         bool
-	memberKeyWriting steady.Gate // no member key before
-	confirming       bool
-	confirmationSent time.Duration
-	confirmation     steady.Gate    // no confirmation before
-	unsettled        []confirmed    // answered, but the cache has not caught up with them
-	fence            steady.Instant // sending time of the newest confirmation of the view
-	readIndex        steady.Instant // sending time of the newest read index reached
-	watchSent        steady.Instant // of the watch being applied
-	stateReachable   bool           // the last confirmation was answered
-	stateAnswered    steady.Instant // sending time of the last confirmation answered
-	betterElsewhere  steady.Instant // since when another controller is the better choice
-	ready            bool
+	lease              LeaseState
+	leaseID            uint64
+	leaseRenewedAt     monotime.Instant  // sending time of the last renewal that succeeded
+	nextRenewal        monotime.Deadline // no request for a lease or its renewal before
+	renewalSentAt      time.Duration
+	renewing           bool
+	nextMemberKeyWrite monotime.Deadline // no member key before
+	confirming         bool
+	confirmationSentAt time.Duration
+	nextConfirmation   monotime.Deadline     // no confirmation before
+	awaitingCache      []pendingConfirmation // answered, but the cache has not caught up with them
+	viewConfirmedAt    monotime.Instant      // sending time of the newest confirmation of the view
+	readIndex          monotime.Instant      // sending time of the newest read index reached
+	watchSentAt        monotime.Instant      // of the watch being applied
+	stateReachable     bool                  // the last confirmation was answered
+	stateAnsweredAt    monotime.Instant      // sending time of the last confirmation answered
+	anotherBetterSince monotime.Instant      // since when another controller is the better choice
+	ready              bool
 }
 
-// confirmed is an answer of the state service that the cache has yet to catch up with.
-type confirmed struct {
+// pendingConfirmation is an answer of the state service that the cache has yet to catch up with.
+type pendingConfirmation struct {
 	sent     time.Duration
 	revision uint64
 	sameView bool
@@ -90,5 +90,5 @@
 // requests sent less than the fence age ago, and the cache has reached what they saw.
 func (m *Member) MayAct(now time.Duration, incarnationInView string) bool {
 	return m.synced && incarnationInView == m.incarnation &&
-		m.fence.Within(m.config.FenceAge, now) && m.leaseRenewed.Within(m.config.FenceAge, now)
+		m.viewConfirmedAt.Within(m.config.FenceAge, now) && m.leaseRenewedAt.Within(m.config.FenceAge, now)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -4,26 +4,26 @@
 	"testing"
 	"time"
 
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 const (
-	fenceAge = 7 * time.Second
-	own      = "c-0.1"
-	earlier  = "c-0.0" // an earlier process of the same controller
+	fenceAge           = 7 * time.Second
+	ownIncarnation     = "c-0.1"
+	earlierIncarnation = "c-0.0" // an earlier process of the same controller
 )
 
-func started() *Member {
-	m := New(Config{FenceAge: fenceAge}, own)
+func newMember() *Member {
+	m := New(Config{FenceAge: fenceAge}, ownIncarnation)
 	return &m
 }
 
-// inState is a controller whose lease stands at that state; its lease was requested at
+// memberInState is a controller whose lease stands at that state; its lease was requested at
 // time 0 and, if granted, has ID 5.
-func inState(t *testing.T, want LeaseState) *Member {
+func memberInState(t *testing.T, want LeaseState) *Member {
 	t.Helper()
-	m := started()
+	m := newMember()
 	m.CacheLoaded()
 	steps := []func(){
 		func() { m.MaintainLease(0, "") },
@@ -43,13 +43,13 @@
 // confirmedAtZero is a controller that may act as of time 0.
 func confirmedAtZero(t *testing.T) *Member {
 	t.Helper()
-	m := inState(t, MemberKeyWritten)
-	if !m.StartConfirmation(0, steady.Instant{}) {
+	m := memberInState(t, MemberKeyWritten)
+	if !m.StartConfirmation(0, monotime.Instant{}) {
 		t.Fatal("the first confirmation is not due")
 	}
 	m.ConfirmationAnswered(time.Millisecond, true, 10)
 	m.CacheReached(10)
-	if !m.MayAct(time.Millisecond, own) {
+	if !m.MayAct(time.Millisecond, ownIncarnation) {
 		t.Fatal("may not act")
 	}
 	return m
@@ -77,7 +77,7 @@
 		"the lease is gone":              {MemberKeyWritten, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
 		"gone while the key is written":  {MemberKeyWriting, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
 	} {
-		m := inState(t, x.from)
+		m := memberInState(t, x.from)
 		x.happens(m)
 		if m.Lease() != x.to {
 			t.Errorf("%s: leads to %v, want %v", name, m.Lease(), x.to)
@@ -85,10 +85,10 @@
 		if x.again < 0 {
 			continue
 		}
-		if due := m.MaintainLease(x.again-1, own); due.Grant || due.Renew {
+		if due := m.MaintainLease(x.again-1, ownIncarnation); due.Grant || due.Renew {
 			t.Errorf("%s: requested before %v", name, x.again)
 		}
-		due := m.MaintainLease(x.again, own)
+		due := m.MaintainLease(x.again, ownIncarnation)
 		if due.Grant != (x.to == LeaseNone) || due.Renew != (x.to >= LeaseHeld) {
 			t.Errorf("%s: at %v %+v", name, x.again, due)
 		}
@@ -97,7 +97,7 @@
 
 // TestLeaseRequestsOnce: what was sent is not sent again before its answer.
 func TestLeaseRequestsOnce(t *testing.T) {
-	m := started()
+	m := newMember()
 	if due := m.MaintainLease(0, ""); due != (LeaseRequests{Grant: true}) {
 		t.Errorf("at the start: %+v", due)
 	}
@@ -116,7 +116,7 @@
 // TestRefusedMemberKeyWaits: a lease that expired refuses the member key each time, so the
 // next try waits, and the renewal that tells comes no later.
 func TestRefusedMemberKeyWaits(t *testing.T) {
-	m := inState(t, MemberKeyWriting)
+	m := memberInState(t, MemberKeyWriting)
 	m.MemberKeyAnswered(time.Second, false)
 	if due := m.MaintainLease(time.Second+tuning.ConfirmationRetry-1, ""); due != (LeaseRequests{}) {
 		t.Errorf("at once: %+v", due)
@@ -130,8 +130,8 @@
 // under the member key although the lease lives.
 func TestMissingMemberKeyIsWrittenAgain(t *testing.T) {
 	const patience = tuning.LeaseRenewalInterval / 2
-	for cached, want := range map[string]LeaseState{own: MemberKeyWritten, "": LeaseHeld, earlier: LeaseHeld} {
-		m := inState(t, MemberKeyWritten)
+	for cached, want := range map[string]LeaseState{ownIncarnation: MemberKeyWritten, "": LeaseHeld, earlierIncarnation: LeaseHeld} {
+		m := memberInState(t, MemberKeyWritten)
 		if m.MaintainLease(patience-1, cached); m.Lease() != MemberKeyWritten {
 			t.Errorf("%q in the cache: %v before the own write can show", cached, m.Lease())
 		}
@@ -143,7 +143,7 @@
 			t.Errorf("%q in the cache: then %+v", cached, due)
 		}
 	}
-	m := started() // the cache says nothing before it is loaded
+	m := newMember() // the cache says nothing before it is loaded
 	m.MaintainLease(0, "")
 	m.LeaseGranted(0, true, 5)
 	m.MaintainLease(0, "")
@@ -154,25 +154,25 @@
 }
 
 func TestHasMemberKey(t *testing.T) {
-	if m := inState(t, MemberKeyWritten); !m.HasMemberKey(own) || m.HasMemberKey(earlier) || m.HasMemberKey("") {
+	if m := memberInState(t, MemberKeyWritten); !m.HasMemberKey(ownIncarnation) || m.HasMemberKey(earlierIncarnation) || m.HasMemberKey("") {
 		t.Error("the cache must have this incarnation")
 	}
-	if inState(t, MemberKeyWriting).HasMemberKey(own) {
+	if memberInState(t, MemberKeyWriting).HasMemberKey(ownIncarnation) {
 		t.Error("the member key is not written yet")
 	}
 }
 
-// TestFence: a controller acts while both view and lease were confirmed by requests sent
+// TestMayAct: a controller acts while both view and lease were confirmed by requests sent
 // less than the fence age ago, under a view that has this incarnation, and no longer.
-func TestFence(t *testing.T) {
+func TestMayAct(t *testing.T) {
 	renewAt := func(m *Member, sent, answered time.Duration) {
-		if due := m.MaintainLease(sent, own); !due.Renew {
+		if due := m.MaintainLease(sent, ownIncarnation); !due.Renew {
 			t.Fatalf("no renewal at %v", sent)
 		}
 		m.RenewalAnswered(answered, Renewed)
 	}
 	confirmAt := func(m *Member, sent, answered time.Duration) {
-		if !m.StartConfirmation(sent, steady.Instant{}) {
+		if !m.StartConfirmation(sent, monotime.Instant{}) {
 			t.Fatalf("no confirmation at %v", sent)
 		}
 		m.ConfirmationAnswered(answered, true, 10)
@@ -188,78 +188,78 @@
 		"both count from sending": {func(m *Member) { renewAt(m, 2*time.Second, 6*time.Second); confirmAt(m, 3*time.Second, 6*time.Second) }, 2*time.Second + fenceAge},
 		"a lost renewal": {func(m *Member) {
 			confirmAt(m, 2*time.Second, 3*time.Second)
-			m.MaintainLease(2*time.Second, own)
+			m.MaintainLease(2*time.Second, ownIncarnation)
 			m.RenewalAnswered(3*time.Second, RenewalFailed)
 		}, fenceAge},
 		"a lease that is gone": {func(m *Member) {
 			confirmAt(m, 2*time.Second, 3*time.Second)
-			m.MaintainLease(2*time.Second, own)
+			m.MaintainLease(2*time.Second, ownIncarnation)
 			m.RenewalAnswered(3*time.Second, LeaseGone)
 		}, fenceAge},
 		"an unanswered confirmation": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
-			m.StartConfirmation(2*time.Second, steady.Instant{})
+			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationFailed(3 * time.Second)
 		}, fenceAge},
 		"another view is confirmed": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
-			m.StartConfirmation(2*time.Second, steady.Instant{})
+			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationAnswered(3*time.Second, false, 10)
 			m.CacheReached(10)
 		}, fenceAge},
 		"the cache hangs": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
-			m.StartConfirmation(2*time.Second, steady.Instant{})
+			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationAnswered(3*time.Second, true, 11)
 			m.CacheReached(10)
 		}, fenceAge},
-		"a view by a watch of unknown time": {func(m *Member) { m.WatchBegins(-1); m.ViewChanged(); m.WatchEnds() }, 0},
-		"a view outside of a watch":         {func(m *Member) { m.WatchBegins(5 * time.Second); m.WatchEnds(); m.ViewChanged() }, 0},
+		"a view by a watch of unknown time": {func(m *Member) { m.BeginWatchUpdate(-1); m.ViewChanged(); m.EndWatchUpdate() }, 0},
+		"a view outside of a watch":         {func(m *Member) { m.BeginWatchUpdate(5 * time.Second); m.EndWatchUpdate(); m.ViewChanged() }, 0},
 		"a view by a watch": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
-			m.WatchBegins(time.Second)
+			m.BeginWatchUpdate(time.Second)
 			m.ViewChanged()
-			m.WatchEnds()
+			m.EndWatchUpdate()
 		}, time.Second + fenceAge},
 	} {
 		m := confirmedAtZero(t)
 		x.happens(m)
-		if x.until > 0 && !m.MayAct(x.until-1, own) {
+		if x.until > 0 && !m.MayAct(x.until-1, ownIncarnation) {
 			t.Errorf("%s: doesn't act just before %v", name, x.until)
 		}
-		if m.MayAct(x.until, own) {
+		if m.MayAct(x.until, ownIncarnation) {
 			t.Errorf("%s: still acts at %v", name, x.until)
 		}
-		if m.MayAct(0, earlier) || m.MayAct(0, "") {
+		if m.MayAct(0, earlierIncarnation) || m.MayAct(0, "") {
 			t.Errorf("%s: acts under a view that hasn't this incarnation", name)
 		}
 	}
-	m := started()
-	m.fence, m.leaseRenewed = steady.At(0), steady.At(0)
-	if m.MayAct(0, own) {
+	m := newMember()
+	m.viewConfirmedAt, m.leaseRenewedAt = monotime.At(0), monotime.At(0)
+	if m.MayAct(0, ownIncarnation) {
 		t.Error("acts before its cache holds a snapshot")
 	}
-	if m.CacheLoaded(); !m.MayAct(0, own) {
+	if m.CacheLoaded(); !m.MayAct(0, ownIncarnation) {
 		t.Error("doesn't act once its cache holds a snapshot")
 	}
 }
 
-// TestConfirmationsAreDue: the first at once, then one each interval, sooner for readers,
+// TestConfirmationSchedule: the first at once, then one each interval, sooner for readers,
 // one at a time.
-func TestConfirmationsAreDue(t *testing.T) {
+func TestConfirmationSchedule(t *testing.T) {
 	const gap, retry = tuning.MinConfirmationGap, tuning.ConfirmationRetry
-	none := steady.Instant{}
+	none := monotime.Instant{}
 	for name, x := range map[string]struct {
 		happens func(m *Member)
-		reader  steady.Instant
+		reader  monotime.Instant
 		due     time.Duration
 	}{
 		"no reader":                 {func(*Member) {}, none, tuning.ConfirmationInterval},
-		"a reader, within the gap":  {func(*Member) {}, steady.At(time.Millisecond), time.Millisecond + gap},
-		"a reader at the same time": {func(*Member) {}, steady.At(0), time.Millisecond + gap},
-		"no answer":                 {func(m *Member) { m.StartConfirmation(2*time.Second, none); m.ConfirmationFailed(3 * time.Second) }, steady.At(2 * time.Second), 3*time.Second + retry},
-		"a later view is about":     {func(m *Member) { m.ConfirmSoon(5 * time.Millisecond) }, steady.At(time.Millisecond), 5 * time.Millisecond},
-		"a later view, gap over":    {func(m *Member) { m.ConfirmSoon(time.Second) }, steady.At(time.Millisecond), time.Millisecond + gap},
+		"a reader, within the gap":  {func(*Member) {}, monotime.At(time.Millisecond), time.Millisecond + gap},
+		"a reader at the same time": {func(*Member) {}, monotime.At(0), time.Millisecond + gap},
+		"no answer":                 {func(m *Member) { m.StartConfirmation(2*time.Second, none); m.ConfirmationFailed(3 * time.Second) }, monotime.At(2 * time.Second), 3*time.Second + retry},
+		"a later view is about":     {func(m *Member) { m.ConfirmSoon(5 * time.Millisecond) }, monotime.At(time.Millisecond), 5 * time.Millisecond},
+		"a later view, gap over":    {func(m *Member) { m.ConfirmSoon(time.Second) }, monotime.At(time.Millisecond), time.Millisecond + gap},
 		"the view changed":          {func(m *Member) { m.ViewChanged() }, none, time.Millisecond + gap},
 	} {
 		m := confirmedAtZero(t)
@@ -278,13 +278,13 @@
 	m := confirmedAtZero(t)
 	m.StartConfirmation(2*time.Second, none)
 	m.ConfirmationAnswered(3*time.Second, true, 10)
-	if m.StartConfirmation(3*time.Second+gap, steady.At(2*time.Second-1)) {
+	if m.StartConfirmation(3*time.Second+gap, monotime.At(2*time.Second-1)) {
 		t.Error("sent for a reader whom the one before serves")
 	}
-	if started().StartConfirmation(0, none) {
+	if newMember().StartConfirmation(0, none) {
 		t.Error("sent without a view to confirm")
 	}
-	slow := New(Config{FenceAge: fenceAge, ReadRate: 1}, own)
+	slow := New(Config{FenceAge: fenceAge, ReadRate: 1}, ownIncarnation)
 	second := float64(time.Second)
 	if got, want := slow.confirmationGap(), time.Duration(second/tuning.ConfirmationShare); got != want {
 		t.Errorf("with one read a second readers cause a confirmation each %v, want %v", got, want)
@@ -298,7 +298,7 @@
 	if !m.HasReadIndex(0) || m.HasReadIndex(1) {
 		t.Errorf("read index at %v, want 0", m.ReadIndex().Time())
 	}
-	m.StartConfirmation(2*time.Second, steady.Instant{})
+	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationAnswered(3*time.Second, false, 12)
 	if m.CacheReached(11); m.HasReadIndex(1) {
 		t.Error("reached before the cache")
@@ -306,27 +306,27 @@
 	if m.CacheReached(12); !m.HasReadIndex(2*time.Second) || m.HasReadIndex(2*time.Second+1) {
 		t.Errorf("read index at %v, want 2s", m.ReadIndex().Time())
 	}
-	if m.Confirmed() != steady.At(0) {
-		t.Errorf("another view counts as confirmed at %v", m.Confirmed().Time())
+	if m.ViewConfirmedAt() != monotime.At(0) {
+		t.Errorf("another view counts as confirmed at %v", m.ViewConfirmedAt().Time())
 	}
-	if started().HasReadIndex(0) {
+	if newMember().HasReadIndex(0) {
 		t.Error("a controller that never confirmed has a read index")
 	}
 }
 
-// TestUnsettledAreBounded: while the watch hangs only the newest confirmations are kept.
-func TestUnsettledAreBounded(t *testing.T) {
+// TestAwaitingCacheIsBounded: while the watch hangs only the newest confirmations are kept.
+func TestAwaitingCacheIsBounded(t *testing.T) {
 	m := confirmedAtZero(t)
 	for i := 1; i <= 20; i++ {
 		now := time.Duration(i) * tuning.ConfirmationInterval
-		if !m.StartConfirmation(now, steady.Instant{}) {
+		if !m.StartConfirmation(now, monotime.Instant{}) {
 			t.Fatal("not due")
 		}
 		m.ConfirmationAnswered(now, true, uint64(100+i))
 		m.CacheReached(10)
 	}
-	if len(m.unsettled) != tuning.MaxUnsettledConfirmations {
-		t.Errorf("%d kept", len(m.unsettled))
+	if len(m.awaitingCache) != tuning.MaxUnsettledConfirmations {
+		t.Errorf("%d kept", len(m.awaitingCache))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
 		t.Error("one that was forgotten counts")
@@ -339,41 +339,41 @@
 // TestReadiness: a ready controller steps back only once another has been the better
 // choice all the time.
 func TestReadiness(t *testing.T) {
-	m := started()
+	m := newMember()
 	if m.IsReady() {
 		t.Error("ready at the start")
 	}
 	m.BecomeReady()
 	const start = time.Minute
-	m.StepBack(start, true)
-	if m.StepBack(start+tuning.StepBack, true); !m.IsReady() {
+	m.MaybeBecomeUnready(start, true)
+	if m.MaybeBecomeUnready(start+tuning.StepBack, true); !m.IsReady() {
 		t.Error("steps back too early")
 	}
-	m.StepBack(start+tuning.StepBack+1, false)
-	if m.StepBack(start+2*tuning.StepBack, true); !m.IsReady() {
+	m.MaybeBecomeUnready(start+tuning.StepBack+1, false)
+	if m.MaybeBecomeUnready(start+2*tuning.StepBack, true); !m.IsReady() {
 		t.Error("an interruption doesn't count")
 	}
-	if m.StepBack(start+3*tuning.StepBack+1, true); m.IsReady() {
+	if m.MaybeBecomeUnready(start+3*tuning.StepBack+1, true); m.IsReady() {
 		t.Error("doesn't step back")
 	}
 	m.BecomeReady()
-	if m.StepBack(start+9*tuning.StepBack, true); !m.IsReady() {
+	if m.MaybeBecomeUnready(start+9*tuning.StepBack, true); !m.IsReady() {
 		t.Error("steps back at once after it was ready again")
 	}
 }
 
-func TestStateAnswers(t *testing.T) {
-	m := started()
-	if m.StateAnswers(0) || m.IsStateReachable() {
+func TestStateReachability(t *testing.T) {
+	m := newMember()
+	if m.HasRecentStateResponse(0) || m.IsStateReachable() {
 		t.Error("reachable before any answer")
 	}
 	m = confirmedAtZero(t)
-	if !m.IsStateReachable() || !m.StateAnswers(tuning.UsableFor-1) || m.StateAnswers(tuning.UsableFor) {
+	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) || m.HasRecentStateResponse(tuning.UsableFor) {
 		t.Error("an answer counts until it is as old as tuning.UsableFor")
 	}
-	m.StartConfirmation(2*time.Second, steady.Instant{})
+	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
-	if m.IsStateReachable() || !m.StateAnswers(tuning.UsableFor-1) {
+	if m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) {
 		t.Error("one failure shows at once in one and not in the other")
 	}
 }
@@ -382,7 +382,7 @@
 // renewals follow each other.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
 	const granted = 10 * time.Second
-	m := started()
+	m := newMember()
 	m.CacheLoaded()
 	m.MaintainLease(0, "")
 	m.LeaseGranted(time.Second, false, 0)
@@ -392,7 +392,7 @@
 	m.LeaseGranted(granted+time.Second, true, 5)
 	for i := time.Duration(1); i <= 3; i++ {
 		at := granted + i*tuning.LeaseRenewalInterval
-		if m.MaintainLease(at-1, own).Renew || !m.MaintainLease(at, own).Renew {
+		if m.MaintainLease(at-1, ownIncarnation).Renew || !m.MaintainLease(at, ownIncarnation).Renew {
 			t.Errorf("renewal %d is not due at %v", i, at)
 		}
 		m.RenewalAnswered(at+time.Millisecond, Renewed)
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -42,7 +42,7 @@
 	fb.MessageAddMachines(e.Builder, machineVector)
 	fb.MessageAddHolds(e.Builder, reserved)
 	fb.MessageAddEvict(e.Builder, evicting)
-	fb.MessageAddUsable(e.Builder, m.Usable)
+	fb.MessageAddUsable(e.Builder, m.StateReachable)
 	if m.Steal != nil {
 		fb.MessageAddSteal(e.Builder, steal)
 	}
@@ -114,7 +114,7 @@
 	r := fb.GetRootAsMessage(frame, 0)
 	d := decoder{frameBytes: len(frame), strings: map[string]string{}}
 	m.Machines = make([]scheduler.PeerMachine, 0, d.capacity(r.MachinesLength()))
-	from, m.Epoch, m.Load, m.Usable = string(r.From()), r.Epoch(), r.Load(), r.Usable()
+	from, m.Epoch, m.Load, m.StateReachable = string(r.From()), r.Epoch(), r.Load(), r.Usable()
 	for i := range r.MachinesLength() {
 		var machine fb.Machine
 		r.Machines(&machine, i)
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -12,7 +12,7 @@
 
 func TestMessageRoundTrip(t *testing.T) {
 	m := scheduler.PeerMessage{
-		Epoch: 7, Load: 12.5, Usable: true, Reserved: []string{"n-1"}, Evicting: []string{"n-2", "n-3"},
+		Epoch: 7, Load: 12.5, StateReachable: true, Reserved: []string{"n-1"}, Evicting: []string{"n-2", "n-3"},
 		Machines: []scheduler.PeerMachine{{Name: "n-1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Leaving: true, AgentEpoch: 3,
 			Load: 1.5, Images: []string{"x", "y"}}, {Name: "n-2"}},
 		Steal: &scheduler.StealRequest{Type: "g8", Zone: "b", Spot: true, Room: domain.Resources{CPU: 1, GPU: 2, Memory: 3}, MaxTasks: 4},
@@ -46,7 +46,7 @@
 		frame string
 		want  scheduler.PeerMessage
 	}{
-		"c-1": {beforeLoads, scheduler.PeerMessage{Epoch: 4, Load: 2.5, Usable: true, Reserved: []string{"n-000002"}, Evicting: []string{"n-000003"},
+		"c-1": {beforeLoads, scheduler.PeerMessage{Epoch: 4, Load: 2.5, StateReachable: true, Reserved: []string{"n-000002"}, Evicting: []string{"n-000003"},
 			Machines: []scheduler.PeerMachine{{Name: "n-000001", Addr: "10.1.0.1:9000", Type: "box", Zone: "a", Spot: true, AgentEpoch: 2, Load: 1.5,
 				Images: []string{"img-1", "img-2"}}}}},
 		"c-2": {beforeSteal, scheduler.PeerMessage{Epoch: 4, Machines: []scheduler.PeerMachine{}, Steal: &scheduler.StealRequest{Type: "box", Zone: "b", Spot: true, Room: domain.Resources{CPU: 1000, GPU: 2000, Memory: 3000}, MaxTasks: 8}}},
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -9,7 +9,7 @@
 
 // messageOf is what a controller that owns n machines tells the others.
 func messageOf(n int) scheduler.PeerMessage {
-	m := scheduler.PeerMessage{Epoch: 7, Load: 30, Usable: true}
+	m := scheduler.PeerMessage{Epoch: 7, Load: 30, StateReachable: true}
 	for i := 0; i < n; i++ {
 		x := scheduler.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
 		for k := 0; k < 6; k++ {
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -123,11 +123,11 @@
 	j.counts.count(old.State, -1)
 	j.counts.count(task.State, 1)
 	if old.State == domain.Booked {
-		c.heartbeats.touched[old.Machine] = true
+		c.heartbeats.toReview[old.Machine] = true
 		c.cache.removeBooking(j, id, old)
 	}
 	if task.State == domain.Booked {
-		c.heartbeats.touched[task.Machine] = true
+		c.heartbeats.toReview[task.Machine] = true
 		c.cache.addBooking(j, id, task, c.queues.bookingInfo(j, c.now))
 		delete(c.queues.tasksStaying, id)
 	}
--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -21,7 +21,7 @@
 		// The pages are read one after the other. What changed after the first
 		// comes with the watch, in order: a chunk taken now without its header
 		// would be dropped, and its revision then hide it for good.
-		if item.ModRevision <= snapshot.Revision || !c.guard(GuardSnapshot) {
+		if item.ModRevision <= snapshot.Revision || !c.isGuardEnabled(GuardSnapshot) {
 			c.apply(item)
 		}
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -18,9 +18,9 @@
 	answerBy   time.Duration // steady time at which it is answered in any case
 }
 
-// isWorthDelaying tells whether an answer given now would soon have had commands in it. A
+// shouldDelayAnswer tells whether an answer given now would soon have had commands in it. A
 // machine that has to wait for its next heartbeat starts its next task seconds later.
-func (c *Controller) isWorthDelaying(m *Machine) bool {
+func (c *Controller) shouldDelayAnswer(m *Machine) bool {
 	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
 		return true // the commit in flight concerns it
 	}
@@ -100,7 +100,7 @@
 		}
 		c.debug("command", "kind", command.Kind, "task", command.Task, "machine", m.Name, "attempt", command.Attempt, "reason", command.Reason,
 			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
-			"confirmed_s", (c.now - c.membership.Confirmed().Time()).Seconds())
+			"confirmed_s", (c.now - c.membership.ViewConfirmedAt().Time()).Seconds())
 	}
 }
 
@@ -123,7 +123,7 @@
 			}
 			continue
 		}
-		if !c.cache.isBooking(m, report) || !c.guard(GuardForget) {
+		if !c.cache.isBooking(m, report) || !c.isGuardEnabled(GuardForget) {
 			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: report.Attempt, Reason: domain.ReasonSettled})
 		}
 	}
@@ -136,7 +136,7 @@
 	for _, id := range sortedTasks(c.cache.bookedOn[m.Name]) {
 		j := c.cache.jobs[id.Job]
 		task := j.task(id.Index)
-		if c.whyNotStart(m, j, id, task) != startAllowed {
+		if c.startRefusalFor(m, j, id, task) != startAllowed {
 			continue
 		}
 		m.startsSent[attemptID{id, task.Attempt}] = sequence
@@ -149,41 +149,41 @@
 type startRefusal int
 
 const (
-	startAllowed     startRefusal = iota
-	alreadyThere                  // the machine reports the attempt
-	gangStopped                   // the header stops this attempt of the gang everywhere
-	otherEpoch                    // booked in another agent epoch than the machine's present one
-	jobClosed                     // the job is cancelled or over
-	releaseTried                  // the release's transaction may land late (invariant 4 of docs/design.md)
-	machineTaken                  // the cloud takes the machine back
-	attemptPreempted              // other work needs its room
-	machineCleared                // the machine is emptied for a task that needs all of it
-	gangBroken                    // not all tasks of the gang's attempt are booked
+	startAllowed          startRefusal = iota
+	alreadyReported                    // the machine reports the attempt
+	gangStopped                        // the header stops this attempt of the gang everywhere
+	agentEpochDiffers                  // booked in another agent epoch than the machine's present one
+	jobClosed                          // the job is cancelled or over
+	releaseAttempted                   // the release's transaction may land late (invariant 4 of docs/design.md)
+	machineBeingPreempted              // the cloud takes the machine back
+	attemptPreempted                   // other work needs its room
+	machineBeingEvicted                // the machine is emptied for a task that needs all of it
+	gangIncomplete                     // not all tasks of the gang's attempt are booked
 )
 
-// whyNotStart tells whether a task that is booked on m may be started there. Only a committed
+// startRefusalFor tells whether a task that is booked on m may be started there. Only a committed
 // booking of the present agent epoch is, and only if its release was never tried.
-func (c *Controller) whyNotStart(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
+func (c *Controller) startRefusalFor(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
 	attempt := attemptID{id, task.Attempt}
 	switch {
 	case m.lists(attempt):
-		return alreadyThere
+		return alreadyReported
 	case j.isStopped(task):
 		return gangStopped
 	case task.AgentEpoch != m.agentEpoch:
-		return otherEpoch
+		return agentEpochDiffers
 	case j.Header.State != domain.StateOpen:
 		return jobClosed
-	case c.planner.pendingReleases[attempt] && c.guard(GuardPendingRelease):
-		return releaseTried
+	case c.planner.pendingReleases[attempt] && c.isGuardEnabled(GuardPendingRelease):
+		return releaseAttempted
 	case m.preemptionAt >= 0:
-		return machineTaken
+		return machineBeingPreempted
 	case c.planner.preempted[attempt]:
 		return attemptPreempted
 	case c.isEvictedFrom(m, j.Header.Spec):
-		return machineCleared
+		return machineBeingEvicted
 	case !isGangIntact(j, task):
-		return gangBroken
+		return gangIncomplete
 	}
 	return startAllowed
 }
@@ -213,7 +213,7 @@
 	case !isGangIntact(j, task):
 		stop.Reason = domain.ReasonGangBroken
 		return stop, !saves
-	case isTogether(spec):
+	case isMultiTaskGang(spec):
 		// Its progress is saved only if all are told together: the header tells
 		// every owner (planGangStops).
 		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopThrough >= task.Attempt && !saves
@@ -221,7 +221,7 @@
 		return saveAndStop(stop, spec, domain.ReasonPreempted), !saves
 	case m.preemptionAt >= 0:
 		return c.stopBeforePreemption(m, stop, spec, saves)
-	case c.cache.drainsRunning(m) && !saves:
+	case c.cache.drainStopsTasks(m) && !saves:
 		return saveAndStop(stop, spec, domain.ReasonDraining), true
 	}
 	return stop, false
@@ -246,14 +246,14 @@
 	return stop, left/2 <= spec.CheckpointCost+tuning.PreemptionSaveSlackSeconds
 }
 
-// drainsRunning tells whether m is drained for a reason for which its tasks have to go.
-func (c *cache) drainsRunning(m *Machine) bool {
+// drainStopsTasks tells whether m is drained for a reason for which its tasks have to go.
+func (c *cache) drainStopsTasks(m *Machine) bool {
 	cordon := c.cordons[m.Name]
 	return cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle
 }
 
-// isTogether tells whether the job's tasks start and end together: a gang of several.
-func isTogether(spec *domain.JobSpec) bool {
+// isMultiTaskGang tells whether the job's tasks start and end together: a gang of several.
+func isMultiTaskGang(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
@@ -282,7 +282,7 @@
 		if pending == nil {
 			continue
 		}
-		if m := c.heartbeats.machines[name]; m == nil || c.now >= pending.answerBy || !c.isWorthDelaying(m) {
+		if m := c.heartbeats.machines[name]; m == nil || c.now >= pending.answerBy || !c.shouldDelayAnswer(m) {
 			c.answerHeartbeat(pending)
 		}
 	}
@@ -292,23 +292,23 @@
 // now, in order: those touched since the last time, or all of them once a pace.
 func (c *Controller) heartbeatsToReview() []string {
 	heartbeats := &c.heartbeats
-	defer clear(heartbeats.touched)
+	defer clear(heartbeats.toReview)
 	switch {
 	case len(heartbeats.pending) == 0:
 		return nil
-	case heartbeats.nextReview.IsOpen(c.now):
-		heartbeats.nextReview.Close(c.now + c.pace())
+	case heartbeats.nextReview.HasPassed(c.now):
+		heartbeats.nextReview.Set(c.now + c.planInterval())
 		return slices.Sorted(maps.Keys(heartbeats.pending))
-	case len(heartbeats.touched) == 0:
+	case len(heartbeats.toReview) == 0:
 		return nil
 	}
-	return slices.Sorted(maps.Keys(heartbeats.touched))
+	return slices.Sorted(maps.Keys(heartbeats.toReview))
 }
 
 // sendDirectStops sends stops straight to the agent, for work that is cancelled or has to
 // go soon. They may arrive late, which does no harm, and heartbeats repeat them.
 func (c *Controller) sendDirectStops(m *Machine) {
-	if !m.nextDirectStop.IsOpen(c.now) || m.Addr == "" {
+	if !m.nextDirectStop.HasPassed(c.now) || m.Addr == "" {
 		return
 	}
 	var stops []domain.Command
@@ -322,7 +322,7 @@
 		}
 	}
 	if len(stops) > 0 {
-		m.nextDirectStop.Close(c.now + tuning.StopRepeat)
+		m.nextDirectStop.Set(c.now + tuning.StopRepeat)
 		c.logCommands(m, stops)
 		c.emit(SendCommands{Machine: m.Name, Addr: m.Addr, FencingToken: c.cache.view.Epoch, AgentEpoch: m.agentEpoch, Commands: stops})
 	}
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -5,7 +5,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -19,7 +19,7 @@
 	nextID          uint64                    // numbers commits and reads, each id is used once
 	pending         map[uint64]*pendingCommit // by id
 	taskCommit      *pendingCommit            // the one task commit in flight; nil: none
-	nextTaskCommit  steady.Gate               // closed for a little after one that was refused or in doubt
+	nextTaskCommit  monotime.Deadline         // closed for a little after one that was refused or in doubt
 	minRevision     uint64                    // the cache must reach this revision before the next task commit
 	inDoubt         inDoubtCommit             // a task commit whose outcome is unknown
 	rate            float64                   // changes a second for task commits, at present
@@ -87,7 +87,7 @@
 	for _, put := range transaction.Puts {
 		// The view is taken from the watch alone, so that whoever sees
 		// epoch e has seen all commits of earlier epochs.
-		if put.Key == codec.KeyView && c.guard(GuardView) {
+		if put.Key == codec.KeyView && c.isGuardEnabled(GuardView) {
 			continue
 		}
 		c.apply(domain.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision})
@@ -180,7 +180,7 @@
 // canCommitTasks tells whether a task commit could go out now.
 func (c *Controller) canCommitTasks() bool {
 	s := &c.commits
-	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
+	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.HasPassed(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
 // sendPlan commits a draft and settles what comes of it. From now on no start of an
@@ -205,7 +205,7 @@
 	c.commits.taskCommit = nil
 	c.planner.dirty = true
 	for name := range d.machines {
-		c.heartbeats.touched[name] = true
+		c.heartbeats.toReview[name] = true
 	}
 	switch result {
 	case domain.Committed:
@@ -234,7 +234,7 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
-	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
+	c.commits.nextTaskCommit.Set(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
 }
 
 // --- sizes ---
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -97,7 +97,7 @@
 	case CommitAnswered:
 		c.onCommit(e)
 	case KeysRead:
-		c.onRead(e)
+		c.onKeysRead(e)
 	case LeaseGranted:
 		c.onLeaseGranted(e)
 	case LeaseRenewalAnswered:
@@ -168,18 +168,18 @@
 // onSnapshot replaces the cache.
 func (c *Controller) onSnapshot(snapshot SnapshotLoaded) {
 	c.loadSnapshot(snapshot)
-	c.settleConfirmations()
+	c.applyConfirmations()
 }
 
 // onWatch brings the cache up to the watch's revision.
 func (c *Controller) onWatch(watch WatchAdvanced) {
-	c.membership.WatchBegins(watch.Sent)
+	c.membership.BeginWatchUpdate(watch.Sent)
 	for _, kv := range watch.Items {
 		c.apply(kv)
 	}
-	c.membership.WatchEnds()
+	c.membership.EndWatchUpdate()
 	c.cache.revision = max(c.cache.revision, watch.Revision)
-	c.settleConfirmations()
+	c.applyConfirmations()
 }
 
 // emit adds an effect to those of the present step.
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -8,7 +8,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -17,7 +17,7 @@
 type cordons struct {
 	wanted      map[string]domain.Cordon // by machine
 	writing     bool                     // a commit of cordons is under way
-	nextWrite   steady.Gate
+	nextWrite   monotime.Deadline
 	lastWriteAt time.Duration // when the cordons of a large fleet were last let pass; others don't keep it
 }
 
@@ -61,7 +61,7 @@
 // isDue tells whether there is anything to write, no other write is under way, and none was
 // just before.
 func (c *cordons) isDue(now time.Duration) bool {
-	return !c.writing && len(c.wanted) > 0 && c.nextWrite.IsOpen(now)
+	return !c.writing && len(c.wanted) > 0 && c.nextWrite.HasPassed(now)
 }
 
 // mayWriteCordons tells whether a commit of cordons may be sent. Task commits spend the changes
@@ -76,10 +76,10 @@
 // under way on the machines that share it.
 func (c *Controller) isTimeToWriteCordons() bool {
 	if !c.isLargeFleet() {
-		c.cordons.nextWrite.Close(c.now + c.pace())
+		c.cordons.nextWrite.Set(c.now + c.planInterval())
 		return true
 	}
-	c.cordons.nextWrite.Close(c.now + tuning.CordonInterval)
+	c.cordons.nextWrite.Set(c.now + tuning.CordonInterval)
 	if !c.cordons.hasUrgent() && c.now-c.cordons.lastWriteAt < tuning.IdleCordonInterval {
 		return false
 	}
@@ -168,7 +168,7 @@
 	c.commit(LaneTask, transaction, func(result domain.CommitResult, _ CommitAnswered) {
 		c.cordons.writing = false
 		if result != domain.Committed {
-			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
+			c.cordons.nextWrite.Set(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
 			return
 		}
 		c.cordons.settle(changed.machines, c.cache.cordons)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -29,7 +29,7 @@
 
 // mayStart is the one place that says whether tasks of a job may start at all.
 func (c *Controller) mayStart(j *Job) bool {
-	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardDependencies)
+	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.isGuardEnabled(GuardDependencies)
 }
 
 // phaseOf is the phase that a job's header and those before it call for.
@@ -62,7 +62,7 @@
 			if job.phase == phaseDone {
 				dependent.unfinishedDependencies--
 				dependent.dependenciesDoneAt = max(dependent.dependenciesDoneAt, c.endOf(job))
-			} else if c.guard(GuardCascade) {
+			} else if c.isGuardEnabled(GuardCascade) {
 				dependent.dependencyFailed = true
 			}
 			work = append(work, dependent)
@@ -87,7 +87,7 @@
 	}
 	j.phase = next
 	if next >= phaseDone && next != old {
-		c.wakeWaiters()
+		c.answerWaiters()
 	}
 }
 
@@ -150,7 +150,7 @@
 		case needed != nil && needed.phase == phaseDone:
 			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.endOf(needed))
 		case needed != nil && needed.phase == phaseCancelled:
-			j.dependencyFailed = c.guard(GuardCascade)
+			j.dependencyFailed = c.isGuardEnabled(GuardCascade)
 			if !j.dependencyFailed {
 				j.unfinishedDependencies++
 			}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -263,13 +263,13 @@
 	c.effects = nil
 	c.onJobSubmitted(submitted)
 	for id := range c.requests.lookups {
-		c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
+		c.onKeysRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
 	}
 	if len(c.requests.waiting) > 0 && said(c).Status != 0 {
 		t.Errorf("answered %d before its read index", said(c).Status)
 	}
 	c.reachReadIndex()
-	c.wakeWaiters()
+	c.answerWaiters()
 	commitAll(t, c)
 }
 
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -61,7 +61,7 @@
 	task := d.task(j, i)
 	d.addCondition(codec.KeyJob(j.ID)) // it may have been cancelled or handed over
 	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Node}
-	if d.c.guard(GuardCordons) {
+	if d.c.isGuardEnabled(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
 	}
 	d.machines[place.machine] = true
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -3,16 +3,16 @@
 import (
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // formats is how far this controller is with announcing its format, and whether the
 // key-value store's limits are known to have fallen.
 type formats struct {
-	announcing       bool        // a commit of it is in flight
-	nextAnnouncement steady.Gate // closed for a while after each answer
-	limitsFell       bool        // a refusal showed that values must be smaller now
+	announcing       bool              // a commit of it is in flight
+	nextAnnouncement monotime.Deadline // closed for a while after each answer
+	limitsFell       bool              // a refusal showed that values must be smaller now
 }
 
 // formatOn tells whether all controllers read and keep what this version writes.
@@ -20,7 +20,7 @@
 
 // announceFormat announces this controller's format, and as the leader turns it on.
 func (c *Controller) announceFormat() {
-	if c.cache.formatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.formatOn() || c.formats.announcing || !c.formats.nextAnnouncement.HasPassed(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Node] < codec.CurrentFormat {
@@ -54,7 +54,7 @@
 		Puts: []domain.Put{{Key: key, Value: codec.Encode(format)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.formats.announcing = false
-		c.formats.nextAnnouncement.Close(c.now + tuning.FormatRetry)
+		c.formats.nextAnnouncement.Set(c.now + tuning.FormatRetry)
 	})
 }
 
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -12,9 +12,9 @@
 	"brassglade/internal/tuning"
 )
 
-// booked is an acting controller with one machine that it heard, and a task of job 1
-// booked there and not yet started.
-func booked(t *testing.T, drop Guard) (*Controller, *Machine) {
+// withBookedTask is an acting controller with one machine that it heard, and a task of job 1
+// withBookedTask there and not yet started.
+func withBookedTask(t *testing.T, drop Guard) (*Controller, *Machine) {
 	t.Helper()
 	c := acting()
 	c.cfg.DisabledGuard, c.cfg.WorkerLease, c.cfg.HeartbeatInterval = drop, 20*time.Second, 3*time.Second
@@ -31,8 +31,8 @@
 	return c, m
 }
 
-// ordered is the answer to a heartbeat of the machine, given at once.
-func ordered(c *Controller, m *Machine, sequence uint64, notice float64, seen ...domain.TaskReport) (status int, kinds []domain.CommandKind) {
+// heartbeatAnswer is the answer to a heartbeat of the machine, given at once.
+func heartbeatAnswer(c *Controller, m *Machine, sequence uint64, notice float64, seen ...domain.TaskReport) (status int, kinds []domain.CommandKind) {
 	c.effects = nil
 	c.confirmNow()
 	c.onHeartbeat(HeartbeatReceived{RequestID: 9, Heartbeat: domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 1, PreemptionNotice: notice, Tasks: seen}})
@@ -50,32 +50,32 @@
 	return status, kinds
 }
 
-// TestGuardsBite: what each guard keeps holds with it and doesn't without it.
+// TestGuardsAreEffective: what each guard keeps holds with it and doesn't without it.
 // They guard against meetings that random days seldom bring about.
-func TestGuardsBite(t *testing.T) {
+func TestGuardsAreEffective(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for guard, holds := range map[Guard]func(t *testing.T, drop Guard) bool{
 		// A release without an answer may still be carried out: were the start sent
 		// again, as the notice was withdrawn, the task would then start elsewhere.
 		GuardPendingRelease: func(t *testing.T, drop Guard) bool {
-			c, m := booked(t, drop)
-			ordered(c, m, 2, 8)
+			c, m := withBookedTask(t, drop)
+			heartbeatAnswer(c, m, 2, 8)
 			c.now += 2 * time.Second
 			c.cache.jobs[id.Job].Header.StopThrough, m.fencingToken = 0, 1
-			_, _ = ordered(c, m, 3, 8)
+			_, _ = heartbeatAnswer(c, m, 3, 8)
 			pending := c.commits.taskCommit
 			if pending == nil {
 				pending = c.commits.pending[planned(t, c).ID]
 			}
 			c.onCommit(CommitAnswered{ID: pending.id, Result: domain.InDoubt})
-			c.commits.nextTaskCommit.Close(c.now + time.Minute)
-			_, kinds := ordered(c, m, 4, -1)
+			c.commits.nextTaskCommit.Set(c.now + time.Minute)
+			_, kinds := heartbeatAnswer(c, m, 4, -1)
 			return !slices.Contains(kinds, domain.StartTask)
 		},
 		// Whoever sees a view has seen every commit of the views before: a controller that
 		// took its own proposal for seen could lack another's last booking.
 		GuardView: func(t *testing.T, drop Guard) bool {
-			c, _ := booked(t, drop)
+			c, _ := withBookedTask(t, drop)
 			view := *c.cache.view
 			view.Epoch = 2
 			proposal := c.commit(LaneView, domain.Transaction{Puts: []domain.Put{{Key: codec.KeyView, Value: codec.Encode(view)}}}, func(domain.CommitResult, CommitAnswered) {})
@@ -84,14 +84,14 @@
 		},
 		// A forgotten attempt is unknown to its agent, and a start would run it anew.
 		GuardForget: func(t *testing.T, drop Guard) bool {
-			c, m := booked(t, drop)
-			c.commits.nextTaskCommit.Close(c.now + time.Minute)
-			_, kinds := ordered(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
+			c, m := withBookedTask(t, drop)
+			c.commits.nextTaskCommit.Set(c.now + time.Minute)
+			_, kinds := heartbeatAnswer(c, m, 2, -1, domain.TaskReport{Task: id, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseError})
 			return !slices.Contains(kinds, domain.ForgetTask)
 		},
 		// A machine may be cordoned and returned between plan and commit.
 		GuardCordons: func(t *testing.T, drop Guard) bool {
-			c, m := booked(t, drop)
+			c, m := withBookedTask(t, drop)
 			c.apply(openJob(t, 2, 1, 1, 1000))
 			c.enqueue(domain.TaskID{Job: jobName(2), Index: 0}, m)
 			commit := planned(t, c)
@@ -112,26 +112,26 @@
 		// The tasks of an abandoned agent epoch may be on elsewhere: an answer would keep
 		// alive what may still be there.
 		GuardAbandonedEpoch: func(t *testing.T, drop Guard) bool {
-			c, m := booked(t, drop)
+			c, m := withBookedTask(t, drop)
 			c.now += c.cfg.FenceAge + c.cfg.WorkerLease + 5*time.Second
 			c.confirmNow()
 			c.reviewMachines()
 			if m.abandonedEpoch != 1 {
 				t.Fatal("not abandoned")
 			}
-			status, _ := ordered(c, m, 2, -1)
+			status, _ := heartbeatAnswer(c, m, 2, -1)
 			return status == 503
 		},
 		// What may change is answered behind a read index.
 		GuardReadIndex: func(t *testing.T, drop Guard) bool {
-			c, _ := booked(t, drop)
+			c, _ := withBookedTask(t, drop)
 			c.effects = nil
 			c.onJobQueried(JobQueried{1, jobName(1)})
 			return said(c).Status == 0
 		},
 		GuardNeverRuns: func(t *testing.T, drop Guard) bool {
-			c, _ := booked(t, drop)
-			return c.whyNeverRuns(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
+			c, _ := withBookedTask(t, drop)
+			return c.neverRunsReason(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A controller that was cut off takes a job for unknown that another one accepted.
 		GuardReadIndex + " ": func(t *testing.T, drop Guard) bool {
@@ -152,12 +152,12 @@
 	}
 }
 
-// TestFrozenBetweenEvents: a controller that stood still answers nothing that it held, by
+// TestPauseBetweenEvents: a controller that stood still answers nothing that it held, by
 // what it knew before, until it has confirmed anew.
-func TestFrozenBetweenEvents(t *testing.T) {
-	c, m := booked(t, "")
+func TestPauseBetweenEvents(t *testing.T) {
+	c, m := withBookedTask(t, "")
 	c.heartbeats.pending[m.Name] = &pendingHeartbeat{m.Name, 7, 1, 1, c.now + tuning.HeartbeatHold}
-	c.requests.waiting = append(c.requests.waiting, waiter{requestID: 8, id: jobName(1), askedAt: c.now})
+	c.requests.waiting = append(c.requests.waiting, waiter{requestID: 8, jobID: jobName(1), askedAt: c.now})
 	effects := c.Step(c.now+time.Minute, Tick{})
 	got := map[string]int{}
 	for _, effect := range effects {
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -55,5 +55,5 @@
 	GuardCascade Guard = "cascade"
 )
 
-// guard tells whether a guard stands.
-func (c *Controller) guard(g Guard) bool { return c.cfg.DisabledGuard != g }
+// isGuardEnabled tells whether a isGuardEnabled stands.
+func (c *Controller) isGuardEnabled(g Guard) bool { return c.cfg.DisabledGuard != g }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -7,23 +7,23 @@
 	"time"
 
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // heartbeats is what the machines last said, and their heartbeats that wait for an answer.
 type heartbeats struct {
-	machines    map[string]*Machine          // by name; changed by addMachine and dropMachine alone
-	sortedNames []string                     // names of machines; nil: to be made anew
-	pending     map[string]*pendingHeartbeat // by machine
-	touched     map[string]bool              // machines whose pending heartbeat is to be looked at again
-	nextReview  steady.Gate                  // of all pending heartbeats
-	nextWalk    steady.Gate                  // over all machines
+	machines          map[string]*Machine          // by name; changed by addMachine and dropMachine alone
+	sortedNames       []string                     // names of machines; nil: to be made anew
+	pending           map[string]*pendingHeartbeat // by machine
+	toReview          map[string]bool              // machines whose pending heartbeat is to be looked at again
+	nextReview        monotime.Deadline            // of all pending heartbeats
+	nextMachineReview monotime.Deadline            // over all machines
 }
 
 func newHeartbeats() heartbeats {
 	return heartbeats{
-		machines: map[string]*Machine{}, pending: map[string]*pendingHeartbeat{}, touched: map[string]bool{},
+		machines: map[string]*Machine{}, pending: map[string]*pendingHeartbeat{}, toReview: map[string]bool{},
 	}
 }
 
@@ -43,9 +43,9 @@
 	agentEpochAbandoned
 	// machineReturned: the cloud took the machine back: its tasks may run elsewhere as well.
 	machineReturned
-	// lateCopy: the agent waits for no answer to this heartbeat any more, and its list of tasks
+	// staleHeartbeat: the agent waits for no answer to this heartbeat any more, and its list of tasks
 	// is old.
-	lateCopy
+	staleHeartbeat
 )
 
 // onHeartbeat answers a machine's heartbeat. 200 is said only by the machine's owner behind
@@ -78,7 +78,7 @@
 		machine: m.Name, requestID: received.RequestID, sequence: heartbeat.Sequence, agentEpoch: heartbeat.AgentEpoch,
 		answerBy: c.now + tuning.HeartbeatHold,
 	}
-	if c.isWorthDelaying(m) {
+	if c.shouldDelayAnswer(m) {
 		c.heartbeats.pending[m.Name] = pending
 		return
 	}
@@ -107,7 +107,7 @@
 	case c.cache.isReturned(heartbeat.Machine):
 		return machineReturned
 	case !m.isNewer(heartbeat.AgentEpoch, heartbeat.Sequence):
-		return lateCopy
+		return staleHeartbeat
 	}
 	return heartbeatAccepted
 }
@@ -131,7 +131,7 @@
 // isAbandoned tells whether an agent epoch of the machine is abandoned. Such a one stays
 // so: docs/design.md, invariant 6.
 func (c *Controller) isAbandoned(m *Machine, agentEpoch uint64) bool {
-	return c.guard(GuardAbandonedEpoch) && agentEpoch <= m.abandonedEpoch
+	return c.isGuardEnabled(GuardAbandonedEpoch) && agentEpoch <= m.abandonedEpoch
 }
 
 // isReturned tells whether the cloud has confirmed that it took the machine back.
@@ -216,11 +216,11 @@
 
 // sortedTasks lists the keys of a map by job and index.
 func sortedTasks[V any](m map[domain.TaskID]V) []domain.TaskID {
-	return inOrder(slices.Collect(maps.Keys(m)))
+	return sortTasks(slices.Collect(maps.Keys(m)))
 }
 
-// inOrder sorts task IDs in place, by job and index.
-func inOrder(ids []domain.TaskID) []domain.TaskID {
+// sortTasks sorts task IDs in place, by job and index.
+func sortTasks(ids []domain.TaskID) []domain.TaskID {
 	sort.Slice(ids, func(a, b int) bool {
 		if ids[a].Job != ids[b].Job {
 			return ids[a].Job < ids[b].Job
@@ -230,11 +230,11 @@
 	return ids
 }
 
-// isProvenOff tells whether a booked task is proven off its machine, as far as this
+// isProvenStopped tells whether a booked task is proven off its machine, as far as this
 // controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
 // only once its attempt can't run any more, nor be started by an answer still under way.
-func (c *Controller) isProvenOff(m *Machine, id domain.TaskID, task domain.Task) bool {
-	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
+func (c *Controller) isProvenStopped(m *Machine, id domain.TaskID, task domain.Task) bool {
+	if !c.isGuardEnabled(GuardProof) && c.now-m.heardAt > 4*time.Second {
 		return true // tests take the proof away
 	}
 	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(task.AgentEpoch) {
@@ -247,11 +247,11 @@
 	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
-// hasLeaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
+// hasMachineLeaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
 // agent epoch heard of may have begun just then: without that term a new one, heard but
 // not yet answered, would be abandoned for the age of the last one's answer, and its live
 // tasks started elsewhere later on.
-func (c *Controller) hasLeaseExpired(m *Machine) bool {
+func (c *Controller) hasMachineLeaseExpired(m *Machine) bool {
 	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > renewedAt+lease+tuning.DriftMargin
@@ -259,16 +259,16 @@
 
 // silenceReview is what one walk over the machines finds about who is silent.
 type silenceReview struct {
-	limit  time.Duration           // silence from which a machine counts as lost
-	zones  map[string]*zoneSilence // by zone
-	heard  int                     // machines whose heartbeats came to this controller lately
-	silent int                     // machines to be drained, if only they are silent
+	limit      time.Duration           // silence from which a machine counts as lost
+	zones      map[string]*zoneSilence // by zone
+	responding int                     // machines whose heartbeats came to this controller lately
+	silent     int                     // machines to be drained, if only they are silent
 }
 
 // zoneSilence is what a silenceReview finds in one zone.
 type zoneSilence struct {
 	machines int        // all of the zone that this controller owns
-	punctual int        // of them those whose heartbeat isn't even late
+	onTime   int        // of them those whose heartbeat isn't even late
 	silent   []*Machine // of them those that are lost and not yet cordoned
 }
 
@@ -282,22 +282,22 @@
 	return zone
 }
 
-// areFew tells whether the zone's silent machines are too few to look like a cut.
-func (r *silenceReview) areFew(zone *zoneSilence) bool {
-	return zone.machines <= tuning.SilentFew && r.silent <= r.heard || r.silent == 1 && r.heard == 0
+// isTooFewForPartition tells whether the zone's silent machines are too few to look like a cut.
+func (r *silenceReview) isTooFewForPartition(zone *zoneSilence) bool {
+	return zone.machines <= tuning.SilentFew && r.silent <= r.responding || r.silent == 1 && r.responding == 0
 }
 
 // reviewMachines walks over all machines once a pace: it abandons agent epochs whose lease
 // has expired, sends direct stops where time matters, and drains machines that are silent,
 // don't heed answers or fail their tasks.
 func (c *Controller) reviewMachines() {
-	if !c.mayAct() || !c.heartbeats.nextWalk.IsOpen(c.now) {
+	if !c.mayAct() || !c.heartbeats.nextMachineReview.HasPassed(c.now) {
 		return
 	}
-	c.heartbeats.nextWalk.Close(c.now + c.pace())
+	c.heartbeats.nextMachineReview.Set(c.now + c.planInterval())
 	c.adoptBookedMachines()
 	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
-	if !c.arePeersFresh() {
+	if !c.hasRecentPeerMessages() {
 		review.limit = tuning.SilentCut
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
@@ -311,7 +311,7 @@
 		c.reviewSilence(m, &review)
 	}
 	c.drainSilent(&review)
-	c.drainUnheedingAndFaulty(review.heard)
+	c.drainUnresponsiveAndFaulty(review.responding)
 }
 
 // adoptBookedMachines takes in the machines of this controller that are known by their
@@ -340,7 +340,7 @@
 // abandonExpiredEpoch abandons the agent epochs of a machine with bookings whose lease can't
 // have been renewed: an agent stops its tasks when its lease ends.
 func (c *Controller) abandonExpiredEpoch(m *Machine) {
-	if len(c.cache.bookedOn[m.Name]) == 0 || !c.hasLeaseExpired(m) {
+	if len(c.cache.bookedOn[m.Name]) == 0 || !c.hasMachineLeaseExpired(m) {
 		return
 	}
 	last := max(m.agentEpoch, m.abandonedEpoch)
@@ -369,9 +369,9 @@
 	if m.heartbeatAt < 0 || c.now-m.heartbeatAt > review.limit {
 		return
 	}
-	review.heard++
+	review.responding++
 	if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
-		zone.punctual++
+		zone.onTime++
 	}
 	c.sendDirectStops(m)
 }
@@ -388,8 +388,8 @@
 		if len(zone.silent) == 0 {
 			continue
 		}
-		few := review.areFew(zone)
-		if len(zone.silent) > zone.punctual && !few {
+		few := review.isTooFewForPartition(zone)
+		if len(zone.silent) > zone.onTime && !few {
 			c.views.zoneSilentAt[name] = c.now
 		}
 		if silentAt, known := c.views.zoneSilentAt[name]; !few && known && c.now-silentAt < tuning.SilentCut {
@@ -401,9 +401,9 @@
 	}
 }
 
-// drainUnheedingAndFaulty drains the machines that ignore answers, unless so many do that it
+// drainUnresponsiveAndFaulty drains the machines that ignore answers, unless so many do that it
 // is rather this controller that is slow or cut off, and those whose tasks keep failing.
-func (c *Controller) drainUnheedingAndFaulty(heard int) {
+func (c *Controller) drainUnresponsiveAndFaulty(heard int) {
 	unheeding := 0
 	for _, m := range c.heartbeats.machines {
 		if c.ignoresReplies(m) {
@@ -413,22 +413,22 @@
 	isOwnFault := unheeding > 2+heard/10
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		if c.ignoresReplies(m) && !isOwnFault && c.isOwnUncordoned(m) {
+		if c.ignoresReplies(m) && !isOwnFault && c.ownsUncordoned(m) {
 			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
 		}
-		if len(m.failures) > 0 && c.isOwnUncordoned(m) && c.isFaulty(m) {
+		if len(m.failures) > 0 && c.ownsUncordoned(m) && c.isFaulty(m) {
 			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
 		}
 	}
 }
 
-// isOwnUncordoned tells whether this controller owns the machine, which isn't cordoned.
-func (c *Controller) isOwnUncordoned(m *Machine) bool {
+// ownsUncordoned tells whether this controller owns the machine, which isn't cordoned.
+func (c *Controller) ownsUncordoned(m *Machine) bool {
 	return c.owns(m.Name) && c.cache.cordons[m.Name].State == ""
 }
 
-// arePeersFresh tells whether all other serving controllers were heard just now.
-func (c *Controller) arePeersFresh() bool {
+// hasRecentPeerMessages tells whether all other serving controllers were heard just now.
+func (c *Controller) hasRecentPeerMessages() bool {
 	for _, node := range c.cache.view.Serving {
 		if peer := c.peers.byName[node]; node != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
 			return false
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -18,22 +18,22 @@
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 1, Sequence: 5}, true)
 	m.answeredAt = c.now
 	c.now = 100 * time.Second
-	if !c.hasLeaseExpired(m) {
+	if !c.hasMachineLeaseExpired(m) {
 		t.Error("the lease of the old agent epoch has not expired")
 	}
 	c.recordHeartbeat(m, &domain.Heartbeat{Machine: "n-1", AgentEpoch: 2, Sequence: 1}, true)
-	if c.hasLeaseExpired(m) {
+	if c.hasMachineLeaseExpired(m) {
 		t.Error("the new agent epoch is abandoned before it was answered")
 	}
 	c.now += 22 * time.Second
-	if !c.hasLeaseExpired(m) {
+	if !c.hasMachineLeaseExpired(m) {
 		t.Error("the new agent epoch, never answered, outlives its lease")
 	}
 }
 
-// TestMemberKeyIsNotHammered: a lease that expired refuses the member key; the controller
+// TestMemberKeyRetryDelay: a lease that expired refuses the member key; the controller
 // waits before it tries again (incident inc-16a3: eleven times in 60 ms).
-func TestMemberKeyIsNotHammered(t *testing.T) {
+func TestMemberKeyRetryDelay(t *testing.T) {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
 	c.Step(0, Tick{})
 	c.Step(time.Millisecond, LeaseGranted{OK: true, LeaseID: 1})
@@ -57,7 +57,7 @@
 // TestHeartbeatRefusals: each reason not to answer a heartbeat with commands is told from
 // the others.
 func TestHeartbeatRefusals(t *testing.T) {
-	c, m := booked(t, "")
+	c, m := withBookedTask(t, "")
 	newest := func() *domain.Heartbeat {
 		return &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 2, FencingToken: 1, PreemptionNotice: -1}
 	}
@@ -69,7 +69,7 @@
 	}
 	late := newest()
 	late.Sequence = 1
-	if got := c.refusalByMachine(m, late); got != lateCopy {
+	if got := c.refusalByMachine(m, late); got != staleHeartbeat {
 		t.Errorf("a late copy is refused for reason %d", got)
 	}
 	later := newest()
@@ -92,19 +92,19 @@
 	}
 }
 
-// TestProvenOff: an attempt is proven off by the end that its machine reports, by a later
+// TestIsProvenStopped: an attempt is proven off by the end that its machine reports, by a later
 // agent epoch, by an abandoned one, by the machine's return, and by a heartbeat that should
 // show its start and doesn't; not by a direct answer, nor by another controller's answer.
-func TestProvenOff(t *testing.T) {
+func TestIsProvenStopped(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
-	c, m := booked(t, "")
+	c, m := withBookedTask(t, "")
 	task := c.cache.jobs[id.Job].task(0)
 	attempt := attemptID{id, task.Attempt}
 	said := func(change func(*domain.Heartbeat), isHeartbeat bool) bool {
 		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
 		change(heartbeat)
 		c.recordHeartbeat(m, heartbeat, isHeartbeat)
-		return c.isProvenOff(m, id, task)
+		return c.isProvenStopped(m, id, task)
 	}
 	reports := func(attempt uint64, state string) func(*domain.Heartbeat) {
 		return func(heartbeat *domain.Heartbeat) {
@@ -135,40 +135,40 @@
 		})
 	}
 	m.agentEpoch = 0
-	if c.isProvenOff(m, id, task) {
+	if c.isProvenStopped(m, id, task) {
 		t.Error("proven off by a word older than its agent epoch")
 	}
 	m.abandonedEpoch = 1
-	if !c.isProvenOff(m, id, task) {
+	if !c.isProvenStopped(m, id, task) {
 		t.Error("not proven off by an abandoned agent epoch")
 	}
 	m.abandonedEpoch = 0
 	c.cache.cordons[m.Name] = domain.Cordon{State: domain.CordonGone}
-	if !c.isProvenOff(m, id, task) {
+	if !c.isProvenStopped(m, id, task) {
 		t.Error("not proven off by the machine's return")
 	}
 }
 
-// TestWhyNotStart: a booked task is started once, unless a reason stands against it.
-func TestWhyNotStart(t *testing.T) {
+// TestStartRefusalFor: a booked task is started once, unless a reason stands against it.
+func TestStartRefusalFor(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for want, change := range map[startRefusal]func(*Controller, *Machine, *Job, attemptID){
 		startAllowed: func(*Controller, *Machine, *Job, attemptID) {},
-		alreadyThere: func(_ *Controller, m *Machine, _ *Job, attempt attemptID) {
+		alreadyReported: func(_ *Controller, m *Machine, _ *Job, attempt attemptID) {
 			m.reported[id] = domain.TaskReport{Task: id, Attempt: attempt.Attempt}
 		},
-		gangStopped:      func(_ *Controller, _ *Machine, j *Job, attempt attemptID) { j.Header.StopThrough = attempt.Attempt },
-		otherEpoch:       func(_ *Controller, m *Machine, _ *Job, _ attemptID) { m.agentEpoch++ },
-		jobClosed:        func(_ *Controller, _ *Machine, j *Job, _ attemptID) { j.Header.State = domain.StateCancelled },
-		releaseTried:     func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.pendingReleases[attempt] = true },
-		machineTaken:     func(c *Controller, m *Machine, _ *Job, _ attemptID) { m.preemptionAt = c.now },
-		attemptPreempted: func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.preempted[attempt] = true },
+		gangStopped:           func(_ *Controller, _ *Machine, j *Job, attempt attemptID) { j.Header.StopThrough = attempt.Attempt },
+		agentEpochDiffers:     func(_ *Controller, m *Machine, _ *Job, _ attemptID) { m.agentEpoch++ },
+		jobClosed:             func(_ *Controller, _ *Machine, j *Job, _ attemptID) { j.Header.State = domain.StateCancelled },
+		releaseAttempted:      func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.pendingReleases[attempt] = true },
+		machineBeingPreempted: func(c *Controller, m *Machine, _ *Job, _ attemptID) { m.preemptionAt = c.now },
+		attemptPreempted:      func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.preempted[attempt] = true },
 	} {
-		c, m := booked(t, "")
+		c, m := withBookedTask(t, "")
 		j := c.cache.jobs[id.Job]
 		task := j.task(0)
 		change(c, m, j, attemptID{id, task.Attempt})
-		if got := c.whyNotStart(m, j, id, task); got != want {
+		if got := c.startRefusalFor(m, j, id, task); got != want {
 			t.Errorf("refused for reason %d, not %d", got, want)
 		}
 	}
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -2,8 +2,8 @@
 
 import (
 	"brassglade/internal/domain"
+	"brassglade/internal/monotime"
 	"brassglade/internal/policy"
-	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -68,7 +68,7 @@
 // meanLoad is the mean load of this controller's machines with the shard's pool, s. It is
 // kept for as long as the pace of planning.
 func (c *Controller) meanLoad() float64 {
-	if c.queues.meanLoadTakenAt.Within(c.pace(), c.now) {
+	if c.queues.meanLoadTakenAt.Within(c.planInterval(), c.now) {
 		return c.queues.meanLoad
 	}
 	sum, machines := 0.0, 0
@@ -78,7 +78,7 @@
 			machines++
 		}
 	}
-	c.queues.meanLoad, c.queues.meanLoadTakenAt = 0, steady.At(c.now)
+	c.queues.meanLoad, c.queues.meanLoadTakenAt = 0, monotime.At(c.now)
 	if machines > 0 {
 		c.queues.meanLoad = (sum + c.queues.poolRunTime) / float64(machines)
 	}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 )
 
 // Machine is what this controller knows of a machine. Only the machine's owner acts on it;
@@ -51,7 +51,7 @@
 	queue           []domain.TaskID          // tasks that wait for room here; some may have left (queues.trim)
 	noBookingsUntil time.Duration            // it refused or failed tasks, and gets none before
 	failures        map[string]failureCount  // errors since a task was last done here, by job
-	nextDirectStop  steady.Gate              // direct stop commands
+	nextDirectStop  monotime.Deadline        // direct stop commands
 	runTime         smoothedValue            // seconds that tasks took here, once done
 	images          map[string]time.Duration // when an image was last seen in use, by name
 
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -4,7 +4,7 @@
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
 	"brassglade/internal/membership"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -15,7 +15,7 @@
 func (c *Controller) maintainLease() {
 	before := c.membership.Lease()
 	due := c.membership.MaintainLease(c.now, c.cache.members[c.cfg.Node])
-	c.logLease(before)
+	c.logLeaseChange(before)
 	if due.Grant {
 		c.emit(GrantLease{TTL: tuning.LeaseTTL})
 	}
@@ -27,8 +27,8 @@
 	}
 }
 
-// logLease adds a line to the log if the lease's state is no longer the one before.
-func (c *Controller) logLease(before membership.LeaseState) {
+// logLeaseChange adds a line to the log if the lease's state is no longer the one before.
+func (c *Controller) logLeaseChange(before membership.LeaseState) {
 	if state := c.membership.Lease(); state != before {
 		c.debug("lease", "state", state.String(), "lease_id", c.membership.LeaseID())
 	}
@@ -38,7 +38,7 @@
 func (c *Controller) onLeaseGranted(answer LeaseGranted) {
 	before := c.membership.Lease()
 	c.membership.LeaseGranted(c.now, answer.OK, answer.LeaseID)
-	c.logLease(before)
+	c.logLeaseChange(before)
 }
 
 // onLeaseRenewal hands in the answer to RenewLease.
@@ -52,7 +52,7 @@
 		outcome = membership.Renewed
 	}
 	c.membership.RenewalAnswered(c.now, outcome)
-	c.logLease(before)
+	c.logLeaseChange(before)
 }
 
 // writeMemberKey writes this incarnation under the member key, which the state service
@@ -66,7 +66,7 @@
 	c.commit(LaneView, domain.Transaction{Puts: []domain.Put{memberKey}}, func(result domain.CommitResult, _ CommitAnswered) {
 		before := c.membership.Lease()
 		c.membership.MemberKeyAnswered(c.now, result == domain.Committed)
-		c.logLease(before)
+		c.logLeaseChange(before)
 	})
 }
 
@@ -77,7 +77,7 @@
 	if !c.membership.IsSynced() || c.cache.view == nil {
 		return false
 	}
-	return !c.guard(GuardFence) || c.membership.MayAct(c.now, c.cache.view.Members[c.cfg.Node])
+	return !c.isGuardEnabled(GuardFence) || c.membership.MayAct(c.now, c.cache.view.Members[c.cfg.Node])
 }
 
 // isMemberOf tells whether a view has this incarnation.
@@ -87,9 +87,9 @@
 
 // confirmView asks the state service whether the view still holds, and for a read index.
 func (c *Controller) confirmView() {
-	var newestReader steady.Instant
+	var newestReader monotime.Instant
 	if n := len(c.requests.waiting); n > 0 {
-		newestReader = steady.At(c.requests.waiting[n-1].askedAt) // in the order in which they asked
+		newestReader = monotime.At(c.requests.waiting[n-1].askedAt) // in the order in which they asked
 	}
 	if c.membership.StartConfirmation(c.now, newestReader) {
 		c.emit(ConfirmView{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]})
@@ -105,14 +105,14 @@
 		return
 	}
 	c.membership.ConfirmationAnswered(c.now, answer.Same, answer.Revision)
-	c.settleConfirmations()
+	c.applyConfirmations()
 }
 
-// settleConfirmations counts the confirmations that the cache has caught up with, and
+// applyConfirmations counts the confirmations that the cache has caught up with, and
 // answers who waited for them.
-func (c *Controller) settleConfirmations() {
+func (c *Controller) applyConfirmations() {
 	c.membership.CacheReached(c.cache.revision)
-	c.wakeWaiters()
+	c.answerWaiters()
 }
 
 // --- readiness ---
@@ -128,12 +128,12 @@
 // the load balancer would help no user, and its pauses, which double, would keep all
 // controllers out after the outage; users are told at once when to come back instead.
 func (c *Controller) updateReadiness() {
-	if c.canTakeRequests() && c.membership.StateAnswers(c.now) {
+	if c.canTakeRequests() && c.membership.HasRecentStateResponse(c.now) {
 		c.membership.BecomeReady()
 		return
 	}
 	if c.membership.IsReady() {
-		c.membership.StepBack(c.now, c.anotherCanTakeRequests())
+		c.membership.MaybeBecomeUnready(c.now, c.anotherCanTakeRequests())
 	}
 }
 
@@ -147,7 +147,7 @@
 		if c.now-peer.heardAt >= tuning.PeerFresh {
 			continue
 		}
-		if peer.usable {
+		if peer.stateReachable {
 			return true
 		}
 		heard = true
--- a/internal/scheduler/membership_test.go
+++ b/internal/scheduler/membership_test.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"brassglade/internal/membership"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 )
 
 // confirmNow gives the controller a fresh lease and member key, and confirms its view by a
@@ -26,7 +26,7 @@
 	m := &c.membership
 	m.ConfirmationFailed(sent) // of an earlier request, if one is under way
 	m.ConfirmSoon(sent)
-	if !m.StartConfirmation(sent, steady.At(sent)) {
+	if !m.StartConfirmation(sent, monotime.At(sent)) {
 		panic("a view is confirmed before the cache holds a snapshot")
 	}
 	m.ConfirmationAnswered(sent, true, c.cache.revision)
--- a/internal/scheduler/peer_messages.go
+++ b/internal/scheduler/peer_messages.go
@@ -5,13 +5,13 @@
 // PeerMessage is what controllers tell each other: hints only, nothing depends on them
 // for safety.
 type PeerMessage struct {
-	Epoch    uint64        // of the sender's view
-	Load     float64       // mean load of the sender's machines, seconds
-	Usable   bool          // the state service answered the sender just now
-	Machines []PeerMachine // that the sender owns and hears
-	Reserved []string      // machines that the leader reserves for jobs that it places, or lets rest
-	Evicting []string      // of these, those to be emptied for work of higher priority
-	Steal    *StealRequest // nil in gossip
+	Epoch          uint64        // of the sender's view
+	Load           float64       // mean load of the sender's machines, seconds
+	StateReachable bool          // the state service answered the sender just now
+	Machines       []PeerMachine // that the sender owns and hears
+	Reserved       []string      // machines that the leader reserves for jobs that it places, or lets rest
+	Evicting       []string      // of these, those to be emptied for work of higher priority
+	Steal          *StealRequest // nil in gossip
 }
 
 // PeerMachine describes a machine that the sender owns and hears.
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"brassglade/internal/domain"
+	"brassglade/internal/monotime"
 	"brassglade/internal/ownership"
-	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -17,13 +17,13 @@
 // all shards.
 type peers struct {
 	byName         map[string]*peerState
-	nextGossip     steady.Gate
+	nextGossip     monotime.Deadline
 	inventory      []inventoryMachine
-	inventoryAt    steady.Instant
+	inventoryAt    monotime.Instant
 	inventoryEpoch uint64
 	machinesByKind map[machineKind]int64 // of the inventory
 
-	waitingCountedAt          steady.Instant
+	waitingCountedAt          monotime.Instant
 	waitingByShard            map[string]int64 // tasks that wait, less the preemptible ones and those late beyond all aims
 	preemptibleWaitingByShard map[string]int64
 	waitingTotal              int64
@@ -35,14 +35,14 @@
 
 // peerState is what another controller told in its last message.
 type peerState struct {
-	heardAt  time.Duration
-	epoch    uint64
-	usable   bool    // the state service answers it
-	load     float64 // mean of its machines, s, with what was passed there since
-	machines []PeerMachine
-	reserved map[string]bool // of the leader: machines kept for jobs that it places
-	evicting map[string]bool // of the leader: machines that it wants emptied
-	fits     map[fitKey]bool // whether it has a machine for such tasks, as far as asked
+	heardAt        time.Duration
+	epoch          uint64
+	stateReachable bool    // the state service answers it
+	load           float64 // mean of its machines, s, with what was passed there since
+	machines       []PeerMachine
+	reserved       map[string]bool // of the leader: machines kept for jobs that it places
+	evicting       map[string]bool // of the leader: machines that it wants emptied
+	fits           map[fitKey]bool // whether it has a machine for such tasks, as far as asked
 }
 
 // addLoad counts tasks passed to the peer that it doesn't tell of yet; seconds is their run time.
@@ -61,14 +61,14 @@
 		return
 	}
 	c.peers.byName[received.From] = &peerState{
-		heardAt:  c.now,
-		epoch:    message.Epoch,
-		usable:   message.Usable,
-		load:     message.Load,
-		machines: message.Machines,
-		reserved: setOf(message.Reserved),
-		evicting: setOf(message.Evicting),
-		fits:     map[fitKey]bool{},
+		heardAt:        c.now,
+		epoch:          message.Epoch,
+		stateReachable: message.StateReachable,
+		load:           message.Load,
+		machines:       message.Machines,
+		reserved:       setOf(message.Reserved),
+		evicting:       setOf(message.Evicting),
+		fits:           map[fitKey]bool{},
 	}
 }
 
@@ -81,8 +81,8 @@
 	return set
 }
 
-// roomiest is the shard with the most room for a job: slots free, else the least load.
-func (c *Controller) roomiest(spec *domain.JobSpec) string {
+// shardWithMostRoom is the shard with the most room for a job: slots free, else the least load.
+func (c *Controller) shardWithMostRoom(spec *domain.JobSpec) string {
 	roomByShard, slotsByShard := c.roomByShard(spec)
 	best, bestScore := c.cfg.Node, math.Inf(-1)
 	for _, node := range c.cache.view.Serving {
@@ -127,7 +127,7 @@
 // compared by what waits for each of their slots: otherwise all jobs would go to the
 // one whose backlog happens to be shortest.
 func (c *Controller) roomScore(node string, spec *domain.JobSpec, load float64, room, slots int64) float64 {
-	left, tasks := room-c.waitingIn(node, spec), int64(spec.TaskCount)
+	left, tasks := room-c.tasksWaitingAhead(node, spec), int64(spec.TaskCount)
 	switch {
 	case !c.isLargeFleet():
 		return float64(min(left, tasks))*1000 - load
@@ -137,14 +137,14 @@
 	// Several shards have room for all of it. By load alone every controller would send all
 	// small jobs to the same one for seconds, and that one has only its own share of the
 	// changes to book them with.
-	return 1e6 - float64(c.waitingIn(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
+	return 1e6 - float64(c.tasksWaitingAhead(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
 }
 
-// waitingIn counts the tasks that wait in a shard and go ahead of those of a job, or may:
+// tasksWaitingAhead counts the tasks that wait in a shard and go ahead of those of a job, or may:
 // not those of jobs late beyond all aims, and not preemptible ones, unless it is itself. Counted
 // with these, the shards that a guest's idle work was sent to got no other work for
 // minutes, and a fifth of the machines ran nothing else.
-func (c *Controller) waitingIn(shard string, spec *domain.JobSpec) int64 {
+func (c *Controller) tasksWaitingAhead(shard string, spec *domain.JobSpec) int64 {
 	c.countWaiting()
 	n := c.peers.waitingByShard[shard]
 	if preemptible(spec) {
@@ -156,10 +156,10 @@
 // countWaiting sums up the tasks of open jobs that wait, by shard. The sums are kept for half
 // the pace of planning.
 func (c *Controller) countWaiting() {
-	if counted := c.peers.waitingCountedAt; counted.IsKnown() && c.now-counted.Time() <= c.pace()/2 {
+	if counted := c.peers.waitingCountedAt; counted.IsSet() && c.now-counted.Time() <= c.planInterval()/2 {
 		return
 	}
-	c.peers.waitingCountedAt = steady.At(c.now)
+	c.peers.waitingCountedAt = monotime.At(c.now)
 	c.peers.waitingByShard, c.peers.preemptibleWaitingByShard, c.peers.waitingTotal = map[string]int64{}, map[string]int64{}, 0
 	for _, j := range c.cache.openJobs {
 		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) {
@@ -181,7 +181,7 @@
 	spot                                 bool
 	agentEpoch                           uint64
 	images                               map[string]time.Duration // images, of own machines
-	toldImages                           []string                 // images, of others'
+	peerImages                           []string                 // images, of others'
 }
 
 // hasImage tells whether the machine has fetched an image, as far as known.
@@ -190,7 +190,7 @@
 		_, ok := m.images[image]
 		return ok
 	}
-	return slices.Contains(m.toldImages, image)
+	return slices.Contains(m.peerImages, image)
 }
 
 // inventory lists the machines that take bookings, own ones and those that peers told of
@@ -198,7 +198,7 @@
 // it says of others is older anyway, and a booking for an agent epoch or a cordon that changed
 // meanwhile is never carried out.
 func (c *Controller) inventory() []inventoryMachine {
-	if c.peers.inventoryAt.Within(c.pace(), c.now) && c.peers.inventoryEpoch == c.cache.view.Epoch {
+	if c.peers.inventoryAt.Within(c.planInterval(), c.now) && c.peers.inventoryEpoch == c.cache.view.Epoch {
 		return c.peers.inventory
 	}
 	machines := make([]inventoryMachine, 0, len(c.peers.inventory)+16)
@@ -208,8 +208,8 @@
 	if c.isLeader() {
 		slices.SortFunc(machines, func(a, b inventoryMachine) int { return cmp.Compare(a.name, b.name) })
 	}
-	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = machines, steady.At(c.now), c.cache.view.Epoch
-	c.countKinds()
+	c.peers.inventory, c.peers.inventoryAt, c.peers.inventoryEpoch = machines, monotime.At(c.now), c.cache.view.Epoch
+	c.countMachineKinds()
 	return machines
 }
 
@@ -240,15 +240,15 @@
 			}
 			machines = append(machines, inventoryMachine{
 				name: m.Name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: node,
-				spot: m.Spot, agentEpoch: m.AgentEpoch, toldImages: m.Images,
+				spot: m.Spot, agentEpoch: m.AgentEpoch, peerImages: m.Images,
 			})
 		}
 	}
 	return machines
 }
 
-// countKinds counts the inventory's machines by kind, for estimates of slots.
-func (c *Controller) countKinds() {
+// countMachineKinds counts the inventory's machines by kind, for estimates of slots.
+func (c *Controller) countMachineKinds() {
 	c.peers.machinesByKind = map[machineKind]int64{}
 	for i := range c.peers.inventory {
 		m := &c.peers.inventory[i]
@@ -267,21 +267,21 @@
 	return machines
 }
 
-// pace is the least time between two plans, and between two walks over all
+// planInterval is the least time between two plans, and between two walks over all
 // machines: both take time in proportion to their number, and a controller has a
 // small share of a processor.
-func (c *Controller) pace() time.Duration {
+func (c *Controller) planInterval() time.Duration {
 	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
 }
 
 // gossip tells the peers of this controller's machines and loads, and whether the state
 // service answers it; as the leader also which machines it reserves and evicts.
 func (c *Controller) gossip() {
-	if !c.peers.nextGossip.IsOpen(c.now) || c.cache.view == nil {
+	if !c.peers.nextGossip.HasPassed(c.now) || c.cache.view == nil {
 		return
 	}
-	c.peers.nextGossip.Close(c.now + max(tuning.DrawEvery/4, 2*c.pace()))
-	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.membership.StateAnswers(c.now)}
+	c.peers.nextGossip.Set(c.now + max(tuning.DrawEvery/4, 2*c.planInterval()))
+	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), StateReachable: c.membership.HasRecentStateResponse(c.now)}
 	if c.mayAct() {
 		message.Machines = c.gossipMachines()
 	}
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -37,7 +37,7 @@
 // beginPlacing begins a run of placing if it is time: if something changed or the last run is
 // long ago, and in either case a pace after the last one. False: it is not time.
 func (c *Controller) beginPlacing() bool {
-	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
+	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.planInterval()) {
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
 		for _, m := range c.heartbeats.machines {
@@ -46,10 +46,10 @@
 	} else if !c.planner.dirty {
 		return false
 	}
-	if !c.queues.nextPlacement.IsOpen(c.now) {
+	if !c.queues.nextPlacement.HasPassed(c.now) {
 		return false
 	}
-	c.queues.nextPlacement.Close(c.now + c.pace())
+	c.queues.nextPlacement.Set(c.now + c.planInterval())
 	return true
 }
 
@@ -311,7 +311,7 @@
 
 // allows tells whether the team of a job may start one more task of it.
 func (r *teamRoom) allows(j *Job) bool {
-	if !r.c.guard(GuardQuota) {
+	if !r.c.isGuardEnabled(GuardQuota) {
 		return true
 	}
 	spec := j.Header.Spec
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -69,7 +69,7 @@
 
 // eachCopied calls visit for each task of the job that the draft (nil: none) has a copy of.
 func (d *draft) eachCopied(j *Job, visit func(committed, drafted *domain.Task)) {
-	if d == nil || !d.c.guard(GuardDraft) {
+	if d == nil || !d.c.isGuardEnabled(GuardDraft) {
 		return
 	}
 	for _, from := range d.copiedCells[j.ID] {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -2,14 +2,14 @@
 
 import (
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // planner is what lasts from one plan to the next.
 type planner struct {
 	dirty               bool                     // something changed since the last plan
-	nextPlan            steady.Gate              // a pace after the last one
+	nextPlan            monotime.Deadline        // a pace after the last one
 	largeArraysTurn     bool                     // large arrays went first in the last plan
 	largestReleasesTurn bool                     // the next releases go by how much their values have to change
 	reserveLongestTexts bool                     // the next draft keeps room for the longest texts
@@ -51,10 +51,10 @@
 // that repeats a value in doubt (in_doubt.go) isn't empty: own values wait until it is
 // through.
 func (c *Controller) planCommit() {
-	if !c.planner.dirty || !c.planner.nextPlan.IsOpen(c.now) || !c.canCommitTasks() {
+	if !c.planner.dirty || !c.planner.nextPlan.HasPassed(c.now) || !c.canCommitTasks() {
 		return
 	}
-	c.planner.nextPlan.Close(c.now + c.pace())
+	c.planner.nextPlan.Set(c.now + c.planInterval())
 	c.planner.dirty = false
 	clear(c.commits.oversizedInPlan)
 	d := c.newDraft() // forgets the commit in doubt if that is settled by now
@@ -80,7 +80,7 @@
 	if c.cache.formatOn() && !c.planner.reserveLongestTexts && c.tooLarge(d.transaction()) {
 		// The same again, at once, with room for the longest texts.
 		c.planner.reserveLongestTexts, c.planner.dirty = true, true
-		c.planner.nextPlan.Close(c.now)
+		c.planner.nextPlan.Set(c.now)
 		return
 	}
 	c.planner.reserveLongestTexts = false
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -29,7 +29,7 @@
 
 // planBookings starts heads of queues where there is room, one a machine in each round.
 func (c *Controller) planBookings(d *draft) {
-	if !c.guard(GuardBook) {
+	if !c.isGuardEnabled(GuardBook) {
 		return
 	}
 	claims := c.claims(d)
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -74,11 +74,11 @@
 func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
-		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.isProvenOff(m, id, j.task(id.Index)) {
+		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.isProvenStopped(m, id, j.task(id.Index)) {
 			ids = append(ids, id)
 		}
 	}
-	return inOrder(ids)
+	return sortTasks(ids)
 }
 
 // releaseOf is the release of a task that is proven off its machine, with what the
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -8,7 +8,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 )
 
 // stocked is a controller of five that may act, with idle machines and a job of many tasks
@@ -94,7 +94,7 @@
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300, Request: domain.Resources{CPU: 16000}, Spot: true}}
 	c.cfg.Teams = map[string]domain.Quota{"red": {}}
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(header), ModRevision: 5})
-	c.peers.inventoryAt = steady.Instant{}
+	c.peers.inventoryAt = monotime.Instant{}
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
 	awake := map[string]int{}
 	for _, m := range c.inventory() {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -71,7 +71,7 @@
 		return
 	}
 	c.planner.preempted[attempt] = true
-	m.nextDirectStop.Close(c.now)
+	m.nextDirectStop.Set(c.now)
 	c.debug("task preempted", "task", attempt.Task, "machine", m.Name, "attempt", attempt.Attempt)
 }
 
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -18,11 +18,11 @@
 	jobsStaying     map[string]bool          // drew to stay in this shard
 	lastDrawAt      time.Duration
 	lastStealAt     time.Duration
-	nextPlacement   steady.Gate
+	nextPlacement   monotime.Deadline
 	poolRunTime     float64                   // run time of the unplaced tasks, s
 	runTimeRatios   map[string]*smoothedValue // run time by estimate, by class
 	meanLoad        float64                   // of this controller's machines, s
-	meanLoadTakenAt steady.Instant
+	meanLoadTakenAt monotime.Instant
 }
 
 func newQueues() queues {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -115,7 +115,7 @@
 // it must fit, and must not take the room that a waiting gang needs. What no gang can use,
 // such tasks may.
 func (c *Controller) quotaAllows(j *Job, d *draft, claims map[string]quotaClaim) bool {
-	if !c.guard(GuardQuota) {
+	if !c.isGuardEnabled(GuardQuota) {
 		return true
 	}
 	spec := j.Header.Spec
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -25,12 +25,12 @@
 
 // The user may come back with the same request (status 503).
 const (
-	notReady           refusal = "not ready"
-	stateUnreachable   refusal = "state service unreachable"
-	stateSlow          refusal = "state service slow"
-	commitFailed       refusal = "state service"
-	beingAccepted      refusal = "being accepted"
-	dependenciesNotYet refusal = "not all controllers know Awaits yet"
+	notReady               refusal = "not ready"
+	stateUnreachable       refusal = "state service unreachable"
+	stateSlow              refusal = "state service slow"
+	commitFailed           refusal = "state service"
+	beingAccepted          refusal = "being accepted"
+	dependenciesNotEnabled refusal = "not all controllers know Awaits yet"
 )
 
 // The request is wrong: as it is written (status 400), or for what it asks (422).
@@ -79,12 +79,12 @@
 // waiter is a request that is answered once the cache has everything that was committed
 // before it came. Until then the cache may lack the job, or have it in an older state.
 type waiter struct {
-	requestID uint64
-	id        string // of the job
-	askedAt   time.Duration
-	submit    *JobSubmitted // the submission; nil: a query or cancellation
-	refusal   refusal       // of the submission, unless it repeats an accepted one
-	cancel    bool
+	requestID  uint64
+	jobID      string // of the job
+	askedAt    time.Duration
+	submission *JobSubmitted // the submission; nil: a query or cancellation
+	refusal    refusal       // of the submission, unless it repeats an accepted one
+	cancel     bool
 }
 
 // awaitReadIndex keeps a request until the cache has everything committed before now.
@@ -94,17 +94,17 @@
 		return
 	}
 	request.askedAt = c.now
-	if !c.guard(GuardReadIndex) {
+	if !c.isGuardEnabled(GuardReadIndex) {
 		request.askedAt = c.membership.ReadIndex().Time()
 	}
 	c.requests.waiting = append(c.requests.waiting, request)
-	if !c.guard(GuardReadIndex) {
-		c.wakeWaiters()
+	if !c.isGuardEnabled(GuardReadIndex) {
+		c.answerWaiters()
 	}
 }
 
-// wakeWaiters answers those whose read index the cache has reached.
-func (c *Controller) wakeWaiters() {
+// answerWaiters answers those whose read index the cache has reached.
+func (c *Controller) answerWaiters() {
 	if len(c.requests.waiting) == 0 {
 		return
 	}
@@ -121,20 +121,20 @@
 
 // answerWaiter answers a request by the cache, which has everything committed before it.
 func (c *Controller) answerWaiter(request waiter) {
-	j := c.cache.jobs[request.id]
+	j := c.cache.jobs[request.jobID]
 	switch {
 	case request.cancel:
-		c.cancel(request.requestID, request.id)
+		c.cancelJob(request.requestID, request.jobID)
 	case j != nil: // a query, or a submission that repeats an accepted one
 		c.replyState(request.requestID, StatusOK, j)
-	case request.submit == nil:
-		c.replyUnknown(request.requestID, request.id)
-	case request.submit.Spec == nil:
-		c.refuse(request.requestID, StatusMalformed, request.id, request.refusal)
+	case request.submission == nil:
+		c.replyUnknown(request.requestID, request.jobID)
+	case request.submission.Spec == nil:
+		c.refuse(request.requestID, StatusMalformed, request.jobID, request.refusal)
 	case request.refusal != "":
-		c.refuse(request.requestID, StatusRefused, request.id, request.refusal)
+		c.refuse(request.requestID, StatusRefused, request.jobID, request.refusal)
 	default:
-		c.accept(*request.submit, nil)
+		c.acceptWithDependencies(*request.submission, nil)
 	}
 }
 
@@ -167,20 +167,20 @@
 		c.replyState(query.RequestID, StatusOK, j)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: query.RequestID, id: query.ID})
+	c.awaitReadIndex(waiter{requestID: query.RequestID, jobID: query.ID})
 }
 
 // onJobCancelled cancels a job, once a read index shows whether there is one.
 func (c *Controller) onJobCancelled(cancellation JobCancelled) {
 	if c.cache.jobs[cancellation.ID] == nil {
-		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, id: cancellation.ID, cancel: true})
+		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, jobID: cancellation.ID, cancel: true})
 		return
 	}
-	c.cancel(cancellation.RequestID, cancellation.ID)
+	c.cancelJob(cancellation.RequestID, cancellation.ID)
 }
 
-// cancel commits the cancellation of a job that the cache has, and answers the user.
-func (c *Controller) cancel(requestID uint64, id string) {
+// cancelJob commits the cancellation of a job that the cache has, and answers the user.
+func (c *Controller) cancelJob(requestID uint64, id string) {
 	j := c.cache.jobs[id]
 	if j == nil {
 		c.replyUnknown(requestID, id)
@@ -202,7 +202,7 @@
 			c.debug("job cancelled", "job", id)
 			c.replyState(requestID, StatusOK, j)
 		case domain.Conflict: // the job changed meanwhile: once more, on what it is now
-			c.awaitReadIndex(waiter{requestID: requestID, id: id, cancel: true})
+			c.awaitReadIndex(waiter{requestID: requestID, jobID: id, cancel: true})
 		default:
 			c.retryLater(requestID, commitFailed)
 		}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -262,10 +262,10 @@
 // logMachines adds a debug line about all machines once a while: how many tasks each has, with
 // letters for (h) reserved, (r) rested before, (d) cordoned, (-) unheard and (s) spot.
 func (c *Controller) logMachines(machines []machineState, wantedByShard map[string]domain.Resources, rested map[string]bool) {
-	if !c.scaling.nextLog.IsOpen(c.now) {
+	if !c.scaling.nextLog.HasPassed(c.now) {
 		return
 	}
-	c.scaling.nextLog.Close(c.now + tuning.ScalingLogInterval)
+	c.scaling.nextLog.Set(c.now + tuning.ScalingLogInterval)
 	var wanted domain.Resources
 	for _, room := range wantedByShard {
 		wanted = wanted.Plus(room, 1)
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -8,7 +8,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -23,7 +23,7 @@
 	knownSince   map[string]time.Duration   // when an instance was rented, or first listed or heard
 	listed       bool                       // a list has come since this controller became leader
 	listing      bool                       // a list is under way
-	nextList     steady.Gate
+	nextList     monotime.Deadline
 	listingTypes bool          // a list of machine types is under way
 	nextTypesAt  time.Duration // no other list of machine types before
 
@@ -33,15 +33,15 @@
 	rentals     map[string]rental           // requests without a final answer, by name
 	pauses      map[machineKind]rentalPause // kinds of which the cloud had too few
 	returning   bool                        // a return is under way
-	nextReturn  steady.Gate
+	nextReturn  monotime.Deadline
 
 	// What the leader decides.
 
-	nextDecision steady.Gate
-	reserved     map[string]bool // kept for jobs that need a whole machine
-	evicting     map[string]bool // of the reserved: to be emptied of other work now
-	resting      map[string]bool // no new tasks, since the cheaper machines suffice
-	nextLog      steady.Gate     // for the debug line about all machines
+	nextDecision monotime.Deadline
+	reserved     map[string]bool   // kept for jobs that need a whole machine
+	evicting     map[string]bool   // of the reserved: to be emptied of other work now
+	resting      map[string]bool   // no new tasks, since the cheaper machines suffice
+	nextLog      monotime.Deadline // for the debug line about all machines
 
 	// What the decisions rest on.
 
@@ -88,14 +88,14 @@
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !scaling.listing && scaling.nextList.IsOpen(c.now) {
+	if !scaling.listing && scaling.nextList.HasPassed(c.now) {
 		scaling.listing = true
 		c.emit(ListInstances{})
 	}
-	if !scaling.nextDecision.IsOpen(c.now) {
+	if !scaling.nextDecision.HasPassed(c.now) {
 		return
 	}
-	scaling.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
+	scaling.nextDecision.Set(c.now + max(tuning.ScalingInterval, 2*c.planInterval()))
 	c.planScaleIn()
 	if !scaling.listed {
 		return
@@ -112,7 +112,7 @@
 func (c *Controller) onInstancesListed(answer InstancesListed) {
 	scaling := &c.scaling
 	scaling.listing = false
-	scaling.nextList.Close(c.now + tuning.InstanceListInterval)
+	scaling.nextList.Set(c.now + tuning.InstanceListInterval)
 	if !answer.OK {
 		return
 	}
@@ -213,7 +213,7 @@
 // cordoned as gone, which proves its tasks off.
 func (c *Controller) planScaleIn() {
 	scaling := &c.scaling
-	if scaling.returning || !scaling.nextReturn.IsOpen(c.now) {
+	if scaling.returning || !scaling.nextReturn.HasPassed(c.now) {
 		return
 	}
 	var names []string
@@ -254,7 +254,7 @@
 	scaling := &c.scaling
 	scaling.returning = false
 	if !answer.OK {
-		scaling.nextReturn.Close(c.now + tuning.ReturnRetry)
+		scaling.nextReturn.Set(c.now + tuning.ReturnRetry)
 		return
 	}
 	for _, name := range answer.Names {
@@ -272,7 +272,7 @@
 
 // planCordons drains machines that failed, are stuck or were idle for long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.arePeersFresh(), c.leaving(), c.zonesCutOff(machines)}
+	review := unheardReview{c.hasRecentPeerMessages(), c.leaving(), c.zonesCutOff(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -55,7 +55,7 @@
 	if c.cache.view != nil {
 		status.Epoch, status.Leader, status.Leads = c.cache.view.Epoch, c.cache.view.Leader, c.isLeader()
 	}
-	if confirmed := c.membership.Confirmed(); confirmed.IsKnown() {
+	if confirmed := c.membership.ViewConfirmedAt(); confirmed.IsSet() {
 		status.Confirmed = c.now - confirmed.Time()
 	}
 	return status
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -27,15 +27,15 @@
 		c.retryLater(submission.RequestID, notReady)
 		return
 	}
-	if why := c.whyNeverRuns(submission.Spec); why != "" {
-		c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission, refusal: why})
+	if why := c.neverRunsReason(submission.Spec); why != "" {
+		c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission, refusal: why})
 		return
 	}
 	if len(submission.Spec.Dependencies) > 0 {
 		// Until all controllers know what dependencies are, one that doesn't might start
 		// the job; the user comes back.
 		if !c.cache.formatOn() {
-			c.retryLater(submission.RequestID, dependenciesNotYet)
+			c.retryLater(submission.RequestID, dependenciesNotEnabled)
 			return
 		}
 		c.lookUpDependencies(submission)
@@ -53,7 +53,7 @@
 		c.refuse(submission.RequestID, StatusMalformed, "", malformed)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission, refusal: malformed})
+	c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission, refusal: malformed})
 }
 
 // startAccepting reserves the job's ID for one submission; the user of another, which came
@@ -69,9 +69,9 @@
 
 // --- what can never run ---
 
-// whyNeverRuns tells why a job can never run, "" if it can.
-func (c *Controller) whyNeverRuns(spec *domain.JobSpec) refusal {
-	if !c.guard(GuardNeverRuns) {
+// neverRunsReason tells why a job can never run, "" if it can.
+func (c *Controller) neverRunsReason(spec *domain.JobSpec) refusal {
+	if !c.isGuardEnabled(GuardNeverRuns) {
 		return ""
 	}
 	team, ok := c.cfg.Teams[spec.Team]
@@ -120,12 +120,12 @@
 		}
 		keys = append(keys, codec.KeyJob(id))
 		if len(keys) > tuning.MaxLookups {
-			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission})
 			return
 		}
 	}
 	if len(keys) == 0 {
-		c.accept(submission, nil)
+		c.acceptWithDependencies(submission, nil)
 		return
 	}
 	c.commits.nextID++
@@ -133,9 +133,9 @@
 	c.emit(ReadKeys{c.commits.nextID, keys})
 }
 
-// onRead takes up a submission whose dependencies were looked up. One of which some are
+// onKeysRead takes up a submission whose dependencies were looked up. One of which some are
 // still missing, also since the read failed, waits for a read index.
-func (c *Controller) onRead(answer KeysRead) {
+func (c *Controller) onKeysRead(answer KeysRead) {
 	submission, ok := c.requests.lookups[answer.ID]
 	if !ok {
 		return
@@ -149,11 +149,11 @@
 	}
 	for _, id := range submission.Spec.Dependencies {
 		if c.cache.jobs[id] == nil && found[id] == nil {
-			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID, submit: &submission})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission})
 			return
 		}
 	}
-	c.accept(submission, found)
+	c.acceptWithDependencies(submission, found)
 }
 
 // dependencyCheck is what the jobs that a submission names mean for it.
@@ -188,9 +188,9 @@
 	return check
 }
 
-// accept takes a submission that names jobs; found are the headers of those that the cache
+// acceptWithDependencies takes a submission that names jobs; found are the headers of those that the cache
 // may lack, as the state service had them a moment ago.
-func (c *Controller) accept(submission JobSubmitted, found map[string]*codec.JobHeader) {
+func (c *Controller) acceptWithDependencies(submission JobSubmitted, found map[string]*codec.JobHeader) {
 	check := c.cache.checkDependencies(submission.Spec.Dependencies, found)
 	if check.refusal != "" {
 		c.refuse(submission.RequestID, StatusRefused, submission.ID, check.refusal)
@@ -210,12 +210,12 @@
 		return
 	}
 	header := c.newHeader(&spec) // which refers to spec
-	c.putPieces(submission, header, c.nameDependencies(submission.ID, &spec, check.open))
+	c.putDependencyPieces(submission, header, c.storeDependencies(submission.ID, &spec, check.open))
 }
 
-// nameDependencies puts the names of the jobs into the job's spec if they are few. Longer
+// storeDependencies puts the names of the jobs into the job's spec if they are few. Longer
 // lists lie in pieces beside the header, which it returns, and the spec tells where.
-func (c *Controller) nameDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
+func (c *Controller) storeDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
 	inHeader := codec.JoinNames(open, tuning.DependenciesInHeader)
 	if len(inHeader) == 0 {
 		return nil
@@ -241,7 +241,7 @@
 	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
 	header := &codec.JobHeader{
 		State: domain.StateOpen, Spec: spec, TaskCount: spec.TaskCount,
-		Shard: c.roomiest(spec), AcceptOrder: c.cache.revision + 1,
+		Shard: c.shardWithMostRoom(spec), AcceptOrder: c.cache.revision + 1,
 	}
 	if c.cache.formatOn() {
 		header.AcceptedAtMS = c.wallMS()
@@ -289,10 +289,10 @@
 	}
 }
 
-// putPieces writes the pieces of a job's list of dependencies, if there are any, some in
+// putDependencyPieces writes the pieces of a job's list of dependencies, if there are any, some in
 // each commit, and then the header, so that a header never refers to a list that is not
 // there.
-func (c *Controller) putPieces(submission JobSubmitted, header *codec.JobHeader, pieces []domain.Put) {
+func (c *Controller) putDependencyPieces(submission JobSubmitted, header *codec.JobHeader, pieces []domain.Put) {
 	if len(pieces) == 0 {
 		c.putJob(submission, header)
 		return
@@ -308,7 +308,7 @@
 			c.retryLater(submission.RequestID, commitFailed)
 			return
 		}
-		c.putPieces(submission, header, pieces[now:])
+		c.putDependencyPieces(submission, header, pieces[now:])
 	})
 }
 
@@ -330,7 +330,7 @@
 				c.replyState(submission.RequestID, StatusAccepted, j)
 			}
 		case domain.Conflict: // somebody else took it: a repeat
-			c.awaitReadIndex(waiter{requestID: submission.RequestID, id: submission.ID})
+			c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID})
 		default:
 			c.retryLater(submission.RequestID, commitFailed)
 		}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -7,9 +7,9 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/monotime"
 	"brassglade/internal/ownership"
 	"brassglade/internal/quota"
-	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -17,13 +17,13 @@
 // the present one.
 type views struct {
 	proposing       bool
-	proposal        steady.Gate              // no proposal before
-	review          steady.Gate              // not looked whether one is needed before
+	proposal        monotime.Deadline        // no proposal before
+	review          monotime.Deadline        // not looked whether one is needed before
 	adoptedAt       time.Duration            // when the view was taken from the watch
 	redirects       map[string][]redirect    // heartbeats sent on to their owners, by machine
 	lastRedirect    map[string]redirectMark  // newest heartbeat that was sent on, by machine
 	notServingSince map[string]time.Duration // by controller
-	peersHeardSince steady.Instant           // since when all serving peers are heard
+	peersHeardSince monotime.Instant         // since when all serving peers are heard
 	zoneSilentAt    map[string]time.Duration // when most of a zone's machines were last silent
 	ownersView      *domain.View             // that ownerByMachine was made for
 	ownerByMachine  map[string]string
@@ -94,7 +94,7 @@
 	if !c.canProposeView() {
 		return
 	}
-	c.views.review.Close(c.now + min(tuning.Tick, c.pace()))
+	c.views.review.Set(c.now + min(tuning.Tick, c.planInterval()))
 	next := c.desiredView()
 	if next == nil {
 		return
@@ -110,7 +110,7 @@
 		Puts:       []domain.Put{{Key: codec.KeyView, Value: codec.Encode(next)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.views.proposing = false
-		c.views.proposal.Close(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
+		c.views.proposal.Set(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
 	})
 }
 
@@ -119,7 +119,7 @@
 func (c *Controller) canProposeView() bool {
 	return !c.views.proposing && c.membership.IsSynced() &&
 		c.membership.HasMemberKey(c.cache.members[c.cfg.Node]) &&
-		c.views.proposal.IsOpen(c.now) && c.views.review.IsOpen(c.now)
+		c.views.proposal.HasPassed(c.now) && c.views.review.HasPassed(c.now)
 }
 
 // viewDraft is a view in the making.
@@ -208,12 +208,12 @@
 // have been heard for a while. Only the leader's word counts, so that a controller cut off
 // from its peers alone doesn't decide.
 func (c *Controller) zonesReconnected() bool {
-	if !c.arePeersFresh() {
-		c.views.peersHeardSince = steady.Instant{}
+	if !c.hasRecentPeerMessages() {
+		c.views.peersHeardSince = monotime.Instant{}
 		return false
 	}
-	if !c.views.peersHeardSince.IsKnown() {
-		c.views.peersHeardSince = steady.At(c.now)
+	if !c.views.peersHeardSince.IsSet() {
+		c.views.peersHeardSince = monotime.At(c.now)
 	}
 	heardFor := c.now - c.views.peersHeardSince.Time()
 	return c.isLeader() && heardFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -2,8 +2,8 @@
 
 import (
 	"brassglade/internal/domain"
+	"brassglade/internal/monotime"
 	"brassglade/internal/quota"
-	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -66,15 +66,15 @@
 // waitCounts counts waiting tasks for the status, which is asked for after every step.
 type waitCounts struct {
 	byReason map[WaitingTasks]int // replaced as a whole
-	next     steady.Gate
+	next     monotime.Deadline
 }
 
 // waitingTasks counts the waiting tasks of jobs that this controller places, as of lately.
 func (c *Controller) waitingTasks() map[WaitingTasks]int {
-	if !c.waits.next.IsOpen(c.now) {
+	if !c.waits.next.HasPassed(c.now) {
 		return c.waits.byReason
 	}
-	c.waits.next.Close(c.now + tuning.WaitCountInterval)
+	c.waits.next.Set(c.now + tuning.WaitCountInterval)
 	c.waits.byReason = map[WaitingTasks]int{}
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -95,7 +95,7 @@
 
 func (d *digest) message(e scheduler.SendPeerMessage) {
 	m := e.Message
-	d.line("message", e.To, m.Epoch, m.Load, m.Usable, m.Reserved, m.Evicting, len(m.Machines))
+	d.line("message", e.To, m.Epoch, m.Load, m.StateReachable, m.Reserved, m.Evicting, len(m.Machines))
 	for _, p := range m.Machines {
 		d.line("machine", p.Name, p.Addr, p.Type, p.Zone, p.Spot, p.Leaving, p.AgentEpoch, p.Load, p.Images)
 	}
