--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -7,9 +7,9 @@
 	"brassglade/internal/tuning"
 )
 
-// StartConfirmation tells whether the view is to be confirmed now, and takes the request
-// as sent if so. newestReader is when the last reader asked who still waits for a read
-// index, if any does.
+// StartConfirmation reports whether a confirmation of the view is due, and records it as sent
+// if so. newestReader is when the newest of the requests that wait for a read index came in;
+// unset if none waits.
 func (m *Member) StartConfirmation(now time.Duration, newestReader monotime.Instant) bool {
 	if m.confirming || !m.synced || !m.nextConfirmation.HasPassed(now) {
 		return false
@@ -22,11 +22,12 @@
 	return true
 }
 
-// ConfirmSoon lets the next confirmation be sent without further pause.
+// ConfirmSoon ends the pause that is kept before the next confirmation.
 func (m *Member) ConfirmSoon(now time.Duration) { m.nextConfirmation.BringForward(now) }
 
-// ConfirmationAnswered takes the state service's answer: sameView tells whether the view
-// is still the one asked about, revision is what the cache must reach before it counts.
+// ConfirmationAnswered records the state service's response to a confirmation. sameView reports
+// whether the current view is still the one asked about. The response counts once the cache
+// has reached revision (CacheReached).
 func (m *Member) ConfirmationAnswered(now time.Duration, sameView bool, revision uint64) {
 	m.confirming, m.stateReachable = false, true
 	m.nextConfirmation.Set(now + m.confirmationGap())
@@ -34,13 +35,15 @@
 	m.awaitingCache = append(m.awaitingCache, pendingConfirmation{m.confirmationSentAt, revision, sameView})
 }
 
-// ConfirmationFailed says that the confirmation got no answer.
+// ConfirmationFailed records that the confirmation got no response.
 func (m *Member) ConfirmationFailed(now time.Duration) {
 	m.confirming, m.stateReachable = false, false
 	m.nextConfirmation.Set(now + tuning.ConfirmationRetry)
 }
 
-// confirmationGap keeps what readers can cause to a part of this controller's requests.
+// confirmationGap returns the pause between the response to a confirmation and the next
+// confirmation. It limits the confirmations that readers cause to tuning.ConfirmationShare of
+// the requests that this controller plans to make.
 func (m *Member) confirmationGap() time.Duration {
 	if m.config.ReadRate <= 0 {
 		return tuning.MinConfirmationGap
@@ -48,13 +51,14 @@
 	return max(tuning.MinConfirmationGap, time.Duration(float64(time.Second)/(tuning.ConfirmationShare*m.config.ReadRate)))
 }
 
-// CacheReached counts the confirmations that the cache, now at the revision, has caught up
-// with. Without that a controller whose watch hangs would act on old cancellations.
+// CacheReached counts the confirmations that the cache has caught up with, given the revision
+// that it has reached. If confirmations counted earlier, a controller whose watch hangs would
+// act on outdated state, without the cancellations committed since.
 func (m *Member) CacheReached(revision uint64) {
-	waiting := m.awaitingCache[:0]
+	behind := m.awaitingCache[:0]
 	for _, answer := range m.awaitingCache {
 		if answer.revision > revision {
-			waiting = append(waiting, answer)
+			behind = append(behind, answer)
 			continue
 		}
 		m.readIndex = monotime.Latest(m.readIndex, monotime.At(answer.sent))
@@ -62,14 +66,14 @@
 			m.viewConfirmedAt = monotime.Latest(m.viewConfirmedAt, monotime.At(answer.sent))
 		}
 	}
-	if len(waiting) > tuning.MaxUnsettledConfirmations {
-		waiting = waiting[len(waiting)-tuning.MaxUnsettledConfirmations:]
+	if len(behind) > tuning.MaxUnsettledConfirmations {
+		behind = behind[len(behind)-tuning.MaxUnsettledConfirmations:]
 	}
-	m.awaitingCache = waiting
+	m.awaitingCache = behind
 }
 
-// BeginWatchUpdate says that changes of a watch sent at that time are being applied; sent < 0:
-// nobody knows when.
+// BeginWatchUpdate records that changes delivered by a watch are about to be applied to the
+// cache. sent is when that watch was sent; negative if unknown.
 func (m *Member) BeginWatchUpdate(sent time.Duration) {
 	m.watchSentAt = monotime.Instant{}
 	if sent >= 0 {
@@ -77,23 +81,25 @@
 	}
 }
 
-// EndWatchUpdate says that the changes are applied.
+// EndWatchUpdate records that the changes delivered by the watch have been applied.
 func (m *Member) EndWatchUpdate() { m.watchSentAt = monotime.Instant{} }
 
-// ViewChanged says that the cache took another view. The confirmations so far were about
-// the old one; the watch that brings the new one, if it does, shows that it held at some
-// time after the watch was sent.
+// ViewChanged records that the cache has taken another view, which voids the confirmations of
+// the old one. If a watch delivered the new view, that view was in force at some time after
+// the watch was sent, so the sending time of the watch counts as that of a confirmation.
 func (m *Member) ViewChanged() { m.viewConfirmedAt = m.watchSentAt }
 
-// ViewConfirmedAt is the sending time of the newest confirmation of the present view.
+// ViewConfirmedAt returns when the newest confirmation of the current view was sent; unset if
+// it was never confirmed.
 func (m *Member) ViewConfirmedAt() monotime.Instant { return m.viewConfirmedAt }
 
-// ReadIndex is the sending time of the newest read index that the cache has reached.
+// ReadIndex returns when the newest read index that the cache has reached was requested;
+// unset if there is none.
 func (m *Member) ReadIndex() monotime.Instant { return m.readIndex }
 
-// HasReadIndex tells whether the cache has reached a read index asked for at or after
-// that time: it then has everything that was committed before.
+// HasReadIndex reports whether the cache has reached a read index that was requested at or
+// after since. The cache then has everything that was committed before since.
 func (m *Member) HasReadIndex(since time.Duration) bool { return m.readIndex.Time() >= since }
 
-// IsStateReachable tells whether the last confirmation was answered.
+// IsStateReachable reports whether the last confirmation got a response.
 func (m *Member) IsStateReachable() bool { return m.stateReachable }
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -7,28 +7,28 @@
 	"brassglade/internal/tuning"
 )
 
-// LeaseRequests are the requests that the lease needs now, to be sent in the order of the
-// fields.
+// LeaseRequests are the requests for the lease and the member key that are due, to be sent in
+// the order of the fields.
 type LeaseRequests struct {
-	Grant          bool // a lease, of tuning.LeaseTTL
-	WriteMemberKey bool // this incarnation under the member key, attached to LeaseID
-	Renew          bool // LeaseID
+	Grant          bool // request a lease of tuning.LeaseTTL
+	WriteMemberKey bool // write this incarnation under the member key, attached to LeaseID
+	Renew          bool // renew LeaseID
 }
 
-// LeaseID is the lease last granted.
+// LeaseID returns the ID of the lease granted last.
 func (m *Member) LeaseID() uint64 { return m.leaseID }
 
-// Lease is where the lease and the member key stand.
+// Lease returns the state of the lease and the member key.
 func (m *Member) Lease() LeaseState { return m.lease }
 
-// HasMemberKey tells whether the member key is written and the cache, which has the given
-// incarnation under it, knows. Only such a controller may propose views.
+// HasMemberKey reports whether the member key is written and has reached the cache, where the
+// key's value is incarnationInCache. Only a controller with a member key may propose views.
 func (m *Member) HasMemberKey(incarnationInCache string) bool {
 	return m.lease == MemberKeyWritten && incarnationInCache == m.incarnation
 }
 
-// MaintainLease returns the requests due now and takes them as sent. The cache has
-// incarnationInCache under this controller's member key, "" for none.
+// MaintainLease returns the requests due now and records them as sent. incarnationInCache is
+// the value of this controller's member key in the cache, "" if the cache has none.
 func (m *Member) MaintainLease(now time.Duration, incarnationInCache string) LeaseRequests {
 	var due LeaseRequests
 	switch {
@@ -44,16 +44,18 @@
 		m.renewing, m.renewalSentAt = true, now
 		due.Renew = true
 	}
-	// The cache may show that the member key is gone although the lease lives: an older
-	// incarnation's lease expired, or a late write of it came through. It gets half an
-	// interval to show this incarnation's own write.
+	// The cache may lack this incarnation's member key although the lease is alive: the lease
+	// of an earlier incarnation expired and took the key with it, or a late write of that
+	// incarnation overwrote the key. The cache gets half a renewal interval to show this
+	// incarnation's own write.
 	if m.lease == MemberKeyWritten && m.synced && incarnationInCache != m.incarnation && m.nextRenewal.HasPassed(now+tuning.LeaseRenewalInterval/2) {
 		m.lease = LeaseHeld
 	}
 	return due
 }
 
-// LeaseGranted takes the answer to the request for a lease.
+// LeaseGranted records the response to the request for a lease. id is that of the lease, if
+// granted.
 func (m *Member) LeaseGranted(now time.Duration, granted bool, id uint64) {
 	if !granted {
 		m.nextRenewal.Set(now + tuning.ConfirmationRetry)
@@ -65,17 +67,17 @@
 	m.lease = LeaseHeld
 }
 
-// RenewalOutcome is the state service's answer to a renewal.
+// RenewalOutcome is the result of a request to renew the lease.
 type RenewalOutcome int
 
-// The outcomes.
+// The outcomes of a renewal.
 const (
-	RenewalFailed RenewalOutcome = iota // not answered, or refused for now: try again
+	RenewalFailed RenewalOutcome = iota // no response, or refused for now; it is retried
 	Renewed
-	LeaseGone // the lease expired: the member key went with it, and a new one is needed
+	LeaseGone // the lease expired and the member key with it; a new lease is needed
 )
 
-// RenewalAnswered takes the answer to a renewal.
+// RenewalAnswered records the outcome of a renewal.
 func (m *Member) RenewalAnswered(now time.Duration, outcome RenewalOutcome) {
 	m.renewing = false
 	switch outcome {
@@ -89,23 +91,23 @@
 	}
 }
 
-// leaseConfirmed counts the lease from when its request was sent, the earliest time at
+// leaseConfirmed counts the lease's age from when its request was sent, the earliest time at
 // which the state service can have started it.
 func (m *Member) leaseConfirmed() {
 	m.leaseRenewedAt = monotime.At(m.renewalSentAt)
 	m.nextRenewal.Set(m.renewalSentAt + tuning.LeaseRenewalInterval)
 }
 
-// MemberKeyAnswered takes the outcome of writing the member key. A late one, of a lease
-// that is gone meanwhile, says nothing.
+// MemberKeyAnswered records whether the member key was written. A late response, about a
+// lease that is gone by now, is ignored.
 func (m *Member) MemberKeyAnswered(now time.Duration, written bool) {
 	switch {
 	case m.lease != MemberKeyWriting:
 	case written:
 		m.lease = MemberKeyWritten
 	default:
-		// Not at once: a lease that expired refuses the key each time, until the
-		// renewal says so.
+		// The retry is delayed: a lease that has expired refuses the key every time, until
+		// the response to a renewal shows that the lease is gone.
 		m.nextMemberKeyWrite.Set(now + tuning.ConfirmationRetry)
 		m.nextRenewal.BringForward(now + tuning.ConfirmationRetry)
 		m.lease = LeaseHeld
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,9 +1,10 @@
-// Package membership is one controller's standing in its deployment: its lease, its
-// member key under that lease, and how lately the state service confirmed to it that the
-// view is still the one it knows. Only on that ground may a controller act.
+// Package membership tracks one controller's membership of its deployment: its lease, the
+// member key that it writes under that lease, and when the state service last confirmed that
+// the view known to the controller is still current. A controller may act only while it holds
+// all three.
 //
-// It is a pure state machine. Steady time comes in as an argument, requests that are due
-// go out as returned values, and answers come back through the methods named after them;
+// The package is a pure state machine. Monotonic time comes in as an argument, requests that
+// are due are returned as values, and responses come in through the methods named after them;
 // the package sends nothing itself.
 package membership
 
@@ -13,81 +14,85 @@
 	"brassglade/internal/monotime"
 )
 
-// LeaseState is how far a controller is on its way to a written member key.
+// LeaseState is how far a controller has come towards a written member key.
 type LeaseState int
 
-// The states, in the order in which they are reached. A lease that is gone leads back to
-// LeaseNone, a member key that is missing back to LeaseHeld.
+// The states, in the order in which they are reached. When the lease is lost the state
+// returns to LeaseNone, when the member key is missing it returns to LeaseHeld.
 const (
-	LeaseNone        LeaseState = iota // none, none requested
-	LeaseRequested                     // requested
-	LeaseHeld                          // held, member key not yet written
-	MemberKeyWriting                   // member key on its way
+	LeaseNone        LeaseState = iota // no lease, none requested
+	LeaseRequested                     // lease requested, no response yet
+	LeaseHeld                          // lease granted, member key not yet written
+	MemberKeyWriting                   // member key being written
 	MemberKeyWritten                   // member key written
 )
 
-// String is the state's name in the log.
+// String returns the name of the state in the log.
 func (s LeaseState) String() string {
 	return [...]string{"none", "requested", "held", "member key writing", "member key written"}[s]
 }
 
-// Config is what membership needs of the settings.
+// Config is the part of the settings that membership needs.
 type Config struct {
-	FenceAge time.Duration // age of a confirmation up to which the controller acts
-	ReadRate float64       // requests a second that this controller plans to make; 0: no bound
+	FenceAge time.Duration // the controller may act only while confirmations are younger
+	ReadRate float64       // requests per second that it plans to make; 0: no bound
 }
 
-// Member is one controller's membership.
+// Member is the membership state of one controller. No request is made before the deadline
+// for it (such as nextRenewal) has passed.
 type Member struct {
 	config      Config
 	incarnation string
-	synced      bool // the cache holds a whole snapshot
+	synced      bool // the cache holds a complete snapshot
 
 	lease              LeaseState
 	leaseID            uint64
-	leaseRenewedAt     monotime.Instant  // sending time of the last renewal that succeeded
-	nextRenewal        monotime.Deadline // no request for a lease or its renewal before
-	renewalSentAt      time.Duration
-	renewing           bool
-	nextMemberKeyWrite monotime.Deadline // no member key before
-	confirming         bool
-	confirmationSentAt time.Duration
-	nextConfirmation   monotime.Deadline     // no confirmation before
-	awaitingCache      []pendingConfirmation // answered, but the cache has not caught up with them
-	viewConfirmedAt    monotime.Instant      // sending time of the newest confirmation of the view
-	readIndex          monotime.Instant      // sending time of the newest read index reached
-	watchSentAt        monotime.Instant      // of the watch being applied
-	stateReachable     bool                  // the last confirmation was answered
-	stateAnsweredAt    monotime.Instant      // sending time of the last confirmation answered
-	anotherBetterSince monotime.Instant      // since when another controller is the better choice
-	ready              bool
+	leaseRenewedAt     monotime.Instant      // when the newest granted lease or renewal was requested
+	nextRenewal        monotime.Deadline     // for requesting a lease or its renewal
+	renewalSentAt      time.Duration         // when a lease or its renewal was last requested
+	renewing           bool                  // a renewal was requested and has no response yet
+	nextMemberKeyWrite monotime.Deadline     // for writing the member key
+	confirming         bool                  // a confirmation was sent and has no response yet
+	confirmationSentAt time.Duration         // when the last confirmation was sent
+	nextConfirmation   monotime.Deadline     // for sending a confirmation
+	awaitingCache      []pendingConfirmation // oldest first
+	viewConfirmedAt    monotime.Instant      // when the newest counted confirmation of the view was sent
+	readIndex          monotime.Instant      // when the newest read index reached was requested
+	watchSentAt        monotime.Instant      // of the watch being applied; unset: none, or unknown
+	stateReachable     bool                  // the last confirmation got a response
+	stateAnsweredAt    monotime.Instant      // when the last confirmation that got a response was sent
+	anotherBetterSince monotime.Instant      // since when another controller has been the better choice
+	ready              bool                  // what GET /up reports
 }
 
-// pendingConfirmation is an answer of the state service that the cache has yet to catch up with.
+// pendingConfirmation is the state service's response to a confirmation. It counts once the
+// cache has reached its revision.
 type pendingConfirmation struct {
 	sent     time.Duration
 	revision uint64
 	sameView bool
 }
 
-// New returns the membership of a controller that has just started. The incarnation is
+// New returns the membership of a controller that has just started. The incarnation must be
 // unique among all processes of all controllers.
 func New(config Config, incarnation string) Member {
 	return Member{config: config, incarnation: incarnation}
 }
 
-// Incarnation names this process among all processes of all controllers.
+// Incarnation returns the name of this process, which is unique among all processes of all
+// controllers.
 func (m *Member) Incarnation() string { return m.incarnation }
 
-// CacheLoaded says that the cache holds a whole snapshot from now on.
+// CacheLoaded records that the cache holds a complete snapshot from now on.
 func (m *Member) CacheLoaded() { m.synced = true }
 
-// IsSynced tells whether the cache holds a whole snapshot.
+// IsSynced reports whether the cache holds a complete snapshot.
 func (m *Member) IsSynced() bool { return m.synced }
 
-// MayAct tells whether the controller may act under a view that names the given
-// incarnation for it: the view has it as this process, view and lease were confirmed by
-// requests sent less than the fence age ago, and the cache has reached what they saw.
+// MayAct reports whether the controller may act under a view that lists incarnationInView for
+// it. It may if that is the incarnation of this process, the cache holds a snapshot and has
+// reached the revision of the newest confirmation of the view, and both that confirmation and
+// the newest renewal of the lease were sent less than Config.FenceAge ago.
 func (m *Member) MayAct(now time.Duration, incarnationInView string) bool {
 	return m.synced && incarnationInView == m.incarnation &&
 		m.viewConfirmedAt.Within(m.config.FenceAge, now) && m.leaseRenewedAt.Within(m.config.FenceAge, now)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,7 +11,7 @@
 const (
 	fenceAge           = 7 * time.Second
 	ownIncarnation     = "c-0.1"
-	earlierIncarnation = "c-0.0" // an earlier process of the same controller
+	earlierIncarnation = "c-0.0" // of an earlier process of the same controller
 )
 
 func newMember() *Member {
@@ -19,8 +19,8 @@
 	return &m
 }
 
-// memberInState is a controller whose lease stands at that state; its lease was requested at
-// time 0 and, if granted, has ID 5.
+// memberInState returns a member whose lease is in the given state. The lease was requested
+// at time 0 and, if granted, has ID 5.
 func memberInState(t *testing.T, want LeaseState) *Member {
 	t.Helper()
 	m := newMember()
@@ -40,7 +40,8 @@
 	return m
 }
 
-// confirmedAtZero is a controller that may act as of time 0.
+// confirmedAtZero returns a member whose lease and view were confirmed at time 0, and which
+// may act.
 func confirmedAtZero(t *testing.T) *Member {
 	t.Helper()
 	m := memberInState(t, MemberKeyWritten)
@@ -55,115 +56,117 @@
 	return m
 }
 
-// TestLeaseTransitions: where each answer leads from each state, and when the next
-// request for a lease or its renewal is due.
+// TestLeaseTransitions checks which state each response leads to from each state, and when
+// the next request for a lease or its renewal is due.
 func TestLeaseTransitions(t *testing.T) {
 	const now = 3 * time.Second
-	for name, x := range map[string]struct {
-		from, to LeaseState
-		happens  func(m *Member)
-		again    time.Duration // when a lease or renewal is next requested; < 0: not looked at
+	for name, test := range map[string]struct {
+		from, to    LeaseState
+		event       func(m *Member)
+		nextRequest time.Duration // when a lease or renewal is next requested; < 0: not checked
 	}{
-		"a lease is granted":             {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseGranted(now, true, 7) }, tuning.LeaseRenewalInterval},
-		"a lease is refused":             {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseGranted(now, false, 0) }, now + tuning.ConfirmationRetry},
-		"the member key is written":      {MemberKeyWriting, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
-		"the member key is refused":      {MemberKeyWriting, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(time.Second, false) }, time.Second + tuning.ConfirmationRetry},
-		"a late answer without a lease":  {LeaseNone, LeaseNone, func(m *Member) { m.MemberKeyAnswered(now, true) }, 0},
-		"a late answer while requesting": {LeaseRequested, LeaseRequested, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
-		"a late answer before writing":   {LeaseHeld, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
-		"a late refusal once written":    {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, false) }, tuning.LeaseRenewalInterval},
-		"renewed":                        {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.RenewalAnswered(now, Renewed) }, tuning.LeaseRenewalInterval},
-		"a renewal is lost":              {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.RenewalAnswered(now, RenewalFailed) }, now + tuning.ConfirmationRetry},
-		"the lease is gone":              {MemberKeyWritten, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
-		"gone while the key is written":  {MemberKeyWriting, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
+		"lease granted":                                     {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseGranted(now, true, 7) }, tuning.LeaseRenewalInterval},
+		"lease refused":                                     {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseGranted(now, false, 0) }, now + tuning.ConfirmationRetry},
+		"member key written":                                {MemberKeyWriting, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
+		"member key refused":                                {MemberKeyWriting, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(time.Second, false) }, time.Second + tuning.ConfirmationRetry},
+		"late member key response without a lease":          {LeaseNone, LeaseNone, func(m *Member) { m.MemberKeyAnswered(now, true) }, 0},
+		"late member key response while requesting a lease": {LeaseRequested, LeaseRequested, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
+		"late member key response before writing":           {LeaseHeld, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
+		"late refusal after the member key is written":      {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, false) }, tuning.LeaseRenewalInterval},
+		"renewal succeeded":                                 {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.RenewalAnswered(now, Renewed) }, tuning.LeaseRenewalInterval},
+		"renewal failed":                                    {MemberKeyWritten, MemberKeyWritten, func(m *Member) { m.RenewalAnswered(now, RenewalFailed) }, now + tuning.ConfirmationRetry},
+		"lease expired":                                     {MemberKeyWritten, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
+		"lease expired while writing the member key":        {MemberKeyWriting, LeaseNone, func(m *Member) { m.RenewalAnswered(now, LeaseGone) }, now},
 	} {
-		m := memberInState(t, x.from)
-		x.happens(m)
-		if m.Lease() != x.to {
-			t.Errorf("%s: leads to %v, want %v", name, m.Lease(), x.to)
+		m := memberInState(t, test.from)
+		test.event(m)
+		if m.Lease() != test.to {
+			t.Errorf("%s: state is %v, want %v", name, m.Lease(), test.to)
 		}
-		if x.again < 0 {
+		if test.nextRequest < 0 {
 			continue
 		}
-		if due := m.MaintainLease(x.again-1, ownIncarnation); due.Grant || due.Renew {
-			t.Errorf("%s: requested before %v", name, x.again)
+		if due := m.MaintainLease(test.nextRequest-1, ownIncarnation); due.Grant || due.Renew {
+			t.Errorf("%s: a lease or renewal is requested before %v", name, test.nextRequest)
 		}
-		due := m.MaintainLease(x.again, ownIncarnation)
-		if due.Grant != (x.to == LeaseNone) || due.Renew != (x.to >= LeaseHeld) {
-			t.Errorf("%s: at %v %+v", name, x.again, due)
+		due := m.MaintainLease(test.nextRequest, ownIncarnation)
+		if due.Grant != (test.to == LeaseNone) || due.Renew != (test.to >= LeaseHeld) {
+			t.Errorf("%s: wrong requests at %v: %+v", name, test.nextRequest, due)
 		}
 	}
 }
 
-// TestLeaseRequestsOnce: what was sent is not sent again before its answer.
+// TestLeaseRequestsOnce checks that no request is sent again before its response.
 func TestLeaseRequestsOnce(t *testing.T) {
 	m := newMember()
 	if due := m.MaintainLease(0, ""); due != (LeaseRequests{Grant: true}) {
-		t.Errorf("at the start: %+v", due)
+		t.Errorf("requests at the start: %+v", due)
 	}
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{}) {
-		t.Errorf("while a lease is requested: %+v", due)
+		t.Errorf("requests while a lease is requested: %+v", due)
 	}
 	m.LeaseGranted(time.Minute, true, 5)
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{WriteMemberKey: true, Renew: true}) || m.LeaseID() != 5 {
-		t.Errorf("once granted, late: %+v of lease %d", due, m.LeaseID())
+		t.Errorf("requests after a late grant: %+v of lease %d", due, m.LeaseID())
 	}
 	if due := m.MaintainLease(2*time.Minute, ""); due != (LeaseRequests{}) {
-		t.Errorf("while both are under way: %+v", due)
+		t.Errorf("requests while both are in flight: %+v", due)
 	}
 }
 
-// TestRefusedMemberKeyWaits: a lease that expired refuses the member key each time, so the
-// next try waits, and the renewal that tells comes no later.
+// TestRefusedMemberKeyWaits checks that a refused member key is not retried at once, since an
+// expired lease refuses it every time, and that the renewal, which would show that the lease
+// has expired, is due no later than the retry.
 func TestRefusedMemberKeyWaits(t *testing.T) {
 	m := memberInState(t, MemberKeyWriting)
 	m.MemberKeyAnswered(time.Second, false)
 	if due := m.MaintainLease(time.Second+tuning.ConfirmationRetry-1, ""); due != (LeaseRequests{}) {
-		t.Errorf("at once: %+v", due)
+		t.Errorf("requests before the pause is over: %+v", due)
 	}
 	if due := m.MaintainLease(time.Second+tuning.ConfirmationRetry, ""); due != (LeaseRequests{WriteMemberKey: true, Renew: true}) {
-		t.Errorf("after the pause: %+v", due)
+		t.Errorf("requests after the pause: %+v", due)
 	}
 }
 
-// TestMissingMemberKeyIsWrittenAgain: the cache may show another incarnation, or none,
-// under the member key although the lease lives.
+// TestMissingMemberKeyIsWrittenAgain checks that the member key is written again if the cache
+// keeps showing another incarnation, or none, under it although the lease is alive.
 func TestMissingMemberKeyIsWrittenAgain(t *testing.T) {
-	const patience = tuning.LeaseRenewalInterval / 2
+	const grace = tuning.LeaseRenewalInterval / 2
 	for cached, want := range map[string]LeaseState{ownIncarnation: MemberKeyWritten, "": LeaseHeld, earlierIncarnation: LeaseHeld} {
 		m := memberInState(t, MemberKeyWritten)
-		if m.MaintainLease(patience-1, cached); m.Lease() != MemberKeyWritten {
-			t.Errorf("%q in the cache: %v before the own write can show", cached, m.Lease())
+		if m.MaintainLease(grace-1, cached); m.Lease() != MemberKeyWritten {
+			t.Errorf("%q in the cache: state is %v before the cache can show the own write", cached, m.Lease())
 		}
-		m.MaintainLease(patience, cached)
+		m.MaintainLease(grace, cached)
 		if m.Lease() != want {
-			t.Errorf("%q in the cache: %v, want %v", cached, m.Lease(), want)
+			t.Errorf("%q in the cache: state is %v, want %v", cached, m.Lease(), want)
 		}
-		if due := m.MaintainLease(patience, cached); due.WriteMemberKey != (want == LeaseHeld) {
-			t.Errorf("%q in the cache: then %+v", cached, due)
+		if due := m.MaintainLease(grace, cached); due.WriteMemberKey != (want == LeaseHeld) {
+			t.Errorf("%q in the cache: wrong requests next: %+v", cached, due)
 		}
 	}
-	m := newMember() // the cache says nothing before it is loaded
+	m := newMember() // the cache is not loaded, so what it shows must not count
 	m.MaintainLease(0, "")
 	m.LeaseGranted(0, true, 5)
 	m.MaintainLease(0, "")
 	m.MemberKeyAnswered(0, true)
-	if m.MaintainLease(patience, ""); m.Lease() != MemberKeyWritten {
-		t.Errorf("with an empty cache: %v", m.Lease())
+	if m.MaintainLease(grace, ""); m.Lease() != MemberKeyWritten {
+		t.Errorf("before the cache is loaded the state is %v", m.Lease())
 	}
 }
 
 func TestHasMemberKey(t *testing.T) {
 	if m := memberInState(t, MemberKeyWritten); !m.HasMemberKey(ownIncarnation) || m.HasMemberKey(earlierIncarnation) || m.HasMemberKey("") {
-		t.Error("the cache must have this incarnation")
+		t.Error("the member key counts exactly if the cache has this incarnation")
 	}
 	if memberInState(t, MemberKeyWriting).HasMemberKey(ownIncarnation) {
-		t.Error("the member key is not written yet")
+		t.Error("the member key counts before it is written")
 	}
 }
 
-// TestMayAct: a controller acts while both view and lease were confirmed by requests sent
-// less than the fence age ago, under a view that has this incarnation, and no longer.
+// TestMayAct checks that a controller may act exactly while both the view and the lease were
+// confirmed by requests sent less than the fence age ago, and only under a view that has this
+// incarnation.
 func TestMayAct(t *testing.T) {
 	renewAt := func(m *Member, sent, answered time.Duration) {
 		if due := m.MaintainLease(sent, ownIncarnation); !due.Renew {
@@ -178,44 +181,44 @@
 		m.ConfirmationAnswered(answered, true, 10)
 		m.CacheReached(10)
 	}
-	for name, x := range map[string]struct {
-		happens func(m *Member)
-		until   time.Duration // acts just before, not from then on
+	for name, test := range map[string]struct {
+		event func(m *Member)
+		until time.Duration // may act just before this time, and not from then on
 	}{
-		"nothing more comes":      {func(*Member) {}, fenceAge},
-		"only the lease":          {func(m *Member) { renewAt(m, 2*time.Second, 3*time.Second) }, fenceAge},
-		"only the view":           {func(m *Member) { confirmAt(m, 2*time.Second, 3*time.Second) }, fenceAge},
-		"both count from sending": {func(m *Member) { renewAt(m, 2*time.Second, 6*time.Second); confirmAt(m, 3*time.Second, 6*time.Second) }, 2*time.Second + fenceAge},
-		"a lost renewal": {func(m *Member) {
+		"no further responses":                {func(*Member) {}, fenceAge},
+		"only the lease renewed":              {func(m *Member) { renewAt(m, 2*time.Second, 3*time.Second) }, fenceAge},
+		"only the view confirmed":             {func(m *Member) { confirmAt(m, 2*time.Second, 3*time.Second) }, fenceAge},
+		"both count from when they were sent": {func(m *Member) { renewAt(m, 2*time.Second, 6*time.Second); confirmAt(m, 3*time.Second, 6*time.Second) }, 2*time.Second + fenceAge},
+		"renewal failed": {func(m *Member) {
 			confirmAt(m, 2*time.Second, 3*time.Second)
 			m.MaintainLease(2*time.Second, ownIncarnation)
 			m.RenewalAnswered(3*time.Second, RenewalFailed)
 		}, fenceAge},
-		"a lease that is gone": {func(m *Member) {
+		"lease expired": {func(m *Member) {
 			confirmAt(m, 2*time.Second, 3*time.Second)
 			m.MaintainLease(2*time.Second, ownIncarnation)
 			m.RenewalAnswered(3*time.Second, LeaseGone)
 		}, fenceAge},
-		"an unanswered confirmation": {func(m *Member) {
+		"confirmation without response": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
 			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationFailed(3 * time.Second)
 		}, fenceAge},
-		"another view is confirmed": {func(m *Member) {
+		"response about another view": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
 			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationAnswered(3*time.Second, false, 10)
 			m.CacheReached(10)
 		}, fenceAge},
-		"the cache hangs": {func(m *Member) {
+		"cache does not reach the revision": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
 			m.StartConfirmation(2*time.Second, monotime.Instant{})
 			m.ConfirmationAnswered(3*time.Second, true, 11)
 			m.CacheReached(10)
 		}, fenceAge},
-		"a view by a watch of unknown time": {func(m *Member) { m.BeginWatchUpdate(-1); m.ViewChanged(); m.EndWatchUpdate() }, 0},
-		"a view outside of a watch":         {func(m *Member) { m.BeginWatchUpdate(5 * time.Second); m.EndWatchUpdate(); m.ViewChanged() }, 0},
-		"a view by a watch": {func(m *Member) {
+		"new view from a watch of unknown time": {func(m *Member) { m.BeginWatchUpdate(-1); m.ViewChanged(); m.EndWatchUpdate() }, 0},
+		"new view outside of a watch":           {func(m *Member) { m.BeginWatchUpdate(5 * time.Second); m.EndWatchUpdate(); m.ViewChanged() }, 0},
+		"new view from a watch": {func(m *Member) {
 			renewAt(m, 2*time.Second, 3*time.Second)
 			m.BeginWatchUpdate(time.Second)
 			m.ViewChanged()
@@ -223,63 +226,63 @@
 		}, time.Second + fenceAge},
 	} {
 		m := confirmedAtZero(t)
-		x.happens(m)
-		if x.until > 0 && !m.MayAct(x.until-1, ownIncarnation) {
-			t.Errorf("%s: doesn't act just before %v", name, x.until)
+		test.event(m)
+		if test.until > 0 && !m.MayAct(test.until-1, ownIncarnation) {
+			t.Errorf("%s: may not act just before %v", name, test.until)
 		}
-		if m.MayAct(x.until, ownIncarnation) {
-			t.Errorf("%s: still acts at %v", name, x.until)
+		if m.MayAct(test.until, ownIncarnation) {
+			t.Errorf("%s: may still act at %v", name, test.until)
 		}
 		if m.MayAct(0, earlierIncarnation) || m.MayAct(0, "") {
-			t.Errorf("%s: acts under a view that hasn't this incarnation", name)
+			t.Errorf("%s: may act under a view that lacks this incarnation", name)
 		}
 	}
 	m := newMember()
 	m.viewConfirmedAt, m.leaseRenewedAt = monotime.At(0), monotime.At(0)
 	if m.MayAct(0, ownIncarnation) {
-		t.Error("acts before its cache holds a snapshot")
+		t.Error("may act before the cache holds a snapshot")
 	}
 	if m.CacheLoaded(); !m.MayAct(0, ownIncarnation) {
-		t.Error("doesn't act once its cache holds a snapshot")
+		t.Error("may not act once the cache holds a snapshot")
 	}
 }
 
-// TestConfirmationSchedule: the first at once, then one each interval, sooner for readers,
-// one at a time.
+// TestConfirmationSchedule checks that the first confirmation is due at once and then one
+// each interval, sooner for waiting readers, and that only one is in flight at a time.
 func TestConfirmationSchedule(t *testing.T) {
 	const gap, retry = tuning.MinConfirmationGap, tuning.ConfirmationRetry
 	none := monotime.Instant{}
-	for name, x := range map[string]struct {
-		happens func(m *Member)
-		reader  monotime.Instant
-		due     time.Duration
+	for name, test := range map[string]struct {
+		event  func(m *Member)
+		reader monotime.Instant
+		due    time.Duration
 	}{
-		"no reader":                 {func(*Member) {}, none, tuning.ConfirmationInterval},
-		"a reader, within the gap":  {func(*Member) {}, monotime.At(time.Millisecond), time.Millisecond + gap},
-		"a reader at the same time": {func(*Member) {}, monotime.At(0), time.Millisecond + gap},
-		"no answer":                 {func(m *Member) { m.StartConfirmation(2*time.Second, none); m.ConfirmationFailed(3 * time.Second) }, monotime.At(2 * time.Second), 3*time.Second + retry},
-		"a later view is about":     {func(m *Member) { m.ConfirmSoon(5 * time.Millisecond) }, monotime.At(time.Millisecond), 5 * time.Millisecond},
-		"a later view, gap over":    {func(m *Member) { m.ConfirmSoon(time.Second) }, monotime.At(time.Millisecond), time.Millisecond + gap},
-		"the view changed":          {func(m *Member) { m.ViewChanged() }, none, time.Millisecond + gap},
+		"no reader":                                {func(*Member) {}, none, tuning.ConfirmationInterval},
+		"a reader, within the gap":                 {func(*Member) {}, monotime.At(time.Millisecond), time.Millisecond + gap},
+		"a reader at the same time":                {func(*Member) {}, monotime.At(0), time.Millisecond + gap},
+		"no response":                              {func(m *Member) { m.StartConfirmation(2*time.Second, none); m.ConfirmationFailed(3 * time.Second) }, monotime.At(2 * time.Second), 3*time.Second + retry},
+		"confirmation wanted soon, within the gap": {func(m *Member) { m.ConfirmSoon(5 * time.Millisecond) }, monotime.At(time.Millisecond), 5 * time.Millisecond},
+		"confirmation wanted soon, after the gap":  {func(m *Member) { m.ConfirmSoon(time.Second) }, monotime.At(time.Millisecond), time.Millisecond + gap},
+		"view changed":                             {func(m *Member) { m.ViewChanged() }, none, time.Millisecond + gap},
 	} {
 		m := confirmedAtZero(t)
-		x.happens(m)
-		if m.StartConfirmation(x.due-1, x.reader) {
-			t.Errorf("%s: sent before %v", name, x.due)
+		test.event(m)
+		if m.StartConfirmation(test.due-1, test.reader) {
+			t.Errorf("%s: sent before %v", name, test.due)
 			continue
 		}
-		if !m.StartConfirmation(x.due, x.reader) {
-			t.Errorf("%s: not sent at %v", name, x.due)
+		if !m.StartConfirmation(test.due, test.reader) {
+			t.Errorf("%s: not sent at %v", name, test.due)
 		}
-		if m.StartConfirmation(time.Hour, x.reader) {
-			t.Errorf("%s: a second one beside it", name)
+		if m.StartConfirmation(time.Hour, test.reader) {
+			t.Errorf("%s: a second one is sent while the first is in flight", name)
 		}
 	}
 	m := confirmedAtZero(t)
 	m.StartConfirmation(2*time.Second, none)
 	m.ConfirmationAnswered(3*time.Second, true, 10)
 	if m.StartConfirmation(3*time.Second+gap, monotime.At(2*time.Second-1)) {
-		t.Error("sent for a reader whom the one before serves")
+		t.Error("sent for a reader that the previous confirmation serves")
 	}
 	if newMember().StartConfirmation(0, none) {
 		t.Error("sent without a view to confirm")
@@ -287,12 +290,13 @@
 	slow := New(Config{FenceAge: fenceAge, ReadRate: 1}, ownIncarnation)
 	second := float64(time.Second)
 	if got, want := slow.confirmationGap(), time.Duration(second/tuning.ConfirmationShare); got != want {
-		t.Errorf("with one read a second readers cause a confirmation each %v, want %v", got, want)
+		t.Errorf("at one read per second the gap is %v, want %v", got, want)
 	}
 }
 
-// TestReadIndex: reached once the cache has what the confirmation saw, whatever the view,
-// and as of when it was sent.
+// TestReadIndex checks that a read index is reached once the cache has the revision that the
+// confirmation saw, whether or not the view was confirmed, and that it counts from when the
+// confirmation was sent.
 func TestReadIndex(t *testing.T) {
 	m := confirmedAtZero(t)
 	if !m.HasReadIndex(0) || m.HasReadIndex(1) {
@@ -301,43 +305,44 @@
 	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationAnswered(3*time.Second, false, 12)
 	if m.CacheReached(11); m.HasReadIndex(1) {
-		t.Error("reached before the cache")
+		t.Error("the read index is reached before the cache has its revision")
 	}
 	if m.CacheReached(12); !m.HasReadIndex(2*time.Second) || m.HasReadIndex(2*time.Second+1) {
 		t.Errorf("read index at %v, want 2s", m.ReadIndex().Time())
 	}
 	if m.ViewConfirmedAt() != monotime.At(0) {
-		t.Errorf("another view counts as confirmed at %v", m.ViewConfirmedAt().Time())
+		t.Errorf("a response about another view counts as a confirmation at %v", m.ViewConfirmedAt().Time())
 	}
 	if newMember().HasReadIndex(0) {
 		t.Error("a controller that never confirmed has a read index")
 	}
 }
 
-// TestAwaitingCacheIsBounded: while the watch hangs only the newest confirmations are kept.
+// TestAwaitingCacheIsBounded checks that only the newest confirmations are kept while the
+// watch hangs.
 func TestAwaitingCacheIsBounded(t *testing.T) {
 	m := confirmedAtZero(t)
 	for i := 1; i <= 20; i++ {
 		now := time.Duration(i) * tuning.ConfirmationInterval
 		if !m.StartConfirmation(now, monotime.Instant{}) {
-			t.Fatal("not due")
+			t.Fatal("no confirmation is due")
 		}
 		m.ConfirmationAnswered(now, true, uint64(100+i))
 		m.CacheReached(10)
 	}
 	if len(m.awaitingCache) != tuning.MaxUnsettledConfirmations {
-		t.Errorf("%d kept", len(m.awaitingCache))
+		t.Errorf("%d confirmations kept", len(m.awaitingCache))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
-		t.Error("one that was forgotten counts")
+		t.Error("a dropped confirmation counts")
 	}
 	if m.CacheReached(105); !m.HasReadIndex(5 * tuning.ConfirmationInterval) {
-		t.Error("the oldest kept doesn't count")
+		t.Error("the oldest confirmation kept doesn't count")
 	}
 }
 
-// TestReadiness: a ready controller steps back only once another has been the better
-// choice all the time.
+// TestReadiness checks that a ready controller becomes unready only after another one has
+// been the better choice without interruption.
 func TestReadiness(t *testing.T) {
 	m := newMember()
 	if m.IsReady() {
@@ -347,18 +352,18 @@
 	const start = time.Minute
 	m.MaybeBecomeUnready(start, true)
 	if m.MaybeBecomeUnready(start+tuning.StepBack, true); !m.IsReady() {
-		t.Error("steps back too early")
+		t.Error("becomes unready too early")
 	}
 	m.MaybeBecomeUnready(start+tuning.StepBack+1, false)
 	if m.MaybeBecomeUnready(start+2*tuning.StepBack, true); !m.IsReady() {
-		t.Error("an interruption doesn't count")
+		t.Error("becomes unready although the other controller's advantage was interrupted")
 	}
 	if m.MaybeBecomeUnready(start+3*tuning.StepBack+1, true); m.IsReady() {
-		t.Error("doesn't step back")
+		t.Error("doesn't become unready")
 	}
 	m.BecomeReady()
 	if m.MaybeBecomeUnready(start+9*tuning.StepBack, true); !m.IsReady() {
-		t.Error("steps back at once after it was ready again")
+		t.Error("becomes unready at once after it was ready again")
 	}
 }
 
@@ -369,17 +374,18 @@
 	}
 	m = confirmedAtZero(t)
 	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) || m.HasRecentStateResponse(tuning.UsableFor) {
-		t.Error("an answer counts until it is as old as tuning.UsableFor")
+		t.Error("a response must count until it is as old as tuning.UsableFor")
 	}
 	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
 	if m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) {
-		t.Error("one failure shows at once in one and not in the other")
+		t.Error("a failure must show at once in IsStateReachable and not in HasRecentStateResponse")
 	}
 }
 
-// TestLeaseCountsFromItsRequest: the first one that is granted, not the first one sent; and
-// renewals follow each other.
+// TestLeaseCountsFromItsRequest checks that a lease's age counts from the request that was
+// granted, not from an earlier one that was refused, and that the renewals follow at the
+// renewal interval.
 func TestLeaseCountsFromItsRequest(t *testing.T) {
 	const granted = 10 * time.Second
 	m := newMember()
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -7,20 +7,22 @@
 	"brassglade/internal/tuning"
 )
 
-// IsReady is what GET /up says.
+// IsReady reports whether GET /up reports this controller as ready.
 func (m *Member) IsReady() bool { return m.ready }
 
-// HasRecentStateResponse tells whether the state service answered lately.
+// HasRecentStateResponse reports whether the state service responded to a confirmation sent
+// less than tuning.UsableFor ago.
 func (m *Member) HasRecentStateResponse(now time.Duration) bool {
 	return m.stateAnsweredAt.Within(tuning.UsableFor, now)
 }
 
-// BecomeReady says that this controller can take requests.
+// BecomeReady records that this controller can take requests.
 func (m *Member) BecomeReady() { m.ready, m.anotherBetterSince = true, monotime.Instant{} }
 
-// MaybeBecomeUnready says that a ready controller can't take requests now. It stays ready until
-// another has been the better choice for tuning.MaybeBecomeUnready: in an outage for all, leaving
-// the load balancer would help no user.
+// MaybeBecomeUnready records that a ready controller can't take requests now. The controller
+// becomes unready only after another one has been the better choice without interruption for
+// longer than tuning.StepBack: in an outage that affects all controllers, leaving the load
+// balancer would help no user.
 func (m *Member) MaybeBecomeUnready(now time.Duration, anotherIsBetter bool) {
 	switch {
 	case !anotherIsBetter:
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,22 +1,23 @@
-// Package monotime has points of a controller's steady time, which is the time since its
-// process began and never goes back.
+// Package monotime provides points in a controller's monotonic time and deadlines on it.
+// Monotonic time is measured from the start of the controller's process and never goes
+// backwards.
 package monotime
 
 import "time"
 
-// Instant is a point of steady time, or never, which is its zero value.
+// Instant is a point in monotonic time, or unset, which is its zero value.
 type Instant struct {
 	at  time.Duration
 	set bool
 }
 
-// At is the instant at steady time t.
+// At returns the instant at monotonic time t.
 func At(t time.Duration) Instant { return Instant{at: t, set: true} }
 
-// IsSet tells whether the instant is not never.
+// IsSet reports whether the instant is set.
 func (i Instant) IsSet() bool { return i.set }
 
-// Time is the instant's steady time, or -1 for never.
+// Time returns the monotonic time of the instant, or -1 if it is unset.
 func (i Instant) Time() time.Duration {
 	if !i.set {
 		return -1
@@ -24,10 +25,10 @@
 	return i.at
 }
 
-// Within tells whether the instant is less than age before now; never is not.
+// Within reports whether the instant is set and less than age before now.
 func (i Instant) Within(age, now time.Duration) bool { return i.set && now-i.at < age }
 
-// Latest is the later of two instants; any is later than never.
+// Latest returns the later of two instants; any set instant is later than an unset one.
 func Latest(i, k Instant) Instant {
 	if !k.set || i.set && i.at >= k.at {
 		return i
@@ -35,16 +36,17 @@
 	return k
 }
 
-// Deadline keeps something from being done before a time. The zero Deadline is open.
+// Deadline is the monotonic time before which something must not be done. The zero Deadline
+// has passed.
 type Deadline struct {
 	at time.Duration
 }
 
-// HasPassed tells whether it may be done now.
-func (g Deadline) HasPassed(now time.Duration) bool { return now >= g.at }
+// HasPassed reports whether the deadline has passed at monotonic time now.
+func (d Deadline) HasPassed(now time.Duration) bool { return now >= d.at }
 
-// Set keeps it from being done before steady time t.
-func (g *Deadline) Set(t time.Duration) { g.at = t }
+// Set moves the deadline to monotonic time t.
+func (d *Deadline) Set(t time.Duration) { d.at = t }
 
-// BringForward opens the gate at steady time t unless it opens earlier.
-func (g *Deadline) BringForward(t time.Duration) { g.at = min(g.at, t) }
+// BringForward moves the deadline to monotonic time t unless it is earlier already.
+func (d *Deadline) BringForward(t time.Duration) { d.at = min(d.at, t) }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -6,33 +6,33 @@
 )
 
 func TestInstant(t *testing.T) {
-	var never Instant
+	var unset Instant
 	early, late := At(0), At(time.Second)
-	if never.IsSet() || never.Time() != -1 || never.Within(time.Hour, 0) {
-		t.Error("the zero instant is not never")
+	if unset.IsSet() || unset.Time() != -1 || unset.Within(time.Hour, 0) {
+		t.Error("the zero instant is not unset")
 	}
 	if !early.IsSet() || !early.Within(time.Second, 999*time.Millisecond) || early.Within(time.Second, time.Second) {
-		t.Error("an instant is within an age until that age is reached")
+		t.Error("an instant must be within an age exactly until that age is reached")
 	}
-	if Latest(never, early) != early || Latest(early, never) != early || Latest(early, late) != late || Latest(late, early) != late {
-		t.Error("not the later one")
+	if Latest(unset, early) != early || Latest(early, unset) != early || Latest(early, late) != late || Latest(late, early) != late {
+		t.Error("Latest did not return the later instant")
 	}
 }
 
 func TestDeadline(t *testing.T) {
-	var g Deadline
-	if !g.HasPassed(0) {
-		t.Error("the zero gate is closed")
+	var d Deadline
+	if !d.HasPassed(0) {
+		t.Error("the zero deadline has not passed")
 	}
-	g.Set(3 * time.Second)
-	if g.HasPassed(3*time.Second-1) || !g.HasPassed(3*time.Second) {
-		t.Error("a gate opens at its time")
+	d.Set(3 * time.Second)
+	if d.HasPassed(3*time.Second-1) || !d.HasPassed(3*time.Second) {
+		t.Error("a deadline must pass exactly at its time")
 	}
-	g.BringForward(5 * time.Second)
-	if !g.HasPassed(3 * time.Second) {
-		t.Error("advancing delayed the gate")
+	d.BringForward(5 * time.Second)
+	if !d.HasPassed(3 * time.Second) {
+		t.Error("BringForward delayed the deadline")
 	}
-	if g.BringForward(time.Second); !g.HasPassed(time.Second) {
-		t.Error("advancing did not open the gate earlier")
+	if d.BringForward(time.Second); !d.HasPassed(time.Second) {
+		t.Error("BringForward did not move the deadline forward")
 	}
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -9,20 +9,22 @@
 	"brassglade/internal/tuning"
 )
 
-// pendingHeartbeat is a heartbeat whose answer waits for commands that are on their way.
+// pendingHeartbeat is a heartbeat whose answer is delayed for commands that are expected
+// soon.
 type pendingHeartbeat struct {
 	machine    string
 	requestID  uint64
 	sequence   uint64
 	agentEpoch uint64
-	answerBy   time.Duration // steady time at which it is answered in any case
+	answerBy   time.Duration // monotonic time at which it is answered in any case
 }
 
-// shouldDelayAnswer tells whether an answer given now would soon have had commands in it. A
-// machine that has to wait for its next heartbeat starts its next task seconds later.
+// shouldDelayAnswer reports whether commands for m are expected so soon that the answer to
+// its heartbeat should wait for them. A command that misses this answer waits for the
+// machine's next heartbeat, seconds later.
 func (c *Controller) shouldDelayAnswer(m *Machine) bool {
 	if c.commits.taskCommit != nil && c.commits.machines[m.Name] {
-		return true // the commit in flight concerns it
+		return true // the task commit in flight has changes for m
 	}
 	if c.cache.hasUnstartedBooking(m) {
 		return false
@@ -37,8 +39,8 @@
 	return len(m.reported) == 0 || c.cache.hasRoomForSmallTask(m)
 }
 
-// hasUnstartedBooking tells whether a task is booked on m that m doesn't report: there is
-// something to start.
+// hasUnstartedBooking reports whether a task is booked on m that m doesn't report, so that
+// there may be a task to start.
 func (c *cache) hasUnstartedBooking(m *Machine) bool {
 	for id := range c.bookedOn[m.Name] {
 		if !m.lists(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
@@ -48,7 +50,7 @@
 	return false
 }
 
-// hasUncommittedEnds tells whether m reports ended tasks whose outcome isn't committed yet.
+// hasUncommittedEnds reports whether m reports ended tasks whose end isn't committed yet.
 func (c *cache) hasUncommittedEnds(m *Machine) bool {
 	for _, report := range m.reported {
 		if report.State == domain.ReportedEnded && c.isBooking(m, report) {
@@ -58,8 +60,8 @@
 	return false
 }
 
-// hasRoomForSmallTask tells whether a small task has room on m: the next one may come any
-// moment.
+// hasRoomForSmallTask reports whether a small task (tuning.SmallTaskShare) fits on m. Such a
+// task may be submitted any moment.
 func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
@@ -68,8 +70,8 @@
 	return c.freeOn(m.Name, capacity, nil).Fits(small)
 }
 
-// answerHeartbeat says 200 with the commands that follow from committed state alone, or 503
-// if that may not be said any more.
+// answerHeartbeat answers a heartbeat with 200 and the commands that follow from committed
+// state alone, or with 503 if the controller may no longer answer with 200.
 func (c *Controller) answerHeartbeat(pending *pendingHeartbeat) {
 	if c.heartbeats.pending[pending.machine] == pending {
 		delete(c.heartbeats.pending, pending.machine)
@@ -85,35 +87,35 @@
 	c.emit(HeartbeatReply{RequestID: pending.requestID, Status: StatusOK, FencingToken: c.cache.view.Epoch, Commands: commands})
 }
 
-// mayAnswer tells whether a heartbeat that was accepted may still be answered with 200.
+// mayAnswer reports whether a heartbeat that was accepted may still be answered with 200.
 func (c *Controller) mayAnswer(m *Machine, pending *pendingHeartbeat) bool {
 	return c.mayAct() && c.owns(pending.machine) && !c.isAbandoned(m, pending.agentEpoch) &&
 		pending.agentEpoch == m.agentEpoch && !c.cache.isReturned(pending.machine)
 }
 
-// logCommands says for each start and stop why it was allowed: under which view, as of
-// which revision, and how long ago both were confirmed.
+// logCommands logs for each start and stop the ground on which it is sent: the epoch of the
+// view, the revision of the cache, and how many seconds ago the view was confirmed.
 func (c *Controller) logCommands(m *Machine, commands []domain.Command) {
 	for _, command := range commands {
 		if command.Kind == domain.ForgetTask {
 			continue
 		}
-		c.debug("command", "kind", command.Kind, "task", command.Task, "machine", m.Name, "attempt", command.Attempt, "reason", command.Reason,
+		c.debug("command sent", "kind", command.Kind, "task", command.Task, "machine", m.Name, "attempt", command.Attempt, "reason", command.Reason,
 			"agent_epoch", m.agentEpoch, "epoch", c.cache.view.Epoch, "revision", c.cache.revision,
 			"confirmed_s", (c.now - c.membership.ViewConfirmedAt().Time()).Seconds())
 	}
 }
 
-// commandsFor lists the commands for m: stops first, then what it may forget, then starts,
-// so that room is made before it is used. The sequence is that of the heartbeat answered.
+// commandsFor returns the commands for m: stops first, then tasks to forget, then starts, so
+// that room is freed before it is used. sequence is that of the heartbeat being answered.
 func (c *Controller) commandsFor(m *Machine, sequence uint64) []domain.Command {
 	stops, forgets := c.commandsForReported(m)
 	return slices.Concat(stops, forgets, c.startsFor(m, sequence))
 }
 
-// commandsForReported are the stops of tasks that m reports as live, and the commands to
-// forget ended ones. An ended task is forgotten only once its outcome is committed: its
-// start, sent again to an agent that doesn't know it any more, would begin it anew.
+// commandsForReported returns the stops of live tasks that m reports, and the commands to
+// forget ended ones. An ended task is forgotten only once its outcome is committed: an agent
+// that has forgotten the attempt would run the task again if the start were sent again.
 func (c *Controller) commandsForReported(m *Machine) (stops, forgets []domain.Command) {
 	for _, id := range sortedTasks(m.reported) {
 		report := m.reported[id]
@@ -130,7 +132,7 @@
 	return stops, forgets
 }
 
-// startsFor are the starts of what is booked on m and may start.
+// startsFor returns the starts of the tasks that are booked on m and may start.
 func (c *Controller) startsFor(m *Machine, sequence uint64) []domain.Command {
 	var starts []domain.Command
 	for _, id := range sortedTasks(c.cache.bookedOn[m.Name]) {
@@ -145,24 +147,25 @@
 	return starts
 }
 
-// startRefusal is why a booked task isn't started.
+// startRefusal is the reason why a booked task is not started.
 type startRefusal int
 
 const (
 	startAllowed          startRefusal = iota
 	alreadyReported                    // the machine reports the attempt
-	gangStopped                        // the header stops this attempt of the gang everywhere
-	agentEpochDiffers                  // booked in another agent epoch than the machine's present one
+	gangStopped                        // the job's header stops this attempt of the gang on all machines
+	agentEpochDiffers                  // booked for another agent epoch than the machine's current one
 	jobClosed                          // the job is cancelled or over
-	releaseAttempted                   // the release's transaction may land late (invariant 4 of docs/design.md)
-	machineBeingPreempted              // the cloud takes the machine back
-	attemptPreempted                   // other work needs its room
-	machineBeingEvicted                // the machine is emptied for a task that needs all of it
+	releaseAttempted                   // its release may still be committed (invariant 4 of docs/design.md)
+	machineBeingPreempted              // the cloud has announced that it takes the machine back
+	attemptPreempted                   // other work needs the room of the attempt
+	machineBeingEvicted                // the machine is being emptied for a task that needs all of it
 	gangIncomplete                     // not all tasks of the gang's attempt are booked
 )
 
-// startRefusalFor tells whether a task that is booked on m may be started there. Only a committed
-// booking of the present agent epoch is, and only if its release was never tried.
+// startRefusalFor returns why a task that is booked on m may not be started there,
+// startAllowed if it may. A task may start only under a committed booking for the current
+// agent epoch whose release was never tried.
 func (c *Controller) startRefusalFor(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
 	attempt := attemptID{id, task.Attempt}
 	switch {
@@ -188,57 +191,60 @@
 	return startAllowed
 }
 
-// isStopped tells whether the job's header stops the attempt that the task is booked for.
+// isStopped reports whether the job's header stops the attempt that the task is booked for.
 func (j *Job) isStopped(task domain.Task) bool {
 	return j.Header.StopThrough > 0 && j.Header.StopThrough >= task.Attempt
 }
 
-// isEvictedFrom tells whether the machine is emptied of the job's tasks for a task that
-// needs all of it.
+// isEvictedFrom reports whether the job's tasks have to leave the machine, which is being
+// emptied for a task that needs all of it.
 func (c *Controller) isEvictedFrom(m *Machine, spec *domain.JobSpec) bool {
 	return c.isEvicting(m.Name) && !reservesMachines(spec)
 }
 
-// stopCommand tells whether a live task on m has to be stopped, and how. What is being
-// saved is not told to save once more.
+// stopCommand returns the stop of a live task on m, and whether it is to be sent. A task that
+// is saving its progress is not told to save again.
 func (c *Controller) stopCommand(m *Machine, report domain.TaskReport) (domain.Command, bool) {
 	stop := domain.Command{Kind: domain.StopTask, Task: report.Task, Attempt: report.Attempt, Reason: domain.ReasonNotBooked}
 	j := c.cache.jobs[report.Task.Job]
 	if j == nil || j.final() || !c.cache.isBooking(m, report) {
-		return stop, true // nobody has any use for it
+		return stop, true // the job is unknown or over, or the attempt is not booked
 	}
 	task, spec := j.task(report.Task.Index), j.Header.Spec
-	saves := report.State == domain.ReportedSaving
+	saving := report.State == domain.ReportedSaving
 	switch {
 	case !isGangIntact(j, task):
 		stop.Reason = domain.ReasonGangBroken
-		return stop, !saves
+		return stop, !saving
 	case isMultiTaskGang(spec):
-		// Its progress is saved only if all are told together: the header tells
-		// every owner (planGangStops).
-		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopThrough >= task.Attempt && !saves
+		// The progress of a gang is saved only if all its tasks are told to stop together, so
+		// the job's header tells every owner of a machine with such a task (planGangStops).
+		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopThrough >= task.Attempt && !saving
 	case c.isEvictedFrom(m, spec), c.planner.preempted[attemptID{report.Task, report.Attempt}]:
-		return saveAndStop(stop, spec, domain.ReasonPreempted), !saves
+		return saveAndStop(stop, spec, domain.ReasonPreempted), !saving
 	case m.preemptionAt >= 0:
-		return c.stopBeforePreemption(m, stop, spec, saves)
-	case c.cache.drainStopsTasks(m) && !saves:
+		return c.stopBeforePreemption(m, stop, spec, saving)
+	case c.cache.drainStopsTasks(m) && !saving:
 		return saveAndStop(stop, spec, domain.ReasonDraining), true
 	}
 	return stop, false
 }
 
-// saveAndStop gives a stop its reason and a grace in which the task can save its progress.
+// saveAndStop returns the stop with the reason and a grace period in which the task can save
+// its progress.
 func saveAndStop(stop domain.Command, spec *domain.JobSpec, reason domain.CommandReason) domain.Command {
 	stop.GraceSeconds, stop.Reason = spec.CheckpointCost+tuning.SaveSlackSeconds, reason
 	return stop
 }
 
-// stopBeforePreemption tells whether a task has to save now since the cloud takes its
-// machine. One without checkpoints runs on, since it may still finish; another for as long
-// as saving still fits before the end, which may come after half of what was said.
-func (c *Controller) stopBeforePreemption(m *Machine, stop domain.Command, spec *domain.JobSpec, saves bool) (domain.Command, bool) {
+// stopBeforePreemption returns the stop of a task on a machine that the cloud takes back, and
+// whether it is to be sent now. A task without checkpoints runs on, since it may still
+// finish. One with checkpoints runs on for as long as saving its progress still fits into
+// half of the announced time that is left, since the cloud may take the machine after half of
+// that time already.
+func (c *Controller) stopBeforePreemption(m *Machine, stop domain.Command, spec *domain.JobSpec, saving bool) (domain.Command, bool) {
 	stop.Reason = domain.ReasonPreemptionNotice
-	if saves || spec.CheckpointInterval <= 0 || spec.CheckpointCost <= 0 {
+	if saving || spec.CheckpointInterval <= 0 || spec.CheckpointCost <= 0 {
 		return stop, false
 	}
 	left := (m.preemptionAt - c.now - tuning.PreemptionMargin).Seconds()
@@ -246,19 +252,22 @@
 	return stop, left/2 <= spec.CheckpointCost+tuning.PreemptionSaveSlackSeconds
 }
 
-// drainStopsTasks tells whether m is drained for a reason for which its tasks have to go.
+// drainStopsTasks reports whether m is being drained for a reason for which its running tasks
+// have to leave it. They may stay if it is drained for being idle.
 func (c *cache) drainStopsTasks(m *Machine) bool {
 	cordon := c.cordons[m.Name]
 	return cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle
 }
 
-// isMultiTaskGang tells whether the job's tasks start and end together: a gang of several.
+// isMultiTaskGang reports whether the job is a gang of several tasks, which start and end
+// together.
 func isMultiTaskGang(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
-// isGangIntact tells whether all tasks of the task's attempt are booked, or done. A gang's task
-// is on only while they are; otherwise the rest is stopped, and a new attempt starts all.
+// isGangIntact reports whether all tasks of the task's attempt of a gang are booked or done;
+// it is true for jobs that are no gang. A task of a gang runs only while its gang is intact;
+// otherwise the remaining tasks are stopped, and a new attempt starts all of them.
 func isGangIntact(j *Job, task domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
@@ -271,9 +280,10 @@
 	return true
 }
 
-// answerPendingHeartbeats answers pending heartbeats once there is nothing more to wait for.
-// Hundreds are pending at a time, and events come for each: only those that the event
-// touched are looked at again, and all of them once a pace.
+// answerPendingHeartbeats answers the pending heartbeats for which no command is expected any
+// more, or whose time is up. Hundreds may be pending and events are frequent, so after an
+// event only those heartbeats are reviewed that it concerns, and all of them once per
+// planInterval.
 func (c *Controller) answerPendingHeartbeats() {
 	names := c.heartbeatsToReview()
 	c.Work.PendingHeartbeats += len(names)
@@ -288,8 +298,9 @@
 	}
 }
 
-// heartbeatsToReview lists the machines whose pending heartbeats, if any, are to be looked at
-// now, in order: those touched since the last time, or all of them once a pace.
+// heartbeatsToReview returns, sorted by name, the machines whose pending heartbeats (if any)
+// are to be reviewed now: those that events since the last review concern, or all of them
+// once per planInterval.
 func (c *Controller) heartbeatsToReview() []string {
 	heartbeats := &c.heartbeats
 	defer clear(heartbeats.toReview)
@@ -305,8 +316,8 @@
 	return slices.Sorted(maps.Keys(heartbeats.toReview))
 }
 
-// sendDirectStops sends stops straight to the agent, for work that is cancelled or has to
-// go soon. They may arrive late, which does no harm, and heartbeats repeat them.
+// sendDirectStops sends stops directly to the agent, for work that is cancelled or has to
+// leave soon. A stop that arrives late does no harm, and the answers to heartbeats repeat it.
 func (c *Controller) sendDirectStops(m *Machine) {
 	if !m.nextDirectStop.HasPassed(c.now) || m.Addr == "" {
 		return
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -1,59 +1,66 @@
 package scheduler
 
-// Guard names one check that keeps an invariant of docs/design.md. Outside tests all
-// stand; tests take one away and see that the checker of rules notices, so that no check
-// is there for show. Scripts know the guards by their strings, which stay as they are.
+// Guard names one check that keeps an invariant of docs/design.md. All guards are enabled
+// outside of tests. Tests disable one and verify that a violation is noticed, so that no
+// check is superfluous. The scripts of the simulation refer to the guards by their string
+// values, which must not change.
 type Guard string
 
-// The guards, each with what it keeps.
+// The guards, each with the invariant or rule that it keeps.
 const (
-	// GuardNone takes nothing away.
+	// GuardNone disables no guard.
 	GuardNone Guard = ""
 
 	// GuardFence lets a controller act only while view and lease are confirmed by requests
-	// younger than the fence age (invariant 2). Without it two owners command one machine.
+	// younger than the fence age (invariant 2). Without it two controllers could command one
+	// machine.
 	GuardFence Guard = "fence"
-	// GuardProof books a task elsewhere only once its last attempt is proven off
-	// (invariant 5). Without it a task runs twice.
+	// GuardProof books a task elsewhere only once its last attempt is proven to be stopped
+	// (invariant 5). Without it a task could run twice at the same time.
 	GuardProof Guard = "proof"
-	// GuardQuota starts tasks only within their team's limit (invariant 9).
+	// GuardQuota starts tasks only within the limit of their team (invariant 9).
 	GuardQuota Guard = "quota"
-	// GuardAbandonedEpoch never answers an agent epoch that was abandoned, whose tasks may
-	// run elsewhere by now (invariant 6).
+	// GuardAbandonedEpoch refuses to answer an agent epoch that was abandoned, since its
+	// tasks may run elsewhere by now (invariant 6).
 	GuardAbandonedEpoch Guard = "dead"
 
-	// GuardPendingRelease sends no start of a booking whose release was tried: the release may
-	// still be carried out (invariant 4).
+	// GuardPendingRelease sends no start for a booking whose release was tried, since the
+	// release may still be committed (invariant 4).
 	GuardPendingRelease Guard = "doom"
-	// GuardView takes the view from the watch alone, so that whoever sees an epoch has seen
-	// every commit of the earlier ones (invariant 7).
+	// GuardView takes the view from the watch alone, never from the controller's own
+	// proposal, so that a controller that sees an epoch has seen every commit of the earlier
+	// ones (invariant 7).
 	GuardView Guard = "view"
-	// GuardForget has a machine forget an ended task only once its outcome is committed:
-	// the agent no longer knows it, and a start would run it anew (invariant 8).
+	// GuardForget tells a machine to forget an ended task only once its outcome is committed:
+	// the agent would run a forgotten attempt again if its start were sent again (invariant
+	// 8).
 	GuardForget Guard = "clear"
-	// GuardCordons books under the condition of the machine's page of cordons, since the
-	// machine may be returned between plan and commit (invariant 10).
+	// GuardCordons makes each booking conditional on the page of cordons of its machine,
+	// since the machine may be returned between plan and commit (invariant 10).
 	GuardCordons Guard = "gone"
-	// GuardSnapshot takes nothing from a snapshot that is newer than its first page: a chunk
-	// without its header would be dropped, and its revision hide it (invariant 12).
+	// GuardSnapshot ignores items of a snapshot that are newer than its first page: a chunk
+	// that is read without its header would be dropped, and its revision would hide it from
+	// the watch (invariant 12).
 	GuardSnapshot Guard = "page"
-	// GuardBook books from the queues of machines what waits where there is room; without it
+	// GuardBook books the tasks queued on a machine as soon as there is room. Without it
 	// tasks starve.
 	GuardBook Guard = "book"
-	// GuardReadIndex answers what may still change behind a read index (invariant 11).
+	// GuardReadIndex delays the answer about a state that may still change until the cache
+	// has reached a read index (invariant 11).
 	GuardReadIndex Guard = "index"
-	// GuardNeverRuns accepts nothing that can never run.
+	// GuardNeverRuns rejects jobs that can never run.
 	GuardNeverRuns Guard = "never"
 
-	// GuardDraft counts what a draft holds already where a job's tasks are asked for
-	// (invariant 21).
+	// GuardDraft counts the changes that a draft already holds when the tasks of a job are
+	// looked up (invariant 21).
 	GuardDraft Guard = "draft"
 
-	// GuardDependencies starts nothing before all that it depends on is done (invariant 16).
+	// GuardDependencies starts no task of a job before all jobs that it depends on are done
+	// (invariant 16).
 	GuardDependencies Guard = "needs"
-	// GuardCascade cancels what depends on a cancelled job (invariant 17).
+	// GuardCascade cancels the jobs that depend on a cancelled job (invariant 17).
 	GuardCascade Guard = "cascade"
 )
 
-// isGuardEnabled tells whether a isGuardEnabled stands.
+// isGuardEnabled reports whether a guard is enabled.
 func (c *Controller) isGuardEnabled(g Guard) bool { return c.cfg.DisabledGuard != g }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -11,14 +11,15 @@
 	"brassglade/internal/tuning"
 )
 
-// heartbeats is what the machines last said, and their heartbeats that wait for an answer.
+// heartbeats holds the machines known to this controller, with their last reports, and the
+// heartbeats that wait for an answer.
 type heartbeats struct {
 	machines          map[string]*Machine          // by name; changed by addMachine and dropMachine alone
-	sortedNames       []string                     // names of machines; nil: to be made anew
+	sortedNames       []string                     // names of machines, sorted; nil: to be rebuilt
 	pending           map[string]*pendingHeartbeat // by machine
-	toReview          map[string]bool              // machines whose pending heartbeat is to be looked at again
-	nextReview        monotime.Deadline            // of all pending heartbeats
-	nextMachineReview monotime.Deadline            // over all machines
+	toReview          map[string]bool              // machines whose pending heartbeats recent events concern
+	nextReview        monotime.Deadline            // when all pending heartbeats are reviewed next
+	nextMachineReview monotime.Deadline            // when all machines are reviewed next
 }
 
 func newHeartbeats() heartbeats {
@@ -27,29 +28,29 @@
 	}
 }
 
-// heartbeatRefusal is why a heartbeat is not answered with commands.
+// heartbeatRefusal is the reason why a heartbeat is not answered with commands.
 type heartbeatRefusal int
 
 const (
 	heartbeatAccepted heartbeatRefusal = iota
-	// controllerMayNotAct: its view, lease or revision was not confirmed lately.
+	// controllerMayNotAct: the controller's view, lease or revision was not confirmed recently.
 	controllerMayNotAct
-	// newerViewSeen: the agent was answered under a later view than this controller knows.
+	// newerViewSeen: the agent was answered under a later view than the one this controller has.
 	newerViewSeen
 	// ownedElsewhere: another controller owns the machine.
 	ownedElsewhere
-	// agentEpochAbandoned: the tasks of the agent epoch may already run elsewhere, so no
-	// answer may keep it alive.
+	// agentEpochAbandoned: the tasks of the agent epoch may already run elsewhere, so no answer
+	// may keep the epoch alive.
 	agentEpochAbandoned
-	// machineReturned: the cloud took the machine back: its tasks may run elsewhere as well.
+	// machineReturned: the machine was returned to the cloud, and its tasks may run elsewhere.
 	machineReturned
-	// staleHeartbeat: the agent waits for no answer to this heartbeat any more, and its list of tasks
-	// is old.
+	// staleHeartbeat: this or a newer report of the agent was received before. The agent no longer
+	// waits for the answer, and the list of tasks is outdated.
 	staleHeartbeat
 )
 
-// onHeartbeat answers a machine's heartbeat. 200 is said only by the machine's owner behind
-// its fence; everyone else names the owner (421) or says 503.
+// onHeartbeat handles a heartbeat of a machine. Only the machine's owner, while it may act,
+// answers with 200; every other controller names the owner (421) or answers with 503.
 func (c *Controller) onHeartbeat(received HeartbeatReceived) {
 	heartbeat := received.Heartbeat
 	if refusal := c.refusalByController(&heartbeat); refusal != heartbeatAccepted {
@@ -67,9 +68,9 @@
 	}
 	c.checkRepliesHeeded(m, &heartbeat)
 	c.recordHeartbeat(m, &heartbeat, true)
-	if given := c.heartbeats.pending[m.Name]; given != nil { // the agent gave it up and sent this one
+	if previous := c.heartbeats.pending[m.Name]; previous != nil { // the agent gave up waiting and sent this one
 		delete(c.heartbeats.pending, m.Name)
-		c.emit(HeartbeatReply{RequestID: given.requestID, Status: StatusUnavailable})
+		c.emit(HeartbeatReply{RequestID: previous.requestID, Status: StatusUnavailable})
 	}
 	c.planner.dirty = true
 	c.placeTasks()
@@ -85,8 +86,8 @@
 	c.answerHeartbeat(pending)
 }
 
-// refusalByController tells why this controller may not answer the machine, whatever the
-// heartbeat lists.
+// refusalByController returns why this controller may not answer the machine, whichever tasks
+// the heartbeat lists; heartbeatAccepted if it may.
 func (c *Controller) refusalByController(heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case !c.mayAct():
@@ -99,7 +100,8 @@
 	return heartbeatAccepted
 }
 
-// refusalByMachine tells why the owner of a machine may not answer this heartbeat of it.
+// refusalByMachine returns why the owner of a machine may not answer this heartbeat of it;
+// heartbeatAccepted if it may.
 func (c *Controller) refusalByMachine(m *Machine, heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case c.isAbandoned(m, heartbeat.AgentEpoch):
@@ -112,7 +114,8 @@
 	return heartbeatAccepted
 }
 
-// refuseHeartbeat answers a heartbeat without commands, and does what the refusal calls for.
+// refuseHeartbeat answers a heartbeat without commands, and takes the action that the refusal
+// requires.
 func (c *Controller) refuseHeartbeat(requestID uint64, heartbeat *domain.Heartbeat, refusal heartbeatRefusal) {
 	switch refusal {
 	case newerViewSeen:
@@ -128,18 +131,18 @@
 	c.emit(HeartbeatReply{RequestID: requestID, Status: StatusUnavailable})
 }
 
-// isAbandoned tells whether an agent epoch of the machine is abandoned. Such a one stays
-// so: docs/design.md, invariant 6.
+// isAbandoned reports whether an agent epoch of the machine is abandoned. An abandoned epoch
+// stays abandoned (invariant 6 of docs/design.md).
 func (c *Controller) isAbandoned(m *Machine, agentEpoch uint64) bool {
 	return c.isGuardEnabled(GuardAbandonedEpoch) && agentEpoch <= m.abandonedEpoch
 }
 
-// isReturned tells whether the cloud has confirmed that it took the machine back.
+// isReturned reports whether the cloud has confirmed that it took the machine back.
 func (c *cache) isReturned(machine string) bool {
 	return c.cordons[machine].State == domain.CordonGone
 }
 
-// isBooking tells whether a reported attempt is the committed booking of its task.
+// isBooking reports whether a reported attempt is the committed booking of its task.
 func (c *cache) isBooking(m *Machine, report domain.TaskReport) bool {
 	j := c.jobs[report.Task.Job]
 	if j == nil || report.Task.Index < 0 || report.Task.Index >= j.Header.TaskCount {
@@ -149,11 +152,11 @@
 	return task.State == domain.Booked && task.Machine == m.Name && task.Attempt == report.Attempt && task.AgentEpoch == m.agentEpoch
 }
 
-// recordHeartbeat takes a report that is newer than what m said before: a heartbeat, or a
-// direct answer to commands.
+// recordHeartbeat records a report that is newer than the machine's last one: a heartbeat, or
+// a direct response to commands (isHeartbeat is false).
 func (c *Controller) recordHeartbeat(m *Machine, heartbeat *domain.Heartbeat, isHeartbeat bool) {
 	if m.Addr == "" || m.Type == "" {
-		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+		c.debug("first report from machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
 	if m.heardOnce && heartbeat.AgentEpoch > m.agentEpoch {
 		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
@@ -164,8 +167,8 @@
 	c.recordReportedTasks(m, heartbeat)
 }
 
-// recordPreemptionNotice takes over whether, and when, the cloud takes the machine back. A
-// negative notice is none, which may be one withdrawn.
+// recordPreemptionNotice records whether and when the cloud takes the machine back. A
+// negative notice means none; an earlier one may have been withdrawn.
 func (c *Controller) recordPreemptionNotice(m *Machine, heartbeat *domain.Heartbeat) {
 	if heartbeat.PreemptionNotice < 0 {
 		m.preemptionAt = -1
@@ -178,7 +181,8 @@
 	m.preemptionAt = c.now + time.Duration(heartbeat.PreemptionNotice*float64(time.Second))
 }
 
-// recordReportedTasks takes over the list of tasks, and when each was first seen to run.
+// recordReportedTasks records the tasks that the report lists, and when each was first seen
+// running.
 func (c *Controller) recordReportedTasks(m *Machine, heartbeat *domain.Heartbeat) {
 	clear(m.reported)
 	for _, report := range heartbeat.Tasks {
@@ -191,15 +195,15 @@
 		attempt := attemptID{report.Task, report.Attempt}
 		if _, known := m.runningSince[attempt]; !known {
 			m.runningSince[attempt] = c.now
-			c.debug("task runs", "task", report.Task, "machine", m.Name, "attempt", report.Attempt)
+			c.debug("task running", "task", report.Task, "machine", m.Name, "attempt", report.Attempt)
 		}
 	}
 	m.forgetEnded()
 }
 
-// onCommandsAnswered takes an agent's direct answer to commands. It obeys (agent epoch,
-// sequence) like any report, but never proves that a start got lost: an answer to a
-// heartbeat may still be under way (Machine.neverReceived).
+// onCommandsAnswered handles an agent's direct response to commands. It is ordered by (agent
+// epoch, sequence) like any report, but never proves that a start got lost, since the answer
+// to a heartbeat may still be in flight (Machine.neverReceived).
 func (c *Controller) onCommandsAnswered(answer CommandsAnswered) {
 	m := c.heartbeats.machines[answer.Machine]
 	if answer.Heartbeat == nil || m == nil || !c.owns(answer.Machine) {
@@ -214,12 +218,12 @@
 	c.planner.dirty = true
 }
 
-// sortedTasks lists the keys of a map by job and index.
+// sortedTasks returns the keys of a map, sorted by job and index.
 func sortedTasks[V any](m map[domain.TaskID]V) []domain.TaskID {
 	return sortTasks(slices.Collect(maps.Keys(m)))
 }
 
-// sortTasks sorts task IDs in place, by job and index.
+// sortTasks sorts task IDs in place by job and index, and returns them.
 func sortTasks(ids []domain.TaskID) []domain.TaskID {
 	sort.Slice(ids, func(a, b int) bool {
 		if ids[a].Job != ids[b].Job {
@@ -230,49 +234,52 @@
 	return ids
 }
 
-// isProvenStopped tells whether a booked task is proven off its machine, as far as this
-// controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
-// only once its attempt can't run any more, nor be started by an answer still under way.
+// isProvenStopped reports whether this controller can prove that a booked task does not run
+// on its machine. It keeps invariant 5 of docs/design.md: a task is booked elsewhere only
+// once its attempt can neither run any more nor be started by an answer that is still in
+// flight.
 func (c *Controller) isProvenStopped(m *Machine, id domain.TaskID, task domain.Task) bool {
 	if !c.isGuardEnabled(GuardProof) && c.now-m.heardAt > 4*time.Second {
-		return true // tests take the proof away
+		return true // only in tests, which disable the guard
 	}
 	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(task.AgentEpoch) {
 		return true
 	}
 	if !m.isInEpoch(task.AgentEpoch) {
-		return false // its last word is older than the booking
+		return false // its last report is older than the booking
 	}
 	attempt := attemptID{id, task.Attempt}
 	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
-// hasMachineLeaseExpired tells whether no one can have renewed m's lease for longer than it lasts. An
-// agent epoch heard of may have begun just then: without that term a new one, heard but
-// not yet answered, would be abandoned for the age of the last one's answer, and its live
-// tasks started elsewhere later on.
+// hasMachineLeaseExpired reports whether m's lease has expired for certain: its duration has
+// passed since the last moment at which any controller can have renewed it. A new agent epoch
+// counts as renewed when it was first heard of. Otherwise a new epoch that is not yet
+// answered would be abandoned because the last answer to the previous epoch is old, and its
+// live tasks would later be started elsewhere.
 func (c *Controller) hasMachineLeaseExpired(m *Machine) bool {
 	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > renewedAt+lease+tuning.DriftMargin
 }
 
-// silenceReview is what one walk over the machines finds about who is silent.
+// silenceReview is the result of one review of all machines for those whose heartbeats have
+// stopped.
 type silenceReview struct {
-	limit      time.Duration           // silence from which a machine counts as lost
+	limit      time.Duration           // age of the last report from which a machine counts as silent
 	zones      map[string]*zoneSilence // by zone
-	responding int                     // machines whose heartbeats came to this controller lately
-	silent     int                     // machines to be drained, if only they are silent
+	responding int                     // machines with a heartbeat received within the limit
+	silent     int                     // silent machines that are not yet cordoned, in all zones
 }
 
-// zoneSilence is what a silenceReview finds in one zone.
+// zoneSilence is the part of a silenceReview about one zone.
 type zoneSilence struct {
-	machines int        // all of the zone that this controller owns
-	onTime   int        // of them those whose heartbeat isn't even late
-	silent   []*Machine // of them those that are lost and not yet cordoned
+	machines int        // all machines in the zone that this controller owns
+	onTime   int        // of them, those whose next heartbeat is not overdue
+	silent   []*Machine // of them, those that are silent and not yet cordoned
 }
 
-// zone is what the review finds in a zone so far.
+// zone returns the part of the review about a zone, and adds it if it is missing.
 func (r *silenceReview) zone(name string) *zoneSilence {
 	zone := r.zones[name]
 	if zone == nil {
@@ -282,14 +289,15 @@
 	return zone
 }
 
-// isTooFewForPartition tells whether the zone's silent machines are too few to look like a cut.
+// isTooFewForPartition reports whether the zone has too few silent machines for its silence
+// to suggest a network partition.
 func (r *silenceReview) isTooFewForPartition(zone *zoneSilence) bool {
 	return zone.machines <= tuning.SilentFew && r.silent <= r.responding || r.silent == 1 && r.responding == 0
 }
 
-// reviewMachines walks over all machines once a pace: it abandons agent epochs whose lease
-// has expired, sends direct stops where time matters, and drains machines that are silent,
-// don't heed answers or fail their tasks.
+// reviewMachines reviews all machines once per planInterval. It abandons agent epochs whose
+// lease has expired, sends direct stops, and drains machines that are silent, ignore answers,
+// or keep failing tasks.
 func (c *Controller) reviewMachines() {
 	if !c.mayAct() || !c.heartbeats.nextMachineReview.HasPassed(c.now) {
 		return
@@ -314,8 +322,8 @@
 	c.drainUnresponsiveAndFaulty(review.responding)
 }
 
-// adoptBookedMachines takes in the machines of this controller that are known by their
-// bookings alone: nobody has heard them since it became their owner.
+// adoptBookedMachines adds this controller's machines that are known by their bookings alone,
+// because no heartbeat of theirs has been received since this controller became their owner.
 func (c *Controller) adoptBookedMachines() {
 	for name := range c.cache.bookedOn {
 		if c.heartbeats.machines[name] == nil && c.owns(name) {
@@ -325,8 +333,9 @@
 	}
 }
 
-// forgetIfSilent drops a machine of another controller, or a returned one, after a while. The
-// owner keeps a returned one for as long as bookings have to be released.
+// forgetIfSilent drops a machine that another controller owns, or that was returned, once it
+// has been silent for tuning.ForgetMachineAfter. The owner keeps a returned machine for as
+// long as it has bookings, which still have to be released.
 func (c *Controller) forgetIfSilent(m *Machine) {
 	if c.now-m.heardAt <= tuning.ForgetMachineAfter {
 		return
@@ -337,8 +346,8 @@
 	c.heartbeats.dropMachine(m.Name)
 }
 
-// abandonExpiredEpoch abandons the agent epochs of a machine with bookings whose lease can't
-// have been renewed: an agent stops its tasks when its lease ends.
+// abandonExpiredEpoch abandons the agent epochs of a machine with bookings if its lease has
+// expired for certain: an agent stops its tasks when its lease ends.
 func (c *Controller) abandonExpiredEpoch(m *Machine) {
 	if len(c.cache.bookedOn[m.Name]) == 0 || !c.hasMachineLeaseExpired(m) {
 		return
@@ -354,8 +363,9 @@
 	}
 }
 
-// reviewSilence counts a machine as silent or heard. Those heard are sent direct stops; one
-// just taken over that has yet to come is neither.
+// reviewSilence counts a machine as silent or as responding, and sends direct stops to one
+// that responds. A machine without a recent heartbeat to this controller that is still in its
+// grace period after a change of owner is neither.
 func (c *Controller) reviewSilence(m *Machine, review *silenceReview) {
 	zone := review.zone(c.zoneOf(m.Name))
 	zone.machines++
@@ -376,23 +386,27 @@
 	c.sendDirectStops(m)
 }
 
-// drainSilent drains the machines that are silent on their own. Machines that fall silent
-// together are rather cut off from here: all of them, or those of one zone. Returning those
-// would cost hundreds of machines with their images, which the end of the cut gives back.
-// The first of them are silent for long when the last were heard just before the cut, so
-// these are compared with those whose heartbeats are not even late; and when the cut is
-// over, they come back one after the other.
+// drainSilent drains the machines that are silent, unless so many are silent at a time that a
+// network partition is more likely than lost machines: all machines of this controller, or
+// all those of one zone. Draining these would return hundreds of machines with their images,
+// although they come back when the partition ends.
+//
+// When a partition begins, the machines whose last heartbeats are oldest reach the limit
+// first, while the others still count as responding. So the silent machines of a zone are
+// compared with those whose heartbeats are not even late. When the partition ends, machines
+// come back one after the other, so a zone is left alone until tuning.SilentCut after it last
+// looked partitioned.
 func (c *Controller) drainSilent(review *silenceReview) {
 	for _, name := range slices.Sorted(maps.Keys(review.zones)) {
 		zone := review.zones[name]
 		if len(zone.silent) == 0 {
 			continue
 		}
-		few := review.isTooFewForPartition(zone)
-		if len(zone.silent) > zone.onTime && !few {
+		tooFew := review.isTooFewForPartition(zone)
+		if len(zone.silent) > zone.onTime && !tooFew {
 			c.views.zoneSilentAt[name] = c.now
 		}
-		if silentAt, known := c.views.zoneSilentAt[name]; !few && known && c.now-silentAt < tuning.SilentCut {
+		if silentAt, known := c.views.zoneSilentAt[name]; !tooFew && known && c.now-silentAt < tuning.SilentCut {
 			continue
 		}
 		for _, m := range zone.silent {
@@ -401,16 +415,17 @@
 	}
 }
 
-// drainUnresponsiveAndFaulty drains the machines that ignore answers, unless so many do that it
-// is rather this controller that is slow or cut off, and those whose tasks keep failing.
-func (c *Controller) drainUnresponsiveAndFaulty(heard int) {
-	unheeding := 0
+// drainUnresponsiveAndFaulty drains the machines that ignore answers, and those whose tasks
+// keep failing. If many machines ignore answers, this controller is more likely to be slow or
+// cut off itself, and none is drained for that.
+func (c *Controller) drainUnresponsiveAndFaulty(responding int) {
+	ignoring := 0
 	for _, m := range c.heartbeats.machines {
 		if c.ignoresReplies(m) {
-			unheeding++
+			ignoring++
 		}
 	}
-	isOwnFault := unheeding > 2+heard/10
+	isOwnFault := ignoring > 2+responding/10
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if c.ignoresReplies(m) && !isOwnFault && c.ownsUncordoned(m) {
@@ -422,15 +437,17 @@
 	}
 }
 
-// ownsUncordoned tells whether this controller owns the machine, which isn't cordoned.
+// ownsUncordoned reports whether this controller owns the machine and the machine is not
+// cordoned.
 func (c *Controller) ownsUncordoned(m *Machine) bool {
 	return c.owns(m.Name) && c.cache.cordons[m.Name].State == ""
 }
 
-// hasRecentPeerMessages tells whether all other serving controllers were heard just now.
+// hasRecentPeerMessages reports whether the last message of every other serving controller is
+// at most tuning.PeerFresh old.
 func (c *Controller) hasRecentPeerMessages() bool {
-	for _, node := range c.cache.view.Serving {
-		if peer := c.peers.byName[node]; node != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
+	for _, controller := range c.cache.view.Serving {
+		if peer := c.peers.byName[controller]; controller != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
 			return false
 		}
 	}
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -8,9 +8,10 @@
 	"brassglade/internal/domain"
 )
 
-// TestNewAgentEpochIsNotAbandonedForTheOldOne: after an outage longer than the lease a machine
-// comes back in a new agent epoch. Its lease runs from the beginning of that epoch, not
-// from the last answer to the old one.
+// TestNewAgentEpochIsNotAbandonedForTheOldOne: after an outage longer than the lease, a
+// machine returns in a new agent epoch. The lease of that epoch counts from when the epoch
+// was first heard of, not from the last answer to the old one, or the new epoch would be
+// abandoned at once.
 func TestNewAgentEpochIsNotAbandonedForTheOldOne(t *testing.T) {
 	c := New(Settings{Node: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
@@ -27,12 +28,13 @@
 	}
 	c.now += 22 * time.Second
 	if !c.hasMachineLeaseExpired(m) {
-		t.Error("the new agent epoch, never answered, outlives its lease")
+		t.Error("the new agent epoch, which was never answered, has not expired after its lease")
 	}
 }
 
-// TestMemberKeyRetryDelay: a lease that expired refuses the member key; the controller
-// waits before it tries again (incident inc-16a3: eleven times in 60 ms).
+// TestMemberKeyRetryDelay checks that the controller pauses before it writes the member key
+// again after a refusal. An expired lease refuses the key every time, and in incident
+// inc-16a3 the key was written eleven times in 60 ms.
 func TestMemberKeyRetryDelay(t *testing.T) {
 	c := New(Settings{Node: "c-0", Nodes: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
 	c.Step(0, Tick{})
@@ -50,32 +52,32 @@
 		c.Step(now, Tick{})
 	}
 	if writes != 1 {
-		t.Errorf("written %d times in 300 ms", writes)
+		t.Errorf("member key written %d times in 300 ms, want once", writes)
 	}
 }
 
-// TestHeartbeatRefusals: each reason not to answer a heartbeat with commands is told from
-// the others.
+// TestHeartbeatRefusals checks the reason that is found for each kind of heartbeat that may
+// not be answered with commands.
 func TestHeartbeatRefusals(t *testing.T) {
 	c, m := withBookedTask(t, "")
 	newest := func() *domain.Heartbeat {
 		return &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 2, FencingToken: 1, PreemptionNotice: -1}
 	}
 	if got := c.refusalByController(newest()); got != heartbeatAccepted {
-		t.Errorf("refused for reason %d", got)
+		t.Errorf("heartbeat refused for reason %d", got)
 	}
 	if got := c.refusalByMachine(m, newest()); got != heartbeatAccepted {
-		t.Errorf("refused for reason %d", got)
+		t.Errorf("heartbeat refused for reason %d", got)
 	}
-	late := newest()
-	late.Sequence = 1
-	if got := c.refusalByMachine(m, late); got != staleHeartbeat {
-		t.Errorf("a late copy is refused for reason %d", got)
+	stale := newest()
+	stale.Sequence = 1
+	if got := c.refusalByMachine(m, stale); got != staleHeartbeat {
+		t.Errorf("a heartbeat that is not newer than the last one is refused for reason %d", got)
 	}
 	later := newest()
 	later.FencingToken = c.cache.view.Epoch + 1
 	if got := c.refusalByController(later); got != newerViewSeen {
-		t.Errorf("a token of a later view is refused for reason %d", got)
+		t.Errorf("a fencing token of a later view is refused for reason %d", got)
 	}
 	m.abandonedEpoch = 1
 	if got := c.refusalByMachine(m, newest()); got != agentEpochAbandoned {
@@ -88,19 +90,21 @@
 	}
 	c.now += time.Hour
 	if got := c.refusalByController(newest()); got != controllerMayNotAct {
-		t.Errorf("without confirmation it is refused for reason %d", got)
+		t.Errorf("a heartbeat to an unconfirmed controller is refused for reason %d", got)
 	}
 }
 
-// TestIsProvenStopped: an attempt is proven off by the end that its machine reports, by a later
-// agent epoch, by an abandoned one, by the machine's return, and by a heartbeat that should
-// show its start and doesn't; not by a direct answer, nor by another controller's answer.
+// TestIsProvenStopped checks what proves that an attempt is stopped: the end that its machine
+// reports, a later agent epoch, an abandoned agent epoch, the return of the machine, and a
+// heartbeat that should list the attempt if its start had arrived, but doesn't. No proof are
+// a direct response to commands, and a heartbeat after which another controller's answer may
+// still arrive.
 func TestIsProvenStopped(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	c, m := withBookedTask(t, "")
 	task := c.cache.jobs[id.Job].task(0)
 	attempt := attemptID{id, task.Attempt}
-	said := func(change func(*domain.Heartbeat), isHeartbeat bool) bool {
+	provenAfter := func(change func(*domain.Heartbeat), isHeartbeat bool) bool {
 		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 5, FencingToken: 1, PreemptionNotice: -1}
 		change(heartbeat)
 		c.recordHeartbeat(m, heartbeat, isHeartbeat)
@@ -118,38 +122,38 @@
 		isHeartbeat bool
 		proven      bool
 	}{
-		{"it runs", reports(task.Attempt, domain.ReportedRunning), true, false},
-		{"it saves", reports(task.Attempt, domain.ReportedSaving), true, false},
-		{"it ended", reports(task.Attempt, domain.ReportedEnded), true, true},
+		{"running", reports(task.Attempt, domain.ReportedRunning), true, false},
+		{"saving", reports(task.Attempt, domain.ReportedSaving), true, false},
+		{"ended", reports(task.Attempt, domain.ReportedEnded), true, true},
 		{"another attempt ended", reports(task.Attempt+1, domain.ReportedEnded), true, false},
-		{"its start got lost", func(*domain.Heartbeat) {}, true, true},
-		{"a direct answer lacks it", func(*domain.Heartbeat) {}, false, false},
-		{"its start may be under way", func(heartbeat *domain.Heartbeat) { heartbeat.Sequence = 4 }, true, false},
-		{"an earlier owner's answer may be under way", func(heartbeat *domain.Heartbeat) { heartbeat.FencingToken = 0 }, true, false},
-		{"a later agent epoch", func(heartbeat *domain.Heartbeat) { heartbeat.AgentEpoch, heartbeat.Sequence = 2, 1 }, true, true},
+		{"start lost", func(*domain.Heartbeat) {}, true, true},
+		{"missing in a direct response", func(*domain.Heartbeat) {}, false, false},
+		{"start may be in flight", func(heartbeat *domain.Heartbeat) { heartbeat.Sequence = 4 }, true, false},
+		{"answer of an earlier owner may be in flight", func(heartbeat *domain.Heartbeat) { heartbeat.FencingToken = 0 }, true, false},
+		{"later agent epoch", func(heartbeat *domain.Heartbeat) { heartbeat.AgentEpoch, heartbeat.Sequence = 2, 1 }, true, true},
 	} {
 		t.Run(test.what, func(t *testing.T) {
-			if got := said(test.change, test.isHeartbeat); got != test.proven {
-				t.Errorf("proven off: %v", got)
+			if got := provenAfter(test.change, test.isHeartbeat); got != test.proven {
+				t.Errorf("proven stopped: %v", got)
 			}
 		})
 	}
 	m.agentEpoch = 0
 	if c.isProvenStopped(m, id, task) {
-		t.Error("proven off by a word older than its agent epoch")
+		t.Error("proven stopped by a report older than the booking's agent epoch")
 	}
 	m.abandonedEpoch = 1
 	if !c.isProvenStopped(m, id, task) {
-		t.Error("not proven off by an abandoned agent epoch")
+		t.Error("not proven stopped although the agent epoch is abandoned")
 	}
 	m.abandonedEpoch = 0
 	c.cache.cordons[m.Name] = domain.Cordon{State: domain.CordonGone}
 	if !c.isProvenStopped(m, id, task) {
-		t.Error("not proven off by the machine's return")
+		t.Error("not proven stopped although the machine was returned")
 	}
 }
 
-// TestStartRefusalFor: a booked task is started once, unless a reason stands against it.
+// TestStartRefusalFor checks that a booked task may be started, and each reason against it.
 func TestStartRefusalFor(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for want, change := range map[startRefusal]func(*Controller, *Machine, *Job, attemptID){
@@ -169,7 +173,7 @@
 		task := j.task(0)
 		change(c, m, j, attemptID{id, task.Attempt})
 		if got := c.startRefusalFor(m, j, id, task); got != want {
-			t.Errorf("refused for reason %d, not %d", got, want)
+			t.Errorf("start refused for reason %d, want %d", got, want)
 		}
 	}
 }
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -8,10 +8,11 @@
 	"brassglade/internal/tuning"
 )
 
-// What this file does for package membership: it carries the requests that are due out as
-// effects, hands the answers in, and says what the cache and the view have.
+// This file connects package membership with the rest of the controller: it emits the requests
+// that are due as effects, passes the responses on, and supplies what the cache and the view have.
 
-// maintainLease asks for a lease, its renewal and the member key when they are due.
+// maintainLease requests a lease and its renewal, and writes the member key, whenever they
+// are due.
 func (c *Controller) maintainLease() {
 	before := c.membership.Lease()
 	due := c.membership.MaintainLease(c.now, c.cache.members[c.cfg.Node])
@@ -27,21 +28,21 @@
 	}
 }
 
-// logLeaseChange adds a line to the log if the lease's state is no longer the one before.
+// logLeaseChange logs the state of the lease if it differs from before.
 func (c *Controller) logLeaseChange(before membership.LeaseState) {
 	if state := c.membership.Lease(); state != before {
-		c.debug("lease", "state", state.String(), "lease_id", c.membership.LeaseID())
+		c.debug("lease state changed", "state", state.String(), "lease_id", c.membership.LeaseID())
 	}
 }
 
-// onLeaseGranted hands in the answer to GrantLease.
+// onLeaseGranted handles the response to GrantLease.
 func (c *Controller) onLeaseGranted(answer LeaseGranted) {
 	before := c.membership.Lease()
 	c.membership.LeaseGranted(c.now, answer.OK, answer.LeaseID)
 	c.logLeaseChange(before)
 }
 
-// onLeaseRenewal hands in the answer to RenewLease.
+// onLeaseRenewal handles the response to RenewLease.
 func (c *Controller) onLeaseRenewal(answer LeaseRenewalAnswered) {
 	before := c.membership.Lease()
 	outcome := membership.RenewalFailed
@@ -70,9 +71,9 @@
 	})
 }
 
-// mayAct tells whether this controller may act now: view and lease were confirmed by
-// requests sent less than the fence age ago, the cache has reached what they saw, and the
-// view has it as this incarnation.
+// mayAct reports whether this controller may act now: view and lease were confirmed by
+// requests sent less than the fence age ago, the cache has reached the revision of the view's
+// confirmation, and the view lists this incarnation.
 func (c *Controller) mayAct() bool {
 	if !c.membership.IsSynced() || c.cache.view == nil {
 		return false
@@ -80,24 +81,25 @@
 	return !c.isGuardEnabled(GuardFence) || c.membership.MayAct(c.now, c.cache.view.Members[c.cfg.Node])
 }
 
-// isMemberOf tells whether a view has this incarnation.
+// isMemberOf reports whether a view lists this incarnation.
 func (c *Controller) isMemberOf(view *domain.View) bool {
 	return view != nil && view.Members[c.cfg.Node] == c.membership.Incarnation()
 }
 
-// confirmView asks the state service whether the view still holds, and for a read index.
+// confirmView asks the state service, whenever that is due, whether the view is still
+// current. The response is a read index as well.
 func (c *Controller) confirmView() {
 	var newestReader monotime.Instant
 	if n := len(c.requests.waiting); n > 0 {
-		newestReader = monotime.At(c.requests.waiting[n-1].askedAt) // in the order in which they asked
+		newestReader = monotime.At(c.requests.waiting[n-1].askedAt) // the newest is last
 	}
 	if c.membership.StartConfirmation(c.now, newestReader) {
 		c.emit(ConfirmView{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]})
 	}
 }
 
-// onConfirmation hands in the answer to ConfirmView. Without one, users who wait for a read
-// index are sent away.
+// onConfirmation handles the response to ConfirmView. If there is none, the users who wait
+// for a read index are asked to retry later.
 func (c *Controller) onConfirmation(answer ConfirmationAnswered) {
 	if !answer.OK {
 		c.membership.ConfirmationFailed(c.now)
@@ -108,8 +110,8 @@
 	c.applyConfirmations()
 }
 
-// applyConfirmations counts the confirmations that the cache has caught up with, and
-// answers who waited for them.
+// applyConfirmations counts the confirmations that the cache has caught up with, and answers
+// the requests that waited for them.
 func (c *Controller) applyConfirmations() {
 	c.membership.CacheReached(c.cache.revision)
 	c.answerWaiters()
@@ -117,16 +119,17 @@
 
 // --- readiness ---
 
-// canTakeRequests tells whether this controller can take users' requests.
+// canTakeRequests reports whether this controller can take users' requests.
 func (c *Controller) canTakeRequests() bool { return c.mayAct() && len(c.cache.machineTypes) > 0 }
 
-// Ready is what GET /up answers.
+// Ready reports whether GET /up answers that this controller is ready.
 func (c *Controller) Ready() bool { return c.membership.IsReady() }
 
-// updateReadiness settles what GET /up says. A controller that once was ready steps back
-// only when another one can take requests. While the state service answers nobody, leaving
-// the load balancer would help no user, and its pauses, which double, would keep all
-// controllers out after the outage; users are told at once when to come back instead.
+// updateReadiness updates the readiness that GET /up reports. A controller that was ready
+// becomes unready only when another one can take requests. While the state service responds
+// to no controller, leaving the load balancer would help no user, and because the load
+// balancer's pauses double, all controllers would stay out of it for a while after the
+// outage. Users are told when to retry instead.
 func (c *Controller) updateReadiness() {
 	if c.canTakeRequests() && c.membership.HasRecentStateResponse(c.now) {
 		c.membership.BecomeReady()
@@ -137,12 +140,12 @@
 	}
 }
 
-// anotherCanTakeRequests tells whether users are better served by another controller while
-// this one takes no requests. Either a peer says that the state service answers it, or no
-// peer is heard at all: then it is this controller that is cut off, since in an outage of
-// the state service alone the peers still talk.
+// anotherCanTakeRequests reports whether another controller would serve users better while
+// this one takes no requests. That is so if a peer reports that the state service responds to
+// it. It is also so if no peer is heard from at all: then this controller is the one that is
+// cut off, since in an outage of the state service alone the peers still exchange messages.
 func (c *Controller) anotherCanTakeRequests() bool {
-	heard := false
+	hasPeer := false
 	for _, peer := range c.peers.byName {
 		if c.now-peer.heardAt >= tuning.PeerFresh {
 			continue
@@ -150,7 +153,7 @@
 		if peer.stateReachable {
 			return true
 		}
-		heard = true
+		hasPeer = true
 	}
-	return !heard && len(c.cfg.Nodes) > 1
+	return !hasPeer && len(c.cfg.Nodes) > 1
 }
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -13,18 +13,18 @@
 	"brassglade/internal/tuning"
 )
 
-// peers is what the other controllers told in their last messages, and what is summed up over
-// all shards.
+// peers holds what the other controllers reported in their last messages, and sums over all
+// shards.
 type peers struct {
 	byName         map[string]*peerState
 	nextGossip     monotime.Deadline
 	inventory      []inventoryMachine
 	inventoryAt    monotime.Instant
 	inventoryEpoch uint64
-	machinesByKind map[machineKind]int64 // of the inventory
+	machinesByKind map[machineKind]int64 // number of machines in the inventory that are not reserved
 
-	waitingCountedAt          monotime.Instant
-	waitingByShard            map[string]int64 // tasks that wait, less the preemptible ones and those late beyond all aims
+	waitingCountedAt          monotime.Instant // when the following counts of waiting tasks were made
+	waitingByShard            map[string]int64 // without preemptible tasks and those of jobs too late for any objective
 	preemptibleWaitingByShard map[string]int64
 	waitingTotal              int64
 }
@@ -33,27 +33,28 @@
 	return peers{byName: map[string]*peerState{}}
 }
 
-// peerState is what another controller told in its last message.
+// peerState is what another controller reported in its last message.
 type peerState struct {
 	heardAt        time.Duration
 	epoch          uint64
-	stateReachable bool    // the state service answers it
-	load           float64 // mean of its machines, s, with what was passed there since
+	stateReachable bool    // the state service responded to it recently
+	load           float64 // mean load of its machines in seconds, with the tasks passed to it since
 	machines       []PeerMachine
-	reserved       map[string]bool // of the leader: machines kept for jobs that it places
-	evicting       map[string]bool // of the leader: machines that it wants emptied
-	fits           map[fitKey]bool // whether it has a machine for such tasks, as far as asked
+	reserved       map[string]bool // if it is the leader: machines kept for jobs that it places
+	evicting       map[string]bool // if it is the leader: machines to be emptied
+	fits           map[fitKey]bool // whether it has a machine for such tasks; filled when asked
 }
 
-// addLoad counts tasks passed to the peer that it doesn't tell of yet; seconds is their run time.
-// Four tasks or so run on a machine at once.
+// addLoad adds tasks that were passed to the peer and that its reported load doesn't include
+// yet. seconds is the sum of their run times. About four tasks are assumed to run on a
+// machine at once.
 func (p *peerState) addLoad(seconds float64) {
 	if n := len(p.machines); n > 0 {
 		p.load += seconds / float64(4*n)
 	}
 }
 
-// onPeerMessage takes what a peer tells, or its request for work.
+// onPeerMessage handles a message of a peer: gossip, or a request to hand over tasks.
 func (c *Controller) onPeerMessage(received PeerMessageReceived) {
 	message := received.Message
 	if message.Steal != nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// setOf is the set of some names.
+// setOf returns the set of the names.
 func setOf(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -81,22 +82,22 @@
 	return set
 }
 
-// shardWithMostRoom is the shard with the most room for a job: slots free, else the least load.
+// shardWithMostRoom returns the shard with the highest roomScore for a job.
 func (c *Controller) shardWithMostRoom(spec *domain.JobSpec) string {
 	roomByShard, slotsByShard := c.roomByShard(spec)
 	best, bestScore := c.cfg.Node, math.Inf(-1)
-	for _, node := range c.cache.view.Serving {
-		load := c.shardLoad(node)
-		score := c.roomScore(node, spec, load, roomByShard[node], slotsByShard[node])
+	for _, controller := range c.cache.view.Serving {
+		load := c.shardLoad(controller)
+		score := c.roomScore(controller, spec, load, roomByShard[controller], slotsByShard[controller])
 		if score > bestScore {
-			best, bestScore = node, score
+			best, bestScore = controller, score
 		}
 	}
 	return best
 }
 
-// roomByShard counts the tasks of a job that each shard's machines have room for, and those
-// that they would have room for if they were empty.
+// roomByShard returns for each shard how many tasks of a job its machines have room for, and
+// how many they would have room for if they were empty (slots).
 func (c *Controller) roomByShard(spec *domain.JobSpec) (room, slots map[string]int64) {
 	room, slots = map[string]int64{}, map[string]int64{}
 	for _, m := range c.inventory() {
@@ -111,39 +112,42 @@
 	return room, slots
 }
 
-// shardLoad is a shard's mean load as far as known, s.
-func (c *Controller) shardLoad(node string) float64 {
-	if node == c.cfg.Node {
+// shardLoad returns the mean load of a controller's shard in seconds, as far as known; 0 if
+// it is unknown.
+func (c *Controller) shardLoad(controller string) float64 {
+	if controller == c.cfg.Node {
 		return c.meanLoad()
 	}
-	if peer := c.peers.byName[node]; peer != nil {
+	if peer := c.peers.byName[controller]; peer != nil {
 		return peer.load
 	}
 	return 0
 }
 
-// roomScore is how good a shard is for a job, by its load and the tasks of the job that it has
-// room and slots for. What waits there is not in the bookings yet. Shards without room are
-// compared by what waits for each of their slots: otherwise all jobs would go to the
-// one whose backlog happens to be shortest.
-func (c *Controller) roomScore(node string, spec *domain.JobSpec, load float64, room, slots int64) float64 {
-	left, tasks := room-c.tasksWaitingAhead(node, spec), int64(spec.TaskCount)
+// roomScore returns how well a controller's shard suits a job, higher being better. load is
+// the shard's mean load; room and slots are those of roomByShard. The tasks that wait in the
+// shard are subtracted from its room, since they are not booked yet. In a large fleet, shards
+// without enough room are compared by the shortage per slot: otherwise all jobs would go to
+// the shard whose backlog happens to be shortest.
+func (c *Controller) roomScore(controller string, spec *domain.JobSpec, load float64, room, slots int64) float64 {
+	left, tasks := room-c.tasksWaitingAhead(controller, spec), int64(spec.TaskCount)
 	switch {
 	case !c.isLargeFleet():
 		return float64(min(left, tasks))*1000 - load
 	case left < tasks:
 		return float64(left) / float64(max(slots, 1))
 	}
-	// Several shards have room for all of it. By load alone every controller would send all
-	// small jobs to the same one for seconds, and that one has only its own share of the
-	// changes to book them with.
-	return 1e6 - float64(c.tasksWaitingAhead(node, spec)) + float64(ownership.Hash(spec.ID, node)%1000)/1000
+	// Several shards have room for the whole job. If they were compared by load, every controller
+	// would send all small jobs to the same shard for seconds, although that shard can book them
+	// only with its own share of the deployment's writes.
+	return 1e6 - float64(c.tasksWaitingAhead(controller, spec)) + float64(ownership.Hash(spec.ID, controller)%1000)/1000
 }
 
-// tasksWaitingAhead counts the tasks that wait in a shard and go ahead of those of a job, or may:
-// not those of jobs late beyond all aims, and not preemptible ones, unless it is itself. Counted
-// with these, the shards that a guest's idle work was sent to got no other work for
-// minutes, and a fifth of the machines ran nothing else.
+// tasksWaitingAhead counts the waiting tasks in a shard that go, or may go, ahead of the
+// tasks of a job. Tasks of jobs that are too late for any objective don't count, and
+// preemptible tasks count only for a preemptible job. When all of them counted, the shards
+// that got the preemptible work of a team without quota were given no other work for minutes,
+// and a fifth of the machines ran nothing else.
 func (c *Controller) tasksWaitingAhead(shard string, spec *domain.JobSpec) int64 {
 	c.countWaiting()
 	n := c.peers.waitingByShard[shard]
@@ -153,8 +157,8 @@
 	return n
 }
 
-// countWaiting sums up the tasks of open jobs that wait, by shard. The sums are kept for half
-// the pace of planning.
+// countWaiting counts the waiting tasks of open jobs by shard, except for those of jobs that
+// the leader places. The counts are kept for half of planInterval.
 func (c *Controller) countWaiting() {
 	if counted := c.peers.waitingCountedAt; counted.IsSet() && c.now-counted.Time() <= c.planInterval()/2 {
 		return
@@ -175,16 +179,16 @@
 	}
 }
 
-// inventoryMachine is a machine that some controller hears.
+// inventoryMachine is a machine that takes bookings, as its owner knows it or reported it.
 type inventoryMachine struct {
 	name, addr, machineType, zone, owner string
 	spot                                 bool
 	agentEpoch                           uint64
-	images                               map[string]time.Duration // images, of own machines
-	peerImages                           []string                 // images, of others'
+	images                               map[string]time.Duration // own machines: when an image was last seen in use, by name
+	peerImages                           []string                 // machines of peers: images reported by the owner
 }
 
-// hasImage tells whether the machine has fetched an image, as far as known.
+// hasImage reports whether the machine has fetched an image, as far as known.
 func (m *inventoryMachine) hasImage(image string) bool {
 	if m.images != nil {
 		_, ok := m.images[image]
@@ -193,10 +197,10 @@
 	return slices.Contains(m.peerImages, image)
 }
 
-// inventory lists the machines that take bookings, own ones and those that peers told of
-// lately; the leader's is sorted by name. It is kept for as long as the pace of planning: what
-// it says of others is older anyway, and a booking for an agent epoch or a cordon that changed
-// meanwhile is never carried out.
+// inventory returns the machines that take bookings: this controller's own and those that
+// peers reported recently. On the leader they are sorted by name. The list is kept for
+// planInterval: the reports about other controllers' machines are older than that anyway, and
+// a booking for an agent epoch or a cordon that changed meanwhile is never carried out.
 func (c *Controller) inventory() []inventoryMachine {
 	if c.peers.inventoryAt.Within(c.planInterval(), c.now) && c.peers.inventoryEpoch == c.cache.view.Epoch {
 		return c.peers.inventory
@@ -204,7 +208,7 @@
 	machines := make([]inventoryMachine, 0, len(c.peers.inventory)+16)
 	machines = c.appendOwnMachines(machines)
 	machines = c.appendPeerMachines(machines)
-	// Only the leader chooses among them; the others sum them up.
+	// Only the leader chooses machines from the inventory; the other controllers sum it up.
 	if c.isLeader() {
 		slices.SortFunc(machines, func(a, b inventoryMachine) int { return cmp.Compare(a.name, b.name) })
 	}
@@ -213,7 +217,7 @@
 	return machines
 }
 
-// appendOwnMachines adds this controller's machines that take bookings.
+// appendOwnMachines appends this controller's machines that take bookings.
 func (c *Controller) appendOwnMachines(machines []inventoryMachine) []inventoryMachine {
 	for name, m := range c.heartbeats.machines {
 		if !c.isBookable(m) || !c.owns(name) {
@@ -227,19 +231,20 @@
 	return machines
 }
 
-// appendPeerMachines adds the machines that peers told of lately and own.
+// appendPeerMachines appends the machines that peers reported recently, if they take bookings
+// and the view has the reporting peer as their owner.
 func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
-	for node, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery || node == c.cfg.Node {
+	for controller, peer := range c.peers.byName {
+		if c.now-peer.heardAt > 4*tuning.DrawEvery || controller == c.cfg.Node {
 			continue
 		}
 		for i := range peer.machines {
 			m := &peer.machines[i]
-			if m.Leaving || c.cache.cordons[m.Name].State != "" || c.ownerIn(m.Name, m.Zone) != node {
+			if m.Leaving || c.cache.cordons[m.Name].State != "" || c.ownerIn(m.Name, m.Zone) != controller {
 				continue
 			}
 			machines = append(machines, inventoryMachine{
-				name: m.Name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: node,
+				name: m.Name, addr: m.Addr, machineType: m.Type, zone: m.Zone, owner: controller,
 				spot: m.Spot, agentEpoch: m.AgentEpoch, peerImages: m.Images,
 			})
 		}
@@ -247,7 +252,8 @@
 	return machines
 }
 
-// countMachineKinds counts the inventory's machines by kind, for estimates of slots.
+// countMachineKinds counts the machines of the inventory by kind, for estimates of slots.
+// Reserved machines don't count.
 func (c *Controller) countMachineKinds() {
 	c.peers.machinesByKind = map[machineKind]int64{}
 	for i := range c.peers.inventory {
@@ -258,7 +264,7 @@
 	}
 }
 
-// machineCount is how many machines this controller knows or was told of.
+// machineCount returns how many machines this controller knows, itself or from peers.
 func (c *Controller) machineCount() int {
 	machines := len(c.heartbeats.machines)
 	for _, peer := range c.peers.byName {
@@ -267,15 +273,15 @@
 	return machines
 }
 
-// planInterval is the least time between two plans, and between two walks over all
-// machines: both take time in proportion to their number, and a controller has a
-// small share of a processor.
+// planInterval returns the minimum time between two plans, and between two reviews of all
+// machines. Both take time in proportion to the number of machines, and a controller has only
+// a small share of a processor.
 func (c *Controller) planInterval() time.Duration {
 	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
 }
 
-// gossip tells the peers of this controller's machines and loads, and whether the state
-// service answers it; as the leader also which machines it reserves and evicts.
+// gossip reports this controller's machines and load to the peers, and whether the state
+// service responds to it. The leader also reports which machines it reserves and evicts.
 func (c *Controller) gossip() {
 	if !c.peers.nextGossip.HasPassed(c.now) || c.cache.view == nil {
 		return
@@ -291,14 +297,14 @@
 		message.Reserved = slices.Sorted(maps.Keys(kept))
 		message.Evicting = slices.Sorted(maps.Keys(c.scaling.evicting))
 	}
-	for _, node := range c.cfg.Nodes {
-		if node != c.cfg.Node {
-			c.emit(SendPeerMessage{To: node, Message: message})
+	for _, controller := range c.cfg.Nodes {
+		if controller != c.cfg.Node {
+			c.emit(SendPeerMessage{To: controller, Message: message})
 		}
 	}
 }
 
-// gossipMachines are this controller's machines as peers are told of them.
+// gossipMachines returns this controller's machines as they are reported to peers.
 func (c *Controller) gossipMachines() []PeerMachine {
 	var machines []PeerMachine
 	for _, name := range c.heartbeats.machineNames() {
@@ -315,8 +321,8 @@
 	return machines
 }
 
-// isAlive tells whether a machine was heard lately, in an agent epoch that was not abandoned,
-// and is not gone.
+// isAlive reports whether a machine has sent a report within tuning.Silent, in an agent epoch
+// that is not abandoned, and has not been returned to the cloud.
 func (c *Controller) isAlive(m *Machine) bool {
 	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
 		!c.cache.isReturned(m.Name) && m.agentEpoch > m.abandonedEpoch
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -8,22 +8,22 @@
 	"brassglade/internal/tuning"
 )
 
-// requests are the users' requests that have no answer yet.
+// requests holds the users' requests that have not been answered yet.
 type requests struct {
-	waiting         []waiter                // for a read index, in the order in which they asked
-	accepting       map[string]bool         // jobs whose submission is being committed
-	lookups         map[uint64]JobSubmitted // submissions that wait for a read, by its ID
-	dependencyLists int                     // lists of dependencies written in pieces so far
+	waiting         []waiter                // for a read index, in the order in which they came
+	accepting       map[string]bool         // IDs of jobs whose submission is being committed
+	lookups         map[uint64]JobSubmitted // submissions whose dependencies are being read, by ID of the read
+	dependencyLists int                     // lists of dependencies stored in pieces so far
 }
 
 func newRequests() requests {
 	return requests{accepting: map[string]bool{}, lookups: map[uint64]JobSubmitted{}}
 }
 
-// refusal is why a request is not carried out, in the words that users get.
+// refusal is the reason why a request is not carried out, as users read it.
 type refusal string
 
-// The user may come back with the same request (status 503).
+// Refusals for now, with status 503: the user may repeat the same request.
 const (
 	notReady               refusal = "not ready"
 	stateUnreachable       refusal = "state service unreachable"
@@ -33,7 +33,8 @@
 	dependenciesNotEnabled refusal = "not all controllers know Awaits yet"
 )
 
-// The request is wrong: as it is written (status 400), or for what it asks (422).
+// Refusals for good: the request can't be read (status 400), or asks for something that is not
+// possible (status 422).
 const (
 	malformed           refusal = "malformed"
 	unknownTeam         refusal = "unknown team"
@@ -45,22 +46,22 @@
 
 // --- answers ---
 
-// retryLater asks the user to come back.
-func (c *Controller) retryLater(requestID uint64, why refusal) {
-	c.emit(UserReply{RequestID: requestID, Status: StatusUnavailable, Reason: string(why)})
+// retryLater answers that the user should repeat the request later.
+func (c *Controller) retryLater(requestID uint64, reason refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: StatusUnavailable, Reason: string(reason)})
 }
 
-// refuse tells the user that the request will never do.
-func (c *Controller) refuse(requestID uint64, status int, id string, why refusal) {
-	c.emit(UserReply{RequestID: requestID, Status: status, ID: id, Reason: string(why)})
+// refuse answers that the request can never be carried out.
+func (c *Controller) refuse(requestID uint64, status int, id string, reason refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: status, ID: id, Reason: string(reason)})
 }
 
-// replyUnknown tells the user that there is no such job.
+// replyUnknown answers that there is no such job.
 func (c *Controller) replyUnknown(requestID uint64, id string) {
 	c.emit(UserReply{RequestID: requestID, Status: StatusUnknownJob, ID: id})
 }
 
-// replyState answers with the job's state as the cache has it.
+// replyState answers with the state that the job has in the cache.
 func (c *Controller) replyState(requestID uint64, status int, j *Job) {
 	reply := UserReply{RequestID: requestID, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
@@ -77,17 +78,20 @@
 // --- waiting for a read index ---
 
 // waiter is a request that is answered once the cache has everything that was committed
-// before it came. Until then the cache may lack the job, or have it in an older state.
+// before the request came. Until then the cache may lack the job, or have an older state of
+// it.
 type waiter struct {
 	requestID  uint64
 	jobID      string // of the job
 	askedAt    time.Duration
-	submission *JobSubmitted // the submission; nil: a query or cancellation
-	refusal    refusal       // of the submission, unless it repeats an accepted one
-	cancel     bool
+	submission *JobSubmitted // nil for a query or a cancellation
+	refusal    refusal       // answer to the submission unless it repeats an accepted one; "": none
+	cancel     bool          // the request is a cancellation
 }
 
-// awaitReadIndex keeps a request until the cache has everything committed before now.
+// awaitReadIndex keeps a request until the cache has everything that was committed before
+// now. It asks the user to retry later if the state service can't be reached or the cache is
+// not loaded yet.
 func (c *Controller) awaitReadIndex(request waiter) {
 	if !c.membership.IsSynced() || !c.membership.IsStateReachable() {
 		c.retryLater(request.requestID, stateUnreachable)
@@ -103,7 +107,7 @@
 	}
 }
 
-// answerWaiters answers those whose read index the cache has reached.
+// answerWaiters answers the requests whose read index the cache has reached.
 func (c *Controller) answerWaiters() {
 	if len(c.requests.waiting) == 0 {
 		return
@@ -119,7 +123,8 @@
 	}
 }
 
-// answerWaiter answers a request by the cache, which has everything committed before it.
+// answerWaiter answers a request by the cache, which has everything that was committed before
+// the request came.
 func (c *Controller) answerWaiter(request waiter) {
 	j := c.cache.jobs[request.jobID]
 	switch {
@@ -138,7 +143,7 @@
 	}
 }
 
-// failWaiters sends all who wait away: the state service doesn't answer.
+// failWaiters answers all waiting requests that the state service can't be reached.
 func (c *Controller) failWaiters() {
 	for _, request := range c.requests.waiting {
 		c.retryLater(request.requestID, stateUnreachable)
@@ -146,22 +151,24 @@
 	c.requests.waiting = nil
 }
 
-// expireWaiters sends those away who waited too long.
+// expireWaiters answers the requests that have waited longer than tuning.PollPatience that
+// the state service is slow.
 func (c *Controller) expireWaiters() {
-	patient := c.requests.waiting[:0]
+	remaining := c.requests.waiting[:0]
 	for _, request := range c.requests.waiting {
 		if c.now-request.askedAt > tuning.PollPatience {
 			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
-		patient = append(patient, request)
+		remaining = append(remaining, request)
 	}
-	c.requests.waiting = patient
+	c.requests.waiting = remaining
 }
 
 // --- queries and cancellations ---
 
-// onJobQueried answers a query. A final state never changes, so it needs no read index.
+// onJobQueried answers a query for a job's state. A final state never changes, so it needs no
+// read index.
 func (c *Controller) onJobQueried(query JobQueried) {
 	if j := c.cache.jobs[query.ID]; j != nil && j.final() {
 		c.replyState(query.RequestID, StatusOK, j)
@@ -170,7 +177,8 @@
 	c.awaitReadIndex(waiter{requestID: query.RequestID, jobID: query.ID})
 }
 
-// onJobCancelled cancels a job, once a read index shows whether there is one.
+// onJobCancelled cancels a job. If the cache lacks the job, a read index has to show first
+// whether it exists.
 func (c *Controller) onJobCancelled(cancellation JobCancelled) {
 	if c.cache.jobs[cancellation.ID] == nil {
 		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, jobID: cancellation.ID, cancel: true})
@@ -179,7 +187,8 @@
 	c.cancelJob(cancellation.RequestID, cancellation.ID)
 }
 
-// cancelJob commits the cancellation of a job that the cache has, and answers the user.
+// cancelJob commits the cancellation of a job and answers the user. If the cache lacks the
+// job it answers that there is none, so a read index must have been reached.
 func (c *Controller) cancelJob(requestID uint64, id string) {
 	j := c.cache.jobs[id]
 	if j == nil {
@@ -201,7 +210,7 @@
 		case domain.Committed:
 			c.debug("job cancelled", "job", id)
 			c.replyState(requestID, StatusOK, j)
-		case domain.Conflict: // the job changed meanwhile: once more, on what it is now
+		case domain.Conflict: // the job changed meanwhile: try again with its new state
 			c.awaitReadIndex(waiter{requestID: requestID, jobID: id, cancel: true})
 		default:
 			c.retryLater(requestID, commitFailed)
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -11,9 +11,9 @@
 	"brassglade/internal/tuning"
 )
 
-// onJobSubmitted takes a submission. One that repeats an accepted one is answered with the
-// job's state, whatever it says now; so a refusal must wait for a read index, which shows
-// that there is no such job.
+// onJobSubmitted handles a submission. One whose ID was already accepted is answered with the
+// state of that job, whatever else it says. So a submission may be refused only after a read
+// index has shown that there is no such job.
 func (c *Controller) onJobSubmitted(submission JobSubmitted) {
 	if c.cache.jobs[submission.ID] != nil && submission.ID != "" {
 		c.onJobQueried(JobQueried{submission.RequestID, submission.ID})
@@ -27,13 +27,13 @@
 		c.retryLater(submission.RequestID, notReady)
 		return
 	}
-	if why := c.neverRunsReason(submission.Spec); why != "" {
-		c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission, refusal: why})
+	if reason := c.neverRunsReason(submission.Spec); reason != "" {
+		c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission, refusal: reason})
 		return
 	}
 	if len(submission.Spec.Dependencies) > 0 {
-		// Until all controllers know what dependencies are, one that doesn't might start
-		// the job; the user comes back.
+		// A controller of a version without dependencies would start the job at once, so the
+		// user has to retry until all controllers support them.
 		if !c.cache.formatOn() {
 			c.retryLater(submission.RequestID, dependenciesNotEnabled)
 			return
@@ -46,8 +46,8 @@
 	}
 }
 
-// refuseMalformed answers a submission that can't be read, at once if not even its job's
-// ID can.
+// refuseMalformed refuses a submission that can't be read: at once if not even the job's ID
+// can be read, else after a read index.
 func (c *Controller) refuseMalformed(submission JobSubmitted) {
 	if submission.ID == "" {
 		c.refuse(submission.RequestID, StatusMalformed, "", malformed)
@@ -56,8 +56,9 @@
 	c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID, submission: &submission, refusal: malformed})
 }
 
-// startAccepting reserves the job's ID for one submission; the user of another, which came
-// before the first is committed, comes back.
+// startAccepting reserves the job's ID for one submission until that is committed or has
+// failed, and reports whether it did. It asks the user of another submission with the same ID
+// to retry later.
 func (c *Controller) startAccepting(submission JobSubmitted) bool {
 	if c.requests.accepting[submission.ID] {
 		c.retryLater(submission.RequestID, beingAccepted)
@@ -69,7 +70,7 @@
 
 // --- what can never run ---
 
-// neverRunsReason tells why a job can never run, "" if it can.
+// neverRunsReason returns why a job can never run, "" if it can.
 func (c *Controller) neverRunsReason(spec *domain.JobSpec) refusal {
 	if !c.isGuardEnabled(GuardNeverRuns) {
 		return ""
@@ -78,7 +79,7 @@
 	if !ok {
 		return unknownTeam
 	}
-	together := int64(spec.TaskCount) // tasks that run at the same time or not at all
+	together := int64(spec.TaskCount) // number of tasks that must be able to run at the same time
 	if spec.Shape == domain.Array {
 		together = 1
 	}
@@ -93,7 +94,7 @@
 	return fitsNoMachineType
 }
 
-// machineTypeFits tells whether a task of the job can run on an empty machine of the type.
+// machineTypeFits reports whether a task of the job can run on an empty machine of the type.
 func machineTypeFits(spec *domain.JobSpec, machineType *domain.MachineType) bool {
 	if !machineType.Capacity.Fits(spec.Request) || spec.ImageGB > machineType.ImageCacheGB && machineType.ImageCacheGB > 0 {
 		return false
@@ -101,17 +102,18 @@
 	return listAllows(spec.MachineTypes, machineType.Name) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone))
 }
 
-// listAllows tells whether a list, which if empty allows all, allows the name.
+// listAllows reports whether the list has the name or is empty, which allows all names.
 func listAllows(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
 
 // --- submissions that name jobs they depend on ---
 
-// lookUpDependencies finds the jobs that a submission names. What the cache has was
-// accepted; what it lacks another controller may have accepted a moment ago, so the state
-// service is asked for those, if they are few. Only a read index shows that a job was never
-// accepted: by then everything accepted before the submission came is in the cache.
+// lookUpDependencies checks that the jobs that a submission depends on were accepted. Those
+// in the cache were. Another controller may have accepted the others a moment ago, so the
+// state service is asked for these, if there are at most tuning.MaxLookups; if there are
+// more, the submission waits for a read index. Only a read index shows that a job was never
+// accepted: the cache then has everything that was accepted before the submission came.
 func (c *Controller) lookUpDependencies(submission JobSubmitted) {
 	var keys []string
 	for _, id := range submission.Spec.Dependencies {
@@ -133,8 +135,9 @@
 	c.emit(ReadKeys{c.commits.nextID, keys})
 }
 
-// onKeysRead takes up a submission whose dependencies were looked up. One of which some are
-// still missing, also since the read failed, waits for a read index.
+// onKeysRead continues a submission whose dependencies were read from the state service. If
+// some are still missing, also because the read failed, the submission waits for a read
+// index.
 func (c *Controller) onKeysRead(answer KeysRead) {
 	submission, ok := c.requests.lookups[answer.ID]
 	if !ok {
@@ -156,15 +159,16 @@
 	c.acceptWithDependencies(submission, found)
 }
 
-// dependencyCheck is what the jobs that a submission names mean for it.
+// dependencyCheck is what the states of the jobs that a submission depends on mean for the
+// new job.
 type dependencyCheck struct {
-	refusal   refusal  // "": it may be accepted
-	cancelled bool     // one of them is cancelled, and so is the new job
-	open      []string // those that are not over, sorted, each once
+	refusal   refusal  // "": the submission may be accepted
+	cancelled bool     // one of the jobs is cancelled, and so is the new job
+	open      []string // IDs of the jobs that are not over, sorted, without duplicates
 }
 
-// checkDependencies judges the named jobs by the cache and by found, the headers that the
-// cache may lack.
+// checkDependencies checks the jobs that a submission depends on by the cache, and by found,
+// the headers of jobs that the cache may lack.
 func (c *cache) checkDependencies(named []string, found map[string]*codec.JobHeader) dependencyCheck {
 	ids := slices.Clone(named)
 	slices.Sort(ids)
@@ -188,8 +192,8 @@
 	return check
 }
 
-// acceptWithDependencies takes a submission that names jobs; found are the headers of those that the cache
-// may lack, as the state service had them a moment ago.
+// acceptWithDependencies accepts or refuses a submission that depends on other jobs. found
+// has the headers of jobs that the cache may lack, as just read from the state service.
 func (c *Controller) acceptWithDependencies(submission JobSubmitted, found map[string]*codec.JobHeader) {
 	check := c.cache.checkDependencies(submission.Spec.Dependencies, found)
 	if check.refusal != "" {
@@ -205,16 +209,17 @@
 	}
 	spec := *submission.Spec
 	spec.Dependencies = nil
-	if check.cancelled { // accepted all the same, and over
+	if check.cancelled { // the new job is accepted, and cancelled from the start
 		c.putJob(submission, &codec.JobHeader{State: domain.StateCancelled, TaskCount: spec.TaskCount, Released: true})
 		return
 	}
-	header := c.newHeader(&spec) // which refers to spec
+	header := c.newHeader(&spec) // header keeps a pointer to spec, which storeDependencies changes
 	c.putDependencyPieces(submission, header, c.storeDependencies(submission.ID, &spec, check.open))
 }
 
-// storeDependencies puts the names of the jobs into the job's spec if they are few. Longer
-// lists lie in pieces beside the header, which it returns, and the spec tells where.
+// storeDependencies stores in the job's spec the IDs of the jobs that it depends on and that
+// are not over, if the list is short. A longer list is split into pieces beside the header,
+// and the spec refers to them; the changes that write the pieces are returned.
 func (c *Controller) storeDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
 	inHeader := codec.JoinNames(open, tuning.DependenciesInHeader)
 	if len(inHeader) == 0 {
@@ -236,7 +241,7 @@
 
 // --- writing a new job ---
 
-// newHeader is that of a new job, which keeps spec.
+// newHeader returns the header of a new job. The header keeps the pointer to spec.
 func (c *Controller) newHeader(spec *domain.JobSpec) *codec.JobHeader {
 	spec.MachineTypes = c.cache.knownTypes(spec.MachineTypes)
 	header := &codec.JobHeader{
@@ -246,8 +251,8 @@
 	if c.cache.formatOn() {
 		header.AcceptedAtMS = c.wallMS()
 	}
-	// The tasks of a gang are booked at once, so its chunks have room for all of
-	// them; in others bookings wait where a chunk is full (draft.room).
+	// The tasks of a gang are booked together, so its chunks need room for all of them booked. In
+	// other jobs, bookings wait while their chunk is full (draft.room).
 	size := tuning.ChunkBytes
 	if spec.Shape == domain.Gang {
 		size = tuning.TaskBytes
@@ -261,9 +266,10 @@
 	return header
 }
 
-// packFor is the pack of a shard that a new job's tasks go to: the first with room for all
-// of them booked. Two controllers may fill one at the same time; then some bookings wait
-// until others end (draft.room). False: the job needs values of its own.
+// packFor returns the pack of a shard that stores a new job's tasks: the first one with room
+// for all tasks of its jobs as booked. Two controllers may fill the same pack at a time; then
+// some bookings wait until other tasks end (draft.room). It returns false if the job needs
+// values of its own.
 func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
 	each := tuning.BookedBytes
 	if c.cache.formatOn() {
@@ -289,30 +295,30 @@
 	}
 }
 
-// putDependencyPieces writes the pieces of a job's list of dependencies, if there are any, some in
-// each commit, and then the header, so that a header never refers to a list that is not
-// there.
+// putDependencyPieces writes the pieces of a job's list of dependencies, if there are any, in
+// as many commits as they need, and then the header, so that no header refers to a list that
+// doesn't exist.
 func (c *Controller) putDependencyPieces(submission JobSubmitted, header *codec.JobHeader, pieces []domain.Put) {
 	if len(pieces) == 0 {
 		c.putJob(submission, header)
 		return
 	}
-	now := min(len(pieces), c.cfg.TransactionLimit)
-	transaction := domain.Transaction{Puts: pieces[:now]}
+	count := min(len(pieces), c.cfg.TransactionLimit)
+	transaction := domain.Transaction{Puts: pieces[:count]}
 	for _, piece := range transaction.Puts {
 		transaction.Conditions = append(transaction.Conditions, domain.Condition{Key: piece.Key, ModRevision: 0})
 	}
 	c.commit(LaneUser, transaction, func(result domain.CommitResult, _ CommitAnswered) {
-		if result != domain.Committed { // a later attempt uses another name
+		if result != domain.Committed { // a later attempt stores the list under another name
 			delete(c.requests.accepting, submission.ID)
 			c.retryLater(submission.RequestID, commitFailed)
 			return
 		}
-		c.putDependencyPieces(submission, header, pieces[now:])
+		c.putDependencyPieces(submission, header, pieces[count:])
 	})
 }
 
-// putJob writes the header of a new job and tells its user.
+// putJob writes the header of a new job and answers the user.
 func (c *Controller) putJob(submission JobSubmitted, header *codec.JobHeader) {
 	transaction := domain.Transaction{
 		Conditions: []domain.Condition{{Key: codec.KeyJob(submission.ID), ModRevision: 0}},
@@ -329,7 +335,7 @@
 			if j := c.cache.jobs[submission.ID]; j != nil {
 				c.replyState(submission.RequestID, StatusAccepted, j)
 			}
-		case domain.Conflict: // somebody else took it: a repeat
+		case domain.Conflict: // another submission of this ID was accepted: this one repeats it
 			c.awaitReadIndex(waiter{requestID: submission.RequestID, jobID: submission.ID})
 		default:
 			c.retryLater(submission.RequestID, commitFailed)
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -7,9 +7,10 @@
 	"brassglade/internal/tuning"
 )
 
-// recordTaskEnd learns from a task's end on a machine once it is committed.
+// recordTaskEnd updates failure counts, pauses and run times by the end of a task on a
+// machine, once that end is committed.
 func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id domain.TaskID, report domain.TaskReport) {
-	spec := j.Header.Spec // the committed header has none if the job is over
+	spec := j.Header.Spec // taken now: once the job is over, the committed header has no spec
 	startedAt, ran := m.runningSince[attemptID{id, report.Attempt}]
 	d.onCommit = append(d.onCommit, func() {
 		c.debug("task ended", "task", id, "machine", m.Name, "attempt", report.Attempt, "cause", report.Cause, "saved", report.Saved)
@@ -35,13 +36,14 @@
 	})
 }
 
-// recordError counts an error of a job's task on the machine against both, since it doesn't
-// show whose fault it is.
+// recordError counts an error of a job's task on the machine against both the job and the
+// machine, since the error doesn't show which of them is at fault.
 func (m *Machine) recordError(j *Job, now time.Duration) {
 	m.countFailure(j.ID, now)
-	// Until it shows whose fault it is, the machine is given less to fail.
+	// Until it shows which of them is at fault, the machine gets fewer tasks that it could
+	// fail.
 	m.noBookingsUntil = now + min(time.Duration(m.failureSum())*tuning.RefusedPause, tuning.MaxErrorRowPause)
-	if !j.isPaused(now) { // its tasks that fail together count as one try
+	if !j.isPaused(now) { // errors of its tasks during a pause count as the same try
 		j.failures++
 	}
 	j.pausedUntil = int64(now + min(tuning.ErrorPause<<min(j.failures-1, 10), tuning.MaxErrorPause))
@@ -57,7 +59,7 @@
 	m.failures[job] = failures
 }
 
-// failureSum is how many tasks failed on the machine since one was last done there.
+// failureSum returns how many tasks have failed on the machine since one was last done there.
 func (m *Machine) failureSum() int {
 	sum := 0
 	for _, failures := range m.failures {
