--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -166,7 +166,7 @@
 func TestPauseBetweenEvents(t *testing.T) {
 	c, m := withBookedTask(t, "")
 	c.heartbeats.pending[m.Name] = &pendingHeartbeat{m.Name, 7, 1, 1, c.now + tuning.HeartbeatHold}
-	c.requests.waiting = append(c.requests.waiting, waiter{requestID: 8, jobID: jobName(1), askedAt: c.now})
+	c.requests.waiting = append(c.requests.waiting, waiter{requestID: 8, jobID: jobName(1), receivedAt: c.now})
 	effects := c.Step(c.now+time.Minute, Tick{})
 	got := map[string]int{}
 	for _, effect := range effects {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -156,7 +156,7 @@
 // a direct response to commands (isHeartbeat is false).
 func (c *Controller) recordHeartbeat(m *Machine, heartbeat *domain.Heartbeat, isHeartbeat bool) {
 	if m.Addr == "" || m.Type == "" {
-		c.debug("first report from machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
 	if m.heardOnce && heartbeat.AgentEpoch > m.agentEpoch {
 		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
@@ -305,7 +305,7 @@
 	c.heartbeats.nextMachineReview.Set(c.now + c.planInterval())
 	c.adoptBookedMachines()
 	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
-	if !c.hasRecentPeerMessages() {
+	if !c.hasRecentMessageFromAllPeers() {
 		review.limit = tuning.SilentCut
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
@@ -443,11 +443,11 @@
 	return c.owns(m.Name) && c.cache.cordons[m.Name].State == ""
 }
 
-// hasRecentPeerMessages reports whether the last message of every other serving controller is
-// at most tuning.PeerFresh old.
-func (c *Controller) hasRecentPeerMessages() bool {
+// hasRecentMessageFromAllPeers reports whether the last message of every other serving
+// controller is at most tuning.PeerFresh old.
+func (c *Controller) hasRecentMessageFromAllPeers() bool {
 	for _, controller := range c.cache.view.Serving {
-		if peer := c.peers.byName[controller]; controller != c.cfg.Node && (peer == nil || c.now-peer.heardAt > tuning.PeerFresh) {
+		if peer := c.peers.byName[controller]; controller != c.cfg.Node && (peer == nil || c.now-peer.receivedAt > tuning.PeerFresh) {
 			return false
 		}
 	}
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	leader := c.peers.byName[c.cache.view.Leader]
-	if leader == nil || c.now-leader.heardAt >= age {
+	if leader == nil || c.now-leader.receivedAt >= age {
 		return nil
 	}
 	return leader
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -91,7 +91,7 @@
 func (c *Controller) confirmView() {
 	var newestReader monotime.Instant
 	if n := len(c.requests.waiting); n > 0 {
-		newestReader = monotime.At(c.requests.waiting[n-1].askedAt) // the newest is last
+		newestReader = monotime.At(c.requests.waiting[n-1].receivedAt) // the newest is last
 	}
 	if c.membership.StartConfirmation(c.now, newestReader) {
 		c.emit(ConfirmView{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]})
@@ -147,7 +147,7 @@
 func (c *Controller) anotherCanTakeRequests() bool {
 	hasPeer := false
 	for _, peer := range c.peers.byName {
-		if c.now-peer.heardAt >= tuning.PeerFresh {
+		if c.now-peer.receivedAt >= tuning.PeerFresh {
 			continue
 		}
 		if peer.stateReachable {
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -211,7 +211,7 @@
 // hearsPeer tells whether this controller heard another lately.
 func (c *Controller) hearsPeer(node string) bool {
 	peer := c.peers.byName[node]
-	return peer != nil && c.now-peer.heardAt <= tuning.PeerFresh
+	return peer != nil && c.now-peer.receivedAt <= tuning.PeerFresh
 }
 
 // chooseOverrides keeps what overrides still have a reason, and gives this controller the
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -35,7 +35,7 @@
 
 // peerState is what another controller reported in its last message.
 type peerState struct {
-	heardAt        time.Duration
+	receivedAt     time.Duration // when that message came
 	epoch          uint64
 	stateReachable bool    // the state service responded to it recently
 	load           float64 // mean load of its machines in seconds, with the tasks passed to it since
@@ -62,7 +62,7 @@
 		return
 	}
 	c.peers.byName[received.From] = &peerState{
-		heardAt:        c.now,
+		receivedAt:     c.now,
 		epoch:          message.Epoch,
 		stateReachable: message.StateReachable,
 		load:           message.Load,
@@ -235,7 +235,7 @@
 // and the view has the reporting peer as their owner.
 func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
 	for controller, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery || controller == c.cfg.Node {
+		if c.now-peer.receivedAt > 4*tuning.DrawEvery || controller == c.cfg.Node {
 			continue
 		}
 		for i := range peer.machines {
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -245,7 +245,7 @@
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
 	for _, node := range c.cache.view.Serving {
 		peer := c.peers.byName[node]
-		if node == c.cfg.Node || peer == nil || c.now-peer.heardAt > 3*tuning.DrawEvery {
+		if node == c.cfg.Node || peer == nil || c.now-peer.receivedAt > 3*tuning.DrawEvery {
 			continue
 		}
 		if c.peerFits(peer, spec) {
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -82,8 +82,8 @@
 // it.
 type waiter struct {
 	requestID  uint64
-	jobID      string // of the job
-	askedAt    time.Duration
+	jobID      string        // of the job
+	receivedAt time.Duration // when the request came
 	submission *JobSubmitted // nil for a query or a cancellation
 	refusal    refusal       // answer to the submission unless it repeats an accepted one; "": none
 	cancel     bool          // the request is a cancellation
@@ -97,9 +97,9 @@
 		c.retryLater(request.requestID, stateUnreachable)
 		return
 	}
-	request.askedAt = c.now
+	request.receivedAt = c.now
 	if !c.isGuardEnabled(GuardReadIndex) {
-		request.askedAt = c.membership.ReadIndex().Time()
+		request.receivedAt = c.membership.ReadIndex().Time()
 	}
 	c.requests.waiting = append(c.requests.waiting, request)
 	if !c.isGuardEnabled(GuardReadIndex) {
@@ -115,7 +115,7 @@
 	waiting := c.requests.waiting
 	c.requests.waiting = nil
 	for _, request := range waiting {
-		if !c.membership.HasReadIndex(request.askedAt) {
+		if !c.membership.HasReadIndex(request.receivedAt) {
 			c.requests.waiting = append(c.requests.waiting, request)
 			continue
 		}
@@ -156,7 +156,7 @@
 func (c *Controller) expireWaiters() {
 	remaining := c.requests.waiting[:0]
 	for _, request := range c.requests.waiting {
-		if c.now-request.askedAt > tuning.PollPatience {
+		if c.now-request.receivedAt > tuning.PollPatience {
 			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -319,7 +319,7 @@
 		}
 	}
 	for _, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery {
+		if c.now-peer.receivedAt > 4*tuning.DrawEvery {
 			continue
 		}
 		for i := range peer.machines {
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -272,7 +272,7 @@
 
 // planCordons drains machines that failed, are stuck or were idle for long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.hasRecentPeerMessages(), c.leaving(), c.zonesCutOff(machines)}
+	review := unheardReview{c.hasRecentMessageFromAllPeers(), c.leaving(), c.zonesCutOff(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -73,7 +73,7 @@
 			c.views.redirects[machine] = []redirect{{c.now - 8*time.Second, "c-1/y", 2, "a"}, {c.now - 2*time.Second, "c-1/y", 1, "a"}}
 		}
 	}
-	c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, manyMachines)}
+	c.peers.byName["c-1"] = &peerState{receivedAt: c.now, machines: make([]PeerMachine, manyMachines)}
 	view := c.desiredView()
 	if view == nil || len(view.OwnerOverrides) < 50 {
 		t.Fatalf("no overrides: %+v", view)
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -105,7 +105,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := stealing(t, 1)
-			c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, 1500), fits: map[fitKey]bool{}}
+			c.peers.byName["c-1"] = &peerState{receivedAt: c.now, machines: make([]PeerMachine, 1500), fits: map[fitKey]bool{}}
 			c.apply(openJob(t, 1, test.tasks, 1, 1000))
 			j := c.cache.jobs[jobName(1)]
 			if test.change != nil {
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -208,7 +208,7 @@
 // have been heard for a while. Only the leader's word counts, so that a controller cut off
 // from its peers alone doesn't decide.
 func (c *Controller) zonesReconnected() bool {
-	if !c.hasRecentPeerMessages() {
+	if !c.hasRecentMessageFromAllPeers() {
 		c.views.peersHeardSince = monotime.Instant{}
 		return false
 	}
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -51,7 +51,7 @@
 		c.confirmNow()
 		for name, peer := range c.peers.byName {
 			if heard(name) {
-				peer.heardAt = c.now
+				peer.receivedAt = c.now
 			}
 		}
 		for name, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
