--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -21,7 +21,7 @@
 		// The pages are read one after another. What changed after the first page was read comes
 		// with the watch, in order. If such a chunk were applied here before its header, it would
 		// be dropped, and its recorded revision would make apply ignore it later, too.
-		if item.ModRevision <= snapshot.Revision || !c.guard(GuardSnapshot) {
+		if item.ModRevision <= snapshot.Revision || !c.isGuardEnabled(GuardSnapshot) {
 			c.apply(item)
 		}
 	}
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -5,7 +5,7 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
@@ -19,7 +19,7 @@
 	nextID           uint64                    // numbers commits and reads; each id is used once
 	pending          map[uint64]*pendingCommit // commits without a response, by id
 	taskCommit       *pendingCommit            // the one task commit in flight; nil: none
-	nextTaskCommit   steady.Gate               // no task commit before then; set after one that was refused or is in doubt
+	nextTaskCommit   monotime.Deadline         // no task commit before then; set after one that was refused or is in doubt
 	minRevision      uint64                    // the cache must reach this revision before the next task commit
 	inDoubt          inDoubtCommit             // excludes a task commit whose outcome is unknown
 	rate             float64                   // present rate of task commits, changes a second
@@ -88,7 +88,7 @@
 	for _, put := range transaction.Puts {
 		// The view is taken from the watch only: a controller that sees epoch e must have seen
 		// all commits of earlier epochs.
-		if put.Key == codec.KeyView && c.guard(GuardView) {
+		if put.Key == codec.KeyView && c.isGuardEnabled(GuardView) {
 			continue
 		}
 		c.apply(domain.KeyValue{Key: put.Key, Value: put.Value, ModRevision: revision})
@@ -181,7 +181,7 @@
 // canCommitTasks reports whether a task commit may be sent now.
 func (c *Controller) canCommitTasks() bool {
 	s := &c.commits
-	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.IsOpen(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
+	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.HasPassed(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
 // commitDraft sends a draft as the task commit. From then on no start of an attempt that the
@@ -206,7 +206,7 @@
 	c.commits.taskCommit = nil
 	c.planner.dirty = true
 	for name := range d.machines {
-		c.heartbeats.touched[name] = true
+		c.heartbeats.toReview[name] = true
 	}
 	switch result {
 	case domain.Committed:
@@ -235,7 +235,7 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.reduceRate(c.cfg.FairWriteRate * c.writeWeight())
 	}
-	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
+	c.commits.nextTaskCommit.Set(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
 }
 
 // --- sizes ---
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -98,7 +98,7 @@
 	case CommitAnswered:
 		c.onCommit(e)
 	case KeysRead:
-		c.onRead(e)
+		c.onKeysRead(e)
 	case LeaseGranted:
 		c.onLeaseGranted(e)
 	case LeaseRenewalAnswered:
@@ -169,18 +169,18 @@
 // onSnapshot loads a snapshot into the cache.
 func (c *Controller) onSnapshot(snapshot SnapshotLoaded) {
 	c.loadSnapshot(snapshot)
-	c.settleConfirmations()
+	c.applyConfirmations()
 }
 
 // onWatch applies the changes up to the revision that the watch has reached.
 func (c *Controller) onWatch(watch WatchAdvanced) {
-	c.membership.WatchBegins(watch.Sent)
+	c.membership.BeginWatchUpdate(watch.Sent)
 	for _, kv := range watch.Items {
 		c.apply(kv)
 	}
-	c.membership.WatchEnds()
+	c.membership.EndWatchUpdate()
 	c.cache.revision = max(c.cache.revision, watch.Revision)
-	c.settleConfirmations()
+	c.applyConfirmations()
 }
 
 // emit appends an effect to those of the present step.
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -29,7 +29,7 @@
 
 // mayStart reports whether tasks of a job may start at all. No other code decides this.
 func (c *Controller) mayStart(j *Job) bool {
-	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.guard(GuardDependencies)
+	return j.missingPieces == 0 && j.unfinishedDependencies == 0 && !j.dependencyFailed || !c.isGuardEnabled(GuardDependencies)
 }
 
 // phaseOf returns the phase that follows from a job's header and its dependencies.
@@ -62,7 +62,7 @@
 			if job.phase == phaseDone {
 				dependent.unfinishedDependencies--
 				dependent.dependenciesDoneAt = max(dependent.dependenciesDoneAt, c.doneTime(job))
-			} else if c.guard(GuardCascade) {
+			} else if c.isGuardEnabled(GuardCascade) {
 				dependent.dependencyFailed = true
 			}
 			pending = append(pending, dependent)
@@ -87,7 +87,7 @@
 	}
 	j.phase = next
 	if next >= phaseDone && next != old {
-		c.wakeWaiters()
+		c.answerWaiters()
 	}
 }
 
@@ -152,7 +152,7 @@
 		case needed != nil && needed.phase == phaseDone:
 			j.dependenciesDoneAt = max(j.dependenciesDoneAt, c.doneTime(needed))
 		case needed != nil && needed.phase == phaseCancelled:
-			j.dependencyFailed = c.guard(GuardCascade)
+			j.dependencyFailed = c.isGuardEnabled(GuardCascade)
 			if !j.dependencyFailed {
 				j.unfinishedDependencies++
 			}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -264,13 +264,13 @@
 	c.effects = nil
 	c.onJobSubmitted(submitted)
 	for id := range c.requests.lookups {
-		c.onRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
+		c.onKeysRead(KeysRead{ID: id, OK: true, Items: []domain.KeyValue{elsewhere}})
 	}
 	if len(c.requests.waiting) > 0 && lastReply(c).Status != 0 {
 		t.Errorf("replied %d before reaching the read index", lastReply(c).Status)
 	}
 	c.reachReadIndex()
-	c.wakeWaiters()
+	c.answerWaiters()
 	commitAll(t, c)
 }
 
--- a/internal/scheduler/formats.go
+++ b/internal/scheduler/formats.go
@@ -3,16 +3,16 @@
 import (
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // formats is the state of announcing this controller's format, and of whether the key-value
 // store's limits are known to be lower than before.
 type formats struct {
-	announcing       bool        // a commit of the format is in flight
-	nextAnnouncement steady.Gate // no announcement before then; set after each response
-	limitsLowered    bool        // a refused commit showed that the lower limits apply
+	announcing       bool              // a commit of the format is in flight
+	nextAnnouncement monotime.Deadline // no announcement before then; set after each response
+	limitsLowered    bool              // a refused commit showed that the lower limits apply
 }
 
 // isFormatOn reports whether all controllers read the format of this version, and keep what is
@@ -22,7 +22,7 @@
 // announceFormat announces this controller's format. The leader turns the format on once all have
 // announced it.
 func (c *Controller) announceFormat() {
-	if c.cache.isFormatOn() || c.formats.announcing || !c.formats.nextAnnouncement.IsOpen(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
+	if c.cache.isFormatOn() || c.formats.announcing || !c.formats.nextAnnouncement.HasPassed(c.now) || !c.mayAct() || c.cfg.PreviousFormat {
 		return
 	}
 	if c.cache.announcedFormats[c.cfg.Controller] < codec.CurrentFormat {
@@ -57,7 +57,7 @@
 		Puts: []domain.Put{{Key: key, Value: codec.Encode(format)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.formats.announcing = false
-		c.formats.nextAnnouncement.Close(c.now + tuning.FormatRetry)
+		c.formats.nextAnnouncement.Set(c.now + tuning.FormatRetry)
 	})
 }
 
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -37,7 +37,7 @@
 // beginPlacementRun reports whether a run of placeTasks is due: something changed or the last
 // full run is long ago, and in either case the planning pace has passed since the last run.
 func (c *Controller) beginPlacementRun() bool {
-	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
+	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.planInterval()) {
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
 		for _, m := range c.heartbeats.machines {
@@ -46,10 +46,10 @@
 	} else if !c.planner.dirty {
 		return false
 	}
-	if !c.queues.nextPlacement.IsOpen(c.now) {
+	if !c.queues.nextPlacement.HasPassed(c.now) {
 		return false
 	}
-	c.queues.nextPlacement.Close(c.now + c.pace())
+	c.queues.nextPlacement.Set(c.now + c.planInterval())
 	return true
 }
 
@@ -248,7 +248,7 @@
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
 	for _, node := range c.cache.view.Serving {
 		peer := c.peers.byName[node]
-		if node == c.cfg.Controller || peer == nil || c.now-peer.heardAt > 3*tuning.DrawEvery {
+		if node == c.cfg.Controller || peer == nil || c.now-peer.receivedAt > 3*tuning.DrawEvery {
 			continue
 		}
 		if c.peerFits(peer, spec) {
@@ -315,7 +315,7 @@
 
 // allows reports whether the team of a job may start one more task of it.
 func (r *teamHeadroom) allows(j *Job) bool {
-	if !r.c.guard(GuardQuota) {
+	if !r.c.isGuardEnabled(GuardQuota) {
 		return true
 	}
 	spec := j.Header.Spec
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -2,14 +2,14 @@
 
 import (
 	"brassglade/internal/domain"
-	"brassglade/internal/steady"
+	"brassglade/internal/monotime"
 	"brassglade/internal/tuning"
 )
 
 // planner is the state that is kept from one plan to the next.
 type planner struct {
 	dirty                 bool                     // something changed since the last plan, or did not fit it
-	nextPlan              steady.Gate              // when the next plan may be made, a pace after the last one
+	nextPlan              monotime.Deadline        // when the next plan may be made, a pace after the last one
 	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; changes with each
 	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; changes with each
 	assumeMaxBookingBytes bool                     // the next draft plans with the largest size of a booking
@@ -52,10 +52,10 @@
 // for minutes. While a commit is in doubt every draft repeats one of its values (in_doubt.go) and
 // so is not empty: own values then wait until the outcome is known.
 func (c *Controller) planCommit() {
-	if !c.planner.dirty || !c.planner.nextPlan.IsOpen(c.now) || !c.canCommitTasks() {
+	if !c.planner.dirty || !c.planner.nextPlan.HasPassed(c.now) || !c.canCommitTasks() {
 		return
 	}
-	c.planner.nextPlan.Close(c.now + c.pace())
+	c.planner.nextPlan.Set(c.now + c.planInterval())
 	c.planner.dirty = false
 	clear(c.commits.oversizedInPlan)
 	d := c.newDraft() // forgets the in-doubt commit if its outcome is known by now
@@ -81,7 +81,7 @@
 	if c.cache.isFormatOn() && !c.planner.assumeMaxBookingBytes && c.hasValueTooLarge(d.transaction()) {
 		// Plan again at once, with the largest size of a booking.
 		c.planner.assumeMaxBookingBytes, c.planner.dirty = true, true
-		c.planner.nextPlan.Close(c.now)
+		c.planner.nextPlan.Set(c.now)
 		return
 	}
 	c.planner.assumeMaxBookingBytes = false
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -29,7 +29,7 @@
 
 // planBookings books tasks from the machines' queues, at most one per machine in each round.
 func (c *Controller) planBookings(d *draft) {
-	if !c.guard(GuardBook) {
+	if !c.isGuardEnabled(GuardBook) {
 		return
 	}
 	claims := c.claims(d)
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -8,32 +8,33 @@
 	"brassglade/internal/tuning"
 )
 
-// requests are the users' requests that have no answer yet.
+// requests holds the users' requests that have not been answered yet.
 type requests struct {
-	waiting         []waiter                // for a read index, in the order in which they asked
-	accepting       map[string]bool         // jobs whose submission is being committed
-	lookups         map[uint64]JobSubmitted // submissions that wait for a read, by its ID
-	dependencyLists int                     // lists of dependencies written in pieces so far
+	waiting         []waiter                // for a read index, in the order in which they came
+	accepting       map[string]bool         // IDs of jobs whose submission is being committed
+	lookups         map[uint64]JobSubmitted // submissions whose dependencies are being read, by ID of the read
+	dependencyLists int                     // lists of dependencies stored in pieces so far
 }
 
 func newRequests() requests {
 	return requests{accepting: map[string]bool{}, lookups: map[uint64]JobSubmitted{}}
 }
 
-// refusal is why a request is not carried out, in the words that users get.
+// refusal is the reason why a request is not carried out, as users read it.
 type refusal string
 
-// The user may come back with the same request (status 503).
+// Refusals for now, with status 503: the user may repeat the same request.
 const (
-	notReady           refusal = "not ready"
-	stateUnreachable   refusal = "state service unreachable"
-	stateSlow          refusal = "state service slow"
-	commitFailed       refusal = "state service"
-	beingAccepted      refusal = "being accepted"
-	dependenciesNotYet refusal = "not all controllers know Awaits yet"
+	notReady               refusal = "not ready"
+	stateUnreachable       refusal = "state service unreachable"
+	stateSlow              refusal = "state service slow"
+	commitFailed           refusal = "state service"
+	beingAccepted          refusal = "being accepted"
+	dependenciesNotEnabled refusal = "not all controllers know Awaits yet"
 )
 
-// The request is wrong: as it is written (status 400), or for what it asks (422).
+// Refusals for good: the request can't be read (status 400), or asks for something that is not
+// possible (status 422).
 const (
 	malformed           refusal = "malformed"
 	unknownTeam         refusal = "unknown team"
@@ -45,22 +46,22 @@
 
 // --- answers ---
 
-// retryLater asks the user to come back.
-func (c *Controller) retryLater(requestID uint64, why refusal) {
-	c.emit(UserReply{RequestID: requestID, Status: StatusUnavailable, Reason: string(why)})
+// retryLater answers that the user should repeat the request later.
+func (c *Controller) retryLater(requestID uint64, reason refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: StatusUnavailable, Reason: string(reason)})
 }
 
-// refuse tells the user that the request will never do.
-func (c *Controller) refuse(requestID uint64, status int, id string, why refusal) {
-	c.emit(UserReply{RequestID: requestID, Status: status, ID: id, Reason: string(why)})
+// refuse answers that the request can never be carried out.
+func (c *Controller) refuse(requestID uint64, status int, id string, reason refusal) {
+	c.emit(UserReply{RequestID: requestID, Status: status, ID: id, Reason: string(reason)})
 }
 
-// replyUnknown tells the user that there is no such job.
+// replyUnknown answers that there is no such job.
 func (c *Controller) replyUnknown(requestID uint64, id string) {
 	c.emit(UserReply{RequestID: requestID, Status: StatusUnknownJob, ID: id})
 }
 
-// replyState answers with the job's state as the cache has it.
+// replyState answers with the state that the job has in the cache.
 func (c *Controller) replyState(requestID uint64, status int, j *Job) {
 	reply := UserReply{RequestID: requestID, Status: status, ID: j.ID, Done: j.counts.done, Running: j.counts.booked, State: "pending"}
 	switch {
@@ -77,41 +78,44 @@
 // --- waiting for a read index ---
 
 // waiter is a request that is answered once the cache has everything that was committed
-// before it came. Until then the cache may lack the job, or have it in an older state.
+// before the request came. Until then the cache may lack the job, or have an older state of
+// it.
 type waiter struct {
-	requestID uint64
-	id        string // of the job
-	askedAt   time.Duration
-	submit    *JobSubmitted // the submission; nil: a query or cancellation
-	refusal   refusal       // of the submission, unless it repeats an accepted one
-	cancel    bool
+	requestID  uint64
+	jobID      string        // of the job
+	receivedAt time.Duration // when the request came
+	submission *JobSubmitted // nil for a query or a cancellation
+	refusal    refusal       // answer to the submission unless it repeats an accepted one; "": none
+	cancel     bool          // the request is a cancellation
 }
 
-// awaitReadIndex keeps a request until the cache has everything committed before now.
+// awaitReadIndex keeps a request until the cache has everything that was committed before
+// now. It asks the user to retry later if the state service can't be reached or the cache is
+// not loaded yet.
 func (c *Controller) awaitReadIndex(request waiter) {
 	if !c.membership.IsSynced() || !c.membership.IsStateReachable() {
 		c.retryLater(request.requestID, stateUnreachable)
 		return
 	}
-	request.askedAt = c.now
-	if !c.guard(GuardReadIndex) {
-		request.askedAt = c.membership.ReadIndex().Time()
+	request.receivedAt = c.now
+	if !c.isGuardEnabled(GuardReadIndex) {
+		request.receivedAt = c.membership.ReadIndex().Time()
 	}
 	c.requests.waiting = append(c.requests.waiting, request)
-	if !c.guard(GuardReadIndex) {
-		c.wakeWaiters()
+	if !c.isGuardEnabled(GuardReadIndex) {
+		c.answerWaiters()
 	}
 }
 
-// wakeWaiters answers those whose read index the cache has reached.
-func (c *Controller) wakeWaiters() {
+// answerWaiters answers the requests whose read index the cache has reached.
+func (c *Controller) answerWaiters() {
 	if len(c.requests.waiting) == 0 {
 		return
 	}
 	waiting := c.requests.waiting
 	c.requests.waiting = nil
 	for _, request := range waiting {
-		if !c.membership.HasReadIndex(request.askedAt) {
+		if !c.membership.HasReadIndex(request.receivedAt) {
 			c.requests.waiting = append(c.requests.waiting, request)
 			continue
 		}
@@ -119,26 +123,27 @@
 	}
 }
 
-// answerWaiter answers a request by the cache, which has everything committed before it.
+// answerWaiter answers a request by the cache, which has everything that was committed before
+// the request came.
 func (c *Controller) answerWaiter(request waiter) {
-	j := c.cache.jobs[request.id]
+	j := c.cache.jobs[request.jobID]
 	switch {
 	case request.cancel:
-		c.cancel(request.requestID, request.id)
+		c.cancelJob(request.requestID, request.jobID)
 	case j != nil: // a query, or a submission that repeats an accepted one
 		c.replyState(request.requestID, StatusOK, j)
-	case request.submit == nil:
-		c.replyUnknown(request.requestID, request.id)
-	case request.submit.Spec == nil:
-		c.refuse(request.requestID, StatusMalformed, request.id, request.refusal)
+	case request.submission == nil:
+		c.replyUnknown(request.requestID, request.jobID)
+	case request.submission.Spec == nil:
+		c.refuse(request.requestID, StatusMalformed, request.jobID, request.refusal)
 	case request.refusal != "":
-		c.refuse(request.requestID, StatusRefused, request.id, request.refusal)
+		c.refuse(request.requestID, StatusRefused, request.jobID, request.refusal)
 	default:
-		c.accept(*request.submit, nil)
+		c.acceptWithDependencies(*request.submission, nil)
 	}
 }
 
-// failWaiters sends all who wait away: the state service doesn't answer.
+// failWaiters answers all waiting requests that the state service can't be reached.
 func (c *Controller) failWaiters() {
 	for _, request := range c.requests.waiting {
 		c.retryLater(request.requestID, stateUnreachable)
@@ -146,41 +151,45 @@
 	c.requests.waiting = nil
 }
 
-// expireWaiters sends those away who waited too long.
+// expireWaiters answers the requests that have waited longer than tuning.PollPatience that
+// the state service is slow.
 func (c *Controller) expireWaiters() {
-	patient := c.requests.waiting[:0]
+	remaining := c.requests.waiting[:0]
 	for _, request := range c.requests.waiting {
-		if c.now-request.askedAt > tuning.PollPatience {
+		if c.now-request.receivedAt > tuning.PollPatience {
 			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
-		patient = append(patient, request)
+		remaining = append(remaining, request)
 	}
-	c.requests.waiting = patient
+	c.requests.waiting = remaining
 }
 
 // --- queries and cancellations ---
 
-// onJobQueried answers a query. A final state never changes, so it needs no read index.
+// onJobQueried answers a query for a job's state. A final state never changes, so it needs no
+// read index.
 func (c *Controller) onJobQueried(query JobQueried) {
 	if j := c.cache.jobs[query.ID]; j != nil && j.isFinal() {
 		c.replyState(query.RequestID, StatusOK, j)
 		return
 	}
-	c.awaitReadIndex(waiter{requestID: query.RequestID, id: query.ID})
+	c.awaitReadIndex(waiter{requestID: query.RequestID, jobID: query.ID})
 }
 
-// onJobCancelled cancels a job, once a read index shows whether there is one.
+// onJobCancelled cancels a job. If the cache lacks the job, a read index has to show first
+// whether it exists.
 func (c *Controller) onJobCancelled(cancellation JobCancelled) {
 	if c.cache.jobs[cancellation.ID] == nil {
-		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, id: cancellation.ID, cancel: true})
+		c.awaitReadIndex(waiter{requestID: cancellation.RequestID, jobID: cancellation.ID, cancel: true})
 		return
 	}
-	c.cancel(cancellation.RequestID, cancellation.ID)
+	c.cancelJob(cancellation.RequestID, cancellation.ID)
 }
 
-// cancel commits the cancellation of a job that the cache has, and answers the user.
-func (c *Controller) cancel(requestID uint64, id string) {
+// cancelJob commits the cancellation of a job and answers the user. If the cache lacks the
+// job it answers that there is none, so a read index must have been reached.
+func (c *Controller) cancelJob(requestID uint64, id string) {
 	j := c.cache.jobs[id]
 	if j == nil {
 		c.replyUnknown(requestID, id)
@@ -201,8 +210,8 @@
 		case domain.Committed:
 			c.debug("job cancelled", "job", id)
 			c.replyState(requestID, StatusOK, j)
-		case domain.Conflict: // the job changed meanwhile: once more, on what it is now
-			c.awaitReadIndex(waiter{requestID: requestID, id: id, cancel: true})
+		case domain.Conflict: // the job changed meanwhile: try again with its new state
+			c.awaitReadIndex(waiter{requestID: requestID, jobID: id, cancel: true})
 		default:
 			c.retryLater(requestID, commitFailed)
 		}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -7,9 +7,9 @@
 
 	"brassglade/internal/codec"
 	"brassglade/internal/domain"
+	"brassglade/internal/monotime"
 	"brassglade/internal/ownership"
 	"brassglade/internal/quota"
-	"brassglade/internal/steady"
 	"brassglade/internal/tuning"
 )
 
@@ -17,13 +17,13 @@
 // present view.
 type views struct {
 	proposing          bool
-	nextProposal       steady.Gate              // no proposal before then
-	nextReview         steady.Gate              // no check whether a view is needed before then
+	nextProposal       monotime.Deadline        // no proposal before then
+	nextReview         monotime.Deadline        // no check whether a view is needed before then
 	adoptedAt          time.Duration            // when the present view came with the watch
 	redirects          map[string][]redirect    // heartbeats redirected to their owners, by machine
 	lastRedirect       map[string]redirectMark  // latest redirected heartbeat, by machine
 	notServingSince    map[string]time.Duration // by controller; while it is a member but not serving
-	allPeersFreshSince steady.Instant           // since when messages of all serving peers arrive
+	allPeersFreshSince monotime.Instant         // since when messages of all serving peers arrive
 	zoneSilentAt       map[string]time.Duration // by zone; when most of its machines were last silent
 	ownersView         *domain.View             // the view that ownerByMachine was computed for
 	ownerByMachine     map[string]string
@@ -94,7 +94,7 @@
 	if !c.canProposeView() {
 		return
 	}
-	c.views.nextReview.Close(c.now + min(tuning.Tick, c.pace()))
+	c.views.nextReview.Set(c.now + min(tuning.Tick, c.planInterval()))
 	next := c.desiredView()
 	if next == nil {
 		return
@@ -110,7 +110,7 @@
 		Puts:       []domain.Put{{Key: codec.KeyView, Value: codec.Encode(next)}},
 	}, func(domain.CommitResult, CommitAnswered) {
 		c.views.proposing = false
-		c.views.nextProposal.Close(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
+		c.views.nextProposal.Set(c.now + tuning.ProposePause + time.Duration(c.rng.Int64N(int64(tuning.ProposePause))))
 	})
 }
 
@@ -118,7 +118,7 @@
 func (c *Controller) canProposeView() bool {
 	return !c.views.proposing && c.membership.IsSynced() &&
 		c.membership.HasMemberKey(c.cache.members[c.cfg.Controller]) &&
-		c.views.nextProposal.IsOpen(c.now) && c.views.nextReview.IsOpen(c.now)
+		c.views.nextProposal.HasPassed(c.now) && c.views.nextReview.HasPassed(c.now)
 }
 
 // viewProposal is a view that is being composed.
@@ -208,12 +208,12 @@
 // controllers have arrived for a while, and the view is not new. Only the leader may decide this,
 // so that a controller that is cut off from its peers alone does not.
 func (c *Controller) zonesReconnected() bool {
-	if !c.arePeersFresh() {
-		c.views.allPeersFreshSince = steady.Instant{}
+	if !c.hasRecentMessageFromAllPeers() {
+		c.views.allPeersFreshSince = monotime.Instant{}
 		return false
 	}
-	if !c.views.allPeersFreshSince.IsKnown() {
-		c.views.allPeersFreshSince = steady.At(c.now)
+	if !c.views.allPeersFreshSince.IsSet() {
+		c.views.allPeersFreshSince = monotime.At(c.now)
 	}
 	freshFor := c.now - c.views.allPeersFreshSince.Time()
 	return c.isLeader() && freshFor > tuning.MinZonedTime && c.now-c.views.adoptedAt > tuning.MinZonedTime
