--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -37,7 +37,7 @@
 	m.Event(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
-	status.Waiting = map[scheduler.WaitingTasks]int{{Team: "red", Reason: scheduler.WaitsForGangs}: 12}
+	status.Waiting = map[scheduler.WaitingTasksKey]int{{Team: "red", Reason: scheduler.WaitsForGangs}: 12}
 	m.Status(status)
 	got := scrape(t, m)
 	for _, want := range []string{
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -54,7 +54,7 @@
 func (c *Controller) addJob(id string, header *codec.JobHeader) *Job {
 	j := &Job{ID: id, Header: header, counts: placement{queued: header.TaskCount}, submittedAt: int64(c.now)}
 	if c.cache.loadingSnapshot && header.AcceptedAtMS > 0 {
-		j.submittedAt = min(j.submittedAt, c.steadyTime(header.AcceptedAtMS))
+		j.submittedAt = min(j.submittedAt, c.monotonicTime(header.AcceptedAtMS))
 	}
 	j.dependenciesDoneAt = j.submittedAt
 	c.cache.jobs[id] = j
@@ -129,7 +129,7 @@
 	if task.State == domain.Booked {
 		c.heartbeats.touched[task.Machine] = true
 		c.cache.addBooking(j, id, task, c.queues.bookingInfo(j, c.now))
-		delete(c.queues.tasksStaying, id)
+		delete(c.queues.tasksDrawnToStay, id)
 	}
 	j.Tasks[i] = task
 	if j.counts.queued == 0 {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -115,7 +115,7 @@
 // endOf is when a job was done, as its header tells or, if it doesn't, now.
 func (c *Controller) endOf(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
-		return min(int64(c.now), c.steadyTime(j.Header.DoneAtMS))
+		return min(int64(c.now), c.monotonicTime(j.Header.DoneAtMS))
 	}
 	return int64(c.now)
 }
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -74,7 +74,7 @@
 // negative number: out of it.
 func (d *draft) countUsage(spec *domain.JobSpec, tasks int64) {
 	d.usage[spec.Team] = d.usage[spec.Team].Plus(spec.Request, tasks)
-	d.settleShare(spec.Team, spec.Request)
+	d.adjustShare(spec.Team, spec.Request)
 }
 
 // bookBytes is what a booking is planned to add to its value: what it mostly takes,
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -39,7 +39,7 @@
 func (d *draft) sortByGuarantee(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		return cmp.Or(
-			trueFirst(d.isOwed(a.Header.Spec), d.isOwed(b.Header.Spec)),
+			trueFirst(d.isWithinGuarantee(a.Header.Spec), d.isWithinGuarantee(b.Header.Spec)),
 			cmp.Compare(b.priority, a.priority),
 		)
 	})
@@ -105,7 +105,7 @@
 			continue
 		}
 		if reason := p.knownReason(spec.Team, kind); reason != WaitsForNothing {
-			p.c.noteWait(j, reason, p.claims, p.draft.teamUsed(spec.Team))
+			p.c.recordWaitReason(j, reason, p.claims, p.draft.teamUsed(spec.Team))
 			continue
 		}
 		before := len(p.draft.changed)
@@ -211,7 +211,7 @@
 		return true
 	}
 	picks := (&picker{
-		c: c, draft: d, job: j, placed: placed, zones: bindingZones(j, d), machines: machines, claims: claims,
+		c: c, draft: d, job: j, placed: placed, zones: constrainedZoneCounts(j, d), machines: machines, claims: claims,
 	}).choose()
 	if spec.Shape == domain.Gang {
 		return len(picks) < spec.TaskCount || c.bookGang(d, j, picks, pass)
@@ -324,7 +324,7 @@
 		}
 		best := slices.IndexFunc(room, chosen.takes)
 		if best < 0 {
-			p.c.noteWait(j, WaitsForMachine, p.claims, used)
+			p.c.recordWaitReason(j, WaitsForMachine, p.claims, used)
 			break
 		}
 		chosen.add(i, room[best])
@@ -337,7 +337,7 @@
 	switch {
 	case p.job.Header.Spec.Shape == domain.Gang:
 		return p.job.Header.Spec.TaskCount
-	case p.job.isDoubtful():
+	case p.job.hasOnlyFailures():
 		return max(0, 1-p.placed.booked)
 	}
 	inDraft := p.placed.booked - p.job.counts.booked
@@ -356,7 +356,7 @@
 // takes tells whether one more task of the job may go to a machine.
 func (p *placesInZone) takes(m *inventoryMachine) bool {
 	spec := p.job.Header.Spec
-	if p.zone != "" && m.zone != p.zone || spreadOverZones(spec) && p.byZone[m.zone] >= mostPerZone(spec) {
+	if p.zone != "" && m.zone != p.zone || isSpreadOverZones(spec) && p.byZone[m.zone] >= mostPerZone(spec) {
 		return false
 	}
 	return p.c.cache.fitsOn(spec, m, p.used[m.name], p.draft)
@@ -380,7 +380,7 @@
 	spec := p.job.Header.Spec
 	p.picks = append(p.picks, pick{task: task, machine: m})
 	p.used[m.name] = p.used[m.name].Plus(spec.Request, 1)
-	if spreadOverZones(spec) {
+	if isSpreadOverZones(spec) {
 		p.byZone[m.zone]++
 	}
 }
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -80,7 +80,7 @@
 	case codec.KindPack:
 		d.addValue(key)
 	case codec.KindTeam:
-		d.keepShare(name)
+		d.dropShareChange(name)
 	case codec.KindJob:
 		if j := c.cache.jobs[name]; j != nil {
 			d.header(j)
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -87,7 +87,7 @@
 
 // largeArrayTasksAtOnce is how many tasks of a large array one plan may book.
 func (d *draft) largeArrayTasksAtOnce(j *Job) int {
-	if j.isDoubtful() {
+	if j.hasOnlyFailures() {
 		return 1 - placementOf(j, d).booked
 	}
 	return tuning.LargeAtOnce
@@ -172,10 +172,10 @@
 	limit := c.cfg.Teams[spec.Team].Limit
 	switch {
 	case !quota.Within(used, limit):
-		c.noteWait(j, WaitsForLimit, claims, used)
+		c.recordWaitReason(j, WaitsForLimit, claims, used)
 		return false
 	case claim.aheadOfGangs && !claim.LeavesFirst(spec.ID, used, limit):
-		c.noteWait(j, WaitsForStarvingJob, claims, used)
+		c.recordWaitReason(j, WaitsForStarvingJob, claims, used)
 		return false
 	}
 	return true
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -18,8 +18,8 @@
 	critic        policy.Critic
 	windowEndedAt time.Duration
 	sequence      uint64 // of the window that ended last
-	passes        int    // tasks handed over to other shards in this window
-	finishes      int    // tasks that ended in this window
+	handovers     int    // tasks handed over to other shards in this window
+	finishedTasks int    // tasks that ended in this window
 }
 
 func newLearner() learner {
@@ -31,7 +31,7 @@
 }
 
 // recordFinish counts a task that ended.
-func (l *learner) recordFinish() { l.finishes++ }
+func (l *learner) recordFinish() { l.finishedTasks++ }
 
 // endLearningWindow ends windows: learns from the loads of all machines and publishes this
 // controller's loads for the others.
@@ -46,11 +46,11 @@
 	all, passes := c.allLoads(loads)
 	features, imbalance := policy.Features(all)
 	if learner.critic.HasWindow() && c.cfg.Learn {
-		c.learn(features, imbalance, passes, len(all))
+		c.updateWeights(features, imbalance, passes, len(all))
 	}
 	learner.critic.Begin(features)
 	c.publishWindow(loads)
-	learner.passes, learner.finishes = 0, 0
+	learner.handovers, learner.finishedTasks = 0, 0
 }
 
 // ownLoads are the loads of this controller's machines that take tasks, rounded to 0.1 s.
@@ -69,7 +69,7 @@
 // allLoads are the loads of all serving controllers' machines, and the tasks that these
 // passed: own ones as they are, the others' as they last published them.
 func (c *Controller) allLoads(own []float64) (loads []float64, passes int) {
-	passes = c.learner.passes
+	passes = c.learner.handovers
 	for _, node := range c.cache.view.Serving {
 		if node == c.cfg.Node {
 			loads = append(loads, own...)
@@ -83,8 +83,8 @@
 	return loads, passes
 }
 
-// choicesAlive are the names that draws may meet again: own machines and serving controllers.
-func (c *Controller) choicesAlive() map[string]bool {
+// currentChoiceNames are the names that draws may meet again: own machines and serving controllers.
+func (c *Controller) currentChoiceNames() map[string]bool {
 	alive := map[string]bool{}
 	for _, name := range c.heartbeats.machineNames() {
 		if c.owns(name) {
@@ -97,26 +97,26 @@
 	return alive
 }
 
-// learn takes the temporal-difference step of critic and actors, and the consensus step of
+// updateWeights takes the temporal-difference step of critic and actors, and the consensus step of
 // the critic every ConsensusEvery windows.
-func (c *Controller) learn(features []float64, imbalance float64, passes, machines int) {
+func (c *Controller) updateWeights(features []float64, imbalance float64, passes, machines int) {
 	learner := &c.learner
 	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, passes, machines), features)
 	for _, i := range learner.critic.Step(delta) {
 		c.info("critic weight reset", "i", i)
 	}
-	alive := c.choicesAlive()
+	alive := c.currentChoiceNames()
 	if n := learner.arrivals.Step(delta, alive) + learner.steals.Step(delta, alive); n > 0 {
 		c.info("policy weights reset", "count", n)
 	}
-	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishes, "theta", learner.critic.Weights())
+	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishedTasks, "theta", learner.critic.Weights())
 	if learner.sequence%tuning.ConsensusEvery == 0 {
-		learner.critic.Average(c.othersCriticWeights())
+		learner.critic.Average(c.peerCriticWeights())
 	}
 }
 
-// othersCriticWeights are the critics of the other serving controllers, as last published.
-func (c *Controller) othersCriticWeights() [][]float64 {
+// peerCriticWeights are the critics of the other serving controllers, as last published.
+func (c *Controller) peerCriticWeights() [][]float64 {
 	var weights [][]float64
 	for _, node := range c.cache.view.Serving {
 		if window := c.cache.windows[node]; node != c.cfg.Node && window != nil {
@@ -131,7 +131,7 @@
 func (c *Controller) publishWindow(loads []float64) {
 	learner := &c.learner
 	value := c.encodeWindow(codec.WindowRecord{
-		Sequence: learner.sequence, Loads: loads, Passes: learner.passes, CriticWeights: learner.critic.Weights(),
+		Sequence: learner.sequence, Loads: loads, Passes: learner.handovers, CriticWeights: learner.critic.Weights(),
 	})
 	c.commit(LaneIdle, domain.Transaction{
 		Puts: []domain.Put{{Key: codec.PrefixWindow + c.cfg.Node, Value: value}},
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -53,7 +53,7 @@
 		runTimeMS: booked.runTimeMS - booked.preemptible.runTimeMS,
 	}
 	for _, id := range m.queue {
-		if !c.queues.isIn(id, m) {
+		if !c.queues.isQueuedOn(id, m) {
 			continue
 		}
 		if j := c.cache.jobs[id.Job]; j != nil && j.Header.Spec != nil && !preemptible(j.Header.Spec) {
@@ -80,7 +80,7 @@
 	}
 	c.queues.meanLoad, c.queues.meanLoadTakenAt = 0, steady.At(c.now)
 	if machines > 0 {
-		c.queues.meanLoad = (sum + c.queues.poolRunTime) / float64(machines)
+		c.queues.meanLoad = (sum + c.queues.pendingRunTime) / float64(machines)
 	}
 	return c.queues.meanLoad
 }
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -104,7 +104,7 @@
 		if machineType == nil || !allowsMachine(spec, m.machineType, m.zone, m.spot) || c.isReserved(m.name) {
 			continue
 		}
-		free := roomBeside(c.cache.freeOn(m.name, machineType.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(spec))
+		free := roomWithPreemption(c.cache.freeOn(m.name, machineType.Capacity, nil), c.cache.occupancy[m.name].preemptible.used, preemptible(spec))
 		room[m.owner] += free.CountFitting(spec.Request, int64(spec.TaskCount))
 		slots[m.owner] += machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
 	}
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -19,7 +19,7 @@
 	machines := c.placementMachines()
 	run := c.newPlacing(machines)
 	jobs := c.jobsByUrgency()
-	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].scarce) {
+	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].roomIsScarce) {
 		for _, j := range jobs {
 			if round.includes(j) && c.planner.jobHandovers[j.ID] == "" {
 				run.placeJob(j, round)
@@ -41,7 +41,7 @@
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
 		for _, m := range c.heartbeats.machines {
-			c.queues.trim(m)
+			c.queues.dropStaleEntries(m)
 		}
 	} else if !c.planner.dirty {
 		return false
@@ -109,9 +109,9 @@
 	for i, m := range machines {
 		run.targets[i] = c.newTarget(m)
 	}
-	c.setScarce(run.targets)
+	c.setRoomScarcity(run.targets)
 	run.largeFleet = c.isLargeFleet()
-	c.queues.poolRunTime = 0
+	c.queues.pendingRunTime = 0
 	run.teams = c.newTeamRoom()
 	return run
 }
@@ -120,7 +120,7 @@
 func (p *placing) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Node
-	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.passJob(j) {
+	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.drawShardOfJob(j) {
 		return
 	}
 	full := false
@@ -158,14 +158,14 @@
 		return true
 	}
 	if !round.cached {
-		p.c.noteWait(j, WaitsForMachine, p.teams.claims, p.teams.used[j.Header.Spec.Team])
+		p.c.recordWaitReason(j, WaitsForMachine, p.teams.claims, p.teams.used[j.Header.Spec.Team])
 	}
 	return false
 }
 
 // mayQueueMore tells whether one more task of the job may wait in a queue here.
 func (j *Job) mayQueueMore() bool {
-	return j.queuedHere < tuning.QueuedPerJob && !(j.isDoubtful() && j.counts.booked+j.queuedHere > 0)
+	return j.queuedHere < tuning.QueuedPerJob && !(j.hasOnlyFailures() && j.counts.booked+j.queuedHere > 0)
 }
 
 // isUnplaced tells whether a task waits in this shard and in no queue yet. A task without a
@@ -195,7 +195,7 @@
 		tasks = j.counts.queued - j.queuedHere
 	}
 	slots := max(machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots), 1)
-	p.c.queues.poolRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
+	p.c.queues.pendingRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
 }
 
 // anyFittingType is the first machine type that can run tasks of the job; nil: none.
@@ -214,7 +214,7 @@
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
 	// A task is handed over once at most, so that it can't wander.
-	if j.task(id.Index).Shard == "" && !c.queues.tasksStaying[id] && !p.largeFleet {
+	if j.task(id.Index).Shard == "" && !c.queues.tasksDrawnToStay[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
 		}
@@ -227,7 +227,7 @@
 	chosen := offers[k]
 	switch {
 	case chosen.Name == c.cfg.Node:
-		c.queues.tasksStaying[id] = true
+		c.queues.tasksDrawnToStay[id] = true
 		return false
 	case chosen.Ref == noTarget:
 		c.planner.taskHandovers[id] = chosen.Name
@@ -296,7 +296,7 @@
 		m := c.heartbeats.machines[name]
 		for _, id := range m.queue {
 			j := c.cache.jobs[id.Job]
-			if !c.queues.isIn(id, m) || j == nil || j.Header.Spec == nil {
+			if !c.queues.isQueuedOn(id, m) || j == nil || j.Header.Spec == nil {
 				continue
 			}
 			if !room.allows(j) {
@@ -318,7 +318,7 @@
 	used := r.used[spec.Team]
 	verdict := r.claims[spec.Team].judge(spec, used, r.c.cfg.Teams[spec.Team].Limit)
 	if verdict != quota.Admitted {
-		r.c.noteWait(j, waitReasons[verdict], r.claims, used)
+		r.c.recordWaitReason(j, reasonsByVerdict[verdict], r.claims, used)
 	}
 	return verdict == quota.Admitted
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -203,4 +203,4 @@
 }
 
 // planShares writes teams' shares of limits that no longer match what is used.
-func (c *Controller) planShares(d *draft) { d.settleShares() }
+func (c *Controller) planShares(d *draft) { d.adjustShares() }
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -86,10 +86,10 @@
 			continue // waits for its team without blocking others
 		}
 		if !free.Fits(spec.Request) {
-			c.noteWait(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
+			c.recordWaitReason(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
 			return bookingCandidate{}, false // first come, first served
 		}
-		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isOwed(spec)}, true
+		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isWithinGuarantee(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -29,7 +29,7 @@
 		}
 		d.handOverJob(j, to)
 		d.onCommit = append(d.onCommit, func() {
-			c.learner.passes += j.Header.TaskCount
+			c.learner.handovers += j.Header.TaskCount
 			c.debug("job handed over", "job", id, "to", to)
 		})
 	}
@@ -39,7 +39,7 @@
 // canHandOverJob tells whether a job may still go to another shard with all its tasks: nothing
 // happened to it since that was decided, and its new controller still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
-	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
+	return j != nil && j.Header.State == domain.StateOpen && isUnstarted(j) && j.queuedHere == 0 &&
 		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Node
 }
 
@@ -58,7 +58,7 @@
 		d.handOver(j, id.Index, to)
 		c.dequeue(id)
 		d.onCommit = append(d.onCommit, func() {
-			c.learner.passes++
+			c.learner.handovers++
 			c.debug("task handed over", "task", id, "to", to)
 		})
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -13,9 +13,9 @@
 	return spec.Priority == tuning.PriorityIdle && spec.Shape == domain.Array
 }
 
-// roomBeside is the room that a task can have on a machine: what is free and, unless the task
+// roomWithPreemption is the room that a task can have on a machine: what is free and, unless the task
 // is preemptible itself, what preemptible tasks hold.
-func roomBeside(free, heldByPreemptible domain.Resources, isPreemptible bool) domain.Resources {
+func roomWithPreemption(free, heldByPreemptible domain.Resources, isPreemptible bool) domain.Resources {
 	if isPreemptible {
 		return free
 	}
@@ -79,7 +79,7 @@
 // to the first that would have to wait for others than preemptible ones.
 func (c *Controller) missingRoomOn(m *Machine) domain.Resources {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
-	room := roomBeside(free, c.cache.occupancy[m.Name].preemptible.used, false)
+	room := roomWithPreemption(free, c.cache.occupancy[m.Name].preemptible.used, false)
 	var needed domain.Resources
 	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -13,44 +13,44 @@
 // task is in it still, so that taking one out needs no search. Entries that left are trimmed
 // now and then.
 type queues struct {
-	machineOf       map[domain.TaskID]string // the machine in whose queue a task is
-	tasksStaying    map[domain.TaskID]bool   // drew to wait in this shard
-	jobsStaying     map[string]bool          // drew to stay in this shard
-	lastDrawAt      time.Duration
-	lastStealAt     time.Duration
-	nextPlacement   steady.Gate
-	poolRunTime     float64                   // run time of the unplaced tasks, s
-	runTimeRatios   map[string]*smoothedValue // run time by estimate, by class
-	meanLoad        float64                   // of this controller's machines, s
-	meanLoadTakenAt steady.Instant
+	machineOf        map[domain.TaskID]string // the machine in whose queue a task is
+	tasksDrawnToStay map[domain.TaskID]bool   // drew to wait in this shard
+	jobsDrawn        map[string]bool          // drew to stay in this shard
+	lastDrawAt       time.Duration
+	lastStealAt      time.Duration
+	nextPlacement    steady.Gate
+	pendingRunTime   float64                   // run time of the unplaced tasks, s
+	runTimeRatios    map[string]*smoothedValue // run time by estimate, by class
+	meanLoad         float64                   // of this controller's machines, s
+	meanLoadTakenAt  steady.Instant
 }
 
 func newQueues() queues {
 	return queues{
-		machineOf: map[domain.TaskID]string{}, tasksStaying: map[domain.TaskID]bool{}, jobsStaying: map[string]bool{},
+		machineOf: map[domain.TaskID]string{}, tasksDrawnToStay: map[domain.TaskID]bool{}, jobsDrawn: map[string]bool{},
 		runTimeRatios: map[string]*smoothedValue{},
 	}
 }
 
-// isIn tells whether a task that a machine's queue lists is in it still.
-func (q *queues) isIn(id domain.TaskID, m *Machine) bool { return q.machineOf[id] == m.Name }
+// isQueuedOn tells whether a task that a machine's queue lists is in it still.
+func (q *queues) isQueuedOn(id domain.TaskID, m *Machine) bool { return q.machineOf[id] == m.Name }
 
 // length is the number of tasks in a machine's queue.
 func (q *queues) length(m *Machine) int {
 	n := 0
 	for _, id := range m.queue {
-		if q.isIn(id, m) {
+		if q.isQueuedOn(id, m) {
 			n++
 		}
 	}
 	return n
 }
 
-// trim drops the entries of a machine's queue that left it.
-func (q *queues) trim(m *Machine) {
+// dropStaleEntries drops the entries of a machine's queue that left it.
+func (q *queues) dropStaleEntries(m *Machine) {
 	kept := m.queue[:0]
 	for _, id := range m.queue {
-		if q.isIn(id, m) {
+		if q.isQueuedOn(id, m) {
 			kept = append(kept, id)
 		}
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, id := range m.queue {
-		if c.queues.isIn(id, m) {
+		if c.queues.isQueuedOn(id, m) {
 			c.dequeue(id)
 		}
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -51,9 +51,9 @@
 // teamUsed is what counts against a team's limit, with the bookings of the draft.
 func (d *draft) teamUsed(team string) domain.Resources { return d.c.teamUsed(team, d) }
 
-// isOwed tells whether one more task of a job is within its team's guarantee: such heads of
+// isWithinGuarantee tells whether one more task of a job is within its team's guarantee: such heads of
 // queues go first, whatever their priority.
-func (d *draft) isOwed(spec *domain.JobSpec) bool {
+func (d *draft) isWithinGuarantee(spec *domain.JobSpec) bool {
 	guarantee := d.c.cfg.Teams[spec.Team].Guarantee
 	if guarantee == (domain.Resources{}) {
 		return false
@@ -69,8 +69,8 @@
 		spec, placed := j.Header.Spec, placementOf(j, d)
 		claim := claims[spec.Team]
 		if placedByLeader(spec) {
-			c.addPlacedClaim(&claim, j, placed)
-		} else if !c.addSmallClaim(&claim, j, placed) {
+			c.addLeaderPlacedClaim(&claim, j, placed)
+		} else if !c.addTaskClaim(&claim, j, placed) {
 			continue
 		}
 		claims[spec.Team] = claim
@@ -78,9 +78,9 @@
 	return claims
 }
 
-// addSmallClaim adds to a team's claim what a job does whose tasks are placed one by one. It tells
+// addTaskClaim adds to a team's claim what a job does whose tasks are placed one by one. It tells
 // whether that is anything; of nearly all jobs it is not.
-func (c *Controller) addSmallClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
+func (c *Controller) addTaskClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
 	age := j.age(c.now)
 	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
 		if claim.LongWaiting == nil {
@@ -97,8 +97,8 @@
 	return added
 }
 
-// addPlacedClaim adds to a team's claim what a job does that the leader places.
-func (c *Controller) addPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
+// addLeaderPlacedClaim adds to a team's claim what a job does that the leader places.
+func (c *Controller) addLeaderPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
 		claim.GangStarves = claim.GangStarves || j.blocksOthers(c.now)
@@ -120,14 +120,14 @@
 	}
 	spec := j.Header.Spec
 	limit, used := c.cfg.Teams[spec.Team].Limit, d.teamUsed(spec.Team)
-	if quota.Within(used.Plus(spec.Request, 1), limit) && c.avoidsShare(spec.Team) && !d.ownShareFits(spec) {
+	if quota.Within(used.Plus(spec.Request, 1), limit) && c.avoidsShareChange(spec.Team) && !d.ownShareFits(spec) {
 		c.planner.dirty = true
-		c.noteWait(j, WaitsForShare, claims, used)
+		c.recordWaitReason(j, WaitsForShare, claims, used)
 		return false
 	}
 	verdict := claims[spec.Team].judge(spec, used, limit)
 	if verdict != quota.Admitted {
-		c.noteWait(j, waitReasons[verdict], claims, used)
+		c.recordWaitReason(j, reasonsByVerdict[verdict], claims, used)
 	}
 	return verdict == quota.Admitted
 }
@@ -149,9 +149,9 @@
 	return c.cache.shares[team].ByNode[c.cfg.Node]
 }
 
-// avoidsShare tells whether a team's key lost a conflict just now, and is only changed for
+// avoidsShareChange tells whether a team's key lost a conflict just now, and is only changed for
 // what can't do without.
-func (c *Controller) avoidsShare(team string) bool {
+func (c *Controller) avoidsShareChange(team string) bool {
 	return c.commits.avoids(codec.PrefixTeam+team, c.now)
 }
 
@@ -165,9 +165,9 @@
 	return quota.Slack(limit, left, request, len(c.cfg.Nodes))
 }
 
-// settleShare writes the team's key if this controller's bookings no longer fit its share, or
+// adjustShare writes the team's key if this controller's bookings no longer fit its share, or
 // leave much of it unused. The request is that of the task which was booked or released.
-func (d *draft) settleShare(team string, request domain.Resources) {
+func (d *draft) adjustShare(team string, request domain.Resources) {
 	c := d.c
 	if _, ok := d.shares[team]; ok && request == (domain.Resources{}) {
 		return
@@ -177,8 +177,8 @@
 	have := c.ownShare(team)
 	slack := c.shareSlack(team, request)
 	fits := have.Fits(use)
-	if fits && (c.avoidsShare(team) || use.Plus(slack, 2).Fits(have)) {
-		d.keepShare(team)
+	if fits && (c.avoidsShareChange(team) || use.Plus(slack, 2).Fits(have)) {
+		d.dropShareChange(team)
 		return
 	}
 	want := use.Plus(slack, 1)
@@ -194,9 +194,9 @@
 	d.addCondition(codec.PrefixTeam + team)
 }
 
-// keepShare drops a change of a team's key, or writes the key as it is if a commit of unknown
+// dropShareChange drops a change of a team's key, or writes the key as it is if a commit of unknown
 // outcome changes it, too: the two must exclude each other.
-func (d *draft) keepShare(team string) {
+func (d *draft) dropShareChange(team string) {
 	if d.c.commits.inDoubt.key != codec.PrefixTeam+team {
 		delete(d.shares, team)
 		return
@@ -213,26 +213,26 @@
 // oneGPU is what a task of one GPU asks for.
 var oneGPU = domain.Resources{GPU: 1000}
 
-// settleShares gives back what others' releases left unused of this controller's shares,
+// adjustShares gives back what others' releases left unused of this controller's shares,
 // and, as the leader, of those of controllers that are not members.
-func (d *draft) settleShares() {
+func (d *draft) adjustShares() {
 	c := d.c
 	for _, team := range slices.Sorted(maps.Keys(c.cache.shares)) {
 		if d.changes() >= c.cfg.TransactionLimit || !d.takesConditions(4) {
 			return
 		}
 		if _, ok := d.shares[team]; !ok {
-			d.settleShare(team, oneGPU)
+			d.adjustShare(team, oneGPU)
 		}
 		if c.isLeader() && d.changes() < c.cfg.TransactionLimit {
-			d.settleAbsentShares(team)
+			d.adjustSharesOfNonMembers(team)
 		}
 	}
 }
 
-// settleAbsentShares lowers the shares of controllers that are not members to what is
+// adjustSharesOfNonMembers lowers the shares of controllers that are not members to what is
 // still booked by them.
-func (d *draft) settleAbsentShares(team string) {
+func (d *draft) adjustSharesOfNonMembers(team string) {
 	c := d.c
 	for controller, share := range c.cache.shares[team].ByNode {
 		use := quota.Bounded(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -41,7 +41,7 @@
 		}
 		demand := c.classDemand(known.spec, pending)
 		candidates := c.reservationCandidates(known.spec, machines, before)
-		idle := scaling.keepAfterGang(candidates, c.now)
+		idle := scaling.reserveAfterGang(candidates, c.now)
 		scaling.reserve(demand, candidates, idle)
 	}
 }
@@ -109,9 +109,9 @@
 	return candidate, true
 }
 
-// keepAfterGang reserves the idle candidates where a job that needs whole machines ran lately:
+// reserveAfterGang reserves the idle candidates where a job that needs whole machines ran lately:
 // they have the image, and the next such job is likely soon. It returns how many these are.
-func (s *scaling) keepAfterGang(candidates []reservationCandidate, now time.Duration) int {
+func (s *scaling) reserveAfterGang(candidates []reservationCandidate, now time.Duration) int {
 	kept := 0
 	for i := range candidates {
 		m := candidates[i].machine
@@ -159,9 +159,9 @@
 
 // shardWork is waiting work of a shard that machines may have to end their rest for.
 type shardWork struct {
-	spec  *domain.JobSpec
-	shard string // "": any, where the fleet isn't large
-	left  int64  // tasks not yet placed
+	spec     *domain.JobSpec
+	shard    string // "": any, where the fleet isn't large
+	unplaced int64  // tasks not yet placed
 }
 
 // planResting lets the dearest machines run empty while the cheaper ones have room for all
@@ -306,20 +306,20 @@
 		if placedByLeader(work.spec) || work.job == nil {
 			continue
 		}
-		unplaced := shardWork{spec: work.spec, left: int64(work.tasks)}
+		unplaced := shardWork{spec: work.spec, unplaced: int64(work.tasks)}
 		if isLarge {
 			unplaced.shard = c.cache.shardOf(work.job)
 		}
-		c.packAmong(candidates, &unplaced, false)
-		c.packAmong(candidates, &unplaced, true)
+		c.placeOnCandidates(candidates, &unplaced, false)
+		c.placeOnCandidates(candidates, &unplaced, true)
 	}
 }
 
-// packAmong places work on the candidates that rest, or on those that don't, and ends the rest
+// placeOnCandidates places work on the candidates that rest, or on those that don't, and ends the rest
 // of those that it uses.
-func (c *Controller) packAmong(candidates []restCandidate, unplaced *shardWork, resting bool) {
+func (c *Controller) placeOnCandidates(candidates []restCandidate, unplaced *shardWork, resting bool) {
 	for i := range candidates {
-		if unplaced.left == 0 {
+		if unplaced.unplaced == 0 {
 			return
 		}
 		candidate := &candidates[i]
@@ -327,12 +327,12 @@
 		if c.scaling.resting[m.Name] != resting || candidate.shard != unplaced.shard || !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		placed := candidate.free.CountFitting(unplaced.spec.Request, unplaced.left)
+		placed := candidate.free.CountFitting(unplaced.spec.Request, unplaced.unplaced)
 		if placed > 0 && resting {
 			delete(c.scaling.resting, m.Name)
 		}
 		candidate.free = candidate.free.Plus(unplaced.spec.Request, -placed)
-		unplaced.left -= placed
+		unplaced.unplaced -= placed
 	}
 }
 
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -226,7 +226,7 @@
 		if !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
 			continue
 		}
-		placed := unplaced.fitting(roomBeside(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
+		placed := unplaced.fitting(roomWithPreemption(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
 		slot.free = slot.free.Plus(unplaced.spec.Request, -placed)
 		unplaced.take(m.Zone, placed)
 	}
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -38,7 +38,7 @@
 
 	// Waiting counts the waiting tasks that this controller places, as of the last second.
 	// It is not changed later.
-	Waiting map[WaitingTasks]int
+	Waiting map[WaitingTasksKey]int
 }
 
 // Status returns the controller's status as of the last step.
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -21,20 +21,20 @@
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
-// isUntouched tells whether nothing of the job was booked or handed over yet.
-func isUntouched(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
+// isUnstarted tells whether nothing of the job was booked or handed over yet.
+func isUnstarted(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
-// isSettling tells whether the job's shard was chosen for its room a moment ago, so that the job
+// isRecentlyAssigned tells whether the job's shard was chosen for its room a moment ago, so that the job
 // first gets a chance there.
-func (c *Controller) isSettling(j *Job) bool {
+func (c *Controller) isRecentlyAssigned(j *Job) bool {
 	return c.now-time.Duration(j.readyAt) < tuning.StealAfter
 }
 
-// passJob draws once whether a job of which nothing could start here stays in
+// drawShardOfJob draws once whether a job of which nothing could start here stays in
 // this shard or goes to another, each at its mean load; true: it goes.
-func (p *placing) passJob(j *Job) bool {
+func (p *placing) drawShardOfJob(j *Job) bool {
 	c, spec := p.c, j.Header.Spec
-	if !isUntouched(j) || j.Header.Handovers > 0 || c.queues.jobsStaying[j.ID] || j.queuedHere > 0 || c.isSettling(j) {
+	if !isUnstarted(j) || j.Header.Handovers > 0 || c.queues.jobsDrawn[j.ID] || j.queuedHere > 0 || c.isRecentlyAssigned(j) {
 		return false
 	}
 	var offers []policy.Choice
@@ -46,7 +46,7 @@
 	if k < 0 {
 		return false
 	}
-	c.queues.jobsStaying[j.ID] = true
+	c.queues.jobsDrawn[j.ID] = true
 	to := offers[k].Name
 	if to == c.cfg.Node {
 		return false
@@ -121,7 +121,7 @@
 // stealLocal moves waiting tasks from the queues of this shard's machines to those that have
 // room and an empty queue.
 func (c *Controller) stealLocal(machines []*Machine) {
-	from := c.machinesBehind(machines)
+	from := c.backloggedMachines(machines)
 	if len(from) == 0 {
 		return
 	}
@@ -135,12 +135,12 @@
 	}
 }
 
-// machinesBehind are machines in whose queues some task has to wait for the end of others,
+// backloggedMachines are machines in whose queues some task has to wait for the end of others,
 // at most a draw's worth of them.
-func (c *Controller) machinesBehind(machines []*Machine) []*Machine {
+func (c *Controller) backloggedMachines(machines []*Machine) []*Machine {
 	var behind []*Machine
 	for _, m := range machines {
-		if c.isBehind(m) {
+		if c.isBacklogged(m) {
 			behind = append(behind, m)
 		}
 		if len(behind) >= tuning.MaxDrawTargets {
@@ -150,11 +150,11 @@
 	return behind
 }
 
-// isBehind tells whether the tasks in a machine's queue need more than what is free there.
-func (c *Controller) isBehind(m *Machine) bool {
+// isBacklogged tells whether the tasks in a machine's queue need more than what is free there.
+func (c *Controller) isBacklogged(m *Machine) bool {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	for _, id := range m.queue {
-		if !c.queues.isIn(id, m) {
+		if !c.queues.isQueuedOn(id, m) {
 			continue
 		}
 		free = free.Plus(c.cache.jobs[id.Job].Header.Spec.Request, -1)
@@ -195,7 +195,7 @@
 func (c *Controller) firstToSteal(from, to *Machine, freeThere domain.Resources) (domain.TaskID, bool) {
 	free := c.cache.freeOn(from.Name, c.cache.machineType(from.Type).Capacity, nil)
 	for _, id := range from.queue {
-		if !c.queues.isIn(id, from) {
+		if !c.queues.isQueuedOn(id, from) {
 			continue
 		}
 		spec := c.cache.jobs[id.Job].Header.Spec
@@ -210,9 +210,9 @@
 	return domain.TaskID{}, false
 }
 
-// mayBegin tells whether one more task of a job fits its team's limit as it is used
+// fitsQuota tells whether one more task of a job fits its team's limit as it is used
 // now, beside what others claim of it.
-func (c *Controller) mayBegin(spec *domain.JobSpec, claims map[string]quotaClaim) bool {
+func (c *Controller) fitsQuota(spec *domain.JobSpec, claims map[string]quotaClaim) bool {
 	limit, used := c.cfg.Teams[spec.Team].Limit, c.teamUsed(spec.Team, nil)
 	return claims[spec.Team].admits(spec, used, limit)
 }
@@ -225,7 +225,7 @@
 
 // stealRemote asks other shards for tasks that fit machines with idle room.
 func (c *Controller) stealRemote(machines []*Machine) {
-	work := c.stealableElsewhere()
+	work := c.stealableInOtherShards()
 	if len(work) == 0 {
 		return
 	}
@@ -259,15 +259,15 @@
 	}
 }
 
-// stealableElsewhere is work that waits in other shards and could begin, by job.
-func (c *Controller) stealableElsewhere() []stealableWork {
+// stealableInOtherShards is work that waits in other shards and could begin, by job.
+func (c *Controller) stealableInOtherShards() []stealableWork {
 	var work []stealableWork
 	large, claims := c.isLargeFleet(), c.claims(nil)
 	for _, j := range c.cache.openJobs {
-		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || !c.mayBegin(j.Header.Spec, claims) {
+		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || !c.fitsQuota(j.Header.Spec, claims) {
 			continue
 		}
-		if large && (!isUntouched(j) || c.isSettling(j)) {
+		if large && (!isUnstarted(j) || c.isRecentlyAssigned(j)) {
 			continue
 		}
 		if shards := c.otherShardsOf(j); len(shards) > 0 {
@@ -311,14 +311,14 @@
 	return offers
 }
 
-// stealAnswer is what is given to a peer that asked for work.
-type stealAnswer struct {
-	c       *Controller
-	to      string // the peer
-	request *StealRequest
-	room    domain.Resources // left of what it asked for
-	given   int              // tasks
-	claims  map[string]quotaClaim
+// stealResponse is what is given to a peer that asked for work.
+type stealResponse struct {
+	c         *Controller
+	to        string // the peer
+	request   *StealRequest
+	room      domain.Resources // left of what it asked for
+	taskCount int              // tasks
+	claims    map[string]quotaClaim
 }
 
 // onSteal takes tasks off the queues and lets the next commit hand them over.
@@ -326,68 +326,68 @@
 	if !c.mayAct() || !slices.Contains(c.cache.view.Serving, from) {
 		return
 	}
-	answer := &stealAnswer{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
+	answer := &stealResponse{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
 	if c.isLargeFleet() {
-		answer.giveJobs()
+		answer.handOverJobs()
 		return
 	}
 	// Unplaced ones first, then those that can't start where they queue.
-	answer.giveUnplaced()
-	answer.giveQueued()
+	answer.handOverUnplaced()
+	answer.handOverQueued()
 }
 
 // allows tells whether the peer's machine may run tasks of a job.
-func (s *stealAnswer) allows(spec *domain.JobSpec) bool {
+func (s *stealResponse) allows(spec *domain.JobSpec) bool {
 	return allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
 }
 
-// giveJobs gives whole jobs of which the peer has room for at least half.
-func (s *stealAnswer) giveJobs() {
+// handOverJobs gives whole jobs of which the peer has room for at least half.
+func (s *stealResponse) handOverJobs() {
 	c := s.c
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
-		if !s.mayGiveJob(j) {
+		if !s.mayHandOverJob(j) {
 			continue
 		}
 		fitting := s.room.CountFitting(spec.Request, int64(spec.TaskCount))
-		if 2*fitting < int64(spec.TaskCount) || s.given >= s.request.MaxTasks {
+		if 2*fitting < int64(spec.TaskCount) || s.taskCount >= s.request.MaxTasks {
 			continue
 		}
 		c.planner.jobHandovers[j.ID] = s.to
 		c.planner.dirty = true
 		s.room = s.room.Plus(spec.Request, -fitting)
-		s.given += spec.TaskCount
+		s.taskCount += spec.TaskCount
 	}
 }
 
-// mayGiveJob tells whether a job may go to the peer as a whole: it is of this shard, nothing
+// mayHandOverJob tells whether a job may go to the peer as a whole: it is of this shard, nothing
 // of it is queued, and it hasn't wandered far.
-func (s *stealAnswer) mayGiveJob(j *Job) bool {
+func (s *stealResponse) mayHandOverJob(j *Job) bool {
 	c, spec := s.c, j.Header.Spec
-	if placedByLeader(spec) || !isUntouched(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
+	if placedByLeader(spec) || !isUnstarted(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
 		return false
 	}
 	return c.cache.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
 }
 
-// giveUnplaced gives tasks that are in no queue yet.
-func (s *stealAnswer) giveUnplaced() {
+// handOverUnplaced gives tasks that are in no queue yet.
+func (s *stealResponse) handOverUnplaced() {
 	c := s.c
 	for _, j := range c.cache.openJobs {
-		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || j.queuedHere >= j.counts.queued || s.given >= s.request.MaxTasks {
+		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || j.queuedHere >= j.counts.queued || s.taskCount >= s.request.MaxTasks {
 			continue
 		}
 		for i := 0; i < j.Header.TaskCount; i++ {
 			id := domain.TaskID{Job: j.ID, Index: i}
 			if task := j.task(i); task.State == domain.Queued && c.queues.machineOf[id] == "" && c.cache.taskShard(j, task) == c.cfg.Node {
-				s.give(id)
+				s.handOverTask(id)
 			}
 		}
 	}
 }
 
-// giveQueued gives tasks that can't start at once on the machine in whose queue they are.
-func (s *stealAnswer) giveQueued() {
+// handOverQueued gives tasks that can't start at once on the machine in whose queue they are.
+func (s *stealResponse) handOverQueued() {
 	c := s.c
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
@@ -397,32 +397,32 @@
 		}
 		free := c.cache.freeOn(name, machineType.Capacity, nil)
 		for _, id := range m.queue {
-			if !c.queues.isIn(id, m) {
+			if !c.queues.isQueuedOn(id, m) {
 				continue
 			}
 			if spec := c.cache.jobs[id.Job].Header.Spec; free.Fits(spec.Request) {
 				free = free.Plus(spec.Request, -1)
 				continue
 			}
-			s.give(id)
+			s.handOverTask(id)
 		}
 	}
 }
 
-// give hands one task over, if the peer may have it, it still waits and there is room. What
+// handOverTask hands one task over, if the peer may have it, it still waits and there is room. What
 // its team's limit or a claim on it keeps from starting would only fill the room that
 // another task could use.
-func (s *stealAnswer) give(id domain.TaskID) {
+func (s *stealResponse) handOverTask(id domain.TaskID) {
 	c, j := s.c, s.c.cache.jobs[id.Job]
-	if j == nil || s.given >= s.request.MaxTasks || c.planner.taskHandovers[id] != "" || !c.isWaiting(j, id.Index) {
+	if j == nil || s.taskCount >= s.request.MaxTasks || c.planner.taskHandovers[id] != "" || !c.isWaiting(j, id.Index) {
 		return
 	}
 	spec := j.Header.Spec
-	if !s.room.Fits(spec.Request) || !s.allows(spec) || !c.mayBegin(spec, s.claims) {
+	if !s.room.Fits(spec.Request) || !s.allows(spec) || !c.fitsQuota(spec, s.claims) {
 		return
 	}
 	s.room = s.room.Plus(spec.Request, -1)
-	s.given++
+	s.taskCount++
 	c.planner.taskHandovers[id] = s.to
 	c.planner.dirty = true
 }
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -9,8 +9,8 @@
 	"brassglade/internal/domain"
 )
 
-// stealing is an acting controller with a peer and idle machines of its own.
-func stealing(t *testing.T, machines int) *Controller {
+// newStealController is an acting controller with a peer and idle machines of its own.
+func newStealController(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := acting()
 	c.cfg.Nodes = []string{"c-0", "c-1"}
@@ -24,9 +24,9 @@
 	return c
 }
 
-// TestStealAnswer: a peer that asks gets what it has room for, unplaced tasks first, then
+// TestStealResponse: a peer that asks gets what it has room for, unplaced tasks first, then
 // those that would wait in the queue of their machine, and never those that start at once.
-func TestStealAnswer(t *testing.T) {
+func TestStealResponse(t *testing.T) {
 	id := func(job, index int) domain.TaskID { return domain.TaskID{Job: jobName(job), Index: index} }
 	for _, test := range []struct {
 		name    string
@@ -59,7 +59,7 @@
 			want:    []domain.TaskID{id(1, 2)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := stealing(t, 1)
+			c := newStealController(t, 1)
 			m := c.heartbeats.machines["n-000000"]
 			c.apply(openJob(t, 1, 3, 1, 6000)) // in the queue: two start at once, one has to wait
 			c.apply(openJob(t, 2, 2, 1, 1000)) // in no queue
@@ -104,7 +104,7 @@
 		{name: "on its way already", tasks: 5, change: func(c *Controller, j *Job) { c.planner.jobHandovers[j.ID] = "elsewhere" }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := stealing(t, 1)
+			c := newStealController(t, 1)
 			c.peers.byName["c-1"] = &peerState{heardAt: c.now, machines: make([]PeerMachine, 1500), fits: map[fitKey]bool{}}
 			c.apply(openJob(t, 1, test.tasks, 1, 1000))
 			j := c.cache.jobs[jobName(1)]
@@ -125,7 +125,7 @@
 // TestStealLocal: an idle machine takes tasks that have to wait in another queue, and leaves
 // those that start there at once.
 func TestStealLocal(t *testing.T) {
-	c := stealing(t, 2)
+	c := newStealController(t, 2)
 	behind, idle := c.heartbeats.machines["n-000000"], c.heartbeats.machines["n-000001"]
 	c.apply(openJob(t, 1, 4, 1, 8000))
 	for i := 0; i < 4; i++ {
@@ -140,7 +140,7 @@
 	if got := c.queues.length(behind); got != 2 {
 		t.Errorf("%d tasks are left", got)
 	}
-	c.queues.trim(behind)
+	c.queues.dropStaleEntries(behind)
 	if len(behind.queue) != 2 || len(idle.queue) != 2 {
 		t.Errorf("queues of %d and %d entries", len(behind.queue), len(idle.queue))
 	}
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -18,7 +18,7 @@
 	preemptible   domain.Resources // held by tasks that may be stopped for all others
 	queued        int64            // tasks in the machine's queue
 	pendingImages []string         // images on their way or about to be
-	scarce        bool             // more waits than there is room for
+	roomIsScarce  bool             // more waits than there is room for
 }
 
 // noTarget is the Ref of choices that are no machine, or that the mask took out.
@@ -44,9 +44,9 @@
 	return ok
 }
 
-// setScarce compares what waits in this shard with its room, in the amount that
+// setRoomScarcity compares what waits in this shard with its room, in the amount that
 // its machines have least of.
-func (c *Controller) setScarce(targets []target) {
+func (c *Controller) setRoomScarcity(targets []target) {
 	var want, room domain.Resources
 	for _, j := range c.cache.openJobs {
 		if j.counts.queued > 0 && !placedByLeader(j.Header.Spec) && c.cache.shardOf(j) == c.cfg.Node {
@@ -58,7 +58,7 @@
 	}
 	scarce := 2*want.CPU > room.CPU || 2*want.GPU > room.GPU || 2*want.Memory > room.Memory
 	for i := range targets {
-		targets[i].scarce = scarce
+		targets[i].roomIsScarce = scarce
 	}
 }
 
@@ -76,7 +76,7 @@
 
 // roomFor is the room that tasks of a kind can have on the machine.
 func (t *target) roomFor(kind taskKind) domain.Resources {
-	return roomBeside(t.free, t.preemptible, kind.preemptible)
+	return roomWithPreemption(t.free, t.preemptible, kind.preemptible)
 }
 
 // isFull tells whether the queue takes no more tasks of a kind. Queues are small; what can't
@@ -91,9 +91,9 @@
 	return t.queued >= t.roomFor(kind).CountFitting(kind.request, tuning.MaxCountedSlots)+depth
 }
 
-// roomyTargets are the targets whose queues still take a task of a kind. Where every
+// targetsWithRoom are the targets whose queues still take a task of a kind. Where every
 // slot is wanted these are few, while hundreds of jobs ask for them in one plan.
-func (p *placing) roomyTargets(kind taskKind) []int {
+func (p *placing) targetsWithRoom(kind taskKind) []int {
 	indices, known := p.roomy[kind]
 	if !known {
 		for i := range p.targets {
@@ -116,7 +116,7 @@
 // Cached: only those that have its image, or will have it.
 func (p *placing) choices(j *Job, cached bool) []policy.Choice {
 	c, spec := p.c, j.Header.Spec
-	roomy := p.roomyTargets(c.kindOf(j))
+	roomy := p.targetsWithRoom(c.kindOf(j))
 	cheapest := c.leastPrice(spec)
 	choices := []policy.Choice{}
 	c.Work.Targets += len(roomy)
@@ -171,7 +171,7 @@
 	if room <= 0 || slots == 0 {
 		return 0
 	}
-	if t.scarce {
+	if t.roomIsScarce {
 		return 0 // no machine will stay empty, and crowding slows its fetches
 	}
 	price := t.machineType.Price
@@ -216,7 +216,7 @@
 		add(id)
 	}
 	for _, id := range m.queue {
-		if c.queues.isIn(id, m) {
+		if c.queues.isQueuedOn(id, m) {
 			add(id)
 		}
 	}
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -29,7 +29,7 @@
 			j.pausedUntil = int64(c.now + min(tuning.ErrorPause<<min(j.failures, 10), tuning.MaxErrorPause))
 		}
 		if j.phase == phaseOpen && j.isPaused(c.now) {
-			c.noteWait(j, WaitsForPause, nil, c.teamUsed(spec.Team, nil))
+			c.recordWaitReason(j, WaitsForPause, nil, c.teamUsed(spec.Team, nil))
 		}
 		c.learner.recordFinish()
 	})
--- a/internal/scheduler/time_of_day.go
+++ b/internal/scheduler/time_of_day.go
@@ -6,7 +6,7 @@
 // restart, never for anything that a rule depends on.
 func (c *Controller) wallMS() int64 { return c.cfg.WallClockMS + c.now.Milliseconds() }
 
-// steadyTime turns a time of day, in ms, into this controller's steady time, in ns.
-func (c *Controller) steadyTime(wallMS int64) int64 {
+// monotonicTime turns a time of day, in ms, into this controller's steady time, in ns.
+func (c *Controller) monotonicTime(wallMS int64) int64 {
 	return int64(time.Duration(wallMS-c.cfg.WallClockMS) * time.Millisecond)
 }
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -10,12 +10,12 @@
 	"brassglade/internal/tuning"
 )
 
-// urgent is a job in the order of a shard's pool.
-type urgent struct {
+// rankedJob is a job in the order of a shard's pool.
+type rankedJob struct {
 	job             *Job
 	withinGuarantee bool          // its team is owed it, or it starves
-	goals           []float64     // s left until each aim, the first aim first
-	tier            int           // the aim it is put down for; len(goals): none
+	objectiveTimes  []float64     // s left until each aim, the first aim first
+	objective       int           // the aim it is put down for; len(goals): none
 	timing          tardiness.Job // its work for the whole fleet, and its tasks' run time from when they are queued
 }
 
@@ -23,12 +23,12 @@
 // what a team is owed first, then priority, then such that as many jobs as can be meet
 // their aims. It also notes which jobs are late beyond all aims.
 func (c *Controller) jobsByUrgency() []*Job {
-	order := c.urgentJobs()
-	assignTiers(order)
+	order := c.rankableJobs()
+	assignObjectives(order)
 	sort.SliceStable(order, func(a, b int) bool { return order[a].goesBefore(order[b]) })
 	jobs := make([]*Job, 0, len(order))
 	for _, u := range order {
-		u.job.beyondAims = len(u.goals) > 0 && u.tier >= len(u.goals)
+		u.job.beyondAims = len(u.objectiveTimes) > 0 && u.objective >= len(u.objectiveTimes)
 		if u.job.queuedHere < min(u.job.counts.queued, tuning.QueuedPerJob) {
 			jobs = append(jobs, u.job)
 		}
@@ -36,11 +36,11 @@
 	return jobs
 }
 
-// urgentJobs are the open jobs that shards place and that wait, in the order in which they
+// rankableJobs are the open jobs that shards place and that wait, in the order in which they
 // were accepted. Older jobs use up a team's guarantee before younger ones, whether they
 // wait or run.
-func (c *Controller) urgentJobs() []*urgent {
-	var jobs []*urgent
+func (c *Controller) rankableJobs() []*rankedJob {
+	var jobs []*rankedJob
 	accepted := map[string]domain.Resources{} // by team: what its jobs so far take, as a whole
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
@@ -54,10 +54,10 @@
 		// Moore and Hodgson's rule lets the jobs with the most work give way; none of them
 		// may do so for ever.
 		isOwed = c.isStarving(j, placementOf(j, nil)) || isOwed
-		jobs = append(jobs, &urgent{
+		jobs = append(jobs, &rankedJob{
 			job:             j,
 			withinGuarantee: isOwed,
-			goals:           c.goals(j),
+			objectiveTimes:  c.goals(j),
 			timing: tardiness.Job{
 				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
 				Run:  c.queues.runTime(spec) + tuning.StartLag,
@@ -95,9 +95,9 @@
 	return float64(max(total, 1))
 }
 
-// isDoubtful tells whether all attempts so far failed, several times over. Such a job runs one
+// hasOnlyFailures tells whether all attempts so far failed, several times over. Such a job runs one
 // task at a time, or a mistaken one would take machines and changes from all others.
-func (j *Job) isDoubtful() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
+func (j *Job) hasOnlyFailures() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
 
 // isStarving tells whether a job could have begun long ago, and has nothing to show for it. One
 // whose bookings came to nothing is no better off than one that never had any.
@@ -106,52 +106,54 @@
 }
 
 // goesBefore is the order of the pool.
-func (u *urgent) goesBefore(other *urgent) bool {
+func (u *rankedJob) goesBefore(other *rankedJob) bool {
 	switch {
 	case u.withinGuarantee != other.withinGuarantee:
 		return u.withinGuarantee
 	case u.job.priority != other.job.priority:
 		return u.job.priority > other.job.priority
-	case u.tier != other.tier:
-		return u.tier < other.tier
+	case u.objective != other.objective:
+		return u.objective < other.objective
 	}
-	return u.left() < other.left()
+	return u.timeLeft() < other.timeLeft()
 }
 
-// left is the time until the aim the job is put down for; beyond all aims the
+// timeLeft is the time until the aim the job is put down for; beyond all aims the
 // longest tasks go first, since they make the tail.
-func (u *urgent) left() float64 {
-	if u.tier < len(u.goals) {
-		return u.goals[u.tier]
+func (u *rankedJob) timeLeft() float64 {
+	if u.objective < len(u.objectiveTimes) {
+		return u.objectiveTimes[u.objective]
 	}
 	return -u.timing.Run
 }
 
-// assignTiers puts each job down for the first aim that it can meet beside the others, by
+// assignObjectives puts each job down for the first aim that it can meet beside the others, by
 // Moore and Hodgson's rule for each aim in turn: those that would be late for their first aims
 // try their second ones after all that meet their first.
-func assignTiers(jobs []*urgent) {
+func assignObjectives(jobs []*rankedJob) {
 	tiers := 0
 	for _, u := range jobs {
-		tiers = max(tiers, len(u.goals))
+		tiers = max(tiers, len(u.objectiveTimes))
 	}
 	begin := 0.0
 	for tier := 0; tier < tiers; tier++ {
 		var candidates []*tardiness.Job
 		for _, u := range jobs {
-			if u.isDownFor(tier) {
-				u.timing.Left = u.goals[tier]
+			if u.isAssignedTo(tier) {
+				u.timing.Left = u.objectiveTimes[tier]
 				candidates = append(candidates, &u.timing)
 			}
 		}
 		begin = tardiness.FewestLate(candidates, begin)
 		for _, u := range jobs {
-			if u.isDownFor(tier) && u.timing.Late {
-				u.tier++
+			if u.isAssignedTo(tier) && u.timing.Late {
+				u.objective++
 			}
 		}
 	}
 }
 
-// isDownFor tells whether the job is put down for an aim, counted from 0.
-func (u *urgent) isDownFor(aim int) bool { return u.tier == aim && aim < len(u.goals) }
+// isAssignedTo tells whether the job is put down for an aim, counted from 0.
+func (u *rankedJob) isAssignedTo(aim int) bool {
+	return u.objective == aim && aim < len(u.objectiveTimes)
+}
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -28,17 +28,17 @@
 	return [waitReasonCount]string{"none", "limit", "share", "gangs", "starving_job", "pause", "machine"}[r]
 }
 
-// waitReasons are the reasons for the verdicts on a team's limit.
-var waitReasons = map[quota.Verdict]WaitReason{
+// reasonsByVerdict are the reasons for the verdicts on a team's limit.
+var reasonsByVerdict = map[quota.Verdict]WaitReason{
 	quota.Admitted:           WaitsForNothing,
 	quota.BeyondLimit:        WaitsForLimit,
 	quota.KeptForStarvingJob: WaitsForStarvingJob,
 	quota.KeptForGangs:       WaitsForGangs,
 }
 
-// noteWait records what keeps a job's tasks from starting, given its team's use of the limit,
+// recordWaitReason records what keeps a job's tasks from starting, given its team's use of the limit,
 // and logs it when that changed.
-func (c *Controller) noteWait(j *Job, reason WaitReason, claims map[string]quotaClaim, used domain.Resources) {
+func (c *Controller) recordWaitReason(j *Job, reason WaitReason, claims map[string]quotaClaim, used domain.Resources) {
 	if j.waitReason == reason {
 		return
 	}
@@ -57,25 +57,25 @@
 		"used", used, "limit", limit, "kept", kept, "kept_for", keptFor)
 }
 
-// WaitingTasks names a number of waiting tasks: those of a team that wait for one reason.
-type WaitingTasks struct {
+// WaitingTasksKey names a number of waiting tasks: those of a team that wait for one reason.
+type WaitingTasksKey struct {
 	Team   string
 	Reason WaitReason
 }
 
 // waitCounts counts waiting tasks for the status, which is asked for after every step.
 type waitCounts struct {
-	byReason map[WaitingTasks]int // replaced as a whole
+	byReason map[WaitingTasksKey]int // replaced as a whole
 	next     steady.Gate
 }
 
 // waitingTasks counts the waiting tasks of jobs that this controller places, as of lately.
-func (c *Controller) waitingTasks() map[WaitingTasks]int {
+func (c *Controller) waitingTasks() map[WaitingTasksKey]int {
 	if !c.waits.next.IsOpen(c.now) {
 		return c.waits.byReason
 	}
 	c.waits.next.Close(c.now + tuning.WaitCountInterval)
-	c.waits.byReason = map[WaitingTasks]int{}
+	c.waits.byReason = map[WaitingTasksKey]int{}
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
 		isPlacedHere := c.cache.shardOf(j) == c.cfg.Node
@@ -87,7 +87,7 @@
 			if j.isPaused(c.now) {
 				reason = WaitsForPause
 			}
-			c.waits.byReason[WaitingTasks{spec.Team, reason}] += j.counts.queued
+			c.waits.byReason[WaitingTasksKey{spec.Team, reason}] += j.counts.queued
 		}
 	}
 	return c.waits.byReason
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -19,9 +19,9 @@
 	return lines
 }
 
-// waitingJob is a controller with a machine of 16 cores in whose queue the four tasks of job 2
+// newControllerWithWaitingJob is a controller with a machine of 16 cores in whose queue the four tasks of job 2
 // wait, of four cores each, and a limit that has room for them.
-func waitingJob(t *testing.T) (*Controller, *Machine) {
+func newControllerWithWaitingJob(t *testing.T) (*Controller, *Machine) {
 	t.Helper()
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 10}
 	c, m := withLimitedTeam(t, codec.JobHeader{State: domain.StateOpen, TaskCount: 4, ChunkSize: 4, Shard: "c-0", AcceptOrder: 3, Spec: spec})
@@ -37,9 +37,9 @@
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(3)), ModRevision: 7, Value: codec.Encode(header)})
 }
 
-// TestWhyAJobWaits: what keeps a job's tasks from starting is logged once, with the job that
+// TestWaitReasons: what keeps a job's tasks from starting is logged once, with the job that
 // room is kept for, and its tasks are counted under it.
-func TestWhyAJobWaits(t *testing.T) {
+func TestWaitReasons(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		change  func(*Controller, *Machine)
@@ -63,7 +63,7 @@
 		}, WaitsForMachine, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, m := waitingJob(t)
+			c, m := newControllerWithWaitingJob(t)
 			test.change(c, m)
 			c.effects = nil
 			for range 2 {
@@ -73,7 +73,7 @@
 			if lines := waitLines(c); len(lines) != 1 || lines[0] != want {
 				t.Errorf("logged %q, want %q once", lines, want)
 			}
-			if got := c.Status().Waiting[WaitingTasks{"red", test.reason}]; got != 4 {
+			if got := c.Status().Waiting[WaitingTasksKey{"red", test.reason}]; got != 4 {
 				t.Errorf("%d tasks are counted: %v", got, c.Status().Waiting)
 			}
 		})
@@ -83,17 +83,17 @@
 // TestPausedJobIsCounted: tasks that pause after errors are counted so, whatever kept them
 // before, and none once all are booked.
 func TestPausedJobIsCounted(t *testing.T) {
-	c, _ := waitingJob(t)
+	c, _ := newControllerWithWaitingJob(t)
 	j := c.cache.jobs[jobName(2)]
 	j.waitReason, j.pausedUntil = WaitsForMachine, int64(c.now+time.Second)
-	if got := c.Status().Waiting; got[WaitingTasks{"red", WaitsForPause}] != 4 {
+	if got := c.Status().Waiting; got[WaitingTasksKey{"red", WaitsForPause}] != 4 {
 		t.Errorf("counted %v", got)
 	}
 	for i := range 4 {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Shard: "c-0"})
 	}
 	c.now += 2 * time.Second
-	if got := c.Status().Waiting; len(got) != 1 || got[WaitingTasks{"red", WaitsForNothing}] != 4 {
+	if got := c.Status().Waiting; len(got) != 1 || got[WaitingTasksKey{"red", WaitsForNothing}] != 4 {
 		t.Errorf("counted %v, want job 1 alone", got)
 	}
 	if j.waitReason != WaitsForNothing {
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -39,13 +39,13 @@
 			c.peers.byName[owner].machines = append(c.peers.byName[owner].machines, PeerMachine{Name: name, Zone: zone, AgentEpoch: 1})
 		}
 	}
-	c.pass(time.Minute, func(string) bool { return true })
+	c.advance(time.Minute, func(string) bool { return true })
 	return c
 }
 
-// pass lets time go by, with heartbeats of the machines and gossip of the peers for
+// advance lets time go by, with heartbeats of the machines and gossip of the peers for
 // which heard says so; state service and fence are well.
-func (c *Controller) pass(duration time.Duration, heard func(string) bool) {
+func (c *Controller) advance(duration time.Duration, heard func(string) bool) {
 	for end := c.now + duration; c.now < end; {
 		c.now += 500 * time.Millisecond
 		c.confirmNow()
@@ -63,13 +63,13 @@
 	}
 }
 
-// TestCutZoneIsKept: the machines of a zone that is cut off are silent together.
+// TestMachinesOfUnreachableZoneAreNotCordoned: the machines of a zone that is cut off are silent together.
 // On a day of 1,333 machines 771 of them were cordoned as lost and returned within
 // 40 s, since those just taken over counted as heard.
-func TestCutZoneIsKept(t *testing.T) {
+func TestMachinesOfUnreachableZoneAreNotCordoned(t *testing.T) {
 	c := largeFleetLeader()
 	inB := func(name string) bool { return c.cfg.ZoneOf[name] == "b" || c.zoneOf(name) == "b" }
-	c.pass(6*time.Second, func(name string) bool { return !inB(name) })
+	c.advance(6*time.Second, func(name string) bool { return !inB(name) })
 	view := *c.cache.view
 	view.Epoch, view.Serving = 4, []string{"c-0", "c-2"}
 	view.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
@@ -80,28 +80,28 @@
 			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].heardOnce = []string{"a", "b"}[i%2], true
 		}
 	}
-	c.pass(90*time.Second, func(name string) bool { return !inB(name) })
+	c.advance(90*time.Second, func(name string) bool { return !inB(name) })
 	for i := 0; i < 16; i++ { // back one after the other
-		c.pass(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
+		c.advance(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
 	}
-	c.pass(30*time.Second, func(string) bool { return true })
+	c.advance(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.wanted) > 0 {
 		t.Errorf("%d machines of a cut zone were drained", len(c.cordons.wanted))
 	}
 	// A tenth of them hang: these are lost.
-	c.pass(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
+	c.advance(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
 	if n := len(c.cordons.wanted); n < 50 || n > 150 {
 		t.Errorf("of about 100 silent machines %d were drained", n)
 	}
 }
 
-// TestZonesApart: machines that reach no owner in another zone, hundreds at a
+// TestZonePartitionSplitsOwnership: machines that reach no owner in another zone, hundreds at a
 // time, have room in no list of overrides. Machines then belong to the controllers
 // of their own zone, by one change of the view, until all hear each other again.
-func TestZonesApart(t *testing.T) {
+func TestZonePartitionSplitsOwnership(t *testing.T) {
 	c := largeFleetLeader()
 	sameZone := func(name string) bool { return c.cfg.ZoneOf[name] != "b" }
-	c.pass(5*time.Second, sameZone)
+	c.advance(5*time.Second, sameZone)
 	visits := func(sequence uint64) {
 		for i := 0; i < 2000; i += 2 {
 			name := fmt.Sprintf("n-%06d", i)
@@ -114,12 +114,12 @@
 	if view := c.desiredView(); view != nil {
 		t.Fatalf("one visit moved machines: %+v", view)
 	}
-	c.pass(7*time.Second, sameZone)
+	c.advance(7*time.Second, sameZone)
 	if view := c.desiredView(); view != nil {
 		t.Fatalf("machines sent to and fro once by a new view were moved: %+v", view)
 	}
 	visits(3)
-	c.pass(time.Second, sameZone)
+	c.advance(time.Second, sameZone)
 	view := c.desiredView()
 	if view == nil || !view.Zoned || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
 		t.Fatalf("view %+v", view)
@@ -136,12 +136,12 @@
 	if owner := c.ownerOf("n-999999"); owner != "" {
 		t.Errorf("a machine of no known zone belongs to %s", owner)
 	}
-	c.pass(20*time.Second, sameZone)
+	c.advance(20*time.Second, sameZone)
 	if view := c.desiredView(); view != nil && !view.Zoned {
 		t.Error("the zones were joined while apart")
 	}
 	for i := 0; i < 30; i++ {
-		c.pass(time.Second, func(string) bool { return true })
+		c.advance(time.Second, func(string) bool { return true })
 		if view = c.desiredView(); view != nil {
 			break
 		}
@@ -151,10 +151,10 @@
 	}
 }
 
-// TestOverridesArePaced: each change of the view fails all commits under way.
+// TestOverrideChangesAreRateLimited: each change of the view fails all commits under way.
 // When zones could not reach each other, overrides were added by thirteen views
 // in four seconds.
-func TestOverridesArePaced(t *testing.T) {
+func TestOverrideChangesAreRateLimited(t *testing.T) {
 	c := largeFleetLeader()
 	loseMachines := func() {
 		lost := 0
@@ -174,17 +174,17 @@
 			c.adoptView(view)
 			views++
 		}
-		c.pass(500*time.Millisecond, func(string) bool { return true })
+		c.advance(500*time.Millisecond, func(string) bool { return true })
 	}
 	if views < 2 || views > 4 {
 		t.Errorf("%d views in 12 s", views)
 	}
 }
 
-// TestHeldHeartbeatsDontCountAsUnheeded: heartbeats that a cut held back come all at once. None
+// TestDelayedHeartbeatsDontCountAsIgnoredReplies: heartbeats that a cut held back come all at once. None
 // of them can show the answer to the one before, yet 31 machines were cordoned as
 // reached by nothing and returned.
-func TestHeldHeartbeatsDontCountAsUnheeded(t *testing.T) {
+func TestDelayedHeartbeatsDontCountAsIgnoredReplies(t *testing.T) {
 	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
 	m.answeredAt, m.sentToken = c.now, 3
@@ -207,13 +207,13 @@
 	}
 }
 
-// TestValuesOfOtherShardsAreCommittedInTurns: outcomes of tasks whose records are in other shards'
+// TestValuesOfOtherShardsAreCommittedSeparately: outcomes of tasks whose records are in other shards'
 // values go into commits of their own, one value each. In one commit with the
 // rest they failed it each time their owners wrote first: after a zone's return
 // its controllers had not one commit through for the rest of the day.
-func TestValuesOfOtherShardsAreCommittedInTurns(t *testing.T) {
+func TestValuesOfOtherShardsAreCommittedSeparately(t *testing.T) {
 	c := largeFleetLeader()
-	revision := c.ended("c-0/0", "c-1/0", "c-2/3", "c-0/1")
+	revision := c.addEndedTasks("c-0/0", "c-1/0", "c-2/3", "c-0/1")
 	var seen []string
 	for i := 0; i < 12; i++ {
 		c.now += time.Second
@@ -239,9 +239,9 @@
 	}
 }
 
-// ended gives the controller a job in each of the packs, one of whose tasks has ended
+// addEndedTasks gives the controller a job in each of the packs, one of whose tasks has addEndedTasks
 // on a machine of its own; it returns the revision.
-func (c *Controller) ended(packs ...string) uint64 {
+func (c *Controller) addEndedTasks(packs ...string) uint64 {
 	var own []string
 	for _, name := range c.heartbeats.machineNames() {
 		if c.owns(name) && len(own) < len(packs) {
@@ -267,12 +267,12 @@
 	return revision
 }
 
-// TestRefusalsSlowDown: controllers may use more than an equal part of the changes, as
+// TestRefusalsLowerTheWriteRate: controllers may use more than an equal part of the changes, as
 // long as the state service takes them; refusals hit users' submissions as well.
-func TestRefusalsSlowDown(t *testing.T) {
+func TestRefusalsLowerTheWriteRate(t *testing.T) {
 	c := largeFleetLeader()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
-	c.ended("c-0/0")
+	c.addEndedTasks("c-0/0")
 	turn := func(result domain.CommitResult) {
 		c.now += 2 * time.Second
 		c.confirmNow()
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -7,16 +7,18 @@
 	"brassglade/internal/domain"
 )
 
-// zoneBound tells whether a task's place depends on where the job's other tasks are.
-func zoneBound(spec *domain.JobSpec) bool { return spec.TaskCount > 1 && (spec.OneZone || spec.Spread) }
+// hasZoneConstraint tells whether a task's place depends on where the job's other tasks are.
+func hasZoneConstraint(spec *domain.JobSpec) bool {
+	return spec.TaskCount > 1 && (spec.OneZone || spec.Spread)
+}
 
-// spreadOverZones tells whether each zone takes only some of the job's tasks.
-func spreadOverZones(spec *domain.JobSpec) bool { return zoneBound(spec) && spec.Spread }
+// isSpreadOverZones tells whether each zone takes only some of the job's tasks.
+func isSpreadOverZones(spec *domain.JobSpec) bool { return hasZoneConstraint(spec) && spec.Spread }
 
-// bindingZones counts a job's booked tasks by zone as the draft would leave them. The map
+// constrainedZoneCounts counts a job's booked tasks by zone as the draft would leave them. The map
 // is empty, never nil, for a job whose tasks don't depend on each other's zones.
-func bindingZones(j *Job, d *draft) map[string]int {
-	if !zoneBound(j.Header.Spec) {
+func constrainedZoneCounts(j *Job, d *draft) map[string]int {
+	if !hasZoneConstraint(j.Header.Spec) {
 		return map[string]int{}
 	}
 	return bookedZones(j, d)
@@ -48,7 +50,7 @@
 // (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
-	if !zoneBound(spec) || spec.Shape == domain.Array {
+	if !hasZoneConstraint(spec) || spec.Shape == domain.Array {
 		return nil
 	}
 	booked, allowed := bookedZones(j, nil), zoneAllowance{}
