--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -11,15 +11,16 @@
 )
 
 // learner is the online actor-critic of one controller (package policy): an actor for
-// arrivals, one for steals, and the critic that moves both at the end of each window.
+// arriving tasks, an actor for work stealing, and a critic whose temporal-difference error
+// updates both at the end of each learning window.
 type learner struct {
-	arrivals      policy.Actor // where tasks queue, and to which shards they are passed
-	steals        policy.Actor // from which queues and shards work is stolen
+	arrivals      policy.Actor // chooses the machine on which a task queues, or the shard that receives it
+	steals        policy.Actor // chooses the queue or the shard from which work is stolen
 	critic        policy.Critic
 	windowEndedAt time.Duration
-	sequence      uint64 // of the window that ended last
+	sequence      uint64 // number of the last window that ended
 	handovers     int    // tasks handed over to other shards in this window
-	finishedTasks int    // tasks that ended in this window
+	finishedTasks int    // tasks of this controller's machines that ended in this window
 }
 
 func newLearner() learner {
@@ -30,11 +31,11 @@
 	}
 }
 
-// recordFinish counts a task that ended.
+// recordFinish counts a task that ended in the current window.
 func (l *learner) recordFinish() { l.finishedTasks++ }
 
-// endLearningWindow ends windows: learns from the loads of all machines and publishes this
-// controller's loads for the others.
+// endLearningWindow ends the learning window if its time is over: it updates the weights by the
+// loads of all machines and publishes this controller's loads for the other controllers.
 func (c *Controller) endLearningWindow() {
 	learner := &c.learner
 	if !c.mayAct() || c.now < learner.windowEndedAt+tuning.Window {
@@ -43,19 +44,19 @@
 	learner.windowEndedAt = c.now
 	learner.sequence++
 	loads := c.ownLoads()
-	all, passes := c.allLoads(loads)
+	all, handovers := c.allLoads(loads)
 	features, imbalance := policy.Features(all)
 	if learner.critic.HasWindow() && c.cfg.Learn {
-		c.updateWeights(features, imbalance, passes, len(all))
+		c.updateWeights(features, imbalance, handovers, len(all))
 	}
 	learner.critic.Begin(features)
 	c.publishWindow(loads)
 	learner.handovers, learner.finishedTasks = 0, 0
 }
 
-// ownLoads are the loads of this controller's machines that take tasks, rounded to 0.1 s.
-// They go without names: the critic's features need none, and with them the record
-// of a few hundred machines would not fit its value.
+// ownLoads returns the loads of this controller's machines that take tasks, in seconds, rounded
+// to 0.1 s. Machine names are left out: the critic's features don't need them, and with the
+// names the record of a few hundred machines would exceed the size limit of its value.
 func (c *Controller) ownLoads() []float64 {
 	loads := []float64{}
 	for _, name := range c.heartbeats.machineNames() {
@@ -66,68 +67,70 @@
 	return loads
 }
 
-// allLoads are the loads of all serving controllers' machines, and the tasks that these
-// passed: own ones as they are, the others' as they last published them.
-func (c *Controller) allLoads(own []float64) (loads []float64, passes int) {
-	passes = c.learner.handovers
-	for _, node := range c.cache.view.Serving {
-		if node == c.cfg.Node {
+// allLoads returns the loads of the machines of all serving controllers, in seconds, and the
+// number of tasks that these controllers handed over in their windows. The values of other
+// controllers are those that they last published.
+func (c *Controller) allLoads(own []float64) (loads []float64, handovers int) {
+	handovers = c.learner.handovers
+	for _, controller := range c.cache.view.Serving {
+		if controller == c.cfg.Node {
 			loads = append(loads, own...)
 			continue
 		}
-		if window := c.cache.windows[node]; window != nil {
+		if window := c.cache.windows[controller]; window != nil {
 			loads = append(loads, window.Loads...)
-			passes += window.Passes
+			handovers += window.Passes
 		}
 	}
-	return loads, passes
+	return loads, handovers
 }
 
-// currentChoiceNames are the names that draws may meet again: own machines and serving controllers.
+// currentChoiceNames returns the names that later draws can choose: this controller's own
+// machines and the serving controllers. Weights of other names may be dropped.
 func (c *Controller) currentChoiceNames() map[string]bool {
-	alive := map[string]bool{}
+	names := map[string]bool{}
 	for _, name := range c.heartbeats.machineNames() {
 		if c.owns(name) {
-			alive[name] = true
+			names[name] = true
 		}
 	}
-	for _, node := range c.cache.view.Serving {
-		alive[node] = true
+	for _, controller := range c.cache.view.Serving {
+		names[controller] = true
 	}
-	return alive
+	return names
 }
 
-// updateWeights takes the temporal-difference step of critic and actors, and the consensus step of
-// the critic every ConsensusEvery windows.
-func (c *Controller) updateWeights(features []float64, imbalance float64, passes, machines int) {
+// updateWeights takes the temporal-difference step of the critic and the actors. Every
+// ConsensusEvery windows it also averages the critic with those of the other controllers.
+func (c *Controller) updateWeights(features []float64, imbalance float64, handovers, machines int) {
 	learner := &c.learner
-	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, passes, machines), features)
+	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, handovers, machines), features)
 	for _, i := range learner.critic.Step(delta) {
-		c.info("critic weight reset", "i", i)
+		c.info("critic weight was too large or not finite and has been reset", "index", i)
 	}
-	alive := c.currentChoiceNames()
-	if n := learner.arrivals.Step(delta, alive) + learner.steals.Step(delta, alive); n > 0 {
-		c.info("policy weights reset", "count", n)
+	names := c.currentChoiceNames()
+	if n := learner.arrivals.Step(delta, names) + learner.steals.Step(delta, names); n > 0 {
+		c.info("policy weights were too large or not finite and have been reset", "count", n)
 	}
-	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishedTasks, "theta", learner.critic.Weights())
+	c.debug("learning window ended", "imbalance", imbalance, "handovers", handovers, "delta", delta, "finished_tasks", learner.finishedTasks, "critic_weights", learner.critic.Weights())
 	if learner.sequence%tuning.ConsensusEvery == 0 {
 		learner.critic.Average(c.peerCriticWeights())
 	}
 }
 
-// peerCriticWeights are the critics of the other serving controllers, as last published.
+// peerCriticWeights returns the critic weights of the other serving controllers, as last published.
 func (c *Controller) peerCriticWeights() [][]float64 {
 	var weights [][]float64
-	for _, node := range c.cache.view.Serving {
-		if window := c.cache.windows[node]; node != c.cfg.Node && window != nil {
+	for _, controller := range c.cache.view.Serving {
+		if window := c.cache.windows[controller]; controller != c.cfg.Node && window != nil {
 			weights = append(weights, window.CriticWeights)
 		}
 	}
 	return weights
 }
 
-// publishWindow writes this controller's record of the window that ended. Nothing depends
-// on whether the write succeeds: the next one comes soon.
+// publishWindow writes this controller's record of the window that ended. A failed write is
+// ignored, since the record of the next window replaces this one.
 func (c *Controller) publishWindow(loads []float64) {
 	learner := &c.learner
 	value := c.encodeWindow(codec.WindowRecord{
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -7,8 +7,9 @@
 	"brassglade/internal/tuning"
 )
 
-// runTime is the expected run time of a task, s, corrected by what the class
-// showed so far.
+// runTime returns the expected run time of a task in seconds: the user's estimate, or SeedRun
+// without one, times the smoothed ratio of actual to estimated run times of the class, if known.
+// The ratio is bounded to between 0.25 and 4.
 func (q *queues) runTime(spec *domain.JobSpec) float64 {
 	seconds := spec.EstimatedRuntime
 	if seconds <= 0 {
@@ -20,10 +21,11 @@
 	return seconds
 }
 
-// load is L/mu, the expected delay by what is on a machine, s: tasks queued and booked over
-// the service rate of all its slots, which comes of the smoothed run times there and the
-// estimates of these tasks. It is the load x of the thesis (docs/design.md, "The ordinary
-// path: kept, changed, why"). Preemptible tasks delay no others and don't count.
+// load returns the expected delay of a new task on a machine in seconds, L/mu: the number of
+// tasks queued and booked there divided by the service rate of all its slots. The service rate
+// follows from the smoothed run times on the machine and the expected run times of these tasks.
+// This is the load x of the thesis (docs/design.md, "The ordinary path: kept, changed, why").
+// Preemptible tasks don't count, since they delay no other tasks.
 func (c *Controller) load(m *Machine) float64 {
 	machineType := c.cache.machineType(m.Type)
 	if machineType == nil {
@@ -43,8 +45,8 @@
 	return float64(sum.tasks) * runTime / float64(slots)
 }
 
-// delayingTasks sums up the tasks booked on a machine or in its queue, without preemptible
-// ones. Run times are in full ms, so that the sum doesn't depend on the order.
+// delayingTasks sums up the tasks booked on a machine or in its queue, except preemptible ones.
+// Run times are summed in whole milliseconds, so that the result doesn't depend on the order.
 func (c *Controller) delayingTasks(m *Machine) taskSum {
 	booked := c.cache.occupancy[m.Name]
 	sum := taskSum{
@@ -65,8 +67,8 @@
 	return sum
 }
 
-// meanLoad is the mean load of this controller's machines with the shard's pool, s. It is
-// kept for as long as the pace of planning.
+// meanLoad returns the mean load of this controller's machines, including the pending jobs of the
+// shard, in seconds. The value is cached for the minimum interval between two plans.
 func (c *Controller) meanLoad() float64 {
 	if c.queues.meanLoadTakenAt.Within(c.pace(), c.now) {
 		return c.queues.meanLoad
@@ -85,14 +87,15 @@
 	return c.queues.meanLoad
 }
 
-// draw picks by the policy from the choices, which are those that the mask left, and has the
-// policy gather the gradient. -1: there are none.
+// draw picks one of the choices at random with the probabilities of the actor's policy, and adds
+// the policy gradient of this choice to the actor. The caller has removed choices that can't be
+// taken. It returns the index of the choice, or -1 if there are no choices.
 func (c *Controller) draw(actor *policy.Actor, choices []policy.Choice) int {
 	if len(choices) == 0 {
 		return -1
 	}
 	probabilities := actor.Probabilities(choices)
-	k := policy.Draw(probabilities, c.rng.Float64())
-	actor.Gather(choices, probabilities, k)
-	return k
+	chosen := policy.Draw(probabilities, c.rng.Float64())
+	actor.Gather(choices, probabilities, chosen)
+	return chosen
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,14 +7,14 @@
 	"brassglade/internal/tuning"
 )
 
-// preemptible tells whether tasks of the job may be stopped for any task that isn't
-// preemptible itself: single tasks of idle priority are.
+// preemptible reports whether tasks of the job may be stopped to make room for any task that
+// isn't preemptible itself. This holds for arrays of idle priority.
 func preemptible(spec *domain.JobSpec) bool {
 	return spec.Priority == tuning.PriorityIdle && spec.Shape == domain.Array
 }
 
-// roomWithPreemption is the room that a task can have on a machine: what is free and, unless the task
-// is preemptible itself, what preemptible tasks hold.
+// roomWithPreemption returns the resources that a task can get on a machine: the free ones and,
+// unless the task is preemptible itself, those held by preemptible tasks.
 func roomWithPreemption(free, heldByPreemptible domain.Resources, isPreemptible bool) domain.Resources {
 	if isPreemptible {
 		return free
@@ -22,8 +22,8 @@
 	return free.Plus(heldByPreemptible, 1)
 }
 
-// planPreemptions chooses the tasks to be stopped for those that wait in the queues of their
-// machines. A stop is only asked for by commands, which change no record: the booking is
+// planPreemptions chooses the preemptible tasks to stop for tasks that wait in the queue of the
+// same machine. A stop is only a command to the machine and changes no record: the booking is
 // released when the machine reports that the task ended.
 func (c *Controller) planPreemptions(machines []*Machine) {
 	for attempt := range c.planner.preempted {
@@ -38,7 +38,7 @@
 	}
 }
 
-// isBooked tells whether an attempt is still the booking of its task.
+// isBooked reports whether the task is still booked for this attempt.
 func (c *cache) isBooked(attempt attemptID) bool {
 	j := c.jobs[attempt.Task.Job]
 	if j == nil || j.final() {
@@ -48,9 +48,9 @@
 	return task.State == domain.Booked && task.Attempt == attempt.Attempt
 }
 
-// preemptOn stops as many preemptible tasks on a machine as its queue needs to start, beside
-// those that are being stopped. Tasks that save their progress go first, then those booked
-// last.
+// preemptOn stops as many preemptible tasks on a machine as are needed for the tasks in its queue
+// to start. Tasks that are already being stopped count first, then come tasks that write
+// checkpoints, then the others; within each group those booked last come first.
 func (c *Controller) preemptOn(m *Machine) {
 	missing := c.missingRoomOn(m)
 	if missing == (domain.Resources{}) {
@@ -65,18 +65,20 @@
 	}
 }
 
-// preempt has an attempt on m stopped, by a direct command at once, unless it is being stopped.
+// preempt marks an attempt on m to be stopped and lets the direct stop command go out at once. It
+// does nothing if the attempt is already being stopped.
 func (c *Controller) preempt(m *Machine, attempt attemptID) {
 	if c.planner.preempted[attempt] {
 		return
 	}
 	c.planner.preempted[attempt] = true
 	m.nextDirectStop.Close(c.now)
-	c.debug("task preempted", "task", attempt.Task, "machine", m.Name, "attempt", attempt.Attempt)
+	c.debug("preempting task for tasks queued on the machine", "task", attempt.Task, "machine", m.Name, "attempt", attempt.Attempt)
 }
 
-// missingRoomOn is what the tasks that wait in a machine's queue need beyond the free room, up
-// to the first that would have to wait for others than preemptible ones.
+// missingRoomOn returns the resources beyond the free ones that the tasks in a machine's queue
+// need to start. It counts them in queue order, up to the first task that would not fit even if
+// all preemptible tasks were stopped.
 func (c *Controller) missingRoomOn(m *Machine) domain.Resources {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	room := roomWithPreemption(free, c.cache.occupancy[m.Name].preemptible.used, false)
@@ -96,8 +98,9 @@
 	return domain.Resources{CPU: max(missing.CPU, 0), GPU: max(missing.GPU, 0), Memory: max(missing.Memory, 0)}
 }
 
-// preemptibleOn lists the preemptible tasks on a machine in the order in which they are to be
-// stopped: those first that already are being stopped.
+// preemptibleOn returns the preemptible tasks on a machine in the order in which they are to be
+// stopped, beginning with those that are already being stopped. Tasks whose job has a higher
+// effective priority, because a more urgent job depends on it, are left out.
 func (c *Controller) preemptibleOn(m *Machine) []domain.TaskID {
 	ids := slices.DeleteFunc(sortedTasks(c.cache.bookedOn[m.Name]), func(id domain.TaskID) bool {
 		j := c.cache.jobs[id.Job]
@@ -112,7 +115,7 @@
 	return ids
 }
 
-// preemptionRank orders the preemptible tasks of a machine; lower ones are stopped first.
+// preemptionRank returns the rank of a preemptible task; tasks of lower rank are stopped first.
 func (c *Controller) preemptionRank(id domain.TaskID) int {
 	j := c.cache.jobs[id.Job]
 	switch {
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -8,20 +8,20 @@
 	"brassglade/internal/tuning"
 )
 
-// queues are the queues of this controller's machines, and what its draws go by. A machine's
-// queue is kept in order with the machine (Machine.queue); machineOf alone says whether a
-// task is in it still, so that taking one out needs no search. Entries that left are trimmed
-// now and then.
+// queues holds the state of the queues of this controller's machines and of the draws that fill
+// them. The order of a queue is in Machine.queue, but only machineOf says whether a task is still
+// in it, so that removing a task needs no search. Stale entries of Machine.queue are dropped
+// periodically (dropStaleEntries).
 type queues struct {
-	machineOf        map[domain.TaskID]string // the machine in whose queue a task is
-	tasksDrawnToStay map[domain.TaskID]bool   // drew to wait in this shard
-	jobsDrawn        map[string]bool          // drew to stay in this shard
+	machineOf        map[domain.TaskID]string // the machine in whose queue each task is
+	tasksDrawnToStay map[domain.TaskID]bool   // tasks for which the draw chose to wait in this shard
+	jobsDrawn        map[string]bool          // jobs for which the draw between shards was made
 	lastDrawAt       time.Duration
 	lastStealAt      time.Duration
 	nextPlacement    steady.Gate
-	pendingRunTime   float64                   // run time of the unplaced tasks, s
-	runTimeRatios    map[string]*smoothedValue // run time by estimate, by class
-	meanLoad         float64                   // of this controller's machines, s
+	pendingRunTime   float64                   // run time of the pending jobs of the shard, per slot of a machine, s
+	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
+	meanLoad         float64                   // cached result of Controller.meanLoad, s
 	meanLoadTakenAt  steady.Instant
 }
 
@@ -32,10 +32,10 @@
 	}
 }
 
-// isQueuedOn tells whether a task that a machine's queue lists is in it still.
+// isQueuedOn reports whether a task listed in a machine's queue is still in it.
 func (q *queues) isQueuedOn(id domain.TaskID, m *Machine) bool { return q.machineOf[id] == m.Name }
 
-// length is the number of tasks in a machine's queue.
+// length returns the number of tasks in a machine's queue.
 func (q *queues) length(m *Machine) int {
 	n := 0
 	for _, id := range m.queue {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// dropStaleEntries drops the entries of a machine's queue that left it.
+// dropStaleEntries removes the entries of a machine's queue whose tasks are no longer in it.
 func (q *queues) dropStaleEntries(m *Machine) {
 	kept := m.queue[:0]
 	for _, id := range m.queue {
@@ -57,7 +57,7 @@
 	m.queue = kept
 }
 
-// enqueue puts a task last in a machine's queue, and takes it off the one it was in.
+// enqueue appends a task to a machine's queue and removes it from the queue it was in, if any.
 func (c *Controller) enqueue(id domain.TaskID, m *Machine) {
 	c.dequeue(id)
 	c.queues.machineOf[id] = m.Name
@@ -66,7 +66,7 @@
 	c.planner.dirty = true
 }
 
-// dequeue takes a task off the queue it is in, if any.
+// dequeue removes a task from the queue it is in, if any.
 func (c *Controller) dequeue(id domain.TaskID) {
 	if _, ok := c.queues.machineOf[id]; !ok {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// dequeueAll empties a machine's queue.
+// dequeueAll empties the queue of the machine with this name. It does nothing if the machine is unknown.
 func (c *Controller) dequeueAll(name string) {
 	m := c.heartbeats.machines[name]
 	if m == nil {
@@ -91,7 +91,7 @@
 	m.queue = nil
 }
 
-// placedByLeader tells whether the leader places the tasks of a job together.
+// placedByLeader reports whether the leader places the tasks of a job, and does so together.
 func placedByLeader(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang || spec.OneZone || spec.Spread || spec.TaskCount >= tuning.LargeJobTasks
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -10,31 +10,32 @@
 	"brassglade/internal/tuning"
 )
 
-// This file reads the cache and the draft for team quotas; the arithmetic is that of package
-// quota. A team's key in the key-value store holds each controller's share of the team's limit:
-// a controller books within its own share alone, and changes the key when it needs more or
-// keeps much unused, so that no two controllers together can exceed the limit.
+// This file applies the rules of package quota, which does the arithmetic, to the cache and the
+// draft. A team's key in the key-value store holds each controller's share of the team's limit. A
+// controller books only within its own share, and changes the key when it needs more or leaves
+// much of it unused. Thus controllers that book at the same time can't exceed the limit together.
 
-// quotaClaim is what the waiting jobs of one team claim of its limit.
+// quotaClaim is the part of a team's limit that is held back for waiting jobs of the team.
 type quotaClaim struct {
 	quota.Claim
-	// The starving job goes ahead of gangs, too: not for ever, it may not be possible.
+	// The starving job goes ahead of gangs, too. This ends after some time, since the job may be
+	// impossible to place.
 	aheadOfGangs bool
 }
 
-// judge tells whether one more task of a job stays within the team's limit and leaves what the
-// team's waiting jobs claim of it, or what keeps it from that.
+// judge returns whether one more task of a job stays within the team's limit and leaves the room
+// claimed by the team's waiting jobs, or else the reason why it doesn't.
 func (q quotaClaim) judge(spec *domain.JobSpec, used, limit domain.Resources) quota.Verdict {
 	return q.Judge(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
 
-// admits tells whether one more task of a job may start, as far as the team's limit goes.
+// admits reports whether the team's limit and claims let one more task of a job start.
 func (q quotaClaim) admits(spec *domain.JobSpec, used, limit domain.Resources) bool {
 	return q.judge(spec, used, limit) == quota.Admitted
 }
 
-// teamUsed is what counts against a team's limit: what the other controllers have set aside,
-// and this one's bookings, with those of the draft (nil: none).
+// teamUsed returns the resources that count against a team's limit: the shares of the other
+// controllers, and the bookings of this one, including those of the draft unless that is nil.
 func (c *Controller) teamUsed(team string, d *draft) domain.Resources {
 	used := c.cache.usage[team][c.cfg.Node]
 	if d != nil {
@@ -48,11 +49,11 @@
 	return used
 }
 
-// teamUsed is what counts against a team's limit, with the bookings of the draft.
+// teamUsed returns the resources that count against a team's limit, with the draft's bookings.
 func (d *draft) teamUsed(team string) domain.Resources { return d.c.teamUsed(team, d) }
 
-// isWithinGuarantee tells whether one more task of a job is within its team's guarantee: such heads of
-// queues go first, whatever their priority.
+// isWithinGuarantee reports whether one more task of a job is within its team's guarantee. Such
+// tasks at the head of a queue are booked first, whatever their priority.
 func (d *draft) isWithinGuarantee(spec *domain.JobSpec) bool {
 	guarantee := d.c.cfg.Teams[spec.Team].Guarantee
 	if guarantee == (domain.Resources{}) {
@@ -61,8 +62,8 @@
 	return quota.Within(d.teamUsed(spec.Team).Plus(spec.Request, 1), guarantee)
 }
 
-// claims are, by team, what waiting jobs claim of its limit beside what the draft (nil:
-// none) books.
+// claims returns by team the part of its limit that is held back for waiting jobs. Tasks that the
+// draft books don't count as waiting; the draft may be nil.
 func (c *Controller) claims(d *draft) map[string]quotaClaim {
 	claims := map[string]quotaClaim{}
 	for _, j := range c.cache.openJobs {
@@ -78,8 +79,8 @@
 	return claims
 }
 
-// addTaskClaim adds to a team's claim what a job does whose tasks are placed one by one. It tells
-// whether that is anything; of nearly all jobs it is not.
+// addTaskClaim adds the claim of a job whose tasks are placed one by one to the claim of its team.
+// It reports whether the job claims anything; nearly all jobs don't.
 func (c *Controller) addTaskClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
 	age := j.age(c.now)
 	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
@@ -97,7 +98,7 @@
 	return added
 }
 
-// addLeaderPlacedClaim adds to a team's claim what a job does that the leader places.
+// addLeaderPlacedClaim adds the claim of a job that the leader places to the claim of its team.
 func (c *Controller) addLeaderPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
@@ -111,9 +112,10 @@
 	claim.PlacedByLeader = claim.PlacedByLeader.Plus(spec.Request, int64(placed.booked))
 }
 
-// quotaAllows tells whether a task that is placed by itself may start within its team's limit:
-// it must fit, and must not take the room that a waiting gang needs. What no gang can use,
-// such tasks may.
+// quotaAllows reports whether one more task of a job whose tasks are placed one by one may start
+// within its team's limit: it must fit, and must leave the room claimed for other waiting jobs of
+// the team. Room that no waiting gang can use is not held back for gangs. Otherwise the job's
+// wait reason is recorded.
 func (c *Controller) quotaAllows(j *Job, d *draft, claims map[string]quotaClaim) bool {
 	if !c.guard(GuardQuota) {
 		return true
@@ -132,30 +134,31 @@
 	return verdict == quota.Admitted
 }
 
-// ownShareFits tells whether one more task goes into this controller's share as it is,
-// so that the team's key needn't change.
+// ownShareFits reports whether one more task fits into this controller's present share, so that
+// the team's key needn't change.
 func (d *draft) ownShareFits(spec *domain.JobSpec) bool {
 	own := d.ownUsage(spec.Team).Plus(spec.Request, 1)
 	return d.c.ownShare(spec.Team).Fits(quota.Bounded(own, d.c.cfg.Teams[spec.Team].Limit))
 }
 
-// ownUsage is what this controller has booked for a team, with the draft's bookings.
+// ownUsage returns the resources that this controller has booked for a team, with the draft's.
 func (d *draft) ownUsage(team string) domain.Resources {
 	return d.c.cache.usage[team][d.c.cfg.Node].Plus(d.usage[team], 1)
 }
 
-// ownShare is this controller's share of a team's limit.
+// ownShare returns this controller's share of a team's limit.
 func (c *Controller) ownShare(team string) domain.Resources {
 	return c.cache.shares[team].ByNode[c.cfg.Node]
 }
 
-// avoidsShareChange tells whether a team's key lost a conflict just now, and is only changed for
-// what can't do without.
+// avoidsShareChange reports whether a commit of the team's key failed by a conflict a short time
+// ago. Until that time is over the key is only changed where this is necessary.
 func (c *Controller) avoidsShareChange(team string) bool {
 	return c.commits.avoids(codec.PrefixTeam+team, c.now)
 }
 
-// shareSlack is how much of a team's limit this controller sets aside beyond its bookings.
+// shareSlack returns the part of a team's limit that this controller sets aside beyond its
+// bookings.
 func (c *Controller) shareSlack(team string, request domain.Resources) domain.Resources {
 	limit := c.cfg.Teams[team].Limit
 	left := limit
@@ -166,7 +169,8 @@
 }
 
 // adjustShare writes the team's key if this controller's bookings no longer fit its share, or
-// leave much of it unused. The request is that of the task which was booked or released.
+// leave much of it unused. The request is that of the task that was booked or released. With the
+// zero request a change of the key that is already in the draft stays as it is.
 func (d *draft) adjustShare(team string, request domain.Resources) {
 	c := d.c
 	if _, ok := d.shares[team]; ok && request == (domain.Resources{}) {
@@ -194,8 +198,9 @@
 	d.addCondition(codec.PrefixTeam + team)
 }
 
-// dropShareChange drops a change of a team's key, or writes the key as it is if a commit of unknown
-// outcome changes it, too: the two must exclude each other.
+// dropShareChange removes the change of a team's key from the draft. If an in-doubt commit also
+// changes the key, the draft instead writes the key with its committed value, so that only one of
+// the two commits can succeed.
 func (d *draft) dropShareChange(team string) {
 	if d.c.commits.inDoubt.key != codec.PrefixTeam+team {
 		delete(d.shares, team)
@@ -205,16 +210,17 @@
 	d.addCondition(codec.PrefixTeam + team)
 }
 
-// cloneShares copies the committed shares of a team's limit.
+// cloneShares returns a copy of the committed shares of a team's limit.
 func (c *cache) cloneShares(team string) codec.TeamShares {
 	return codec.TeamShares{ByNode: maps.Clone(c.shares[team].ByNode)}
 }
 
-// oneGPU is what a task of one GPU asks for.
+// oneGPU is the request of a task of one GPU.
 var oneGPU = domain.Resources{GPU: 1000}
 
-// adjustShares gives back what others' releases left unused of this controller's shares,
-// and, as the leader, of those of controllers that are not members.
+// adjustShares returns the unused part of this controller's shares, which remains when other
+// controllers release its bookings. The leader also does so for the shares of controllers that
+// are not members.
 func (d *draft) adjustShares() {
 	c := d.c
 	for _, team := range slices.Sorted(maps.Keys(c.cache.shares)) {
@@ -230,13 +236,13 @@
 	}
 }
 
-// adjustSharesOfNonMembers lowers the shares of controllers that are not members to what is
+// adjustSharesOfNonMembers sets the shares of controllers that are not members to the resources
 // still booked by them.
 func (d *draft) adjustSharesOfNonMembers(team string) {
 	c := d.c
 	for controller, share := range c.cache.shares[team].ByNode {
 		use := quota.Bounded(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
-		if _, member := c.cache.view.Members[controller]; member || use == share {
+		if _, isMember := c.cache.view.Members[controller]; isMember || use == share {
 			continue
 		}
 		shares, ok := d.shares[team]
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -12,23 +12,23 @@
 	"brassglade/internal/tuning"
 )
 
-// reservationCandidate is a machine that may be kept for a class of jobs.
+// reservationCandidate is a machine that may be reserved for a class of jobs.
 type reservationCandidate struct {
 	machine         *machineState
-	wait            float64 // seconds until it is empty; less for those kept already
-	isLowerPriority bool    // all that runs on it has lower priority than the class
+	wait            float64 // seconds until it is empty; less for machines already reserved
+	isLowerPriority bool    // all tasks booked on it have lower priority than the class
 }
 
-// classDemand is how many machines a class of jobs needs.
+// classDemand is the number of machines that a class of jobs needs.
 type classDemand struct {
 	spec    *domain.JobSpec
-	waiting int // for tasks that wait
-	needed  int // with those to be kept ready
+	waiting int // machines for waiting tasks
+	needed  int // machines in all, with those that are kept ready
 }
 
-// planReservations keeps machines for jobs that need a whole one: idle ones first; if more
-// jobs wait than are idle, those that will be empty soonest, and where all that runs there
-// has lower priority, they are emptied.
+// planReservations reserves machines for jobs that need whole machines. Idle machines are taken
+// first. If more tasks wait than machines are idle, it also reserves the machines that will be
+// empty soonest, and evicts the tasks there if all of them have lower priority.
 func (c *Controller) planReservations(machines []machineState, pending []pendingWork) {
 	scaling := &c.scaling
 	before := scaling.reserved
@@ -46,7 +46,7 @@
 	}
 }
 
-// classDemand counts the machines that the class of a job needs.
+// classDemand returns the number of machines that the class of a job needs.
 func (c *Controller) classDemand(spec *domain.JobSpec, pending []pendingWork) classDemand {
 	demand := classDemand{spec: spec}
 	for i := range pending {
@@ -58,8 +58,9 @@
 	return demand
 }
 
-// reservationCandidates lists the machines that may be kept for jobs like this one, those
-// first that are empty soonest.
+// reservationCandidates returns the machines that may be reserved for jobs of the same kind as
+// this one, ordered by the time until they are empty. Machines reserved before, as given, are
+// preferred by ReservationBonus.
 func (c *Controller) reservationCandidates(spec *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
 	var candidates []reservationCandidate
 	for i := range machines {
@@ -82,15 +83,16 @@
 	return candidates
 }
 
-// mayReserve tells whether a machine is in use, not yet kept for another class, and could take
-// a task of the job if it were empty.
+// mayReserve reports whether a machine's owner has received heartbeats from it lately, it is neither
+// cordoned nor reserved for another class, and could take a task of the job if it were empty.
 func (c *Controller) mayReserve(m *machineState, spec *domain.JobSpec) bool {
 	return m.heard && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
 		allowsMachine(spec, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(spec.Request)
 }
 
-// reservationCandidate tells when a machine will be empty, and whether it may be emptied for
-// the job; false: something on it is not to be waited for, a service or another such job.
+// reservationCandidate returns when a machine will be empty, and whether its tasks have lower
+// priority than the job. The second result is false if the machine can't be a candidate: it runs
+// a service, or another job that needs whole machines, whose end is not waited for.
 func (c *Controller) reservationCandidate(m *machineState, spec *domain.JobSpec) (reservationCandidate, bool) {
 	candidate := reservationCandidate{machine: m, isLowerPriority: true}
 	for id := range c.cache.bookedOn[m.Name] {
@@ -109,8 +111,9 @@
 	return candidate, true
 }
 
-// reserveAfterGang reserves the idle candidates where a job that needs whole machines ran lately:
-// they have the image, and the next such job is likely soon. It returns how many these are.
+// reserveAfterGang reserves the idle candidates where a job that needs whole machines ran within
+// KeepReservedAfterGang: they have the image, and another such job is likely to follow soon. It
+// returns their number.
 func (s *scaling) reserveAfterGang(candidates []reservationCandidate, now time.Duration) int {
 	kept := 0
 	for i := range candidates {
@@ -123,8 +126,9 @@
 	return kept
 }
 
-// reserve keeps as many of the candidates as the class needs, of which idle ones are kept
-// already. It empties those with work of lower priority if fewer are idle than tasks wait.
+// reserve reserves as many of the candidates as the class needs. The argument idle is the number
+// of idle candidates that are reserved already. If fewer machines are idle than tasks wait, it
+// has reserved machines evicted whose tasks all have lower priority.
 func (s *scaling) reserve(demand classDemand, candidates []reservationCandidate, idle int) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -149,25 +153,26 @@
 	}
 }
 
-// restCandidate is a machine that may rest.
+// restCandidate is a machine that may rest: shards then queue no tasks on it, so that it becomes
+// empty and can be returned to the cloud.
 type restCandidate struct {
 	machine *machineState
-	price   float64 // per thousandth of its GPU, or else CPU; higher for those that rest
-	shard   string  // whose jobs it serves; "": all, where the fleet isn't large
+	price   float64 // per thousandth of a GPU, or of a CPU without GPUs; higher for machines already resting
+	shard   string  // shard whose jobs it runs; "" (any) unless the fleet is large
 	free    domain.Resources
 }
 
-// shardWork is waiting work of a shard that machines may have to end their rest for.
+// shardWork is the waiting work of one job, for which resting machines may be needed again.
 type shardWork struct {
 	spec     *domain.JobSpec
-	shard    string // "": any, where the fleet isn't large
+	shard    string // "" (any) unless the fleet is large
 	unplaced int64  // tasks not yet placed
 }
 
-// planResting lets the dearest machines run empty while the cheaper ones have room for all
-// that runs and waits, with some headroom: draws by load alone would spread tasks over all
-// machines, and none could ever be returned. In a large fleet each shard needs the room for
-// its own jobs: those that wait in one can't use what another one keeps free.
+// planResting chooses the machines that rest: the most expensive ones, as long as the cheaper ones
+// have room for all running and waiting tasks plus some headroom. Draws by load alone would spread
+// tasks over all machines, and no machine could ever be returned. In a large fleet each shard
+// needs room for its own jobs, since jobs that wait in one shard can't use the room of another.
 func (c *Controller) planResting(machines []machineState, pending []pendingWork) {
 	before := c.scaling.resting
 	c.scaling.resting = map[string]bool{}
@@ -187,7 +192,7 @@
 	c.endRestFor(candidates, pending)
 }
 
-// restCandidates lists the machines that may rest, the cheapest first.
+// restCandidates returns the machines that may rest, the cheapest first.
 func (c *Controller) restCandidates(machines []machineState, before map[string]bool) []restCandidate {
 	var candidates []restCandidate
 	isLarge := c.isLargeFleet()
@@ -208,7 +213,8 @@
 	return candidates
 }
 
-// restPrice is the price by which machines are compared to choose those that rest.
+// restPrice returns the price by which machines are compared to choose those that rest: the price
+// per thousandth of a GPU, or of a CPU for machines without GPUs.
 func (c *cache) restPrice(m *machineState, rested bool) float64 {
 	machineType := c.machineType(m.Type)
 	price := machineType.Price
@@ -223,12 +229,12 @@
 	if rested {
 		price *= tuning.RestingStickiness
 	}
-	// Among equals those with little to run go empty first.
+	// Of machines with equal prices those with the fewest tasks rest first.
 	return price * (1.1 - 0.1*min(float64(m.tasks), 10)/10)
 }
 
-// wantedByShard is the room that each shard wants for what runs and waits, with headroom; what
-// may wait in any shard is under "".
+// wantedByShard returns the resources that each shard needs for its running and waiting tasks, with
+// headroom. Work that may run in any shard is counted under "".
 func (c *Controller) wantedByShard(candidates []restCandidate, pending []pendingWork) map[string]domain.Resources {
 	wanted := map[string]domain.Resources{}
 	for i := range candidates {
@@ -253,14 +259,15 @@
 	return wanted
 }
 
-// withHeadroom adds the headroom to what is wanted.
+// withHeadroom returns the resources increased by HeadroomPercent.
 func withHeadroom(room domain.Resources) domain.Resources {
 	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
 	return domain.Resources{CPU: grow(room.CPU), GPU: grow(room.GPU), Memory: grow(room.Memory)}
 }
 
-// logMachines adds a debug line about all machines once a while: how many tasks each has, with
-// letters for (h) reserved, (r) rested before, (d) cordoned, (-) unheard and (s) spot.
+// logMachines logs a debug line about all machines every ScalingLogInterval: the number of tasks of
+// each, followed by letters: h if it is reserved, r if it rested before, d if it is cordoned, - if
+// no heartbeat was received from it lately, s if it is a spot machine.
 func (c *Controller) logMachines(machines []machineState, wantedByShard map[string]domain.Resources, rested map[string]bool) {
 	if !c.scaling.nextLog.IsOpen(c.now) {
 		return
@@ -289,13 +296,13 @@
 			}
 		}
 	}
-	c.debug("fleet", "want", wanted, "tasks_by_machine", tasks.String())
+	c.debug("machine states", "wanted_resources", wanted, "tasks_by_machine", tasks.String())
 }
 
-// endRestFor ends the rest of machines that waiting tasks need: sums of room say nothing of
-// tasks that fit no single hole, or that their zone or kind keeps from the cheaper machines.
-// Such jobs waited beside empty machines until those were returned, and their claim on the
-// team's limit kept the others waiting, too.
+// endRestFor ends the rest of machines that waiting tasks need. The total of free resources is not
+// enough: a task may fit none of the remaining machines, or may not be allowed on the cheaper ones
+// because of its zone or machine type. Without this, such jobs waited while empty machines were
+// available until those were returned, and their claim on the team's limit delayed other jobs.
 func (c *Controller) endRestFor(candidates []restCandidate, pending []pendingWork) {
 	if len(c.scaling.resting) == 0 {
 		return
@@ -315,8 +322,9 @@
 	}
 }
 
-// placeOnCandidates places work on the candidates that rest, or on those that don't, and ends the rest
-// of those that it uses.
+// placeOnCandidates places work on the candidates that rest, or on those that don't, depending on
+// the argument resting. It ends the rest of the candidates that it uses. The candidates' free
+// resources and the unplaced tasks of the work are reduced.
 func (c *Controller) placeOnCandidates(candidates []restCandidate, unplaced *shardWork, resting bool) {
 	for i := range candidates {
 		if unplaced.unplaced == 0 {
@@ -336,8 +344,8 @@
 	}
 }
 
-// spareMachines is how many machines are kept ready for the class of a job, whose tasks should
-// start sooner than a machine boots and fetches their image.
+// spareMachines returns the number of machines that are kept ready for the class of a job if its
+// tasks should start sooner than a new machine can boot and fetch their image; otherwise 0.
 func (c *Controller) spareMachines(spec *domain.JobSpec) int {
 	startWithin, ok := c.cfg.StartWithin[spec.Class]
 	if !ok || c.cfg.SpareMachines == 0 {
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -7,8 +7,9 @@
 	"brassglade/internal/tuning"
 )
 
-// recordRunTime takes a run, in seconds, into the smoothed run times of its machine, and into
-// how those of its class compare with users' estimates.
+// recordRunTime adds the run time of a finished task, in seconds, to the smoothed run time of its
+// machine and to the smoothed ratio of actual to estimated run times of its class. Values that
+// are not positive are ignored.
 func (q *queues) recordRunTime(m *Machine, spec *domain.JobSpec, seconds float64) {
 	if seconds <= 0 || math.IsNaN(seconds) {
 		return
@@ -20,13 +21,13 @@
 	q.runTimeRatios[spec.Class].add(seconds / max(spec.EstimatedRuntime, 1))
 }
 
-// smoothedValue is a value smoothed exponentially over its samples.
+// smoothedValue is an exponentially smoothed value; the zero value has no samples.
 type smoothedValue struct {
 	value   float64
 	samples int
 }
 
-// add takes the next sample.
+// add adds a sample; the first one becomes the value.
 func (s *smoothedValue) add(sample float64) {
 	if s.samples == 0 {
 		s.value = sample
