--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -12,29 +12,30 @@
 	"brassglade/internal/tuning"
 )
 
-// isLargeFleet tells whether the shards are so large that jobs are handed over and stolen as a
-// whole, as long as none of their tasks was booked. One by one, tasks of most jobs would wait in
-// shards other than the one whose value has their records, and commits of one value by two
-// controllers at a time keep failing each other.
+// isLargeFleet reports whether the shards are so large that jobs are handed over and stolen as a
+// whole, as long as none of their tasks was booked. If tasks were handed over one by one, the tasks
+// of most jobs would wait in shards other than the one whose value holds their records, and
+// two controllers that commit to the same value at the same time repeatedly fail each other.
 func (c *Controller) isLargeFleet() bool {
 	c.countWaiting()
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
-// isUnstarted tells whether nothing of the job was booked or handed over yet.
+// isUnstarted reports whether no task of the job was ever booked or handed over by itself.
 func isUnstarted(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
-// isRecentlyAssigned tells whether the job's shard was chosen for its room a moment ago, so that the job
-// first gets a chance there.
-func (c *Controller) isRecentlyAssigned(j *Job) bool {
+// isNewlyReady reports whether the job became ready to start less than StealAfter ago. Such a job
+// first gets a chance in the shard that was chosen for it.
+func (c *Controller) isNewlyReady(j *Job) bool {
 	return c.now-time.Duration(j.readyAt) < tuning.StealAfter
 }
 
-// drawShardOfJob draws once whether a job of which nothing could start here stays in
-// this shard or goes to another, each at its mean load; true: it goes.
+// drawShardOfJob draws, once per job, whether an unstarted job stays in this shard or goes to
+// another one; each shard is weighted by its mean load. It reports whether the job goes, which
+// the next commit carries out. Jobs that were handed over before stay.
 func (p *placing) drawShardOfJob(j *Job) bool {
 	c, spec := p.c, j.Header.Spec
-	if !isUnstarted(j) || j.Header.Handovers > 0 || c.queues.jobsDrawn[j.ID] || j.queuedHere > 0 || c.isRecentlyAssigned(j) {
+	if !isUnstarted(j) || j.Header.Handovers > 0 || c.queues.jobsDrawn[j.ID] || j.queuedHere > 0 || c.isNewlyReady(j) {
 		return false
 	}
 	var offers []policy.Choice
@@ -42,12 +43,12 @@
 		offers = append(offers, policy.Choice{Name: c.cfg.Node, Load: c.meanLoad(), Ref: noTarget})
 	}
 	offers = c.appendPeers(offers, spec)
-	k := c.draw(&c.learner.arrivals, offers)
-	if k < 0 {
+	chosen := c.draw(&c.learner.arrivals, offers)
+	if chosen < 0 {
 		return false
 	}
 	c.queues.jobsDrawn[j.ID] = true
-	to := offers[k].Name
+	to := offers[chosen].Name
 	if to == c.cfg.Node {
 		return false
 	}
@@ -57,7 +58,7 @@
 	return true
 }
 
-// couldRun tells whether some target, were it empty, could run a task of the job.
+// couldRun reports whether any target could run a task of the job if it were empty.
 func (p *placing) couldRun(spec *domain.JobSpec) bool {
 	for i := range p.targets {
 		target := &p.targets[i]
@@ -68,15 +69,16 @@
 	return false
 }
 
-// fitKey is what decides whether a peer has a machine for the tasks of a job.
+// fitKey holds the properties of a job on which it depends whether a peer has a machine for its
+// tasks.
 type fitKey struct {
 	request     domain.Resources
 	zone, types string
 	spot        bool
 }
 
-// peerFits tells whether a peer has a machine that may take a task of the job. The answer
-// is cached until the peer's next message.
+// peerFits reports whether a peer has a machine that could take a task of the job. The result is
+// cached until the peer's next message.
 func (c *Controller) peerFits(peer *peerState, spec *domain.JobSpec) bool {
 	key := fitKey{spec.Request, spec.Zone, strings.Join(spec.MachineTypes, ","), spec.Spot}
 	fits, known := peer.fits[key]
@@ -93,7 +95,7 @@
 	return fits
 }
 
-// peerMachineFits tells whether a peer's machine, were it empty, could take a task of the job.
+// peerMachineFits reports whether a peer's machine could take a task of the job if it were empty.
 func (c *Controller) peerMachineFits(m *PeerMachine, spec *domain.JobSpec) bool {
 	machineType := c.cache.machineType(m.Type)
 	return machineType != nil && !m.Leaving && c.cache.cordons[m.Name].State == "" &&
@@ -101,7 +103,7 @@
 		allowsMachine(spec, m.Type, m.Zone, m.Spot) && !c.isReserved(m.Name)
 }
 
-// canStart tells whether a queued task would fit the machine right now.
+// canStart reports whether a waiting task could start now on a machine with these free resources.
 func (c *Controller) canStart(id domain.TaskID, m *Machine, free domain.Resources) bool {
 	j := c.cache.jobs[id.Job]
 	if j == nil || !c.isWaiting(j, id.Index) {
@@ -112,14 +114,14 @@
 		quota.Within(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
-// isWaiting tells whether a task of a job waits to be booked and may be so now: the job is
-// not over, and not paused after errors.
+// isWaiting reports whether a task of a job waits to be booked and may be booked now: the job is
+// open and not paused after errors.
 func (c *Controller) isWaiting(j *Job, index int) bool {
 	return j.Header.State == domain.StateOpen && j.task(index).State == domain.Queued && !j.isPaused(c.now)
 }
 
-// stealLocal moves waiting tasks from the queues of this shard's machines to those that have
-// room and an empty queue.
+// stealLocal moves waiting tasks from the queues of backlogged machines of this shard to its
+// machines that have room and an empty queue.
 func (c *Controller) stealLocal(machines []*Machine) {
 	from := c.backloggedMachines(machines)
 	if len(from) == 0 {
@@ -135,22 +137,22 @@
 	}
 }
 
-// backloggedMachines are machines in whose queues some task has to wait for the end of others,
-// at most a draw's worth of them.
+// backloggedMachines returns machines in whose queues a task has to wait until other tasks end, at
+// most MaxDrawTargets of them.
 func (c *Controller) backloggedMachines(machines []*Machine) []*Machine {
-	var behind []*Machine
+	var backlogged []*Machine
 	for _, m := range machines {
 		if c.isBacklogged(m) {
-			behind = append(behind, m)
+			backlogged = append(backlogged, m)
 		}
-		if len(behind) >= tuning.MaxDrawTargets {
+		if len(backlogged) >= tuning.MaxDrawTargets {
 			break
 		}
 	}
-	return behind
+	return backlogged
 }
 
-// isBacklogged tells whether the tasks in a machine's queue need more than what is free there.
+// isBacklogged reports whether the tasks in a machine's queue need more than its free resources.
 func (c *Controller) isBacklogged(m *Machine) bool {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 	for _, id := range m.queue {
@@ -165,8 +167,9 @@
 	return false
 }
 
-// stealTo moves tasks from the queues of machines that are behind to that of an idle one
-// for as long as it has room, each drawn among the first of every queue that it can take.
+// stealTo moves tasks from the queues of backlogged machines to the queue of an idle one, as long
+// as it has room and at most MaxHandovers of them. Each is drawn from the first task of every
+// queue that the machine can take.
 func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
 	for n := 0; n < tuning.MaxHandovers; n++ {
 		var offers []policy.Choice
@@ -180,18 +183,19 @@
 				tasks = append(tasks, id)
 			}
 		}
-		k := c.draw(&c.learner.steals, offers)
-		if k < 0 {
+		chosen := c.draw(&c.learner.steals, offers)
+		if chosen < 0 {
 			return
 		}
-		id := tasks[offers[k].Ref]
+		id := tasks[offers[chosen].Ref]
 		free = free.Plus(c.cache.jobs[id.Job].Header.Spec.Request, -1)
 		c.enqueue(id, m)
 	}
 }
 
-// firstToSteal is the first task in a machine's queue that can't start there at once, but
-// could on an idle machine with that much free.
+// firstToSteal returns the first task in the queue of one machine that can't start there at once,
+// but could on another machine with the given free resources. The second result is false if
+// there is no such task.
 func (c *Controller) firstToSteal(from, to *Machine, freeThere domain.Resources) (domain.TaskID, bool) {
 	free := c.cache.freeOn(from.Name, c.cache.machineType(from.Type).Capacity, nil)
 	for _, id := range from.queue {
@@ -201,7 +205,7 @@
 		spec := c.cache.jobs[id.Job].Header.Spec
 		if free.Fits(spec.Request) {
 			free = free.Plus(spec.Request, -1)
-			continue // starts there at once
+			continue // it can start there at once
 		}
 		if c.canStart(id, to, freeThere) {
 			return id, true
@@ -210,20 +214,22 @@
 	return domain.TaskID{}, false
 }
 
-// fitsQuota tells whether one more task of a job fits its team's limit as it is used
-// now, beside what others claim of it.
+// fitsQuota reports whether one more task of a job fits into its team's limit, given the present
+// use of the limit and the claims of other jobs.
 func (c *Controller) fitsQuota(spec *domain.JobSpec, claims map[string]quotaClaim) bool {
 	limit, used := c.cfg.Teams[spec.Team].Limit, c.teamUsed(spec.Team, nil)
 	return claims[spec.Team].admits(spec, used, limit)
 }
 
-// stealableWork is waiting work of one job, and the other shards that have some of it.
+// stealableWork is a job and the other shards in which tasks of it wait.
 type stealableWork struct {
 	spec   *domain.JobSpec
 	shards map[string]bool
 }
 
-// stealRemote asks other shards for tasks that fit machines with idle room.
+// stealRemote asks other shards for waiting tasks that fit machines with an empty queue and free
+// resources, in at most MaxStealRequests requests. In a large fleet it sends one request, for all
+// idle machines of the same kind.
 func (c *Controller) stealRemote(machines []*Machine) {
 	work := c.stealableInOtherShards()
 	if len(work) == 0 {
@@ -243,23 +249,24 @@
 		}
 		free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, nil)
 		offers := c.shardsToAsk(work, m, free)
-		k := c.draw(&c.learner.steals, offers)
-		if k < 0 {
+		chosen := c.draw(&c.learner.steals, offers)
+		if chosen < 0 {
 			continue
 		}
 		sent++
-		most := tuning.MaxHandovers
+		maxTasks := tuning.MaxHandovers
 		if large {
-			alike := idle[machineKind{m.Type, m.Zone, m.Spot}]
-			free, most = domain.Resources{}.Plus(free, alike), tuning.MaxHandovers*int(alike)
-			sent = tuning.MaxStealRequests // one for all alike
+			count := idle[machineKind{m.Type, m.Zone, m.Spot}]
+			free, maxTasks = domain.Resources{}.Plus(free, count), tuning.MaxHandovers*int(count)
+			sent = tuning.MaxStealRequests // one request for all machines of this kind
 		}
-		c.emit(SendPeerMessage{To: offers[k].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
-			Type: m.Type, Zone: m.Zone, Spot: m.Spot, Room: free, MaxTasks: most}}})
+		c.emit(SendPeerMessage{To: offers[chosen].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
+			Type: m.Type, Zone: m.Zone, Spot: m.Spot, Room: free, MaxTasks: maxTasks}}})
 	}
 }
 
-// stealableInOtherShards is work that waits in other shards and could begin, by job.
+// stealableInOtherShards returns the jobs with tasks that wait in other shards and that their
+// team's limit lets start, at most StealLots of them.
 func (c *Controller) stealableInOtherShards() []stealableWork {
 	var work []stealableWork
 	large, claims := c.isLargeFleet(), c.claims(nil)
@@ -267,7 +274,7 @@
 		if j.counts.queued == 0 || placedByLeader(j.Header.Spec) || !c.fitsQuota(j.Header.Spec, claims) {
 			continue
 		}
-		if large && (!isUnstarted(j) || c.isRecentlyAssigned(j)) {
+		if large && (!isUnstarted(j) || c.isNewlyReady(j)) {
 			continue
 		}
 		if shards := c.otherShardsOf(j); len(shards) > 0 {
@@ -280,8 +287,9 @@
 	return work
 }
 
-// otherShardsOf are the other shards in which tasks of a job wait. A job's last task may be
-// far back, and wait in a shard that has no machine; only the first few are looked at.
+// otherShardsOf returns the other shards in which tasks of a job wait. Only the first StealLook
+// queued tasks of the job are examined: the last one may come after very many others, and may wait
+// in a shard that has no machine.
 func (c *Controller) otherShardsOf(j *Job) map[string]bool {
 	shards := map[string]bool{}
 	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
@@ -294,7 +302,7 @@
 	return shards
 }
 
-// shardsToAsk are the shards, in order of name, that have work for an idle machine.
+// shardsToAsk returns the shards, ordered by name, that have work for an idle machine.
 func (c *Controller) shardsToAsk(work []stealableWork, m *Machine, free domain.Resources) []policy.Choice {
 	shards := map[string]bool{}
 	for _, stealable := range work {
@@ -303,45 +311,46 @@
 		}
 	}
 	var offers []policy.Choice
-	for _, node := range slices.Sorted(maps.Keys(shards)) {
-		if peer := c.peers.byName[node]; peer != nil {
-			offers = append(offers, policy.Choice{Name: node, Load: peer.load, Ref: noTarget})
+	for _, shard := range slices.Sorted(maps.Keys(shards)) {
+		if peer := c.peers.byName[shard]; peer != nil {
+			offers = append(offers, policy.Choice{Name: shard, Load: peer.load, Ref: noTarget})
 		}
 	}
 	return offers
 }
 
-// stealResponse is what is given to a peer that asked for work.
+// stealResponse collects what is handed over to a peer that asked for work.
 type stealResponse struct {
 	c         *Controller
-	to        string // the peer
+	to        string // name of the peer
 	request   *StealRequest
-	room      domain.Resources // left of what it asked for
-	taskCount int              // tasks
+	room      domain.Resources // part of the requested resources that is not yet filled
+	taskCount int              // tasks handed over so far
 	claims    map[string]quotaClaim
 }
 
-// onSteal takes tasks off the queues and lets the next commit hand them over.
+// onSteal handles a peer's request for work: it chooses waiting tasks or, in a large fleet, jobs,
+// which the next commit hands over.
 func (c *Controller) onSteal(from string, request *StealRequest) {
 	if !c.mayAct() || !slices.Contains(c.cache.view.Serving, from) {
 		return
 	}
-	answer := &stealResponse{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
+	response := &stealResponse{c: c, to: from, request: request, room: request.Room, claims: c.claims(nil)}
 	if c.isLargeFleet() {
-		answer.handOverJobs()
+		response.handOverJobs()
 		return
 	}
-	// Unplaced ones first, then those that can't start where they queue.
-	answer.handOverUnplaced()
-	answer.handOverQueued()
+	// Tasks in no queue first, then those that can't start at once where they queue.
+	response.handOverUnplaced()
+	response.handOverQueued()
 }
 
-// allows tells whether the peer's machine may run tasks of a job.
+// allows reports whether the peer's machine may run tasks of a job.
 func (s *stealResponse) allows(spec *domain.JobSpec) bool {
 	return allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
 }
 
-// handOverJobs gives whole jobs of which the peer has room for at least half.
+// handOverJobs hands over whole jobs; the peer must have room for at least half of the tasks of each.
 func (s *stealResponse) handOverJobs() {
 	c := s.c
 	for _, j := range c.cache.openJobs {
@@ -360,8 +369,8 @@
 	}
 }
 
-// mayHandOverJob tells whether a job may go to the peer as a whole: it is of this shard, nothing
-// of it is queued, and it hasn't wandered far.
+// mayHandOverJob reports whether a job may go to the peer as a whole: it waits in this shard, none
+// of its tasks is in a machine's queue here, and it was handed over fewer than MaxHops times.
 func (s *stealResponse) mayHandOverJob(j *Job) bool {
 	c, spec := s.c, j.Header.Spec
 	if placedByLeader(spec) || !isUnstarted(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
@@ -370,7 +379,7 @@
 	return c.cache.shardOf(j) == c.cfg.Node && j.Header.Handovers < tuning.MaxHops && s.allows(spec)
 }
 
-// handOverUnplaced gives tasks that are in no queue yet.
+// handOverUnplaced hands over tasks that wait in no machine's queue.
 func (s *stealResponse) handOverUnplaced() {
 	c := s.c
 	for _, j := range c.cache.openJobs {
@@ -386,7 +395,7 @@
 	}
 }
 
-// handOverQueued gives tasks that can't start at once on the machine in whose queue they are.
+// handOverQueued hands over tasks that can't start at once on the machine in whose queue they are.
 func (s *stealResponse) handOverQueued() {
 	c := s.c
 	for _, name := range c.heartbeats.machineNames() {
@@ -409,9 +418,9 @@
 	}
 }
 
-// handOverTask hands one task over, if the peer may have it, it still waits and there is room. What
-// its team's limit or a claim on it keeps from starting would only fill the room that
-// another task could use.
+// handOverTask hands over one task if it still waits, the peer may run it and has asked for enough
+// resources. Tasks that their team's limit or a claim on it keeps from starting are not handed
+// over, since they would only take up room that another task could use.
 func (s *stealResponse) handOverTask(id domain.TaskID) {
 	c, j := s.c, s.c.cache.jobs[id.Job]
 	if j == nil || s.taskCount >= s.request.MaxTasks || c.planner.taskHandovers[id] != "" || !c.isWaiting(j, id.Index) {
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -9,22 +9,22 @@
 	"brassglade/internal/tuning"
 )
 
-// target is one of this controller's machines as a run of placing sees it.
+// target is the state of one of this controller's machines during a run of placeTasks.
 type target struct {
 	machine       *Machine
 	machineType   *domain.MachineType
-	load          float64          // expected delay there, s
-	free          domain.Resources // not booked
-	preemptible   domain.Resources // held by tasks that may be stopped for all others
+	load          float64          // expected delay of a new task, s
+	free          domain.Resources // not booked by any task
+	preemptible   domain.Resources // booked by preemptible tasks
 	queued        int64            // tasks in the machine's queue
-	pendingImages []string         // images on their way or about to be
-	roomIsScarce  bool             // more waits than there is room for
+	pendingImages []string         // images that its tasks need and it hasn't fetched yet
+	roomIsScarce  bool             // waiting tasks of the shard need more than half of its free resources
 }
 
-// noTarget is the Ref of choices that are no machine, or that the mask took out.
+// noTarget is the Ref of choices that are shards, or that have been removed from the draw.
 const noTarget = -1
 
-// newTarget looks at a machine as it is.
+// newTarget returns a target with the present state of a machine.
 func (c *Controller) newTarget(m *Machine) target {
 	machineType := c.cache.machineType(m.Type)
 	return target{
@@ -38,14 +38,14 @@
 	}
 }
 
-// hasImage tells whether the machine has fetched an image.
+// hasImage reports whether the machine has fetched an image.
 func (t *target) hasImage(image string) bool {
 	_, ok := t.machine.images[image]
 	return ok
 }
 
-// setRoomScarcity compares what waits in this shard with its room, in the amount that
-// its machines have least of.
+// setRoomScarcity sets roomIsScarce of all targets: whether the waiting tasks of this shard need
+// more than half of the free resources of its machines, in any kind of resource.
 func (c *Controller) setRoomScarcity(targets []target) {
 	var want, room domain.Resources
 	for _, j := range c.cache.openJobs {
@@ -56,33 +56,33 @@
 	for i := range targets {
 		room = room.Plus(targets[i].free, 1)
 	}
-	scarce := 2*want.CPU > room.CPU || 2*want.GPU > room.GPU || 2*want.Memory > room.Memory
+	isScarce := 2*want.CPU > room.CPU || 2*want.GPU > room.GPU || 2*want.Memory > room.Memory
 	for i := range targets {
-		targets[i].roomIsScarce = scarce
+		targets[i].roomIsScarce = isScarce
 	}
 }
 
-// taskKind is what decides whether a machine's queue takes a task.
+// taskKind holds the properties of a task on which it depends whether a machine's queue takes it.
 type taskKind struct {
 	request     domain.Resources
-	preemptible bool // queued only where it starts at once
+	preemptible bool // queued only where it can start at once
 }
 
-// kindOf is the kind of a job's tasks. Those of a starving job wait in queues like all
-// others, or none of them might ever begin.
+// kindOf returns the kind of a job's tasks. Preemptible tasks of a starving job may wait in queues
+// like all other tasks, since otherwise none of them might ever start.
 func (c *Controller) kindOf(j *Job) taskKind {
 	return taskKind{j.Header.Spec.Request, preemptible(j.Header.Spec) && !c.isStarving(j, placementOf(j, nil))}
 }
 
-// roomFor is the room that tasks of a kind can have on the machine.
+// roomFor returns the resources that tasks of a kind can get on the machine.
 func (t *target) roomFor(kind taskKind) domain.Resources {
 	return roomWithPreemption(t.free, t.preemptible, kind.preemptible)
 }
 
-// isFull tells whether the queue takes no more tasks of a kind. Queues are small; what can't
-// start soon waits in the shard's pool, where the order can still change. A preemptible task is
-// queued only where it starts at once: waiting there it would go ahead of others that come
-// later.
+// isFull reports whether the machine's queue takes no more tasks of a kind. Queues are short:
+// tasks that can't start soon remain among the pending jobs of the shard, where the order can still
+// change. A preemptible task is queued only where it can start at once: if it waited in the queue,
+// it would start before other tasks that arrive later.
 func (t *target) isFull(kind taskKind) bool {
 	depth := int64(tuning.QueueDepth)
 	if kind.preemptible {
@@ -91,8 +91,9 @@
 	return t.queued >= t.roomFor(kind).CountFitting(kind.request, tuning.MaxCountedSlots)+depth
 }
 
-// targetsWithRoom are the targets whose queues still take a task of a kind. Where every
-// slot is wanted these are few, while hundreds of jobs ask for them in one plan.
+// targetsWithRoom returns the indices of the targets whose queues still take a task of a kind. The
+// result is cached in p.roomy and reduced by each call: when resources are scarce few targets
+// remain, while hundreds of jobs in one plan ask for them.
 func (p *placing) targetsWithRoom(kind taskKind) []int {
 	indices, known := p.roomy[kind]
 	if !known {
@@ -112,8 +113,9 @@
 	return kept
 }
 
-// choices are this shard's machines that may take a task of the job, weighed; never nil.
-// Cached: only those that have its image, or will have it.
+// choices returns this shard's machines that may take a task of the job, with their load and cost.
+// The result is never nil. If cached is set, only machines are included that have the job's image
+// or are about to fetch it.
 func (p *placing) choices(j *Job, cached bool) []policy.Choice {
 	c, spec := p.c, j.Header.Spec
 	roomy := p.targetsWithRoom(c.kindOf(j))
@@ -136,8 +138,9 @@
 	return choices
 }
 
-// weigh fills in what a choice's target costs a task of the job now; false: the mask
-// takes it out. Cheapest is the least price of a slot for such a task.
+// weigh sets load and cost of a choice for a task of the job. It returns false if the target's
+// queue is full, so that the choice must be left out. The argument cheapest is the result of
+// leastPrice for the job.
 func (p *placing) weigh(choice *policy.Choice, j *Job, cheapest float64) bool {
 	target, spec, kind := &p.targets[choice.Ref], j.Header.Spec, p.c.kindOf(j)
 	if target.isFull(kind) {
@@ -149,8 +152,9 @@
 	return true
 }
 
-// fetchCost is the delay by the fetch of a job's image, s. Fetches share the machine's rate:
-// another image delays all that wait there, while one already on its way is half there.
+// fetchCost returns the expected delay by the fetch of a job's image, in seconds. Fetches share the
+// machine's bandwidth: a further image also delays the other fetches, while an image that is already
+// being fetched counts as half fetched.
 func (t *target) fetchCost(spec *domain.JobSpec) float64 {
 	if spec.Image == "" || t.machineType.FetchGBPerS <= 0 || t.hasImage(spec.Image) {
 		return 0
@@ -162,9 +166,10 @@
 	return fetch * (1 + tuning.FetchShare*others)
 }
 
-// packCost makes draws prefer fuller and cheaper machines among those where a task starts at
-// once: it runs as fast on any of them, but a machine that stays empty can be returned, and a
-// full one fetches each image once for many.
+// packCost returns a cost in seconds by which draws prefer fuller and cheaper machines among those
+// where a task can start at once. The task runs as fast on any of them, but a machine that stays
+// empty can be returned to the cloud, and a full one fetches each image once for many tasks. The
+// cost is 0 where the task can't start at once and where resources are scarce.
 func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
 	slots := t.machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
 	room := t.roomFor(kind).CountFitting(spec.Request, tuning.MaxCountedSlots) - t.queued
@@ -172,17 +177,18 @@
 		return 0
 	}
 	if t.roomIsScarce {
-		return 0 // no machine will stay empty, and crowding slows its fetches
+		return 0 // no machine will stay empty, and many tasks on one machine slow down its fetches
 	}
 	price := t.machineType.Price
 	if t.machine.Spot {
 		price = t.machineType.SpotPrice
 	}
-	dearness := min(price/float64(slots)/cheapest, tuning.MaxDearness)
-	return q.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(dearness-1))
+	relativePrice := min(price/float64(slots)/cheapest, tuning.MaxDearness)
+	return q.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(relativePrice-1))
 }
 
-// leastPrice is the least price of a slot for a task of the job.
+// leastPrice returns the lowest price per task, over all machine types that can run the job's
+// tasks, or infinity if there are none.
 func (c *Controller) leastPrice(spec *domain.JobSpec) float64 {
 	cheapest := math.Inf(1)
 	for i := range c.cache.machineTypes {
@@ -199,7 +205,8 @@
 	return cheapest
 }
 
-// imagesPending lists the images that a machine's tasks still wait for.
+// imagesPending returns the images that the tasks booked or queued on a machine need and that it
+// hasn't fetched yet.
 func (c *Controller) imagesPending(m *Machine) []string {
 	var images []string
 	add := func(id domain.TaskID) {
@@ -223,17 +230,18 @@
 	return images
 }
 
-// leastLoaded are the most choices of least load and cost, in their order, without those
-// that the mask took out. With hundreds of machines a shard the softmax gives the others
-// nothing, and a draw's work and gradient grow with the square of the choices.
-func leastLoaded(all []policy.Choice, most int) []policy.Choice {
+// leastLoaded returns the choices with the lowest sum of load and cost, at most limit of them and in
+// the given order, without those whose Ref is noTarget. With hundreds of machines in a shard the
+// softmax gives the remaining choices almost no probability, while the computing time and the
+// gradient of a draw grow with the square of the number of choices.
+func leastLoaded(all []policy.Choice, limit int) []policy.Choice {
 	var choices []policy.Choice
 	for i := range all {
 		if all[i].Ref != noTarget {
 			choices = append(choices, all[i])
 		}
 	}
-	if len(choices) <= most {
+	if len(choices) <= limit {
 		return choices
 	}
 	score := make([]float64, len(choices))
@@ -242,10 +250,10 @@
 	}
 	sorted := slices.Clone(score)
 	slices.Sort(sorted)
-	cut := sorted[most-1]
+	cut := sorted[limit-1]
 	var least []policy.Choice
 	for i := range choices {
-		if score[i] <= cut && len(least) < most {
+		if score[i] <= cut && len(least) < limit {
 			least = append(least, choices[i])
 		}
 	}
--- a/internal/scheduler/targets_test.go
+++ b/internal/scheduler/targets_test.go
@@ -9,12 +9,12 @@
 	"brassglade/internal/policy"
 )
 
-// TestLeastLoaded: of the choices that the mask left those of least load and cost are drawn
-// among, in their order, and no more than asked for even among equals.
+// TestLeastLoaded checks that the choices with the lowest sum of load and cost are kept in their
+// order, without removed choices, and no more than the limit even if several have equal sums.
 func TestLeastLoaded(t *testing.T) {
-	masked := policy.Choice{Name: "masked", Load: math.Inf(1), Ref: noTarget}
+	removed := policy.Choice{Name: "removed", Load: math.Inf(1), Ref: noTarget}
 	all := []policy.Choice{
-		{Name: "a", Load: 5, Ref: 0}, masked, {Name: "b", Load: 1, Cost: 1, Ref: 2},
+		{Name: "a", Load: 5, Ref: 0}, removed, {Name: "b", Load: 1, Cost: 1, Ref: 2},
 		{Name: "c", Load: 0, Ref: 3}, {Name: "d", Load: 2, Ref: 4}, {Name: "e", Load: 2, Ref: 5},
 	}
 	for _, test := range []struct {
@@ -34,26 +34,27 @@
 				names = append(names, choice.Name)
 			}
 			if !slices.Equal(names, test.want) {
-				t.Errorf("%d least loaded: %v, not %v", test.most, names, test.want)
+				t.Errorf("%d least loaded choices: %v, want %v", test.most, names, test.want)
 			}
 		})
 	}
-	if got := leastLoaded([]policy.Choice{masked}, 4); got != nil {
-		t.Errorf("all masked: %v", got)
+	if got := leastLoaded([]policy.Choice{removed}, 4); got != nil {
+		t.Errorf("result %v for removed choices only, want nil", got)
 	}
 }
 
-// TestPlaceRounds: where every slot is wanted each job has two rounds, first on machines with
-// its image, and those late beyond all aims come last; otherwise there is one round for all.
+// TestPlaceRounds checks that when resources are scarce each job has two rounds, the first only on
+// machines with its image, and that jobs that can't meet any objective come last. Otherwise there
+// is one round for all jobs.
 func TestPlaceRounds(t *testing.T) {
 	if got := placeRounds(false); !slices.Equal(got, []placeRound{{}}) {
-		t.Errorf("with room: %+v", got)
+		t.Errorf("rounds if resources are not scarce: %+v", got)
 	}
 	inTime, late := &Job{}, &Job{beyondAims: true}
-	var seen []bool // late, by round
+	var seen []bool // by round, whether it includes the late job
 	for _, round := range placeRounds(true) {
 		if round.includes(inTime) == round.includes(late) {
-			t.Fatalf("round %+v is for both or none", round)
+			t.Fatalf("round %+v includes both jobs or neither", round)
 		}
 		if round.cached != (len(seen)%2 == 0) {
 			t.Errorf("round %d is cached: %t", len(seen), round.cached)
@@ -61,9 +62,9 @@
 		seen = append(seen, round.includes(late))
 	}
 	if !slices.Equal(seen, []bool{false, false, true, true}) {
-		t.Errorf("late jobs in rounds %v", seen)
+		t.Errorf("rounds that include the late job: %v", seen)
 	}
 	if round := placeRounds(false)[0]; !round.includes(inTime) || !round.includes(late) {
-		t.Error("the one round is not for all")
+		t.Error("the only round does not include all jobs")
 	}
 }
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -10,18 +10,20 @@
 	"brassglade/internal/tuning"
 )
 
-// rankedJob is a job in the order of a shard's pool.
+// rankedJob is a job with the properties that decide its place in the order of the pending jobs of a
+// shard.
 type rankedJob struct {
 	job             *Job
-	withinGuarantee bool          // its team is owed it, or it starves
-	objectiveTimes  []float64     // s left until each aim, the first aim first
-	objective       int           // the aim it is put down for; len(goals): none
-	timing          tardiness.Job // its work for the whole fleet, and its tasks' run time from when they are queued
+	withinGuarantee bool          // the job is within its team's guarantee and younger than GuaranteeWithin, or it starves
+	objectiveTimes  []float64     // time left until each objective, first objective first, s
+	objective       int           // index of the objective that it is assigned to; len(objectiveTimes) if none
+	timing          tardiness.Job // work of the job for the whole fleet, and run time of a task from when it is queued
 }
 
-// jobsByUrgency orders the open jobs that shards place and that may have more tasks in queues:
-// what a team is owed first, then priority, then such that as many jobs as can be meet
-// their aims. It also notes which jobs are late beyond all aims.
+// jobsByUrgency returns the open jobs that shards place and that may have more tasks in queues.
+// Jobs within their team's guarantee and starving jobs come first, then jobs of higher priority;
+// jobs of equal priority are ordered such that as many as possible meet their objectives. It also
+// sets beyondAims of the jobs that can't meet any objective.
 func (c *Controller) jobsByUrgency() []*Job {
 	order := c.rankableJobs()
 	assignObjectives(order)
@@ -36,12 +38,12 @@
 	return jobs
 }
 
-// rankableJobs are the open jobs that shards place and that wait, in the order in which they
-// were accepted. Older jobs use up a team's guarantee before younger ones, whether they
+// rankableJobs returns the open jobs that shards place and that have waiting tasks, in the order in
+// which they were accepted. Older jobs use up a team's guarantee before younger ones, whether they
 // wait or run.
 func (c *Controller) rankableJobs() []*rankedJob {
 	var jobs []*rankedJob
-	accepted := map[string]domain.Resources{} // by team: what its jobs so far take, as a whole
+	accepted := map[string]domain.Resources{} // by team: requests of all tasks, not yet done, of its jobs so far
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
 		guarantee := c.cfg.Teams[spec.Team].Guarantee
@@ -50,13 +52,13 @@
 		if j.counts.queued == 0 || placedByLeader(spec) || j.isPaused(c.now) {
 			continue
 		}
-		isOwed := guarantee != (domain.Resources{}) && quota.Within(withJob, guarantee) && j.age(c.now).Seconds() <= c.cfg.GuaranteeWithin
-		// Moore and Hodgson's rule lets the jobs with the most work give way; none of them
-		// may do so for ever.
-		isOwed = c.isStarving(j, placementOf(j, nil)) || isOwed
+		withinGuarantee := guarantee != (domain.Resources{}) && quota.Within(withJob, guarantee) && j.age(c.now).Seconds() <= c.cfg.GuaranteeWithin
+		// Moore and Hodgson's rule postpones the jobs with the most work. Starving jobs go first,
+		// so that none is postponed indefinitely.
+		withinGuarantee = c.isStarving(j, placementOf(j, nil)) || withinGuarantee
 		jobs = append(jobs, &rankedJob{
 			job:             j,
-			withinGuarantee: isOwed,
+			withinGuarantee: withinGuarantee,
 			objectiveTimes:  c.goals(j),
 			timing: tardiness.Job{
 				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
@@ -67,8 +69,9 @@
 	return jobs
 }
 
-// goals are the times left until a job's aims, s: its deadline, or what is left of that of a job
-// which needs it, with the multiples that count, and those of its class.
+// goals returns the time left until each objective of a job, in seconds. The objectives are the
+// DeadlineMultiples of the job's deadline, or of the deadline of a job that depends on it, and the
+// completion times that FinishWithin sets for the class of the job.
 func (c *Controller) goals(j *Job) []float64 {
 	var goals []float64
 	if j.deadlineSeconds > 0 {
@@ -83,9 +86,10 @@
 	return goals
 }
 
-// slots is how many tasks like this the machines heard of can run at once.
+// slots returns the number of tasks of the job that the known machines that take bookings can run
+// at once if they are empty; at least 1.
 func (c *Controller) slots(spec *domain.JobSpec) float64 {
-	c.inventory() // brings machinesByKind up to date
+	c.inventory() // updates machinesByKind
 	total := int64(0)
 	for kind, count := range c.peers.machinesByKind {
 		if machineType := c.cache.machineType(kind.machineType); machineType != nil && allowsMachine(spec, kind.machineType, kind.zone, kind.spot) {
@@ -95,17 +99,19 @@
 	return float64(max(total, 1))
 }
 
-// hasOnlyFailures tells whether all attempts so far failed, several times over. Such a job runs one
-// task at a time, or a mistaken one would take machines and changes from all others.
+// hasOnlyFailures reports whether no task of the job is done and at least DoubtAfter attempts have
+// failed. Such a job runs one task at a time, since a faulty job would otherwise take machines and
+// write capacity from other jobs.
 func (j *Job) hasOnlyFailures() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
 
-// isStarving tells whether a job could have begun long ago, and has nothing to show for it. One
-// whose bookings came to nothing is no better off than one that never had any.
-func (c *Controller) isStarving(j *Job, at placement) bool {
-	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
+// isStarving reports whether a job has been ready to start for longer than StarveAfter and has no
+// task that is booked or done. A job whose bookings all ended without a result starves like one
+// that was never booked.
+func (c *Controller) isStarving(j *Job, placed placement) bool {
+	return placed.booked == 0 && placed.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
 }
 
-// goesBefore is the order of the pool.
+// goesBefore reports whether the job comes before another one in the order of the pending jobs.
 func (u *rankedJob) goesBefore(other *rankedJob) bool {
 	switch {
 	case u.withinGuarantee != other.withinGuarantee:
@@ -118,8 +124,9 @@
 	return u.timeLeft() < other.timeLeft()
 }
 
-// timeLeft is the time until the aim the job is put down for; beyond all aims the
-// longest tasks go first, since they make the tail.
+// timeLeft returns the time in seconds until the objective that the job is assigned to. For a job
+// that can't meet any objective it is the negative run time of a task: jobs with the longest tasks
+// go first, since they otherwise end last.
 func (u *rankedJob) timeLeft() float64 {
 	if u.objective < len(u.objectiveTimes) {
 		return u.objectiveTimes[u.objective]
@@ -127,33 +134,33 @@
 	return -u.timing.Run
 }
 
-// assignObjectives puts each job down for the first aim that it can meet beside the others, by
-// Moore and Hodgson's rule for each aim in turn: those that would be late for their first aims
-// try their second ones after all that meet their first.
+// assignObjectives assigns each job to the first objective that it can meet together with the other
+// jobs, by Moore and Hodgson's rule for each objective in turn: jobs that would be late for their
+// first objectives are tried with their second ones, after the work of all jobs that meet their first.
 func assignObjectives(jobs []*rankedJob) {
-	tiers := 0
+	objectives := 0
 	for _, u := range jobs {
-		tiers = max(tiers, len(u.objectiveTimes))
+		objectives = max(objectives, len(u.objectiveTimes))
 	}
 	begin := 0.0
-	for tier := 0; tier < tiers; tier++ {
+	for objective := 0; objective < objectives; objective++ {
 		var candidates []*tardiness.Job
 		for _, u := range jobs {
-			if u.isAssignedTo(tier) {
-				u.timing.Left = u.objectiveTimes[tier]
+			if u.isAssignedTo(objective) {
+				u.timing.Left = u.objectiveTimes[objective]
 				candidates = append(candidates, &u.timing)
 			}
 		}
 		begin = tardiness.FewestLate(candidates, begin)
 		for _, u := range jobs {
-			if u.isAssignedTo(tier) && u.timing.Late {
+			if u.isAssignedTo(objective) && u.timing.Late {
 				u.objective++
 			}
 		}
 	}
 }
 
-// isAssignedTo tells whether the job is put down for an aim, counted from 0.
-func (u *rankedJob) isAssignedTo(aim int) bool {
-	return u.objective == aim && aim < len(u.objectiveTimes)
+// isAssignedTo reports whether the job is assigned to the objective with this index, counted from 0.
+func (u *rankedJob) isAssignedTo(index int) bool {
+	return u.objective == index && index < len(u.objectiveTimes)
 }
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -7,28 +7,28 @@
 	"brassglade/internal/tuning"
 )
 
-// WaitReason names what keeps the waiting tasks of a job from starting. It is for operators
-// alone: nothing is decided by it.
+// WaitReason is the reason why the waiting tasks of a job can't start. It is shown to operators in
+// logs and metrics; no decision depends on it.
 type WaitReason int
 
-// The reasons.
+// The wait reasons.
 const (
-	WaitsForNothing     WaitReason = iota // none was found since the job's tasks last all started
-	WaitsForLimit                         // its team's limit has no room
-	WaitsForShare                         // its team's key can't be changed just now, and this controller's share has no room
-	WaitsForGangs                         // the room that is left of the limit is kept for gangs of the team
-	WaitsForStarvingJob                   // that room is kept for a job of the team that starves
-	WaitsForPause                         // the job pauses after errors
-	WaitsForMachine                       // no machine has room
+	WaitsForNothing     WaitReason = iota // no reason was found since all tasks of the job last started
+	WaitsForLimit                         // the team's limit has no room
+	WaitsForShare                         // this controller's share of the limit has no room, and the team's key can't be changed now
+	WaitsForGangs                         // the remaining room of the limit is held back for waiting gangs of the team
+	WaitsForStarvingJob                   // the remaining room of the limit is held back for a starving job of the team
+	WaitsForPause                         // the job is paused after errors
+	WaitsForMachine                       // no machine has room for the task
 	waitReasonCount
 )
 
-// String is the name in logs and metrics.
+// String returns the name of the reason in logs and metrics.
 func (r WaitReason) String() string {
 	return [waitReasonCount]string{"none", "limit", "share", "gangs", "starving_job", "pause", "machine"}[r]
 }
 
-// reasonsByVerdict are the reasons for the verdicts on a team's limit.
+// reasonsByVerdict maps each verdict on a team's limit to a wait reason.
 var reasonsByVerdict = map[quota.Verdict]WaitReason{
 	quota.Admitted:           WaitsForNothing,
 	quota.BeyondLimit:        WaitsForLimit,
@@ -36,8 +36,8 @@
 	quota.KeptForGangs:       WaitsForGangs,
 }
 
-// recordWaitReason records what keeps a job's tasks from starting, given its team's use of the limit,
-// and logs it when that changed.
+// recordWaitReason records why a job's tasks can't start, and logs it if the reason has changed. The
+// argument used is the team's present use of its limit.
 func (c *Controller) recordWaitReason(j *Job, reason WaitReason, claims map[string]quotaClaim, used domain.Resources) {
 	if j.waitReason == reason {
 		return
@@ -57,19 +57,20 @@
 		"used", used, "limit", limit, "kept", kept, "kept_for", keptFor)
 }
 
-// WaitingTasksKey names a number of waiting tasks: those of a team that wait for one reason.
+// WaitingTasksKey identifies a count of waiting tasks: those of one team that wait for one reason.
 type WaitingTasksKey struct {
 	Team   string
 	Reason WaitReason
 }
 
-// waitCounts counts waiting tasks for the status, which is asked for after every step.
+// waitCounts caches the counts of waiting tasks, since the status is read after every step.
 type waitCounts struct {
-	byReason map[WaitingTasksKey]int // replaced as a whole
+	byReason map[WaitingTasksKey]int // replaced by a new map for each count, never changed later
 	next     steady.Gate
 }
 
-// waitingTasks counts the waiting tasks of jobs that this controller places, as of lately.
+// waitingTasks returns the numbers of waiting tasks of jobs that this controller places. They are
+// counted anew every WaitCountInterval.
 func (c *Controller) waitingTasks() map[WaitingTasksKey]int {
 	if !c.waits.next.IsOpen(c.now) {
 		return c.waits.byReason
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -9,7 +9,8 @@
 	"brassglade/internal/domain"
 )
 
-// waitLines are the log lines of the present step about jobs that wait, as job and reason.
+// waitLines returns the log lines of the present step about waiting jobs, each as the job, the reason
+// and the job for which room is held back.
 func waitLines(c *Controller) (lines []string) {
 	for _, effect := range c.effects {
 		if line, ok := effect.(LogLine); ok && line.Message == "job waits" {
@@ -19,8 +20,8 @@
 	return lines
 }
 
-// newControllerWithWaitingJob is a controller with a machine of 16 cores in whose queue the four tasks of job 2
-// wait, of four cores each, and a limit that has room for them.
+// newControllerWithWaitingJob returns a controller and its machine of 16 cores. The four tasks of
+// job 2 wait in the machine's queue, with four cores each; the team's limit has room for them.
 func newControllerWithWaitingJob(t *testing.T) (*Controller, *Machine) {
 	t.Helper()
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: 1, TaskCount: 4, Request: domain.Resources{CPU: 4000}, EstimatedRuntime: 10}
@@ -30,15 +31,15 @@
 	return c, m
 }
 
-// applyGang has a gang of the team wait that takes so many cores.
+// applyGang adds a waiting gang of the team that needs the given number of cores in total.
 func applyGang(c *Controller, cores int64) {
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Shard: "c-0", AcceptOrder: 4,
 		Spec: &domain.JobSpec{Class: "g", Team: "red", Shape: domain.Gang, Priority: 1, TaskCount: 2, Request: domain.Resources{CPU: 500 * cores}, EstimatedRuntime: 10}}
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(3)), ModRevision: 7, Value: codec.Encode(header)})
 }
 
-// TestWaitReasons: what keeps a job's tasks from starting is logged once, with the job that
-// room is kept for, and its tasks are counted under it.
+// TestWaitReasons checks that the reason why a job's tasks can't start is logged once, with the job for
+// which room is held back, and that the tasks are counted under this reason.
 func TestWaitReasons(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -46,15 +47,15 @@
 		reason  WaitReason
 		keptFor string
 	}{
-		{"the limit is used by another controller", func(c *Controller, _ *Machine) {
+		{"another controller uses the limit", func(c *Controller, _ *Machine) {
 			c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 12000}}}
 		}, WaitsForLimit, ""},
-		{"the team's key lost a conflict", func(c *Controller, _ *Machine) {
+		{"a commit of the team's key failed by a conflict", func(c *Controller, _ *Machine) {
 			c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
 			c.cache.shares["red"].ByNode["c-0"] = domain.Resources{CPU: 1000}
 		}, WaitsForShare, ""},
-		{"a gang of the team waits", func(c *Controller, _ *Machine) { applyGang(c, 28) }, WaitsForGangs, jobName(3)},
-		{"a job of the team starves", func(c *Controller, _ *Machine) {
+		{"a gang of the team is waiting", func(c *Controller, _ *Machine) { applyGang(c, 28) }, WaitsForGangs, jobName(3)},
+		{"a job of the team is starving", func(c *Controller, _ *Machine) {
 			c.cache.jobs[jobName(1)].readyAt = int64(c.now) - int64(time.Hour)
 			c.cache.jobs[jobName(1)].Header.Spec.Request.CPU = 28000
 		}, WaitsForStarvingJob, jobName(1)},
@@ -74,29 +75,29 @@
 				t.Errorf("logged %q, want %q once", lines, want)
 			}
 			if got := c.Status().Waiting[WaitingTasksKey{"red", test.reason}]; got != 4 {
-				t.Errorf("%d tasks are counted: %v", got, c.Status().Waiting)
+				t.Errorf("%d waiting tasks are counted under the reason, want 4: %v", got, c.Status().Waiting)
 			}
 		})
 	}
 }
 
-// TestPausedJobIsCounted: tasks that pause after errors are counted so, whatever kept them
-// before, and none once all are booked.
+// TestPausedJobIsCounted checks that the tasks of a job paused after errors are counted as paused,
+// whatever its reason was before, and that none are counted once all are booked.
 func TestPausedJobIsCounted(t *testing.T) {
 	c, _ := newControllerWithWaitingJob(t)
 	j := c.cache.jobs[jobName(2)]
 	j.waitReason, j.pausedUntil = WaitsForMachine, int64(c.now+time.Second)
 	if got := c.Status().Waiting; got[WaitingTasksKey{"red", WaitsForPause}] != 4 {
-		t.Errorf("counted %v", got)
+		t.Errorf("waiting tasks %v, want 4 paused ones", got)
 	}
 	for i := range 4 {
 		c.setTask(j, i, domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000001", AgentEpoch: 1, Shard: "c-0"})
 	}
 	c.now += 2 * time.Second
 	if got := c.Status().Waiting; len(got) != 1 || got[WaitingTasksKey{"red", WaitsForNothing}] != 4 {
-		t.Errorf("counted %v, want job 1 alone", got)
+		t.Errorf("waiting tasks %v, want only those of job 1", got)
 	}
 	if j.waitReason != WaitsForNothing {
-		t.Errorf("a job without waiting tasks keeps reason %s", j.waitReason)
+		t.Errorf("a job without waiting tasks has wait reason %s", j.waitReason)
 	}
 }
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -13,19 +13,19 @@
 	"brassglade/internal/tuning"
 )
 
-// largeFleetLeader leads a fleet of 2,000 machines in two zones. The settings have the
-// smallest values and transactions in use.
+// largeFleetLeader returns the leader of a fleet of 2,000 machines in two zones. Its settings have the
+// lowest limits for values and transactions that are in use.
 func largeFleetLeader() *Controller {
-	nodes := []string{"c-0", "c-1", "c-2", "c-3"}
-	c := New(Settings{Node: "c-0", Nodes: nodes, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
+	controllers := []string{"c-0", "c-1", "c-2", "c-3"}
+	c := New(Settings{Node: "c-0", Nodes: controllers, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
 		ZoneOf:   map[string]string{"c-0": "a", "c-1": "b", "c-2": "a", "c-3": "b"},
 		FenceAge: 7 * time.Second, HeartbeatInterval: 5 * time.Second, WorkerLease: 31 * time.Second}, "c-0.1")
 	members := map[string]string{}
-	for _, node := range nodes {
-		members[node] = node + ".1"
+	for _, controller := range controllers {
+		members[controller] = controller + ".1"
 	}
 	c.cache.members = members
-	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: nodes}
+	c.cache.view = &domain.View{Epoch: 3, Leader: "c-0", Members: members, Serving: controllers}
 	c.cache.machineTypes = []domain.MachineType{{Name: "box", Capacity: domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}, Zones: []string{"a", "b"}}}
 	c.membership.CacheLoaded()
 	for i := 0; i < 2000; i++ {
@@ -43,8 +43,8 @@
 	return c
 }
 
-// advance lets time go by, with heartbeats of the machines and gossip of the peers for
-// which heard says so; state service and fence are well.
+// advance lets time pass in steps of 500 ms. Machines and peers for which heard returns true send
+// heartbeats and gossip. The state service answers and the fence holds.
 func (c *Controller) advance(duration time.Duration, heard func(string) bool) {
 	for end := c.now + duration; c.now < end; {
 		c.now += 500 * time.Millisecond
@@ -54,7 +54,7 @@
 				peer.heardAt = c.now
 			}
 		}
-		for name, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
+		for name, m := range c.heartbeats.machines { // every 5 s, at a different time for each machine
 			if at := time.Duration(ownership.Hash(name)%10) * 500 * time.Millisecond; heard(name) && c.owns(name) && c.now%(5*time.Second) == at {
 				m.heardAt, m.heartbeatAt = c.now, c.now
 			}
@@ -63,9 +63,10 @@
 	}
 }
 
-// TestMachinesOfUnreachableZoneAreNotCordoned: the machines of a zone that is cut off are silent together.
-// On a day of 1,333 machines 771 of them were cordoned as lost and returned within
-// 40 s, since those just taken over counted as heard.
+// TestMachinesOfUnreachableZoneAreNotCordoned checks that machines are not drained as lost when their
+// whole zone is cut off, so that they all stop sending heartbeats together. In a scenario with 1,333
+// machines 771 were cordoned as lost and returned within 40 s, because machines that had just been
+// taken over counted as having sent heartbeats.
 func TestMachinesOfUnreachableZoneAreNotCordoned(t *testing.T) {
 	c := largeFleetLeader()
 	inB := func(name string) bool { return c.cfg.ZoneOf[name] == "b" || c.zoneOf(name) == "b" }
@@ -74,35 +75,36 @@
 	view.Epoch, view.Serving = 4, []string{"c-0", "c-2"}
 	view.Members = map[string]string{"c-0": "c-0.1", "c-2": "c-2.1"}
 	c.adoptView(&view)
-	for i := 0; i < 2000; i++ { // machines of controllers that left come here by their bookings
+	for i := 0; i < 2000; i++ { // machines of controllers that left are taken over because of their bookings
 		if name := fmt.Sprintf("n-%06d", i); c.owns(name) && c.heartbeats.machines[name] == nil {
 			c.takeOwnership(name)
 			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].heardOnce = []string{"a", "b"}[i%2], true
 		}
 	}
 	c.advance(90*time.Second, func(name string) bool { return !inB(name) })
-	for i := 0; i < 16; i++ { // back one after the other
+	for i := 0; i < 16; i++ { // the machines and controllers of the zone return one after the other
 		c.advance(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
 	}
 	c.advance(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.wanted) > 0 {
-		t.Errorf("%d machines of a cut zone were drained", len(c.cordons.wanted))
+		t.Errorf("%d machines of the unreachable zone were drained", len(c.cordons.wanted))
 	}
-	// A tenth of them hang: these are lost.
+	// A tenth of the machines hang: these are to be drained as lost.
 	c.advance(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
 	if n := len(c.cordons.wanted); n < 50 || n > 150 {
-		t.Errorf("of about 100 silent machines %d were drained", n)
+		t.Errorf("%d of about 100 machines without heartbeats were drained", n)
 	}
 }
 
-// TestZonePartitionSplitsOwnership: machines that reach no owner in another zone, hundreds at a
-// time, have room in no list of overrides. Machines then belong to the controllers
-// of their own zone, by one change of the view, until all hear each other again.
+// TestZonePartitionSplitsOwnership checks the case that hundreds of machines at once can't reach
+// owners in another zone, which are too many for the list of overrides. One change of the view then
+// assigns machines to the controllers of their own zone, until all controllers receive each other's
+// messages again.
 func TestZonePartitionSplitsOwnership(t *testing.T) {
 	c := largeFleetLeader()
 	sameZone := func(name string) bool { return c.cfg.ZoneOf[name] != "b" }
 	c.advance(5*time.Second, sameZone)
-	visits := func(sequence uint64) {
+	redirectAll := func(sequence uint64) {
 		for i := 0; i < 2000; i += 2 {
 			name := fmt.Sprintf("n-%06d", i)
 			if owner := c.ownerIn(name, "a"); c.cfg.ZoneOf[owner] == "b" {
@@ -110,19 +112,19 @@
 			}
 		}
 	}
-	visits(2)
+	redirectAll(2)
 	if view := c.desiredView(); view != nil {
-		t.Fatalf("one visit moved machines: %+v", view)
+		t.Fatalf("one redirect per machine changed the view: %+v", view)
 	}
 	c.advance(7*time.Second, sameZone)
 	if view := c.desiredView(); view != nil {
-		t.Fatalf("machines sent to and fro once by a new view were moved: %+v", view)
+		t.Fatalf("machines that were redirected only once changed the view: %+v", view)
 	}
-	visits(3)
+	redirectAll(3)
 	c.advance(time.Second, sameZone)
 	view := c.desiredView()
 	if view == nil || !view.Zoned || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
-		t.Fatalf("view %+v", view)
+		t.Fatalf("view after repeated redirects: %+v, want a zoned view of 4 controllers without overrides", view)
 	}
 	view.Epoch = 4
 	c.adoptView(view)
@@ -132,13 +134,13 @@
 			t.Fatalf("%s in zone %s belongs to %s", name, zone, owner)
 		}
 	}
-	// Whoever knows no zone finds no owner, and owns nothing by mistake.
+	// A machine whose zone is unknown has no owner, so no controller owns it by mistake.
 	if owner := c.ownerOf("n-999999"); owner != "" {
-		t.Errorf("a machine of no known zone belongs to %s", owner)
+		t.Errorf("a machine of unknown zone belongs to %s", owner)
 	}
 	c.advance(20*time.Second, sameZone)
 	if view := c.desiredView(); view != nil && !view.Zoned {
-		t.Error("the zones were joined while apart")
+		t.Error("the view was no longer zoned while the zones were still partitioned")
 	}
 	for i := 0; i < 30; i++ {
 		c.advance(time.Second, func(string) bool { return true })
@@ -147,28 +149,28 @@
 		}
 	}
 	if view == nil || view.Zoned {
-		t.Errorf("all heard each other again, view %+v", view)
+		t.Errorf("view after all controllers reached each other again: %+v, want one that is not zoned", view)
 	}
 }
 
-// TestOverrideChangesAreRateLimited: each change of the view fails all commits under way.
-// When zones could not reach each other, overrides were added by thirteen views
-// in four seconds.
+// TestOverrideChangesAreRateLimited checks that overrides are added in few changes of the view, since
+// each change fails all commits under way. When zones could not reach each other, thirteen views in
+// four seconds added overrides.
 func TestOverrideChangesAreRateLimited(t *testing.T) {
 	c := largeFleetLeader()
-	loseMachines := func() {
-		lost := 0
-		for i := 0; lost < 5 && i < 2000; i++ {
+	redirectMachines := func() {
+		redirected := 0
+		for i := 0; redirected < 5 && i < 2000; i++ {
 			name := fmt.Sprintf("n-%06d", i)
 			if owner := c.ownerIn(name, "a"); owner == "c-2" && c.views.redirects[name] == nil {
-				lost++
+				redirected++
 				c.views.redirects[name] = []redirect{{c.now - 8*time.Second, "c-2/c-2.1", 1, "a"}, {c.now - 2*time.Second, "c-2/c-2.1", 1, "a"}}
 			}
 		}
 	}
 	views := 0
 	for i := 0; i < 24; i++ {
-		loseMachines()
+		redirectMachines()
 		if view := c.desiredView(); view != nil {
 			view.Epoch = c.cache.view.Epoch + 1
 			c.adoptView(view)
@@ -177,13 +179,13 @@
 		c.advance(500*time.Millisecond, func(string) bool { return true })
 	}
 	if views < 2 || views > 4 {
-		t.Errorf("%d views in 12 s", views)
+		t.Errorf("%d views in 12 s, want 2 to 4", views)
 	}
 }
 
-// TestDelayedHeartbeatsDontCountAsIgnoredReplies: heartbeats that a cut held back come all at once. None
-// of them can show the answer to the one before, yet 31 machines were cordoned as
-// reached by nothing and returned.
+// TestDelayedHeartbeatsDontCountAsIgnoredReplies checks heartbeats that a network partition delayed,
+// so that they arrive all at once. None of them can reflect the answer to the one before. Because
+// they were counted, 31 machines were cordoned as unreachable for answers and returned.
 func TestDelayedHeartbeatsDontCountAsIgnoredReplies(t *testing.T) {
 	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
@@ -196,21 +198,21 @@
 		c.now += time.Millisecond
 	}
 	if m.unheededReplies != 0 {
-		t.Errorf("%d heartbeats count as unheeded", m.unheededReplies)
+		t.Errorf("%d delayed heartbeats count as ignoring an answer, want 0", m.unheededReplies)
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
 		c.checkRepliesHeeded(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
 	if m.unheededReplies != 2 {
-		t.Errorf("%d heartbeats count as unheeded, each 5 s after an answer", m.unheededReplies)
+		t.Errorf("%d heartbeats, each 5 s after an answer, count as ignoring it, want 2", m.unheededReplies)
 	}
 }
 
-// TestValuesOfOtherShardsAreCommittedSeparately: outcomes of tasks whose records are in other shards'
-// values go into commits of their own, one value each. In one commit with the
-// rest they failed it each time their owners wrote first: after a zone's return
-// its controllers had not one commit through for the rest of the day.
+// TestValuesOfOtherShardsAreCommittedSeparately checks that outcomes of tasks whose records are in
+// values of other shards go into separate commits, one value each. When they were in one commit with
+// the other changes, that commit failed each time the owner of the value wrote first: after a
+// zone returned, none of its controllers' commits succeeded for the rest of the scenario.
 func TestValuesOfOtherShardsAreCommittedSeparately(t *testing.T) {
 	c := largeFleetLeader()
 	revision := c.addEndedTasks("c-0/0", "c-1/0", "c-2/3", "c-0/1")
@@ -235,12 +237,12 @@
 		c.cache.revision = revision
 	}
 	if want := []string{"c-0/0 c-0/1 ", "c-1/0 ", "c-2/3 "}; !slices.Equal(seen, want) {
-		t.Errorf("values changed by each commit: %q, want %q", seen, want)
+		t.Errorf("packs written by each commit: %q, want %q", seen, want)
 	}
 }
 
-// addEndedTasks gives the controller a job in each of the packs, one of whose tasks has addEndedTasks
-// on a machine of its own; it returns the revision.
+// addEndedTasks adds a job in each of the packs. One task of each job has ended on a machine of this
+// controller, a different one for each job. It returns the revision of the cache.
 func (c *Controller) addEndedTasks(packs ...string) uint64 {
 	var own []string
 	for _, name := range c.heartbeats.machineNames() {
@@ -267,32 +269,32 @@
 	return revision
 }
 
-// TestRefusalsLowerTheWriteRate: controllers may use more than an equal part of the changes, as
-// long as the state service takes them; refusals hit users' submissions as well.
+// TestRefusalsLowerTheWriteRate checks that a controller uses more than an equal share of the write
+// rate only until the state service refuses commits, since refusals hit users' submissions as well.
 func TestRefusalsLowerTheWriteRate(t *testing.T) {
 	c := largeFleetLeader()
 	c.cfg.WriteRate, c.cfg.FairWriteRate, c.commits.rate, c.commits.tokens = 8, 5, 8, 8
 	c.addEndedTasks("c-0/0")
-	turn := func(result domain.CommitResult) {
+	commitWith := func(result domain.CommitResult) {
 		c.now += 2 * time.Second
 		c.confirmNow()
 		c.planner.dirty = true
 		c.Step(c.now, Tick{})
 		if c.commits.taskCommit == nil {
-			t.Fatalf("no commit at %v", c.now)
+			t.Fatalf("no task commit at %v", c.now)
 		}
 		c.onCommit(CommitAnswered{ID: c.commits.taskCommit.id, Result: result})
 	}
 	for i := 0; i < 12; i++ {
-		turn(domain.Refused)
+		commitWith(domain.Refused)
 	}
-	fair := 5 * tuning.LeaderWeight // it leads, and has more to write than the others
+	fair := 5 * tuning.LeaderWeight // the leader has more to write than the other controllers
 	if c.commits.rate < fair || c.commits.rate > 1.1*fair {
-		t.Errorf("%g changes a second after refusals", c.commits.rate)
+		t.Errorf("write rate of %g changes/s after refusals, want about the fair one", c.commits.rate)
 	}
 	c.now += time.Minute
-	turn(domain.Refused)
+	commitWith(domain.Refused)
 	if c.commits.rate < 1.2*fair {
-		t.Errorf("%g changes a second a minute later", c.commits.rate)
+		t.Errorf("write rate of %g changes/s a minute after refusals, want more", c.commits.rate)
 	}
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -7,16 +7,17 @@
 	"brassglade/internal/domain"
 )
 
-// hasZoneConstraint tells whether a task's place depends on where the job's other tasks are.
+// hasZoneConstraint reports whether the zones allowed for a task depend on where the job's other
+// tasks are booked.
 func hasZoneConstraint(spec *domain.JobSpec) bool {
 	return spec.TaskCount > 1 && (spec.OneZone || spec.Spread)
 }
 
-// isSpreadOverZones tells whether each zone takes only some of the job's tasks.
+// isSpreadOverZones reports whether the job's tasks must be spread over several zones.
 func isSpreadOverZones(spec *domain.JobSpec) bool { return hasZoneConstraint(spec) && spec.Spread }
 
-// constrainedZoneCounts counts a job's booked tasks by zone as the draft would leave them. The map
-// is empty, never nil, for a job whose tasks don't depend on each other's zones.
+// constrainedZoneCounts returns the number of a job's booked tasks by zone, as the draft would leave
+// them. For a job without zone constraint the map is empty, but never nil.
 func constrainedZoneCounts(j *Job, d *draft) map[string]int {
 	if !hasZoneConstraint(j.Header.Spec) {
 		return map[string]int{}
@@ -24,12 +25,12 @@
 	return bookedZones(j, d)
 }
 
-// zoneAllowance is how many further tasks of a job may go to each zone; nil: any number
-// to any. Room in a zone that the job can't use is no room for it: counted as such, it
-// kept the leader from scaling out where the job could have run, for ever.
+// zoneAllowance is the number of further tasks of a job that each zone may take; nil sets no bound
+// for any zone. Room in other zones must not count for the job: when it did, the leader
+// never scaled out in the zones where the job could have run.
 type zoneAllowance map[string]int64
 
-// left is how many of n tasks the zone may take.
+// left returns how many of n tasks the zone may take.
 func (a zoneAllowance) left(zone string, n int64) int64 {
 	if a == nil {
 		return n
@@ -37,17 +38,17 @@
 	return min(n, a[zone])
 }
 
-// take counts n tasks into a zone.
+// take reduces the allowance of a zone by n tasks.
 func (a zoneAllowance) take(zone string, n int64) {
 	if a != nil {
 		a[zone] -= n
 	}
 }
 
-// zoneAllowance is that of a job of which some tasks wait, given the machines that are there
-// or boot. Arrays are left out, since their tasks end one by one and make room for those
-// left: counted strictly, too, five days of zone-bound arrays scored 0.68 in place of 0.71
-// (docs/incidents/production-wrong-place.md).
+// zoneAllowance returns the allowance for the waiting tasks of a job, given the machines that run
+// or boot. Arrays have none, since their tasks end one by one and make room for the waiting
+// ones: with an allowance for arrays, five scenarios of arrays with zone constraints scored 0.68
+// instead of 0.71 (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
 	if !hasZoneConstraint(spec) || spec.Shape == domain.Array {
@@ -66,9 +67,9 @@
 	return allowed
 }
 
-// chooseZone is the zone to gather room in for tasks that must be together: one that has
-// it already, else of those where machines can be had now, or of all if there are none,
-// the one with most room, and of these the cheapest. False: there are no choices.
+// chooseZone returns the zone in which to provide room for tasks that must be in one zone. It
+// prefers zones that have room for all of them already or where machines can be rented now, then
+// zones with more room, then the cheapest zone. The second result is false if there are no choices.
 func (c *Controller) chooseZone(spec *domain.JobSpec, tasks int64, machines []machineState, choices []string) (string, bool) {
 	if len(choices) == 0 {
 		return "", false
@@ -86,21 +87,21 @@
 	return slices.MinFunc(choices, compare), true
 }
 
-// roomByZone is how many tasks of the job the machines that are there have room for, each
-// of them counted for a given number at most.
-func roomByZone(spec *domain.JobSpec, most int64, machines []machineState) map[string]int64 {
+// roomByZone returns for how many tasks of the job the machines in each zone have room. Each machine
+// counts for at most limit tasks.
+func roomByZone(spec *domain.JobSpec, limit int64, machines []machineState) map[string]int64 {
 	room := map[string]int64{}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State == "" && allowsMachine(spec, m.Type, m.Zone, m.Spot) {
-			room[m.Zone] += m.free.CountFitting(spec.Request, most)
+			room[m.Zone] += m.free.CountFitting(spec.Request, limit)
 		}
 	}
 	return room
 }
 
-// cheapestZone is the zone of the cheapest machines for some tasks of the job; "": none can be
-// had now.
+// cheapestZone returns the zone with the cheapest machines for some tasks of the job, or "" if no
+// machines can be rented now.
 func (c *Controller) cheapestZone(spec *domain.JobSpec, tasks int64, zones []string) string {
 	allowed := zoneAllowance{}
 	for _, zone := range zones {
@@ -110,13 +111,13 @@
 	return kind.zone
 }
 
-// isRentable tells whether a machine for the job's tasks may be asked for in the zone now.
+// isRentable reports whether a machine for the job's tasks may be rented in the zone now.
 func (c *Controller) isRentable(spec *domain.JobSpec, tasks int64, zone string) bool {
 	_, ok := c.cheapest(spec, int(tasks), zoneAllowance{zone: tasks})
 	return ok
 }
 
-// trueFirst orders what holds before what doesn't.
+// trueFirst compares two conditions for sorting: true comes before false.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
