--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -106,7 +106,7 @@
 	learner := &c.learner
 	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, handovers, machines), features)
 	for _, i := range learner.critic.Step(delta) {
-		c.info("critic weight was too large or not finite and has been reset", "index", i)
+		c.info("critic weight was too large or not finite and has been reset", "i", i)
 	}
 	names := c.currentChoiceNames()
 	if n := learner.arrivals.Step(delta, names) + learner.steals.Step(delta, names); n > 0 {
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// dequeueAll empties the queue of the machine with this name. It does nothing if the machine is unknown.
+// dequeueAll empties the queue of the machine with this name. It does nothing if the machine is
+// unknown.
 func (c *Controller) dequeueAll(name string) {
 	m := c.heartbeats.machines[name]
 	if m == nil {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -164,9 +164,9 @@
 
 // shardWork is the waiting work of one job, for which resting machines may be needed again.
 type shardWork struct {
-	spec     *domain.JobSpec
-	shard    string // "" (any) unless the fleet is large
-	unplaced int64  // tasks not yet placed
+	spec      *domain.JobSpec
+	shard     string // "" (any) unless the fleet is large
+	remaining int64  // tasks not yet placed
 }
 
 // planResting chooses the machines that rest: the most expensive ones, as long as the cheaper ones
@@ -313,7 +313,7 @@
 		if placedByLeader(work.spec) || work.job == nil {
 			continue
 		}
-		unplaced := shardWork{spec: work.spec, unplaced: int64(work.tasks)}
+		unplaced := shardWork{spec: work.spec, remaining: int64(work.tasks)}
 		if isLarge {
 			unplaced.shard = c.cache.shardOf(work.job)
 		}
@@ -327,7 +327,7 @@
 // resources and the unplaced tasks of the work are reduced.
 func (c *Controller) placeOnCandidates(candidates []restCandidate, unplaced *shardWork, resting bool) {
 	for i := range candidates {
-		if unplaced.unplaced == 0 {
+		if unplaced.remaining == 0 {
 			return
 		}
 		candidate := &candidates[i]
@@ -335,12 +335,12 @@
 		if c.scaling.resting[m.Name] != resting || candidate.shard != unplaced.shard || !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		placed := candidate.free.CountFitting(unplaced.spec.Request, unplaced.unplaced)
+		placed := candidate.free.CountFitting(unplaced.spec.Request, unplaced.remaining)
 		if placed > 0 && resting {
 			delete(c.scaling.resting, m.Name)
 		}
 		candidate.free = candidate.free.Plus(unplaced.spec.Request, -placed)
-		unplaced.unplaced -= placed
+		unplaced.remaining -= placed
 	}
 }
 
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -15,7 +15,7 @@
 type rankedJob struct {
 	job             *Job
 	withinGuarantee bool          // the job is within its team's guarantee and younger than GuaranteeWithin, or it starves
-	objectiveTimes  []float64     // time left until each objective, first objective first, s
+	timesLeft       []float64     // time left until each objective, first objective first, s
 	objective       int           // index of the objective that it is assigned to; len(objectiveTimes) if none
 	timing          tardiness.Job // work of the job for the whole fleet, and run time of a task from when it is queued
 }
@@ -30,7 +30,7 @@
 	sort.SliceStable(order, func(a, b int) bool { return order[a].goesBefore(order[b]) })
 	jobs := make([]*Job, 0, len(order))
 	for _, u := range order {
-		u.job.beyondAims = len(u.objectiveTimes) > 0 && u.objective >= len(u.objectiveTimes)
+		u.job.beyondAims = len(u.timesLeft) > 0 && u.objective >= len(u.timesLeft)
 		if u.job.queuedHere < min(u.job.counts.queued, tuning.QueuedPerJob) {
 			jobs = append(jobs, u.job)
 		}
@@ -59,7 +59,7 @@
 		jobs = append(jobs, &rankedJob{
 			job:             j,
 			withinGuarantee: withinGuarantee,
-			objectiveTimes:  c.goals(j),
+			timesLeft:       c.goals(j),
 			timing: tardiness.Job{
 				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
 				Run:  c.queues.runTime(spec) + tuning.StartLag,
@@ -128,26 +128,27 @@
 // that can't meet any objective it is the negative run time of a task: jobs with the longest tasks
 // go first, since they otherwise end last.
 func (u *rankedJob) timeLeft() float64 {
-	if u.objective < len(u.objectiveTimes) {
-		return u.objectiveTimes[u.objective]
+	if u.objective < len(u.timesLeft) {
+		return u.timesLeft[u.objective]
 	}
 	return -u.timing.Run
 }
 
 // assignObjectives assigns each job to the first objective that it can meet together with the other
 // jobs, by Moore and Hodgson's rule for each objective in turn: jobs that would be late for their
-// first objectives are tried with their second ones, after the work of all jobs that meet their first.
+// first objectives are tried with their second ones, after the work of all jobs that meet their
+// first.
 func assignObjectives(jobs []*rankedJob) {
 	objectives := 0
 	for _, u := range jobs {
-		objectives = max(objectives, len(u.objectiveTimes))
+		objectives = max(objectives, len(u.timesLeft))
 	}
 	begin := 0.0
 	for objective := 0; objective < objectives; objective++ {
 		var candidates []*tardiness.Job
 		for _, u := range jobs {
 			if u.isAssignedTo(objective) {
-				u.timing.Left = u.objectiveTimes[objective]
+				u.timing.Left = u.timesLeft[objective]
 				candidates = append(candidates, &u.timing)
 			}
 		}
@@ -161,6 +162,4 @@
 }
 
 // isAssignedTo reports whether the job is assigned to the objective with this index, counted from 0.
-func (u *rankedJob) isAssignedTo(index int) bool {
-	return u.objective == index && index < len(u.objectiveTimes)
-}
+func (u *rankedJob) isAssignedTo(i int) bool { return u.objective == i && i < len(u.timesLeft) }
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -38,8 +38,8 @@
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(3)), ModRevision: 7, Value: codec.Encode(header)})
 }
 
-// TestWaitReasons checks that the reason why a job's tasks can't start is logged once, with the job for
-// which room is held back, and that the tasks are counted under this reason.
+// TestWaitReasons checks that the reason why a job's tasks can't start is logged once, with the job
+// for which room is held back, and that the tasks are counted under this reason.
 func TestWaitReasons(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -7,19 +7,17 @@
 	"brassglade/internal/domain"
 )
 
-// hasZoneConstraint reports whether the zones allowed for a task depend on where the job's other
-// tasks are booked.
-func hasZoneConstraint(spec *domain.JobSpec) bool {
-	return spec.TaskCount > 1 && (spec.OneZone || spec.Spread)
-}
+// zoneBound reports whether the zones allowed for a task of the job depend on where its other tasks
+// are booked.
+func zoneBound(spec *domain.JobSpec) bool { return spec.TaskCount > 1 && (spec.OneZone || spec.Spread) }
 
 // isSpreadOverZones reports whether the job's tasks must be spread over several zones.
-func isSpreadOverZones(spec *domain.JobSpec) bool { return hasZoneConstraint(spec) && spec.Spread }
+func isSpreadOverZones(spec *domain.JobSpec) bool { return zoneBound(spec) && spec.Spread }
 
 // constrainedZoneCounts returns the number of a job's booked tasks by zone, as the draft would leave
-// them. For a job without zone constraint the map is empty, but never nil.
+// them. For a job that is not zone-bound the map is empty, but never nil.
 func constrainedZoneCounts(j *Job, d *draft) map[string]int {
-	if !hasZoneConstraint(j.Header.Spec) {
+	if !zoneBound(j.Header.Spec) {
 		return map[string]int{}
 	}
 	return bookedZones(j, d)
@@ -47,11 +45,11 @@
 
 // zoneAllowance returns the allowance for the waiting tasks of a job, given the machines that run
 // or boot. Arrays have none, since their tasks end one by one and make room for the waiting
-// ones: with an allowance for arrays, five scenarios of arrays with zone constraints scored 0.68
+// ones: with an allowance for arrays, five scenarios of zone-bound arrays scored 0.68
 // instead of 0.71 (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
-	if !hasZoneConstraint(spec) || spec.Shape == domain.Array {
+	if !zoneBound(spec) || spec.Shape == domain.Array {
 		return nil
 	}
 	booked, allowed := bookedZones(j, nil), zoneAllowance{}
