--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -19,7 +19,7 @@
 	lastDrawAt       time.Duration
 	lastStealAt      time.Duration
 	nextPlacement    steady.Gate
-	pendingRunTime   float64                   // run time of the pending jobs of the shard, per slot of a machine, s
+	pendingRunTime   float64                   // total run time of pending tasks, divided by the slots of a machine, s
 	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
 	meanLoad         float64                   // cached result of Controller.meanLoad, s
 	meanLoadTakenAt  steady.Instant
@@ -92,7 +92,8 @@
 	m.queue = nil
 }
 
-// placedByLeader reports whether the leader places the tasks of a job, and does so together.
+// placedByLeader reports whether the leader places the tasks of a job together; the tasks of other
+// jobs are placed one by one by the shards.
 func placedByLeader(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang || spec.OneZone || spec.Spread || spec.TaskCount >= tuning.LargeJobTasks
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -23,8 +23,8 @@
 	aheadOfGangs bool
 }
 
-// judge returns whether one more task of a job stays within the team's limit and leaves the room
-// claimed by the team's waiting jobs, or else the reason why it doesn't.
+// judge returns quota.Admitted if one more task of a job stays within the team's limit and leaves
+// the room claimed by the team's waiting jobs, or else the reason why it doesn't.
 func (q quotaClaim) judge(spec *domain.JobSpec, used, limit domain.Resources) quota.Verdict {
 	return q.Judge(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
@@ -114,8 +114,8 @@
 
 // quotaAllows reports whether one more task of a job whose tasks are placed one by one may start
 // within its team's limit: it must fit, and must leave the room claimed for other waiting jobs of
-// the team. Room that no waiting gang can use is not held back for gangs. Otherwise the job's
-// wait reason is recorded.
+// the team. Room that no waiting gang can use is not held back for gangs. If the
+// result is false, the wait reason of the job is recorded.
 func (c *Controller) quotaAllows(j *Job, d *draft, claims map[string]quotaClaim) bool {
 	if !c.guard(GuardQuota) {
 		return true
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -59,8 +59,8 @@
 }
 
 // reservationCandidates returns the machines that may be reserved for jobs of the same kind as
-// this one, ordered by the time until they are empty. Machines reserved before, as given, are
-// preferred by ReservationBonus.
+// this one, ordered by the time until they are empty. The machines in before, which were
+// reserved last time, count as empty sooner by ReservationBonus.
 func (c *Controller) reservationCandidates(spec *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
 	var candidates []reservationCandidate
 	for i := range machines {
@@ -127,8 +127,8 @@
 }
 
 // reserve reserves as many of the candidates as the class needs. The argument idle is the number
-// of idle candidates that are reserved already. If fewer machines are idle than tasks wait, it
-// has reserved machines evicted whose tasks all have lower priority.
+// of idle candidates that are reserved already. If fewer machines are idle than tasks wait, it also
+// marks reserved machines to be emptied by eviction if all their tasks have lower priority.
 func (s *scaling) reserve(demand classDemand, candidates []reservationCandidate, idle int) {
 	for i := range candidates {
 		candidate := &candidates[i]
@@ -214,7 +214,8 @@
 }
 
 // restPrice returns the price by which machines are compared to choose those that rest: the price
-// per thousandth of a GPU, or of a CPU for machines without GPUs.
+// per thousandth of a GPU, or of a CPU for machines without GPUs, increased if the machine rests
+// already.
 func (c *cache) restPrice(m *machineState, rested bool) float64 {
 	machineType := c.machineType(m.Type)
 	price := machineType.Price
@@ -301,8 +302,9 @@
 
 // endRestFor ends the rest of machines that waiting tasks need. The total of free resources is not
 // enough: a task may fit none of the remaining machines, or may not be allowed on the cheaper ones
-// because of its zone or machine type. Without this, such jobs waited while empty machines were
-// available until those were returned, and their claim on the team's limit delayed other jobs.
+// because of its zone or machine type. Without this rule such jobs waited although there
+// were empty machines, until those were returned, and their claim on the team's limit delayed other
+// jobs, too.
 func (c *Controller) endRestFor(candidates []restCandidate, pending []pendingWork) {
 	if len(c.scaling.resting) == 0 {
 		return
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -168,8 +168,8 @@
 }
 
 // stealTo moves tasks from the queues of backlogged machines to the queue of an idle one, as long
-// as it has room and at most MaxHandovers of them. Each is drawn from the first task of every
-// queue that the machine can take.
+// as it has room and at most MaxHandovers of them. Each draw is among the queues, of which each
+// offers the first task that must wait there but can start on the idle machine.
 func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
 	for n := 0; n < tuning.MaxHandovers; n++ {
 		var offers []policy.Choice
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -232,8 +232,8 @@
 
 // leastLoaded returns the choices with the lowest sum of load and cost, at most limit of them and in
 // the given order, without those whose Ref is noTarget. With hundreds of machines in a shard the
-// softmax gives the remaining choices almost no probability, while the computing time and the
-// gradient of a draw grow with the square of the number of choices.
+// softmax gives the other choices almost no probability, while the computing time and the size
+// of the gradient of a draw grow with the square of the number of choices.
 func leastLoaded(all []policy.Choice, limit int) []policy.Choice {
 	var choices []policy.Choice
 	for i := range all {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -16,14 +16,14 @@
 	job             *Job
 	withinGuarantee bool          // the job is within its team's guarantee and younger than GuaranteeWithin, or it starves
 	timesLeft       []float64     // time left until each objective, first objective first, s
-	objective       int           // index of the objective that it is assigned to; len(objectiveTimes) if none
+	objective       int           // index of the objective that it is assigned to; len(timesLeft) if none
 	timing          tardiness.Job // work of the job for the whole fleet, and run time of a task from when it is queued
 }
 
 // jobsByUrgency returns the open jobs that shards place and that may have more tasks in queues.
 // Jobs within their team's guarantee and starving jobs come first, then jobs of higher priority;
 // jobs of equal priority are ordered such that as many as possible meet their objectives. It also
-// sets beyondAims of the jobs that can't meet any objective.
+// marks the jobs that can't meet any objective.
 func (c *Controller) jobsByUrgency() []*Job {
 	order := c.rankableJobs()
 	assignObjectives(order)
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -14,7 +14,7 @@
 )
 
 // largeFleetLeader returns the leader of a fleet of 2,000 machines in two zones. Its settings have the
-// lowest limits for values and transactions that are in use.
+// smallest sizes of values and transactions in use.
 func largeFleetLeader() *Controller {
 	controllers := []string{"c-0", "c-1", "c-2", "c-3"}
 	c := New(Settings{Node: "c-0", Nodes: controllers, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
@@ -185,7 +185,7 @@
 
 // TestDelayedHeartbeatsDontCountAsIgnoredReplies checks heartbeats that a network partition delayed,
 // so that they arrive all at once. None of them can reflect the answer to the one before. Because
-// they were counted, 31 machines were cordoned as unreachable for answers and returned.
+// they were counted, 31 machines were cordoned as not receiving answers, and returned.
 func TestDelayedHeartbeatsDontCountAsIgnoredReplies(t *testing.T) {
 	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -24,8 +24,8 @@
 }
 
 // zoneAllowance is the number of further tasks of a job that each zone may take; nil sets no bound
-// for any zone. Room in other zones must not count for the job: when it did, the leader
-// never scaled out in the zones where the job could have run.
+// for any zone. Room in a zone that may take no further tasks must not count for the job: when it
+// did, the leader never scaled out in the zones where the job could have run.
 type zoneAllowance map[string]int64
 
 // left returns how many of n tasks the zone may take.
@@ -44,8 +44,8 @@
 }
 
 // zoneAllowance returns the allowance for the waiting tasks of a job, given the machines that run
-// or boot. Arrays have none, since their tasks end one by one and make room for the waiting
-// ones: with an allowance for arrays, five scenarios of zone-bound arrays scored 0.68
+// or boot. For arrays it is nil, since their tasks end one by one and make room for the waiting
+// ones: with bounds for arrays, too, five scenarios of zone-bound arrays scored 0.68
 // instead of 0.71 (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
