--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -116,7 +116,7 @@
 // its header while a snapshot is loaded, if the header has one, and the present time otherwise.
 func (c *Controller) doneTime(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
-		return min(int64(c.now), c.steadyTime(j.Header.DoneAtMS))
+		return min(int64(c.now), c.monotonicTime(j.Header.DoneAtMS))
 	}
 	return int64(c.now)
 }
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -74,7 +74,7 @@
 // controller's bookings; a negative number subtracts them.
 func (d *draft) addUsage(spec *domain.JobSpec, tasks int64) {
 	d.usageByTeam[spec.Team] = d.usageByTeam[spec.Team].Plus(spec.Request, tasks)
-	d.settleShare(spec.Team, spec.Request)
+	d.adjustShare(spec.Team, spec.Request)
 }
 
 // bookingBytes returns how many bytes a booking is planned to add to its value: the usual size, or
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -19,7 +19,7 @@
 	machines := c.placementMachines()
 	run := c.newPlacementRun(machines)
 	jobs := c.jobsByUrgency()
-	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].scarce) {
+	for _, round := range placeRounds(run.largeFleet && len(run.targets) > 0 && run.targets[0].roomIsScarce) {
 		for _, j := range jobs {
 			if round.includes(j) && c.planner.jobHandovers[j.ID] == "" {
 				run.placeJob(j, round)
@@ -41,7 +41,7 @@
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
 		for _, m := range c.heartbeats.machines {
-			c.queues.trim(m)
+			c.queues.dropStaleEntries(m)
 		}
 	} else if !c.planner.dirty {
 		return false
@@ -109,9 +109,9 @@
 	for i, m := range machines {
 		run.targets[i] = c.newTarget(m)
 	}
-	c.setScarce(run.targets)
+	c.setRoomScarcity(run.targets)
 	run.largeFleet = c.isLargeFleet()
-	c.queues.poolRunTime = 0
+	c.queues.pendingRunTime = 0
 	run.teams = c.newTeamHeadroom()
 	return run
 }
@@ -121,7 +121,7 @@
 func (p *placementRun) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Controller
-	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.passJob(j) {
+	if j.Tasks == nil && !isHome || p.largeFleet && isHome && p.drawShardOfJob(j) {
 		return
 	}
 	full := false
@@ -159,14 +159,14 @@
 		return true
 	}
 	if !round.cached {
-		p.c.noteWait(j, WaitsForMachine, p.teams.claims, p.teams.used[j.Header.Spec.Team])
+		p.c.recordWaitReason(j, WaitsForMachine, p.teams.claims, p.teams.used[j.Header.Spec.Team])
 	}
 	return false
 }
 
 // mayQueueMore reports whether one more task of the job may wait in a queue here.
 func (j *Job) mayQueueMore() bool {
-	return j.queuedHere < tuning.QueuedPerJob && !(j.isDoubtful() && j.counts.booked+j.queuedHere > 0)
+	return j.queuedHere < tuning.QueuedPerJob && !(j.hasOnlyFailures() && j.counts.booked+j.queuedHere > 0)
 }
 
 // isUnplaced reports whether a task waits in this shard but in no queue yet. A task without a
@@ -197,7 +197,7 @@
 		tasks = j.counts.queued - j.queuedHere
 	}
 	slots := max(machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots), 1)
-	p.c.queues.poolRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
+	p.c.queues.pendingRunTime += float64(tasks) * p.c.queues.runTime(spec) / float64(slots)
 }
 
 // anyFittingType returns the first machine type that can run tasks of the job, or nil.
@@ -217,7 +217,7 @@
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
 	// A task is handed over at most once, so that it cannot move from shard to shard for ever.
-	if j.task(id.Index).Shard == "" && !c.queues.tasksStaying[id] && !p.largeFleet {
+	if j.task(id.Index).Shard == "" && !c.queues.tasksDrawnToStay[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Controller, Load: c.meanLoad(), Ref: noTarget})
 		}
@@ -230,7 +230,7 @@
 	chosen := offers[k]
 	switch {
 	case chosen.Name == c.cfg.Controller:
-		c.queues.tasksStaying[id] = true
+		c.queues.tasksDrawnToStay[id] = true
 		return false
 	case chosen.Ref == noTarget:
 		c.planner.taskHandovers[id] = chosen.Name
@@ -300,7 +300,7 @@
 		m := c.heartbeats.machines[name]
 		for _, id := range m.queue {
 			j := c.cache.jobs[id.Job]
-			if !c.queues.isIn(id, m) || j == nil || j.Header.Spec == nil {
+			if !c.queues.isQueuedOn(id, m) || j == nil || j.Header.Spec == nil {
 				continue
 			}
 			if !room.allows(j) {
@@ -322,7 +322,7 @@
 	used := r.used[spec.Team]
 	verdict := r.claims[spec.Team].judge(spec, used, r.c.cfg.Teams[spec.Team].Limit)
 	if verdict != quota.Admitted {
-		r.c.noteWait(j, waitReasons[verdict], r.claims, used)
+		r.c.recordWaitReason(j, reasonsByVerdict[verdict], r.claims, used)
 	}
 	return verdict == quota.Admitted
 }
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -204,4 +204,4 @@
 }
 
 // planShares writes the teams' shares of limits that no longer match their use.
-func (c *Controller) planShares(d *draft) { d.settleShares() }
+func (c *Controller) planShares(d *draft) { d.adjustShares() }
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -86,10 +86,10 @@
 			continue // it waits for its team's quota without blocking others
 		}
 		if !free.Fits(spec.Request) {
-			c.noteWait(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
+			c.recordWaitReason(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
 			return bookingCandidate{}, false // the queue waits for room for its first task
 		}
-		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isOwed(spec)}, true
+		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isWithinGuarantee(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -30,7 +30,7 @@
 		}
 		d.handOverJob(j, to)
 		d.onCommit = append(d.onCommit, func() {
-			c.learner.passes += j.Header.TaskCount
+			c.learner.handovers += j.Header.TaskCount
 			c.debug("job handed over", "job", id, "shard", to)
 		})
 	}
@@ -41,7 +41,7 @@
 // tasks was booked, queued or handed over since that was decided, and the shard's controller
 // still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
-	return j != nil && j.Header.State == domain.StateOpen && isUntouched(j) && j.queuedHere == 0 &&
+	return j != nil && j.Header.State == domain.StateOpen && isUnstarted(j) && j.queuedHere == 0 &&
 		slices.Contains(c.cache.view.Serving, to) && c.cache.shardOf(j) == c.cfg.Controller
 }
 
@@ -60,7 +60,7 @@
 		d.handOver(j, id.Index, to)
 		c.dequeue(id)
 		d.onCommit = append(d.onCommit, func() {
-			c.learner.passes++
+			c.learner.handovers++
 			c.debug("task handed over", "task", id, "shard", to)
 		})
 	}
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -8,56 +8,56 @@
 	"brassglade/internal/tuning"
 )
 
-// queues are the queues of this controller's machines, and what its draws go by. A machine's
-// queue is kept in order with the machine (Machine.queue); machineOf alone says whether a
-// task is in it still, so that taking one out needs no search. Entries that left are trimmed
-// now and then.
+// queues holds the state of the queues of this controller's machines and of the draws that fill
+// them. The order of a queue is in Machine.queue, but only machineOf says whether a task is still
+// in it, so that removing a task needs no search. Stale entries of Machine.queue are dropped
+// periodically (dropStaleEntries).
 type queues struct {
-	machineOf       map[domain.TaskID]string // the machine in whose queue a task is
-	tasksStaying    map[domain.TaskID]bool   // drew to wait in this shard
-	jobsStaying     map[string]bool          // drew to stay in this shard
-	lastDrawAt      time.Duration
-	lastStealAt     time.Duration
-	nextPlacement   monotime.Deadline
-	poolRunTime     float64                   // run time of the unplaced tasks, s
-	runTimeRatios   map[string]*smoothedValue // run time by estimate, by class
-	meanLoad        float64                   // of this controller's machines, s
-	meanLoadTakenAt monotime.Instant
+	machineOf        map[domain.TaskID]string // the machine in whose queue each task is
+	tasksDrawnToStay map[domain.TaskID]bool   // tasks for which the draw chose to wait in this shard
+	jobsDrawn        map[string]bool          // jobs for which the draw between shards was made
+	lastDrawAt       time.Duration
+	lastStealAt      time.Duration
+	nextPlacement    monotime.Deadline
+	pendingRunTime   float64                   // total run time of pending tasks, divided by the slots of a machine, s
+	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
+	meanLoad         float64                   // cached result of Controller.meanLoad, s
+	meanLoadTakenAt  monotime.Instant
 }
 
 func newQueues() queues {
 	return queues{
-		machineOf: map[domain.TaskID]string{}, tasksStaying: map[domain.TaskID]bool{}, jobsStaying: map[string]bool{},
+		machineOf: map[domain.TaskID]string{}, tasksDrawnToStay: map[domain.TaskID]bool{}, jobsDrawn: map[string]bool{},
 		runTimeRatios: map[string]*smoothedValue{},
 	}
 }
 
-// isIn tells whether a task that a machine's queue lists is in it still.
-func (q *queues) isIn(id domain.TaskID, m *Machine) bool { return q.machineOf[id] == m.Name }
+// isQueuedOn reports whether a task listed in a machine's queue is still in it.
+func (q *queues) isQueuedOn(id domain.TaskID, m *Machine) bool { return q.machineOf[id] == m.Name }
 
-// length is the number of tasks in a machine's queue.
+// length returns the number of tasks in a machine's queue.
 func (q *queues) length(m *Machine) int {
 	n := 0
 	for _, id := range m.queue {
-		if q.isIn(id, m) {
+		if q.isQueuedOn(id, m) {
 			n++
 		}
 	}
 	return n
 }
 
-// trim drops the entries of a machine's queue that left it.
-func (q *queues) trim(m *Machine) {
+// dropStaleEntries removes the entries of a machine's queue whose tasks are no longer in it.
+func (q *queues) dropStaleEntries(m *Machine) {
 	kept := m.queue[:0]
 	for _, id := range m.queue {
-		if q.isIn(id, m) {
+		if q.isQueuedOn(id, m) {
 			kept = append(kept, id)
 		}
 	}
 	m.queue = kept
 }
 
-// enqueue puts a task last in a machine's queue, and takes it off the one it was in.
+// enqueue appends a task to a machine's queue and removes it from the queue it was in, if any.
 func (c *Controller) enqueue(id domain.TaskID, m *Machine) {
 	c.dequeue(id)
 	c.queues.machineOf[id] = m.Name
@@ -66,7 +66,7 @@
 	c.planner.dirty = true
 }
 
-// dequeue takes a task off the queue it is in, if any.
+// dequeue removes a task from the queue it is in, if any.
 func (c *Controller) dequeue(id domain.TaskID) {
 	if _, ok := c.queues.machineOf[id]; !ok {
 		return
@@ -77,21 +77,23 @@
 	}
 }
 
-// dequeueAll empties a machine's queue.
+// dequeueAll empties the queue of the machine with this name. It does nothing if the machine is
+// unknown.
 func (c *Controller) dequeueAll(name string) {
 	m := c.heartbeats.machines[name]
 	if m == nil {
 		return
 	}
 	for _, id := range m.queue {
-		if c.queues.isIn(id, m) {
+		if c.queues.isQueuedOn(id, m) {
 			c.dequeue(id)
 		}
 	}
 	m.queue = nil
 }
 
-// placedByLeader tells whether the leader places the tasks of a job together.
+// placedByLeader reports whether the leader places the tasks of a job together; the tasks of other
+// jobs are placed one by one by the shards.
 func placedByLeader(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang || spec.OneZone || spec.Spread || spec.TaskCount >= tuning.LargeJobTasks
 }
--- a/internal/scheduler/status.go
+++ b/internal/scheduler/status.go
@@ -38,7 +38,7 @@
 
 	// Waiting counts the waiting tasks that this controller places. It is updated once a second;
 	// the map is not changed after it is returned.
-	Waiting map[WaitingTasks]int
+	Waiting map[WaitingTasksKey]int
 }
 
 // Status returns the controller's status as of the last step.
