--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -37,7 +37,7 @@
 		Seed:              seed,
 		StartWithin:       map[string]float64{},
 		FinishWithin:      map[string][]float64{},
-		SpareMachines:     tuning.Spare,
+		SpareMachines:     tuning.SpareMachines,
 		Learn:             true,
 	}
 	for _, m := range s.Members {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -83,7 +83,7 @@
 		http:     httpclient.New(address),
 		watching: httpclient.New(address),
 		budget:   httpclient.NewBudget(requestRate, changeRate),
-		watchGap: max(tuning.WatchGap, spacing),
+		watchGap: max(tuning.MinWatchInterval, spacing),
 	}
 }
 
--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -62,8 +62,8 @@
 			m.fence = steady.Latest(m.fence, steady.At(answer.sent))
 		}
 	}
-	if len(waiting) > tuning.MaxUnsettledConfirmations {
-		waiting = waiting[len(waiting)-tuning.MaxUnsettledConfirmations:]
+	if len(waiting) > tuning.MaxPendingConfirmations {
+		waiting = waiting[len(waiting)-tuning.MaxPendingConfirmations:]
 	}
 	m.unsettled = waiting
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -325,7 +325,7 @@
 		m.ConfirmationAnswered(now, true, uint64(100+i))
 		m.CacheReached(10)
 	}
-	if len(m.unsettled) != tuning.MaxUnsettledConfirmations {
+	if len(m.unsettled) != tuning.MaxPendingConfirmations {
 		t.Errorf("%d kept", len(m.unsettled))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
@@ -346,18 +346,18 @@
 	m.BecomeReady()
 	const start = time.Minute
 	m.StepBack(start, true)
-	if m.StepBack(start+tuning.StepBack, true); !m.IsReady() {
+	if m.StepBack(start+tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("steps back too early")
 	}
-	m.StepBack(start+tuning.StepBack+1, false)
-	if m.StepBack(start+2*tuning.StepBack, true); !m.IsReady() {
+	m.StepBack(start+tuning.UnreadyDelay+1, false)
+	if m.StepBack(start+2*tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("an interruption doesn't count")
 	}
-	if m.StepBack(start+3*tuning.StepBack+1, true); m.IsReady() {
+	if m.StepBack(start+3*tuning.UnreadyDelay+1, true); m.IsReady() {
 		t.Error("doesn't step back")
 	}
 	m.BecomeReady()
-	if m.StepBack(start+9*tuning.StepBack, true); !m.IsReady() {
+	if m.StepBack(start+9*tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("steps back at once after it was ready again")
 	}
 }
@@ -368,12 +368,12 @@
 		t.Error("reachable before any answer")
 	}
 	m = confirmedAtZero(t)
-	if !m.IsStateReachable() || !m.StateAnswers(tuning.UsableFor-1) || m.StateAnswers(tuning.UsableFor) {
+	if !m.IsStateReachable() || !m.StateAnswers(tuning.UsableAge-1) || m.StateAnswers(tuning.UsableAge) {
 		t.Error("an answer counts until it is as old as tuning.UsableFor")
 	}
 	m.StartConfirmation(2*time.Second, steady.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
-	if m.IsStateReachable() || !m.StateAnswers(tuning.UsableFor-1) {
+	if m.IsStateReachable() || !m.StateAnswers(tuning.UsableAge-1) {
 		t.Error("one failure shows at once in one and not in the other")
 	}
 }
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -12,7 +12,7 @@
 
 // StateAnswers tells whether the state service answered lately.
 func (m *Member) StateAnswers(now time.Duration) bool {
-	return m.stateAnswered.Within(tuning.UsableFor, now)
+	return m.stateAnswered.Within(tuning.UsableAge, now)
 }
 
 // BecomeReady says that this controller can take requests.
@@ -27,7 +27,7 @@
 		m.betterElsewhere = steady.Instant{}
 	case !m.betterElsewhere.IsKnown():
 		m.betterElsewhere = steady.At(now)
-	case now-m.betterElsewhere.Time() > tuning.StepBack:
+	case now-m.betterElsewhere.Time() > tuning.UnreadyDelay:
 		m.ready = false
 	}
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -27,11 +27,11 @@
 	if zone == "" {
 		return ""
 	}
-	return Rendezvous(machine, servingNear(view, zoneOf, zone))
+	return Rendezvous(machine, servingInZone(view, zoneOf, zone))
 }
 
-// servingNear are the serving controllers of a zone, or all of them if there are none.
-func servingNear(view *domain.View, zoneOf map[string]string, zone string) []string {
+// servingInZone are the serving controllers of a zone, or all of them if there are none.
+func servingInZone(view *domain.View, zoneOf map[string]string, zone string) []string {
 	var near []string
 	for _, controller := range view.Serving {
 		if zoneOf[controller] == zone {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -45,8 +45,8 @@
 
 // slackOf is the slack in one kind of resource.
 func slackOf(limit, left, request, controllers int64) int64 {
-	slack := max(0, min(limit/(tuning.SlackShare*controllers), left/(2*controllers)))
-	if slack < tuning.SlackTasks*request {
+	slack := max(0, min(limit/(tuning.SlackDivisor*controllers), left/(2*controllers)))
+	if slack < tuning.MinSlackTasks*request {
 		return 0
 	}
 	return slack
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -50,8 +50,8 @@
 
 func TestSlack(t *testing.T) {
 	const controllers = 3
-	share := int64(tuning.SlackShare * controllers)
-	least := int64(tuning.SlackTasks) * 1000 // the least that is worth it, for tasks of one CPU
+	share := int64(tuning.SlackDivisor * controllers)
+	least := int64(tuning.MinSlackTasks) * 1000 // the least that is worth it, for tasks of one CPU
 	for _, x := range []struct {
 		name                 string
 		limit, left, request domain.Resources
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -41,7 +41,7 @@
 // something to start.
 func (c *cache) hasUnstartedBooking(m *Machine) bool {
 	for id := range c.bookedOn[m.Name] {
-		if !m.lists(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
+		if !m.listsAttempt(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
 			return true
 		}
 	}
@@ -63,7 +63,7 @@
 func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
-		CPU: capacity.CPU / tuning.SmallTaskShare, GPU: capacity.GPU / tuning.SmallTaskShare, Memory: capacity.Memory / tuning.SmallTaskShare,
+		CPU: capacity.CPU / tuning.SmallTaskDivisor, GPU: capacity.GPU / tuning.SmallTaskDivisor, Memory: capacity.Memory / tuning.SmallTaskDivisor,
 	}
 	return c.freeOn(m.Name, capacity, nil).Fits(small)
 }
@@ -166,7 +166,7 @@
 func (c *Controller) whyNotStart(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
 	attempt := attemptID{id, task.Attempt}
 	switch {
-	case m.lists(attempt):
+	case m.listsAttempt(attempt):
 		return alreadyThere
 	case j.isStopped(task):
 		return gangStopped
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -109,7 +109,7 @@
 		s.leaderRate = isLeader
 		s.rate = full
 	}
-	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
+	s.rate = min(full, s.rate+seconds*tuning.RateRecovery*full)
 	s.tokens = min(s.rate, s.tokens+seconds*s.rate)
 	s.tokensAt = now
 }
@@ -131,7 +131,7 @@
 // want more than the store takes, and it refuses users' submissions as well: each goes back
 // towards its fair share.
 func (s *commits) slowDown(fair float64) {
-	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
+	s.rate = max(min(fair, s.rate), s.rate*tuning.RateDecrease)
 }
 
 // --- avoided keys ---
@@ -170,7 +170,7 @@
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
 		case codec.KindTeam, codec.KindPack, codec.KindTasks:
-			c.commits.avoidUntil[key] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
+			c.commits.avoidUntil[key] = c.now + tuning.MinConflictAvoidance + time.Duration(c.rng.Int64N(int64(tuning.ConflictAvoidanceJitter)))
 		}
 	}
 }
@@ -234,14 +234,14 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.slowDown(c.cfg.FairWriteRate * c.weight())
 	}
-	c.commits.nextTaskCommit.Close(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
+	c.commits.nextTaskCommit.Close(c.now + tuning.MinCommitBackoff + time.Duration(c.rng.Int64N(int64(tuning.CommitBackoffJitter))))
 }
 
 // --- sizes ---
 
 // valueBytes is what a value may take in a transaction that changes it.
 func (c *Controller) valueBytes(key string) int {
-	return min(c.valueBound(), c.cache.valueSizes[key]+tuning.ValueGrow)
+	return min(c.valueBound(), c.cache.valueSizes[key]+tuning.MaxValueGrowth)
 }
 
 // transactionBytes is what a transaction's values take.
--- a/internal/scheduler/commits_test.go
+++ b/internal/scheduler/commits_test.go
@@ -20,7 +20,7 @@
 	}{
 		"half a second":                  {commits{rate: most}, 500 * time.Millisecond, false, most, most / 2},
 		"a minute is worth a second":     {commits{rate: most}, time.Minute, false, most, most},
-		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRegain*most, 2 + tuning.RateRegain*most},
+		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRecovery*most, 2 + tuning.RateRecovery*most},
 		"never beyond the most":          {commits{rate: most, tokens: 5}, time.Hour, false, most, most},
 		"a smaller share of the changes": {commits{rate: 3 * most, tokens: 2 * most}, 0, false, most, most},
 		"becomes leader, after refusals": {commits{rate: 2}, 0, true, most, 0},
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -15,13 +15,13 @@
 // cordons are the cordons that this controller wants written. Those that are written are the
 // cache's. A machine drains first and is gone once the cloud confirmed its return.
 type cordons struct {
-	wanted      map[string]domain.Cordon // by machine
+	requested   map[string]domain.Cordon // by machine
 	writing     bool                     // a commit of cordons is under way
 	nextWrite   steady.Gate
 	lastWriteAt time.Duration // when the cordons of a large fleet were last let pass; others don't keep it
 }
 
-func newCordons() cordons { return cordons{wanted: map[string]domain.Cordon{}} }
+func newCordons() cordons { return cordons{requested: map[string]domain.Cordon{}} }
 
 // cordonPages are the pages of cordons that one commit changes.
 type cordonPages struct {
@@ -29,16 +29,16 @@
 	machines []string                    // whose wanted cordons are in the pages, in order
 }
 
-// cordon wants a machine's cordon written; writeCordons does it, many at a time. A wanted one
+// requestCordon wants a machine's requestCordon written; writeCordons does it, many at a time. A wanted one
 // is replaced by "gone" alone, and a written one is never taken back.
-func (c *Controller) cordon(machine string, wanted domain.Cordon) {
-	if _, already := c.cordons.wanted[machine]; already && wanted.State != domain.CordonGone {
+func (c *Controller) requestCordon(machine string, wanted domain.Cordon) {
+	if _, already := c.cordons.requested[machine]; already && wanted.State != domain.CordonGone {
 		return
 	}
 	if c.cache.hasCordon(machine, wanted.State) {
 		return
 	}
-	c.cordons.wanted[machine] = wanted
+	c.cordons.requested[machine] = wanted
 	c.info("machine marked", "machine", machine, "mark", wanted.State, "why", wanted.Reason)
 }
 
@@ -50,7 +50,7 @@
 
 // writeCordons writes the wanted cordons, many pages in one commit.
 func (c *Controller) writeCordons() {
-	if !c.cordons.isDue(c.now) || !c.mayWriteCordons() || !c.isTimeToWriteCordons() {
+	if !c.cordons.isDue(c.now) || !c.mayWriteCordons() || !c.beginCordonRound() {
 		return
 	}
 	if changed := c.changedCordonPages(); len(changed.machines) > 0 {
@@ -61,7 +61,7 @@
 // isDue tells whether there is anything to write, no other write is under way, and none was
 // just before.
 func (c *cordons) isDue(now time.Duration) bool {
-	return !c.writing && len(c.wanted) > 0 && c.nextWrite.IsOpen(now)
+	return !c.writing && len(c.requested) > 0 && c.nextWrite.IsOpen(now)
 }
 
 // mayWriteCordons tells whether a commit of cordons may be sent. Task commits spend the changes
@@ -71,10 +71,10 @@
 	return c.mayAct() && (c.cfg.WriteRate <= 0 || c.commits.tokens > -c.cfg.WriteRate*tuning.CordonDebt)
 }
 
-// isTimeToWriteCordons closes the gate for a while and tells whether to write now. In a
+// beginCordonRound closes the gate for a while and tells whether to write now. In a
 // large fleet idle machines can wait for others: each change of a page fails the bookings
 // under way on the machines that share it.
-func (c *Controller) isTimeToWriteCordons() bool {
+func (c *Controller) beginCordonRound() bool {
 	if !c.isLargeFleet() {
 		c.cordons.nextWrite.Close(c.now + c.pace())
 		return true
@@ -89,7 +89,7 @@
 
 // hasUrgent tells whether a machine is to be drained for another reason than being idle.
 func (c *cordons) hasUrgent() bool {
-	for _, cordon := range c.wanted {
+	for _, cordon := range c.requested {
 		if cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle {
 			return true
 		}
@@ -102,10 +102,10 @@
 // no room for waits until others of the page are returned.
 func (c *Controller) changedCordonPages() cordonPages {
 	changed := cordonPages{pages: map[string]codec.CordonPage{}}
-	for _, machine := range slices.Sorted(maps.Keys(c.cordons.wanted)) {
-		wanted := c.cordons.wanted[machine]
+	for _, machine := range slices.Sorted(maps.Keys(c.cordons.requested)) {
+		wanted := c.cordons.requested[machine]
 		if c.cache.hasCordon(machine, wanted.State) {
-			delete(c.cordons.wanted, machine)
+			delete(c.cordons.requested, machine)
 			continue
 		}
 		name := c.cordonPageOf(machine)
@@ -171,16 +171,16 @@
 			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
 			return
 		}
-		c.cordons.settle(changed.machines, c.cache.cordons)
+		c.cordons.dropWritten(changed.machines, c.cache.cordons)
 	})
 }
 
-// settle forgets the wanted cordons of machines that are written as wanted. Another one may
+// dropWritten forgets the wanted cordons of machines that are written as wanted. Another one may
 // have been wanted meanwhile.
-func (c *cordons) settle(machines []string, written map[string]domain.Cordon) {
+func (c *cordons) dropWritten(machines []string, written map[string]domain.Cordon) {
 	for _, machine := range machines {
-		if written[machine].State == c.wanted[machine].State {
-			delete(c.wanted, machine)
+		if written[machine].State == c.requested[machine].State {
+			delete(c.requested, machine)
 		}
 	}
 }
--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -10,9 +10,9 @@
 	"brassglade/internal/tuning"
 )
 
-// TestCordonIsWantedOnce: a wanted cordon is replaced by "gone" alone, and a written one
+// TestCordonIsRequestedOnce: a wanted cordon is replaced by "gone" alone, and a written one
 // neither wanted again nor taken back.
-func TestCordonIsWantedOnce(t *testing.T) {
+func TestCordonIsRequestedOnce(t *testing.T) {
 	drain := func(reason string) domain.Cordon {
 		return domain.Cordon{State: domain.CordonDrain, Reason: reason}
 	}
@@ -35,19 +35,19 @@
 				c.cache.cordons["n"] = test.written
 			}
 			if test.before.State != "" {
-				c.cordons.wanted["n"] = test.before
+				c.cordons.requested["n"] = test.before
 			}
-			c.cordon("n", test.now)
-			if got := c.cordons.wanted["n"]; got != test.wanted {
+			c.requestCordon("n", test.now)
+			if got := c.cordons.requested["n"]; got != test.wanted {
 				t.Errorf("wanted is %v, not %v", got, test.wanted)
 			}
 		})
 	}
 }
 
-// TestCordonPageTakesWhatFits: a page forgets the machines gone longest to take another
+// TestCordonPageDropsOldestToFit: a page forgets the machines gone longest to take another
 // cordon, but none with bookings left to release, and then takes the cordon not at all.
-func TestCordonPageTakesWhatFits(t *testing.T) {
+func TestCordonPageDropsOldestToFit(t *testing.T) {
 	c := acting()
 	long := strings.Repeat("n", 100)
 	drain := domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
@@ -81,15 +81,15 @@
 		t.Fatal("the fleet is not large")
 	}
 	c.cordons.lastWriteAt = c.now
-	c.cordons.wanted["n"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
-	if !c.cordons.isDue(c.now) || c.isTimeToWriteCordons() {
+	c.cordons.requested["n"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
+	if !c.cordons.isDue(c.now) || c.beginCordonRound() {
 		t.Error("idle machines don't wait")
 	}
 	if c.cordons.isDue(c.now + tuning.CordonInterval - time.Millisecond) {
 		t.Error("due within the interval")
 	}
-	c.cordons.wanted["m"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed}
-	if !c.isTimeToWriteCordons() {
+	c.cordons.requested["m"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed}
+	if !c.beginCordonRound() {
 		t.Error("a failed machine waits")
 	}
 }
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -7,10 +7,10 @@
 	"brassglade/internal/tuning"
 )
 
-// checkRepliesHeeded notices a machine whose heartbeats arrive while answers don't reach it: a
+// detectLostReplies notices a machine whose heartbeats arrive while answers don't reach it: a
 // heartbeat newer than an answer must show the answer's token and tasks.
-func (c *Controller) checkRepliesHeeded(m *Machine, heartbeat *domain.Heartbeat) {
-	if !m.shouldShowAnswer(heartbeat, c.now) {
+func (c *Controller) detectLostReplies(m *Machine, heartbeat *domain.Heartbeat) {
+	if !m.shouldReflectReply(heartbeat, c.now) {
 		return
 	}
 	unheeded := heartbeat.FencingToken < m.sentToken
@@ -28,36 +28,36 @@
 			unheeded = true
 		}
 	}
-	m.countUnheeded(unheeded, c.now)
+	m.countLostReplies(unheeded, c.now)
 }
 
-// shouldShowAnswer tells whether a heartbeat would show the last answer had it arrived. Those
+// shouldReflectReply tells whether a heartbeat would show the last answer had it arrived. Those
 // that a cut held back come all at once, and none of them can show an answer given a moment ago.
-func (m *Machine) shouldShowAnswer(heartbeat *domain.Heartbeat, now time.Duration) bool {
-	return m.isInEpoch(heartbeat.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplySettleTime
+func (m *Machine) shouldReflectReply(heartbeat *domain.Heartbeat, now time.Duration) bool {
+	return m.isInEpoch(heartbeat.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplyEffectDelay
 }
 
-// countUnheeded counts heartbeats in a row that show that an answer had no effect.
-func (m *Machine) countUnheeded(unheeded bool, now time.Duration) {
+// countLostReplies counts heartbeats in a row that show that an answer had no effect.
+func (m *Machine) countLostReplies(unheeded bool, now time.Duration) {
 	if !unheeded {
-		m.unheededReplies = 0
+		m.lostReplies = 0
 		return
 	}
-	if m.unheededReplies == 0 {
-		m.unheededAt = now
+	if m.lostReplies == 0 {
+		m.lostRepliesSince = now
 	}
-	m.unheededReplies++
+	m.lostReplies++
 }
 
-// ignoresReplies tells whether answers to m had no effect, twice in a row. In large fleets it
+// isMissingReplies tells whether answers to m had no effect, twice in a row. In large fleets it
 // takes two heartbeat intervals as well: after a cut hundreds of machines are answered late,
 // and each that gave an answer up would be returned, while one that really hears nothing
 // loses its tasks with its lease anyway.
-func (c *Controller) ignoresReplies(m *Machine) bool {
-	if m.unheededReplies < tuning.MaxUnheededReplies {
+func (c *Controller) isMissingReplies(m *Machine) bool {
+	if m.lostReplies < tuning.MaxLostReplies {
 		return false
 	}
-	return !c.isLargeFleet() || c.now-m.unheededAt >= 2*c.cfg.HeartbeatInterval
+	return !c.isLargeFleet() || c.now-m.lostRepliesSince >= 2*c.cfg.HeartbeatInterval
 }
 
 // failureCount counts a job's errors on a machine, from the first on.
@@ -91,12 +91,12 @@
 	if j.counts.done > 0 || j.Header.State == domain.StateDone {
 		return true
 	}
-	return c.now-failures.firstAt >= tuning.FaultySettle && !j.failsElsewhere(failures.count)
+	return c.now-failures.firstAt >= tuning.FaultyGracePeriod && !j.failsElsewhere(failures.count)
 }
 
-// failedHere tells whether tasks of the job failed on m, and none was ever done. It is tried
+// hasOnlyFailuresOf tells whether tasks of the job failed on m, and none was ever done. It is tried
 // elsewhere next, which shows whose fault it is.
-func (m *Machine) failedHere(j *Job) bool {
+func (m *Machine) hasOnlyFailuresOf(j *Job) bool {
 	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.FaultyErrors
 }
 
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -177,7 +177,7 @@
 		page.Draining[fmt.Sprintf("n-%06d", i)] = domain.DrainLost
 	}
 	c.apply(domain.KeyValue{Key: codec.PrefixCordons + "c-0", Value: codec.Encode(page), ModRevision: 5})
-	c.cordon("n-000007", domain.Cordon{State: domain.CordonGone})
+	c.requestCordon("n-000007", domain.Cordon{State: domain.CordonGone})
 	c.writeCordons()
 	for _, pending := range c.commits.pending {
 		checkLimits(t, pending.transaction.Puts)
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -49,7 +49,7 @@
 // wait for it: not for ever, it may not be possible.
 func (j *Job) blocksOthers(now time.Duration) bool {
 	age := j.age(now)
-	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+	return age > tuning.GangStarvationAge && age < tuning.GangStarvationAge+tuning.MaxGangBlock
 }
 
 // holdsMachinesBack tells whether a job of several tasks has waited for so long that smaller
@@ -341,7 +341,7 @@
 		return max(0, 1-p.placed.booked)
 	}
 	inDraft := p.placed.booked - p.job.counts.booked
-	return max(0, tuning.TasksAtOnce-max(0, inDraft))
+	return max(0, tuning.MaxTasksPerPlan-max(0, inDraft))
 }
 
 // placesInZone are a job's tasks put on machines of one zone, or of any, so far.
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -65,7 +65,7 @@
 		c.refuseHeartbeat(received.RequestID, &heartbeat, refusal)
 		return
 	}
-	c.checkRepliesHeeded(m, &heartbeat)
+	c.detectLostReplies(m, &heartbeat)
 	c.recordHeartbeat(m, &heartbeat, true)
 	if given := c.heartbeats.pending[m.Name]; given != nil { // the agent gave it up and sent this one
 		delete(c.heartbeats.pending, m.Name)
@@ -155,7 +155,7 @@
 	if m.Addr == "" || m.Type == "" {
 		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
-	if m.heardOnce && heartbeat.AgentEpoch > m.agentEpoch {
+	if m.hasReported && heartbeat.AgentEpoch > m.agentEpoch {
 		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
 		clear(m.images)
 	}
@@ -208,9 +208,9 @@
 	if !m.isNewer(answer.Heartbeat.AgentEpoch, answer.Heartbeat.Sequence) || answer.Heartbeat.AgentEpoch <= m.abandonedEpoch {
 		return
 	}
-	graceUntil := m.heardAt
+	graceUntil := m.lastReportAt
 	c.recordHeartbeat(m, answer.Heartbeat, false)
-	m.heardAt = max(graceUntil, c.now)
+	m.lastReportAt = max(graceUntil, c.now)
 	c.planner.dirty = true
 }
 
@@ -234,10 +234,10 @@
 // controller can know it. It keeps invariant 5 of docs/design.md: a task is booked elsewhere
 // only once its attempt can't run any more, nor be started by an answer still under way.
 func (c *Controller) isProvenOff(m *Machine, id domain.TaskID, task domain.Task) bool {
-	if !c.guard(GuardProof) && c.now-m.heardAt > 4*time.Second {
+	if !c.guard(GuardProof) && c.now-m.lastReportAt > 4*time.Second {
 		return true // tests take the proof away
 	}
-	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(task.AgentEpoch) {
+	if c.cache.isReturned(m.Name) || m.isEpochOver(task.AgentEpoch) {
 		return true
 	}
 	if !m.isInEpoch(task.AgentEpoch) {
@@ -252,7 +252,7 @@
 // not yet answered, would be abandoned for the age of the last one's answer, and its live
 // tasks started elsewhere later on.
 func (c *Controller) hasLeaseExpired(m *Machine) bool {
-	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
+	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochSeenAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > renewedAt+lease+tuning.DriftMargin
 }
@@ -284,7 +284,7 @@
 
 // areFew tells whether the zone's silent machines are too few to look like a cut.
 func (r *silenceReview) areFew(zone *zoneSilence) bool {
-	return zone.machines <= tuning.SilentFew && r.silent <= r.heard || r.silent == 1 && r.heard == 0
+	return zone.machines <= tuning.FewZoneMachines && r.silent <= r.heard || r.silent == 1 && r.heard == 0
 }
 
 // reviewMachines walks over all machines once a pace: it abandons agent epochs whose lease
@@ -296,9 +296,9 @@
 	}
 	c.heartbeats.nextWalk.Close(c.now + c.pace())
 	c.adoptBookedMachines()
-	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
+	review := silenceReview{limit: tuning.SilenceTimeout, zones: map[string]*zoneSilence{}}
 	if !c.arePeersFresh() {
-		review.limit = tuning.SilentCut
+		review.limit = tuning.PartitionSilenceTimeout
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
 	for _, name := range c.heartbeats.machineNames() {
@@ -320,7 +320,7 @@
 	for name := range c.cache.bookedOn {
 		if c.heartbeats.machines[name] == nil && c.owns(name) {
 			m := c.heartbeats.addMachine(name)
-			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
+			m.ownedEpoch, m.ownedSince, m.lastReportAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
 		}
 	}
 }
@@ -328,7 +328,7 @@
 // forgetIfSilent drops a machine of another controller, or a returned one, after a while. The
 // owner keeps a returned one for as long as bookings have to be released.
 func (c *Controller) forgetIfSilent(m *Machine) {
-	if c.now-m.heardAt <= tuning.ForgetMachineAfter {
+	if c.now-m.lastReportAt <= tuning.ForgetMachineAfter {
 		return
 	}
 	if c.owns(m.Name) && len(c.cache.bookedOn[m.Name]) > 0 {
@@ -359,18 +359,18 @@
 func (c *Controller) reviewSilence(m *Machine, review *silenceReview) {
 	zone := review.zone(c.zoneOf(m.Name))
 	zone.machines++
-	if c.now-m.heardAt > review.limit {
+	if c.now-m.lastReportAt > review.limit {
 		if c.cache.cordons[m.Name].State == "" {
 			zone.silent = append(zone.silent, m)
 			review.silent++
 		}
 		return
 	}
-	if m.heartbeatAt < 0 || c.now-m.heartbeatAt > review.limit {
+	if m.lastHeartbeatAt < 0 || c.now-m.lastHeartbeatAt > review.limit {
 		return
 	}
 	review.heard++
-	if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
+	if c.now-m.lastHeartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
 		zone.punctual++
 	}
 	c.sendDirectStops(m)
@@ -392,11 +392,11 @@
 		if len(zone.silent) > zone.punctual && !few {
 			c.views.zoneSilentAt[name] = c.now
 		}
-		if silentAt, known := c.views.zoneSilentAt[name]; !few && known && c.now-silentAt < tuning.SilentCut {
+		if silentAt, known := c.views.zoneSilentAt[name]; !few && known && c.now-silentAt < tuning.PartitionSilenceTimeout {
 			continue
 		}
 		for _, m := range zone.silent {
-			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
+			c.requestCordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
 		}
 	}
 }
@@ -406,18 +406,18 @@
 func (c *Controller) drainUnheedingAndFaulty(heard int) {
 	unheeding := 0
 	for _, m := range c.heartbeats.machines {
-		if c.ignoresReplies(m) {
+		if c.isMissingReplies(m) {
 			unheeding++
 		}
 	}
 	isOwnFault := unheeding > 2+heard/10
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		if c.ignoresReplies(m) && !isOwnFault && c.isOwnUncordoned(m) {
-			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
+		if c.isMissingReplies(m) && !isOwnFault && c.isOwnUncordoned(m) {
+			c.requestCordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
 		}
 		if len(m.failures) > 0 && c.isOwnUncordoned(m) && c.isFaulty(m) {
-			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
+			c.requestCordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
 		}
 	}
 }
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -29,8 +29,8 @@
 	h.sortedNames = nil
 }
 
-// takesTasks tells whether tasks may be queued on one of this controller's machines now.
-func (c *Controller) takesTasks(m *Machine) bool {
+// acceptsTasks tells whether tasks may be queued on one of this controller's machines now.
+func (c *Controller) acceptsTasks(m *Machine) bool {
 	return c.owns(m.Name) && c.isBookable(m) && !c.isReserved(m.Name)
 }
 
@@ -40,7 +40,7 @@
 	if c.isLeader() {
 		return c.scaling.reserved[name] || c.scaling.resting[name]
 	}
-	leader := c.leaderGossip(tuning.ReservationFresh)
+	leader := c.leaderGossip(tuning.ReservationMaxAge)
 	return leader != nil && leader.reserved[name]
 }
 
@@ -49,7 +49,7 @@
 	if c.isLeader() {
 		return c.scaling.evicting[name]
 	}
-	leader := c.leaderGossip(3 * tuning.DrawEvery)
+	leader := c.leaderGossip(3 * tuning.DrawInterval)
 	return leader != nil && leader.evicting[name]
 }
 
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -90,7 +90,7 @@
 	if j.isDoubtful() {
 		return 1 - placementOf(j, d).booked
 	}
-	return tuning.LargeAtOnce
+	return tuning.MaxArrayTasksPerPlan
 }
 
 // anyQueued tells whether a task of the cell that begins with task from is queued.
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -59,7 +59,7 @@
 func (c *Controller) ownLoads() []float64 {
 	loads := []float64{}
 	for _, name := range c.heartbeats.machineNames() {
-		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
+		if m := c.heartbeats.machines[name]; c.acceptsTasks(m) {
 			loads = append(loads, math.Round(c.load(m)*10)/10)
 		}
 	}
@@ -110,7 +110,7 @@
 		c.info("policy weights reset", "count", n)
 	}
 	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishes, "theta", learner.critic.Weights())
-	if learner.sequence%tuning.ConsensusEvery == 0 {
+	if learner.sequence%tuning.ConsensusWindows == 0 {
 		learner.critic.Average(c.othersCriticWeights())
 	}
 }
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -12,7 +12,7 @@
 func (q *queues) runTime(spec *domain.JobSpec) float64 {
 	seconds := spec.EstimatedRuntime
 	if seconds <= 0 {
-		seconds = tuning.SeedRun
+		seconds = tuning.DefaultRunSeconds
 	}
 	if ratio := q.runTimeRatios[spec.Class]; ratio != nil && ratio.samples >= 3 {
 		seconds *= min(max(ratio.value, 0.25), 4)
@@ -73,7 +73,7 @@
 	}
 	sum, machines := 0.0, 0
 	for _, name := range c.heartbeats.machineNames() {
-		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
+		if m := c.heartbeats.machines[name]; c.acceptsTasks(m) {
 			sum += c.load(m)
 			machines++
 		}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -17,16 +17,16 @@
 
 	// What the machine said last: its newest heartbeat or its newest direct answer.
 
-	heardOnce    bool                                // it said anything at all to this controller
-	agentEpoch   uint64                              // the agent's lease that the report belongs to
-	sequence     uint64                              // number of the report within its agent epoch
-	fencingToken uint64                              // highest epoch of a view that the agent was answered under
-	reported     map[domain.TaskID]domain.TaskReport // every task that the report lists
-	byHeartbeat  bool                                // it was a heartbeat, no direct answer to commands
-	heardAt      time.Duration                       // when it came, or the end of a grace period
-	heartbeatAt  time.Duration                       // when one last came here as the owner; < 0: not yet
-	epochHeardAt time.Duration                       // when agentEpoch was first heard of here
-	preemptionAt time.Duration                       // when the cloud takes the machine back; < 0: no notice
+	hasReported     bool                                // it said anything at all to this controller
+	agentEpoch      uint64                              // the agent's lease that the report belongs to
+	sequence        uint64                              // number of the report within its agent epoch
+	fencingToken    uint64                              // highest epoch of a view that the agent was answered under
+	reported        map[domain.TaskID]domain.TaskReport // every task that the report lists
+	byHeartbeat     bool                                // it was a heartbeat, no direct answer to commands
+	lastReportAt    time.Duration                       // when it came, or the end of a grace period
+	lastHeartbeatAt time.Duration                       // when one last came here as the owner; < 0: not yet
+	epochSeenAt     time.Duration                       // when agentEpoch was first heard of here
+	preemptionAt    time.Duration                       // when the cloud takes the machine back; < 0: no notice
 
 	// abandonedEpoch: agent epochs up to it are abandoned. Their tasks may run elsewhere, so
 	// they are never answered again.
@@ -43,8 +43,8 @@
 	// an attempt. A later heartbeat without the attempt shows that the start got lost.
 	startsSent map[attemptID]uint64
 
-	unheededReplies int           // heartbeats in a row that show that an answer had no effect
-	unheededAt      time.Duration // when the first of them came
+	lostReplies      int           // heartbeats in a row that show that an answer had no effect
+	lostRepliesSince time.Duration // when the first of them came
 
 	// Placing.
 
@@ -62,7 +62,7 @@
 // newMachine is a machine that said nothing yet.
 func newMachine(name string) *Machine {
 	return &Machine{
-		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, heartbeatAt: -1,
+		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, lastHeartbeatAt: -1,
 		startsSent: map[attemptID]uint64{}, failures: map[string]failureCount{}, images: map[string]time.Duration{},
 		runningSince: map[attemptID]time.Duration{},
 	}
@@ -70,22 +70,22 @@
 
 // isNewer tells whether a report is newer than what m last said.
 func (m *Machine) isNewer(agentEpoch, sequence uint64) bool {
-	return !m.heardOnce || agentEpoch > m.agentEpoch || agentEpoch == m.agentEpoch && sequence > m.sequence
+	return !m.hasReported || agentEpoch > m.agentEpoch || agentEpoch == m.agentEpoch && sequence > m.sequence
 }
 
 // isInEpoch tells whether m last spoke in the agent epoch.
 func (m *Machine) isInEpoch(agentEpoch uint64) bool {
-	return m.heardOnce && m.agentEpoch == agentEpoch
+	return m.hasReported && m.agentEpoch == agentEpoch
 }
 
-// hasLeftEpoch tells whether the agent epoch is over: m spoke in a later one, or it was
+// isEpochOver tells whether the agent epoch is over: m spoke in a later one, or it was
 // abandoned after its lease. An agent stops all tasks before it begins another epoch.
-func (m *Machine) hasLeftEpoch(agentEpoch uint64) bool {
-	return m.heardOnce && m.agentEpoch > agentEpoch || m.abandonedEpoch >= agentEpoch
+func (m *Machine) isEpochOver(agentEpoch uint64) bool {
+	return m.hasReported && m.agentEpoch > agentEpoch || m.abandonedEpoch >= agentEpoch
 }
 
-// lists tells whether the newest report has the attempt.
-func (m *Machine) lists(attempt attemptID) bool {
+// listsAttempt tells whether the newest report has the attempt.
+func (m *Machine) listsAttempt(attempt attemptID) bool {
 	report, ok := m.reported[attempt.Task]
 	return ok && report.Attempt == attempt.Attempt
 }
@@ -112,17 +112,17 @@
 // as such; what follows for the jobs is Controller.recordHeartbeat's.
 func (m *Machine) recordReport(heartbeat *domain.Heartbeat, isHeartbeat bool, now time.Duration) {
 	m.Addr, m.Type, m.Zone, m.Spot = heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot
-	if !m.heardOnce || heartbeat.AgentEpoch > m.agentEpoch {
-		m.epochHeardAt = now
+	if !m.hasReported || heartbeat.AgentEpoch > m.agentEpoch {
+		m.epochSeenAt = now
 	}
-	m.heardOnce, m.agentEpoch, m.sequence, m.fencingToken = true, heartbeat.AgentEpoch, heartbeat.Sequence, heartbeat.FencingToken
-	m.heardAt, m.heartbeatAt, m.byHeartbeat = now, now, isHeartbeat
+	m.hasReported, m.agentEpoch, m.sequence, m.fencingToken = true, heartbeat.AgentEpoch, heartbeat.Sequence, heartbeat.FencingToken
+	m.lastReportAt, m.lastHeartbeatAt, m.byHeartbeat = now, now, isHeartbeat
 }
 
 // forgetEnded drops the attempts from runningSince that the newest report no longer lists.
 func (m *Machine) forgetEnded() {
 	for attempt := range m.runningSince {
-		if !m.lists(attempt) {
+		if !m.listsAttempt(attempt) {
 			delete(m.runningSince, attempt)
 		}
 	}
--- a/internal/scheduler/machine_room.go
+++ b/internal/scheduler/machine_capacity.go
@@ -29,7 +29,7 @@
 // isBookable tells whether the machine takes new bookings: its agent is there and stays, it
 // isn't cordoned, and it didn't refuse or fail a task just now.
 func (c *Controller) isBookable(m *Machine) bool {
-	hasLiveAgent := m.heardOnce && m.agentEpoch > m.abandonedEpoch && c.now-m.heardAt < 2*c.cfg.HeartbeatInterval+time.Second
+	hasLiveAgent := m.hasReported && m.agentEpoch > m.abandonedEpoch && c.now-m.lastReportAt < 2*c.cfg.HeartbeatInterval+time.Second
 	stays := m.preemptionAt < 0 && c.cache.cordons[m.Name].State == ""
 	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.cache.machineType(m.Type) != nil
 }
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -10,33 +10,33 @@
 
 // onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
 func (c *Controller) onMachineTypesListed(listed MachineTypesListed) {
-	c.scaling.listingTypes = false
+	c.scaling.listingMachineTypes = false
 	if !listed.OK {
-		c.scaling.nextTypesAt = c.now + tuning.MachineTypesRetry
+		c.scaling.nextMachineTypesAt = c.now + tuning.MachineTypesRetry
 		return
 	}
-	c.scaling.nextTypesAt = c.now + tuning.MachineTypesInterval
+	c.scaling.nextMachineTypesAt = c.now + tuning.MachineTypesInterval
 	if !c.isLeader() || string(codec.Encode(listed.Types)) == string(codec.Encode(c.cache.machineTypes)) {
 		return
 	}
 	c.commit(LaneUser, domain.Transaction{
 		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
-		Puts:       c.putsOfMachineTypes(listed.Types),
+		Puts:       c.machineTypePuts(listed.Types),
 	}, func(result domain.CommitResult, _ CommitAnswered) {
 		if result != domain.Committed {
-			c.scaling.nextTypesAt = c.now + tuning.MachineTypesCommitRetry
+			c.scaling.nextMachineTypesAt = c.now + tuning.MachineTypesCommitRetry
 		}
 	})
 }
 
-// putsOfMachineTypes are the values that the types go into: one page, or where it would not
+// machineTypePuts are the values that the types go into: one page, or where it would not
 // fit a smaller bound, several, once all controllers read those.
-func (c *Controller) putsOfMachineTypes(types []domain.MachineType) []domain.Put {
+func (c *Controller) machineTypePuts(types []domain.MachineType) []domain.Put {
 	value := codec.Encode(codec.MachineTypePage{Types: types})
 	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
 		return []domain.Put{{Key: codec.KeyMachineTypes, Value: value}}
 	}
-	pages := pagesOfMachineTypes(types, c.cfg.ValueLimit)
+	pages := paginateMachineTypes(types, c.cfg.ValueLimit)
 	if len(pages) > c.cfg.TransactionLimit {
 		c.error("too many machine types", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
@@ -49,9 +49,9 @@
 	return puts
 }
 
-// pagesOfMachineTypes spreads the types over pages that fit a value each, of at most limit
+// paginateMachineTypes spreads the types over pages that fit a value each, of at most limit
 // bytes, with room for the number of further pages in the first.
-func pagesOfMachineTypes(types []domain.MachineType, limit int) []codec.MachineTypePage {
+func paginateMachineTypes(types []domain.MachineType, limit int) []codec.MachineTypePage {
 	var pages []codec.MachineTypePage
 	for _, machineType := range types {
 		if last := len(pages) - 1; last >= 0 {
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -24,8 +24,8 @@
 	zone   string // the machine's
 }
 
-// redirectMark names a heartbeat of one machine.
-type redirectMark struct{ agentEpoch, sequence uint64 }
+// heartbeatID names a heartbeat of one machine.
+type heartbeatID struct{ agentEpoch, sequence uint64 }
 
 // overrideChange counts a machine's changes of override.
 type overrideChange struct {
@@ -33,15 +33,15 @@
 	lastAt time.Duration
 }
 
-// isRestless tells whether the machine's override changed so often lately that it must
+// isFlapping tells whether the machine's override changed so often lately that it must
 // not change again for now.
-func (o overrideChange) isRestless(now time.Duration) bool {
-	return o.count >= tuning.MaxOverrideChanges && now-o.lastAt < tuning.OverrideChangeMemory
+func (o overrideChange) isFlapping(now time.Duration) bool {
+	return o.count >= tuning.MaxOverrideChanges && now-o.lastAt < tuning.OverrideChangeWindow
 }
 
-// noteOverrides remembers which overrides a new view brings and changes. old is the view
+// recordOverrides remembers which overrides a new view brings and changes. old is the view
 // before, nil for none.
-func (v *views) noteOverrides(old, view *domain.View, now time.Duration) {
+func (v *views) recordOverrides(old, view *domain.View, now time.Duration) {
 	for machine := range v.overrideSeenAt {
 		if _, ok := view.OwnerOverrides[machine]; !ok {
 			delete(v.overrideSeenAt, machine)
@@ -57,7 +57,7 @@
 		}
 		v.overrideSeenAt[machine] = now
 		changes := v.overrideChanges[machine]
-		if now-changes.lastAt > tuning.OverrideChangeMemory {
+		if now-changes.lastAt > tuning.OverrideChangeWindow {
 			changes.count = 0
 		}
 		v.overrideChanges[machine] = overrideChange{changes.count + 1, now}
@@ -75,8 +75,8 @@
 	if heartbeat.AgentEpoch < last.agentEpoch || heartbeat.AgentEpoch == last.agentEpoch && heartbeat.Sequence <= last.sequence {
 		return
 	}
-	c.views.lastRedirect[heartbeat.Machine] = redirectMark{heartbeat.AgentEpoch, heartbeat.Sequence}
-	if c.views.overrideChanges[heartbeat.Machine].isRestless(c.now) {
+	c.views.lastRedirect[heartbeat.Machine] = heartbeatID{heartbeat.AgentEpoch, heartbeat.Sequence}
+	if c.views.overrideChanges[heartbeat.Machine].isFlapping(c.now) {
 		return
 	}
 	owner = c.cache.withIncarnation(owner)
@@ -103,35 +103,35 @@
 	return now-r.at < tuning.RedirectWindow && r.owner == owner
 }
 
-// lostOwners is what redirects tell.
-type lostOwners struct {
-	owners   map[string]bool // that many machines can't reach
-	machines map[string]bool // that this controller should rather own
-	apart    []string        // machines of this zone that reach none of another zone's owners
+// unreachableResult is what redirects tell.
+type unreachableResult struct {
+	owners    map[string]bool // that many machines can't reach
+	machines  map[string]bool // that this controller should rather own
+	otherZone []string        // machines of this zone that reach none of another zone's owners
 }
 
-// strandedMachine can't reach its owner.
-type strandedMachine struct{ name, zone string }
+// cutOffMachine can't reach its owner.
+type cutOffMachine struct{ name, zone string }
 
 // unreachableOwners judges each owner by the machines that can't reach it.
-func (c *Controller) unreachableOwners() lostOwners {
+func (c *Controller) unreachableOwners() unreachableResult {
 	isLarge := c.isLargeFleet()
-	stranded := c.strandedMachines(isLarge)
-	lost := lostOwners{owners: map[string]bool{}, machines: map[string]bool{}}
+	stranded := c.cutOffMachines(isLarge)
+	lost := unreachableResult{owners: map[string]bool{}, machines: map[string]bool{}}
 	for _, owner := range slices.Sorted(maps.Keys(stranded)) {
 		if owner == c.cfg.Node || owner == "" {
 			continue
 		}
 		machines := stranded[owner]
-		slices.SortFunc(machines, func(a, b strandedMachine) int { return cmp.Compare(a.name, b.name) })
+		slices.SortFunc(machines, func(a, b cutOffMachine) int { return cmp.Compare(a.name, b.name) })
 		// Machines of its own zone may well reach it, if all these are of another.
 		across := isLarge && c.areAcrossZones(owner, machines)
 		switch {
-		case !across && c.peers.isMissedByMany(owner, len(machines)):
+		case !across && c.peers.isUnreachableForMany(owner, len(machines)):
 			lost.owners[owner] = true
-		case across && !c.hearsPeer(owner):
+		case across && !c.isPeerFresh(owner):
 			for _, machine := range machines {
-				lost.apart = append(lost.apart, machine.name)
+				lost.otherZone = append(lost.otherZone, machine.name)
 			}
 		default:
 			for _, machine := range machines {
@@ -142,18 +142,18 @@
 	return lost
 }
 
-// strandedMachines are the machines that can't reach their owners, by owner. Redirects
+// cutOffMachines are the machines that can't reach their owners, by owner. Redirects
 // that no longer count are forgotten.
-func (c *Controller) strandedMachines(isLarge bool) map[string][]strandedMachine {
-	stranded := map[string][]strandedMachine{}
+func (c *Controller) cutOffMachines(isLarge bool) map[string][]cutOffMachine {
+	stranded := map[string][]cutOffMachine{}
 	for machine, redirects := range c.views.redirects {
 		owner := c.ownerIn(machine, redirects[len(redirects)-1].zone)
 		recent := c.recentRedirects(redirects, c.cache.withIncarnation(owner))
 		if recent.weight == 0 {
 			delete(c.views.redirects, machine)
 		}
-		if recent.weight >= tuning.RedirectCount && (!isLarge || recent.areSettled(c.now)) {
-			stranded[owner] = append(stranded[owner], strandedMachine{machine, recent.zone})
+		if recent.weight >= tuning.RedirectCount && (!isLarge || recent.arePersistent(c.now)) {
+			stranded[owner] = append(stranded[owner], cutOffMachine{machine, recent.zone})
 		}
 	}
 	return stranded
@@ -180,27 +180,27 @@
 	return sum
 }
 
-// areSettled tells whether the redirects count in a large fleet. There the machines of a
+// arePersistent tells whether the redirects count in a large fleet. There the machines of a
 // controller that ended come round before its lease expires, its whole shard: the view
 // without it is on its way, and moving them one by one would change the view again and
 // again, and leave their tasks in other shards' packs. Controllers also see a new view one
 // after the other, and send a machine to and fro meanwhile: only one that came back after
 // trying its owner in vain has lost it.
-func (s redirectSum) areSettled(now time.Duration) bool {
-	return now-s.first >= tuning.RedirectSettle && s.last-s.first >= tuning.RedirectReturn
+func (s redirectSum) arePersistent(now time.Duration) bool {
+	return now-s.first >= tuning.RedirectPersistence && s.last-s.first >= tuning.MinRedirectSpan
 }
 
 // areAcrossZones tells whether the owner is in another zone than this controller, and all
 // the machines are in this controller's.
-func (c *Controller) areAcrossZones(owner string, machines []strandedMachine) bool {
+func (c *Controller) areAcrossZones(owner string, machines []cutOffMachine) bool {
 	own := c.cfg.ZoneOf[c.cfg.Node]
 	return c.cfg.ZoneOf[owner] != own &&
-		!slices.ContainsFunc(machines, func(machine strandedMachine) bool { return machine.zone != own })
+		!slices.ContainsFunc(machines, func(machine cutOffMachine) bool { return machine.zone != own })
 }
 
-// isMissedByMany tells whether so many machines can't reach the owner, of those that it
+// isUnreachableForMany tells whether so many machines can't reach the owner, of those that it
 // last said to hear, that it should not serve.
-func (p *peers) isMissedByMany(owner string, count int) bool {
+func (p *peers) isUnreachableForMany(owner string, count int) bool {
 	owned := 0
 	if peer := p.byName[owner]; peer != nil {
 		owned = len(peer.machines)
@@ -208,8 +208,8 @@
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
 }
 
-// hearsPeer tells whether this controller heard another lately.
-func (c *Controller) hearsPeer(node string) bool {
+// isPeerFresh tells whether this controller heard another lately.
+func (c *Controller) isPeerFresh(node string) bool {
 	peer := c.peers.byName[node]
 	return peer != nil && c.now-peer.heardAt <= tuning.PeerFresh
 }
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -64,9 +64,9 @@
 // shardOf is the shard of a job, where its tasks wait unless they were passed on.
 func (c *cache) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
 
-// settleOwnership settles from when on this controller owns each machine, now that the
+// updateOwnership settles from when on this controller owns each machine, now that the
 // view is no longer the old one, nil for none.
-func (c *Controller) settleOwnership(old *domain.View) {
+func (c *Controller) updateOwnership(old *domain.View) {
 	// Continuous: this incarnation saw the view just before this one.
 	continuous := c.isMemberOf(old) && old.Epoch+1 == c.cache.view.Epoch
 	for machine := range c.knownMachines() {
@@ -109,8 +109,8 @@
 		m = c.heartbeats.addMachine(machine)
 	}
 	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
-	m.heardAt = c.now + tuning.TakeoverSilence
-	m.unheededReplies, m.sentToken, m.heartbeatAt = 0, 0, -1
+	m.lastReportAt = c.now + tuning.TakeoverSilence
+	m.lostReplies, m.sentToken, m.lastHeartbeatAt = 0, 0, -1
 	m.abandonedEpoch = 0 // another owner may have known better meanwhile
 	clear(m.startsSent)
 }
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -230,7 +230,7 @@
 // appendPeerMachines adds the machines that peers told of lately and own.
 func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
 	for node, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery || node == c.cfg.Node {
+		if c.now-peer.heardAt > 4*tuning.DrawInterval || node == c.cfg.Node {
 			continue
 		}
 		for i := range peer.machines {
@@ -271,7 +271,7 @@
 // machines: both take time in proportion to their number, and a controller has a
 // small share of a processor.
 func (c *Controller) pace() time.Duration {
-	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
+	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PacePerMachine)
 }
 
 // gossip tells the peers of this controller's machines and loads, and whether the state
@@ -280,7 +280,7 @@
 	if !c.peers.nextGossip.IsOpen(c.now) || c.cache.view == nil {
 		return
 	}
-	c.peers.nextGossip.Close(c.now + max(tuning.DrawEvery/4, 2*c.pace()))
+	c.peers.nextGossip.Close(c.now + max(tuning.DrawInterval/4, 2*c.pace()))
 	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), Usable: c.membership.StateAnswers(c.now)}
 	if c.mayAct() {
 		message.Machines = c.gossipMachines()
@@ -318,6 +318,6 @@
 // isAlive tells whether a machine was heard lately, in an agent epoch that was not abandoned,
 // and is not gone.
 func (c *Controller) isAlive(m *Machine) bool {
-	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
+	return m.hasReported && c.now-m.lastReportAt <= tuning.SilenceTimeout &&
 		!c.cache.isReturned(m.Name) && m.agentEpoch > m.abandonedEpoch
 }
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -28,7 +28,7 @@
 	}
 	c.stealLocal(machines)
 	c.planPreemptions(machines)
-	if c.now-c.queues.lastStealAt >= tuning.DrawEvery/2 {
+	if c.now-c.queues.lastStealAt >= tuning.DrawInterval/2 {
 		c.queues.lastStealAt = c.now
 		c.stealRemote(machines)
 	}
@@ -37,7 +37,7 @@
 // beginPlacing begins a run of placing if it is time: if something changed or the last run is
 // long ago, and in either case a pace after the last one. False: it is not time.
 func (c *Controller) beginPlacing() bool {
-	if c.now-c.queues.lastDrawAt >= max(tuning.DrawEvery/4, c.pace()) {
+	if c.now-c.queues.lastDrawAt >= max(tuning.DrawInterval/4, c.pace()) {
 		c.queues.lastDrawAt = c.now
 		c.planner.dirty = true
 		for _, m := range c.heartbeats.machines {
@@ -59,7 +59,7 @@
 	var machines []*Machine
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		if c.takesTasks(m) {
+		if c.acceptsTasks(m) {
 			machines = append(machines, m)
 		} else if len(m.queue) > 0 {
 			c.dequeueAll(name)
@@ -245,7 +245,7 @@
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
 	for _, node := range c.cache.view.Serving {
 		peer := c.peers.byName[node]
-		if node == c.cfg.Node || peer == nil || c.now-peer.heardAt > 3*tuning.DrawEvery {
+		if node == c.cfg.Node || peer == nil || c.now-peer.heardAt > 3*tuning.DrawInterval {
 			continue
 		}
 		if c.peerFits(peer, spec) {
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -73,7 +73,7 @@
 		if !c.waitsOn(d, m, j, id) || c.planner.isHeldBack(j, id, c.now) {
 			continue
 		}
-		if m.failedHere(j) {
+		if m.hasOnlyFailuresOf(j) {
 			c.dequeue(id)
 			c.planner.dirty = true
 			continue
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -91,7 +91,7 @@
 	}
 	if claim.StarvingJob == "" && c.isStarving(j, placed) && !j.isPaused(c.now) {
 		claim.StarvingJob, claim.StarvingRequest = j.ID, j.Header.Spec.Request
-		claim.aheadOfGangs = age < tuning.StarveAfter+tuning.GangBlock
+		claim.aheadOfGangs = age < tuning.StarvationAge+tuning.MaxGangBlock
 		added = true
 	}
 	return added
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -150,7 +150,7 @@
 func (c *Controller) expireWaiters() {
 	patient := c.requests.waiting[:0]
 	for _, request := range c.requests.waiting {
-		if c.now-request.askedAt > tuning.PollPatience {
+		if c.now-request.askedAt > tuning.QueryTimeout {
 			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -35,7 +35,7 @@
 	scaling.reserved, scaling.evicting = map[string]bool{}, map[string]bool{}
 	for _, class := range slices.Sorted(maps.Keys(scaling.gangClasses)) {
 		known := scaling.gangClasses[class]
-		if c.now-known.seenAt > tuning.GangClassMemory {
+		if c.now-known.seenAt > tuning.GangClassRetention {
 			delete(scaling.gangClasses, class)
 			continue
 		}
@@ -85,7 +85,7 @@
 // mayReserve tells whether a machine is in use, not yet kept for another class, and could take
 // a task of the job if it were empty.
 func (c *Controller) mayReserve(m *machineState, spec *domain.JobSpec) bool {
-	return m.heard && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
+	return m.isReporting && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
 		allowsMachine(spec, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(spec.Request)
 }
 
@@ -97,7 +97,7 @@
 		j := c.cache.jobs[id.Job]
 		running := j.Header.Spec
 		if running != nil && reservesMachines(running) {
-			c.scaling.ranGangAt[m.Name] = c.now
+			c.scaling.gangTaskSeenAt[m.Name] = c.now
 		}
 		if running == nil || reservesMachines(running) || running.Shape == domain.Service {
 			return candidate, false
@@ -115,7 +115,7 @@
 	kept := 0
 	for i := range candidates {
 		m := candidates[i].machine
-		if ranAt, ran := s.ranGangAt[m.Name]; ran && m.tasks == 0 && now-ranAt < tuning.KeepReservedAfterGang {
+		if ranAt, ran := s.gangTaskSeenAt[m.Name]; ran && m.tasks == 0 && now-ranAt < tuning.KeepReservedAfterGang {
 			s.reserved[m.Name] = true
 			kept++
 		}
@@ -193,7 +193,7 @@
 	isLarge := c.isLargeFleet()
 	for i := range machines {
 		m := &machines[i]
-		if !m.heard || m.cordon.State != "" || c.scaling.reserved[m.Name] || c.cache.occupancy[m.Name].gangTasks > 0 {
+		if !m.isReporting || m.cordon.State != "" || c.scaling.reserved[m.Name] || c.cache.occupancy[m.Name].gangTasks > 0 {
 			continue
 		}
 		shard := ""
@@ -216,12 +216,12 @@
 		price = machineType.SpotPrice
 	}
 	if machineType.Capacity.GPU > 0 {
-		price /= float64(max(machineType.Capacity.GPU, tuning.PricedAtLeast))
+		price /= float64(max(machineType.Capacity.GPU, tuning.MinPricedAmount))
 	} else {
-		price /= float64(max(machineType.Capacity.CPU, tuning.PricedAtLeast))
+		price /= float64(max(machineType.Capacity.CPU, tuning.MinPricedAmount))
 	}
 	if rested {
-		price *= tuning.RestingStickiness
+		price *= tuning.RestingPriceFactor
 	}
 	// Among equals those with little to run go empty first.
 	return price * (1.1 - 0.1*min(float64(m.tasks), 10)/10)
@@ -281,7 +281,7 @@
 			{"h", c.scaling.reserved[m.Name]},
 			{"r", rested[m.Name]},
 			{"d", m.cordon.State != ""},
-			{"-", !m.heard},
+			{"-", !m.isReporting},
 			{"s", m.Spot},
 		} {
 			if tag.holds {
@@ -349,7 +349,7 @@
 			continue
 		}
 		toStart := machineType.BootSeconds + spec.ImageGB/max(machineType.FetchGBPerS, 0.01)
-		if startWithin < tuning.SpareReach*toStart {
+		if startWithin < tuning.SpareStartFactor*toStart {
 			arriving := c.scaling.gangTaskRate[spec.Class] * tuning.SpareSeconds
 			return max(c.cfg.SpareMachines, int(math.Ceil(arriving)))
 		}
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -31,7 +31,7 @@
 	if s.samples == 0 {
 		s.value = sample
 	} else {
-		s.value += tuning.RateSmooth * (sample - s.value)
+		s.value += tuning.RunTimeSmoothing * (sample - s.value)
 	}
 	s.samples++
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -91,13 +91,13 @@
 
 // scaleOutPlan packs what waits on what is there, boots or is to be rented.
 type scaleOutPlan struct {
-	there          []roomThere
+	existing       []existingRoom
 	planned        []plannedMachine
 	turnoverCredit int // tasks that need no new machine, since slots fall free soon
 }
 
-// roomThere is what a scaleOutPlan leaves free on a machine that is there or boots.
-type roomThere struct {
+// existingRoom is what a scaleOutPlan leaves free on a machine that is there or boots.
+type existingRoom struct {
 	machine     *machineState
 	free        domain.Resources
 	preemptible domain.Resources // held by preemptible tasks
@@ -112,34 +112,34 @@
 // unplacedWork is what a scaleOutPlan has not yet placed of some pending work.
 type unplacedWork struct {
 	pendingWork
-	left      int64
+	remaining int64
 	zonesLeft zoneAllowance // what remains of the work's
 }
 
-// take counts tasks as placed in a zone.
-func (w *unplacedWork) take(zone string, n int64) {
+// recordPlaced counts tasks as placed in a zone.
+func (w *unplacedWork) recordPlaced(zone string, n int64) {
 	w.zonesLeft.take(zone, n)
-	w.left -= n
+	w.remaining -= n
 }
 
-// fitting is how many of the tasks that are left have room in a zone.
-func (w *unplacedWork) fitting(room domain.Resources, zone string) int64 {
-	return room.CountFitting(w.spec.Request, w.zonesLeft.left(zone, w.left))
+// countFitting is how many of the tasks that are left have room in a zone.
+func (w *unplacedWork) countFitting(room domain.Resources, zone string) int64 {
+	return room.CountFitting(w.spec.Request, w.zonesLeft.left(zone, w.remaining))
 }
 
 // planScaleOut packs what is pending on what is there or boots, and rents for the rest the
 // kind with the least price per task that fits. Nothing is planned while a request is open:
 // what it brings isn't known yet.
 func (c *Controller) planScaleOut(machines []machineState, pending []pendingWork) {
-	c.repeatRentals()
+	c.resendRentals()
 	if len(c.scaling.rentals) > 0 {
 		return
 	}
-	plan := scaleOutPlan{there: c.roomToCountOn(machines)}
-	plan.turnoverCredit = c.scaling.turnoverCredit(plan.there)
+	plan := scaleOutPlan{existing: c.usableRoom(machines)}
+	plan.turnoverCredit = c.scaling.turnoverCredit(plan.existing)
 	for _, work := range c.workToPlace(pending) {
-		unplaced := unplacedWork{pendingWork: work, left: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
-		c.packThere(&plan, &unplaced)
+		unplaced := unplacedWork{pendingWork: work, remaining: int64(work.tasks), zonesLeft: maps.Clone(work.zones)}
+		c.packExisting(&plan, &unplaced)
 		c.packPlanned(&plan, &unplaced)
 		c.creditTurnover(&plan, &unplaced)
 		c.planMachines(&plan, &unplaced)
@@ -147,9 +147,9 @@
 	c.rentPlanned(plan.planned)
 }
 
-// repeatRentals asks again for what the cloud left unanswered for too long. The request's name
+// resendRentals asks again for what the cloud left unanswered for too long. The request's name
 // is the same, so that a repeat rents nothing more.
-func (c *Controller) repeatRentals() {
+func (c *Controller) resendRentals() {
 	scaling := &c.scaling
 	for _, id := range slices.Sorted(maps.Keys(scaling.rentals)) {
 		rental := scaling.rentals[id]
@@ -161,27 +161,27 @@
 	}
 }
 
-// roomToCountOn lists the room on the machines that are there or to come and stay.
-func (c *Controller) roomToCountOn(machines []machineState) []roomThere {
-	var there []roomThere
-	leaving := c.leaving()
+// usableRoom lists the room on the machines that are there or to come and stay.
+func (c *Controller) usableRoom(machines []machineState) []existingRoom {
+	var there []existingRoom
+	leaving := c.leavingMachines()
 	for i := range machines {
 		m := &machines[i]
-		isLost := !m.heard && m.Status == domain.InstanceRunning && m.tasks > 0
+		isLost := !m.isReporting && m.Status == domain.InstanceRunning && m.tasks > 0
 		if m.cordon.State != "" || leaving[m.Name] || m.Status == domain.InstanceFailed || isLost {
 			continue
 		}
-		there = append(there, roomThere{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
+		there = append(there, existingRoom{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
 	}
 	return there
 }
 
 // turnoverCredit is how many tasks need no new machine since slots fall free before such a one
 // could start them.
-func (s *scaling) turnoverCredit(there []roomThere) int {
+func (s *scaling) turnoverCredit(there []existingRoom) int {
 	busy := 0
 	for i := range there {
-		if m := there[i].machine; m.heard && !s.reserved[m.Name] {
+		if m := there[i].machine; m.isReporting && !s.reserved[m.Name] {
 			busy += m.tasks
 		}
 	}
@@ -214,37 +214,37 @@
 	return 1
 }
 
-// packThere places work on machines that are there or boot.
-func (c *Controller) packThere(plan *scaleOutPlan, unplaced *unplacedWork) {
+// packExisting places work on machines that are there or boot.
+func (c *Controller) packExisting(plan *scaleOutPlan, unplaced *unplacedWork) {
 	mayUseReserved := reservesMachines(unplaced.spec)
-	for i := range plan.there {
-		if unplaced.left == 0 {
+	for i := range plan.existing {
+		if unplaced.remaining == 0 {
 			return
 		}
-		slot := &plan.there[i]
+		slot := &plan.existing[i]
 		m := slot.machine
 		if !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
 			continue
 		}
-		placed := unplaced.fitting(roomBeside(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
+		placed := unplaced.countFitting(roomBeside(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
 		slot.free = slot.free.Plus(unplaced.spec.Request, -placed)
-		unplaced.take(m.Zone, placed)
+		unplaced.recordPlaced(m.Zone, placed)
 	}
 }
 
 // packPlanned places work on machines that are to be rented for other work.
 func (c *Controller) packPlanned(plan *scaleOutPlan, unplaced *unplacedWork) {
 	for i := range plan.planned {
-		if unplaced.left == 0 {
+		if unplaced.remaining == 0 {
 			return
 		}
 		machine := &plan.planned[i]
 		if !allowsMachine(unplaced.spec, machine.kind.machineType, machine.kind.zone, machine.kind.spot) {
 			continue
 		}
-		placed := unplaced.fitting(machine.free, machine.kind.zone)
+		placed := unplaced.countFitting(machine.free, machine.kind.zone)
 		machine.free = machine.free.Plus(unplaced.spec.Request, -placed)
-		unplaced.take(machine.kind.zone, placed)
+		unplaced.recordPlaced(machine.kind.zone, placed)
 	}
 }
 
@@ -254,22 +254,22 @@
 	if reservesMachines(unplaced.spec) || unplaced.job != nil && c.isStarving(unplaced.job, placementOf(unplaced.job, nil)) {
 		return
 	}
-	n := min(unplaced.left, int64(plan.turnoverCredit))
+	n := min(unplaced.remaining, int64(plan.turnoverCredit))
 	plan.turnoverCredit -= int(n)
-	unplaced.left -= n
+	unplaced.remaining -= n
 }
 
 // planMachines adds machines to the plan for the work that is left.
 func (c *Controller) planMachines(plan *scaleOutPlan, unplaced *unplacedWork) {
-	for unplaced.left > 0 && len(plan.planned) < tuning.MaxRentalPlans {
-		kind, ok := c.cheapest(unplaced.spec, int(unplaced.left), unplaced.zonesLeft)
+	for unplaced.remaining > 0 && len(plan.planned) < tuning.MaxRentalPlans {
+		kind, ok := c.cheapestKind(unplaced.spec, int(unplaced.remaining), unplaced.zonesLeft)
 		if !ok {
 			return
 		}
 		capacity := c.cache.machineType(kind.machineType).Capacity
-		placed := max(unplaced.fitting(capacity, kind.zone), 1)
+		placed := max(unplaced.countFitting(capacity, kind.zone), 1)
 		plan.planned = append(plan.planned, plannedMachine{kind, capacity.Plus(unplaced.spec.Request, -placed)})
-		unplaced.take(kind.zone, placed)
+		unplaced.recordPlaced(kind.zone, placed)
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 	requests := 0
 	for _, kind := range kinds {
-		wasShort := c.scaling.pauses[kind].failures > 0
+		wasShort := c.scaling.rentalPauses[kind].failures > 0
 		for left := count[kind]; left > 0 && requests < tuning.MaxRentalsAtOnce; left -= tuning.MaxMachinesPerRental {
 			if wasShort && left < count[kind] {
 				break
@@ -309,9 +309,9 @@
 	c.emit(request)
 }
 
-// leaving are the machines that the cloud takes back soon, or that take no bookings for
+// leavingMachines are the machines that the cloud takes back soon, or that take no bookings for
 // another reason that their owners see.
-func (c *Controller) leaving() map[string]bool {
+func (c *Controller) leavingMachines() map[string]bool {
 	leaving := map[string]bool{}
 	for name, m := range c.heartbeats.machines {
 		if c.owns(name) && m.preemptionAt >= 0 {
@@ -319,7 +319,7 @@
 		}
 	}
 	for _, peer := range c.peers.byName {
-		if c.now-peer.heardAt > 4*tuning.DrawEvery {
+		if c.now-peer.heardAt > 4*tuning.DrawInterval {
 			continue
 		}
 		for i := range peer.machines {
@@ -331,9 +331,9 @@
 	return leaving
 }
 
-// cheapest is the kind of machine with the least price per task, of which tasksLeft are left,
+// cheapestKind is the kind of machine with the least price per task, of which tasksLeft are left,
 // in the zones that may take any; false: none may be rented now.
-func (c *Controller) cheapest(spec *domain.JobSpec, tasksLeft int, zones zoneAllowance) (machineKind, bool) {
+func (c *Controller) cheapestKind(spec *domain.JobSpec, tasksLeft int, zones zoneAllowance) (machineKind, bool) {
 	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
 		machineType := &c.cache.machineTypes[i]
@@ -365,7 +365,7 @@
 // mayRent tells whether a kind of machine may be rented for a job now. Preemptible work takes
 // ordinary machines only while others leave them empty.
 func (s *scaling) mayRent(spec *domain.JobSpec, kind machineKind, now time.Duration) bool {
-	if spec.Zone != "" && kind.zone != spec.Zone || now < s.pauses[kind].until {
+	if spec.Zone != "" && kind.zone != spec.Zone || now < s.rentalPauses[kind].until {
 		return false
 	}
 	if kind.spot {
@@ -399,7 +399,7 @@
 	}
 	delete(scaling.rentals, answer.RentalID)
 	kind := machineKind{rental.request.Type, rental.request.Zone, rental.request.Spot}
-	scaling.pauseIfShort(kind, rental.request.Count-len(answer.Names), c.now)
+	scaling.updateRentalPause(kind, rental.request.Count-len(answer.Names), c.now)
 	for _, name := range answer.Names {
 		scaling.unlisted[name] = domain.Instance{
 			Name: name, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Status: domain.InstanceBooting,
@@ -409,15 +409,15 @@
 	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", rental.request.Count, "got", len(answer.Names))
 }
 
-// pauseIfShort keeps a kind from being rented for a while, longer each time, when machines of
+// updateRentalPause keeps a kind from being rented for a while, longer each time, when machines of
 // it were missing in an answer, and ends the pause when none were.
-func (s *scaling) pauseIfShort(kind machineKind, missing int, now time.Duration) {
-	pause := s.pauses[kind]
+func (s *scaling) updateRentalPause(kind machineKind, missing int, now time.Duration) {
+	pause := s.rentalPauses[kind]
 	switch {
 	case missing > 0 && now >= pause.until:
 		length := min(tuning.NoCapacityPause<<min(pause.failures, 8), tuning.MaxNoCapacityPause)
-		s.pauses[kind] = rentalPause{now + length, pause.failures + 1}
+		s.rentalPauses[kind] = rentalPause{now + length, pause.failures + 1}
 	case missing == 0:
-		delete(s.pauses, kind)
+		delete(s.rentalPauses, kind)
 	}
 }
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -18,22 +18,22 @@
 type scaling struct {
 	// What the cloud says.
 
-	instances    map[string]domain.Instance // the newest list
-	unlisted     map[string]domain.Instance // rented, and not yet in a list
-	knownSince   map[string]time.Duration   // when an instance was rented, or first listed or heard
-	listed       bool                       // a list has come since this controller became leader
-	listing      bool                       // a list is under way
-	nextList     steady.Gate
-	listingTypes bool          // a list of machine types is under way
-	nextTypesAt  time.Duration // no other list of machine types before
+	instances           map[string]domain.Instance // the newest list
+	unlisted            map[string]domain.Instance // rented, and not yet in a list
+	knownSince          map[string]time.Duration   // when an instance was rented, or first listed or heard
+	hasInstanceList     bool                       // a list has come since this controller became leader
+	listingInstances    bool                       // a list is under way
+	nextInstanceList    steady.Gate
+	listingMachineTypes bool          // a list of machine types is under way
+	nextMachineTypesAt  time.Duration // no other list of machine types before
 
 	// Renting and returning.
 
-	rentalCount int                         // rentals asked for, over all terms as a leader; in their names
-	rentals     map[string]rental           // requests without a final answer, by name
-	pauses      map[machineKind]rentalPause // kinds of which the cloud had too few
-	returning   bool                        // a return is under way
-	nextReturn  steady.Gate
+	rentalCount  int                         // rentals asked for, over all terms as a leader; in their names
+	rentals      map[string]rental           // requests without a final answer, by name
+	rentalPauses map[machineKind]rentalPause // kinds of which the cloud had too few
+	returning    bool                        // a return is under way
+	nextReturn   steady.Gate
 
 	// What the leader decides.
 
@@ -45,12 +45,12 @@
 
 	// What the decisions rest on.
 
-	ranGangAt     map[string]time.Duration // when a task of a job that reserves machines was last seen there
-	idleSince     map[string]time.Duration // heard and without tasks
-	unheardSince  map[string]time.Duration // running, though no controller hears it
-	zoneDownSince map[string]time.Duration // most of the zone's machines are unheard, by zone
-	gangClasses   map[string]gangClass     // classes of jobs that reserve machines, by name
-	gangTaskRate  map[string]float64       // their tasks that came lately, per second, by class
+	gangTaskSeenAt map[string]time.Duration // when a task of a job that reserves machines was last seen there
+	idleSince      map[string]time.Duration // heard and without tasks
+	silentSince    map[string]time.Duration // running, though no controller hears it
+	zoneDownSince  map[string]time.Duration // most of the zone's machines are unheard, by zone
+	gangClasses    map[string]gangClass     // classes of jobs that reserve machines, by name
+	gangTaskRate   map[string]float64       // their tasks that came lately, per second, by class
 }
 
 // gangClass is a class of jobs that reserve machines.
@@ -65,10 +65,10 @@
 	return scaling{
 		rentalCount: rentalCount,
 		instances:   map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{},
-		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{},
+		rentals: map[string]rental{}, rentalPauses: map[machineKind]rentalPause{},
 		reserved: map[string]bool{}, evicting: map[string]bool{}, resting: map[string]bool{},
-		ranGangAt: map[string]time.Duration{}, idleSince: map[string]time.Duration{},
-		unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{},
+		gangTaskSeenAt: map[string]time.Duration{}, idleSince: map[string]time.Duration{},
+		silentSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{},
 		gangClasses: map[string]gangClass{},
 	}
 }
@@ -81,23 +81,23 @@
 	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !scaling.listingTypes && c.now >= scaling.nextTypesAt {
-		scaling.listingTypes = true
+	if !scaling.listingMachineTypes && c.now >= scaling.nextMachineTypesAt {
+		scaling.listingMachineTypes = true
 		c.emit(ListMachineTypes{})
 	}
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !scaling.listing && scaling.nextList.IsOpen(c.now) {
-		scaling.listing = true
+	if !scaling.listingInstances && scaling.nextInstanceList.IsOpen(c.now) {
+		scaling.listingInstances = true
 		c.emit(ListInstances{})
 	}
 	if !scaling.nextDecision.IsOpen(c.now) {
 		return
 	}
 	scaling.nextDecision.Close(c.now + max(tuning.ScalingInterval, 2*c.pace()))
-	c.planScaleIn()
-	if !scaling.listed {
+	c.planReturns()
+	if !scaling.hasInstanceList {
 		return
 	}
 	machines := c.machines()
@@ -111,12 +111,12 @@
 // onInstancesListed takes the cloud's list of this deployment's instances.
 func (c *Controller) onInstancesListed(answer InstancesListed) {
 	scaling := &c.scaling
-	scaling.listing = false
-	scaling.nextList.Close(c.now + tuning.InstanceListInterval)
+	scaling.listingInstances = false
+	scaling.nextInstanceList.Close(c.now + tuning.InstanceListInterval)
 	if !answer.OK {
 		return
 	}
-	scaling.listed = true
+	scaling.hasInstanceList = true
 	scaling.instances = map[string]domain.Instance{}
 	for _, instance := range answer.Instances {
 		scaling.instances[instance.Name] = instance
@@ -143,10 +143,10 @@
 // machineState is a machine that the leader counts on or has to care for.
 type machineState struct {
 	domain.Instance
-	heard  bool             // by its owner, lately
-	cordon domain.Cordon    // the committed one
-	free   domain.Resources // as committed
-	tasks  int              // booked there
+	isReporting bool             // by its owner, lately
+	cordon      domain.Cordon    // the committed one
+	free        domain.Resources // as committed
+	tasks       int              // booked there
 }
 
 // machines joins the cloud's list, own rentals and what the controllers hear, ordered by
@@ -157,7 +157,7 @@
 		all[name] = &machineState{Instance: instance}
 	}
 	c.addUnlisted(all)
-	c.addHeard(all)
+	c.addReporting(all)
 	var machines []machineState
 	for name, m := range all {
 		if c.cache.isReturned(name) {
@@ -183,7 +183,7 @@
 	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-scaling.knownSince[name] > tuning.UnlistedPatience+2*c.cfg.ListLag:
+		case c.now-scaling.knownSince[name] > tuning.UnlistedTimeout+2*c.cfg.ListLag:
 			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
@@ -191,8 +191,8 @@
 	}
 }
 
-// addHeard adds the machines that any controller hears, and notes which these are.
-func (c *Controller) addHeard(all map[string]*machineState) {
+// addReporting adds the machines that any controller hears, and notes which these are.
+func (c *Controller) addReporting(all map[string]*machineState) {
 	for _, heard := range c.inventory() {
 		m := all[heard.name]
 		if m == nil {
@@ -202,16 +202,16 @@
 			}}
 			all[heard.name] = m
 		}
-		m.heard = true
+		m.isReporting = true
 		if _, known := c.scaling.knownSince[heard.name]; !known {
 			c.scaling.knownSince[heard.name] = c.now
 		}
 	}
 }
 
-// planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
+// planReturns returns drained machines to the cloud. Only after the cloud's 200 is a machine
 // cordoned as gone, which proves its tasks off.
-func (c *Controller) planScaleIn() {
+func (c *Controller) planReturns() {
 	scaling := &c.scaling
 	if scaling.returning || !scaling.nextReturn.IsOpen(c.now) {
 		return
@@ -239,7 +239,7 @@
 	if cordon.State != domain.CordonDrain {
 		return false
 	}
-	if _, changes := c.cordons.wanted[name]; changes {
+	if _, changes := c.cordons.requested[name]; changes {
 		return false
 	}
 	if c.cache.revision < c.cache.modRevisions[codec.PrefixCordons+c.cordonPageOf(name)] {
@@ -258,13 +258,13 @@
 		return
 	}
 	for _, name := range answer.Names {
-		c.cordon(name, domain.Cordon{State: domain.CordonGone})
+		c.requestCordon(name, domain.Cordon{State: domain.CordonGone})
 	}
 	c.info("machines returned", "machines", answer.Names)
 }
 
-// unheardReview is what tells whether a machine that nobody hears is at fault itself.
-type unheardReview struct {
+// silenceContext is what tells whether a machine that nobody hears is at fault itself.
+type silenceContext struct {
 	peersFresh bool            // every controller is heard, so that one of them should hear it
 	leaving    map[string]bool // machines that the cloud takes back soon
 	cutOff     map[string]bool // zones that are cut off
@@ -272,28 +272,28 @@
 
 // planCordons drains machines that failed, are stuck or were idle for long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.arePeersFresh(), c.leaving(), c.zonesCutOff(machines)}
+	review := silenceContext{c.arePeersFresh(), c.leavingMachines(), c.cutOffZones(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
 			continue
 		}
-		noteSince(c.scaling.idleSince, m.Name, m.heard && m.tasks == 0, c.now)
-		noteSince(c.scaling.unheardSince, m.Name, review.isUnheard(m), c.now)
-		if reason := c.whyDrain(m, pending); reason != "" {
-			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
+		trackSince(c.scaling.idleSince, m.Name, m.isReporting && m.tasks == 0, c.now)
+		trackSince(c.scaling.silentSince, m.Name, review.isSilent(m), c.now)
+		if reason := c.drainReason(m, pending); reason != "" {
+			c.requestCordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
 		}
 	}
 }
 
-// zonesCutOff are the zones of which most machines are unheard: each is cut off for now, and
+// cutOffZones are the zones of which most machines are unheard: each is cut off for now, and
 // its machines get their time anew when they can be heard again.
-func (c *Controller) zonesCutOff(machines []machineState) map[string]bool {
+func (c *Controller) cutOffZones(machines []machineState) map[string]bool {
 	heard, unheard, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
 		switch {
-		case m.heard:
+		case m.isReporting:
 			heard[m.Zone]++
 		case m.Status == domain.InstanceRunning:
 			unheard[m.Zone]++
@@ -301,15 +301,15 @@
 	}
 	downSince := c.scaling.zoneDownSince
 	for _, zone := range c.cfg.Zones {
-		isDown := unheard[zone] > heard[zone] && unheard[zone] > tuning.SilentFew
-		noteSince(downSince, zone, isDown, c.now)
-		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.UnheardCut
+		isDown := unheard[zone] > heard[zone] && unheard[zone] > tuning.FewZoneMachines
+		trackSince(downSince, zone, isDown, c.now)
+		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.ZoneOutageTimeout
 	}
 	return cutOff
 }
 
-// noteSince keeps since when something has held for a machine or zone without a break.
-func noteSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
+// trackSince keeps since when something has held for a machine or zone without a break.
+func trackSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
 	if !holds {
 		delete(since, name)
 	} else if _, known := since[name]; !known {
@@ -317,20 +317,20 @@
 	}
 }
 
-// isUnheard tells whether nobody hears a running machine, though every controller is heard and
+// isSilent tells whether nobody hears a running machine, though every controller is heard and
 // nothing else explains it.
-func (r *unheardReview) isUnheard(m *machineState) bool {
-	return r.peersFresh && m.Status == domain.InstanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
+func (r *silenceContext) isSilent(m *machineState) bool {
+	return r.peersFresh && m.Status == domain.InstanceRunning && !m.isReporting && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
-// whyDrain is the reason to drain a machine; "": none.
-func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
+// drainReason is the reason to drain a machine; "": none.
+func (c *Controller) drainReason(m *machineState, pending []pendingWork) string {
 	switch {
 	case m.Status == domain.InstanceFailed:
 		return domain.DrainFailed
 	case c.isStuck(m):
 		return domain.DrainStuck
-	case c.isIdleTooLong(m) && (c.scaling.resting[m.Name] || !c.isWanted(m, pending)):
+	case c.isIdleTooLong(m) && (c.scaling.resting[m.Name] || !c.isNeeded(m, pending)):
 		return domain.DrainIdle
 	}
 	return ""
@@ -339,40 +339,40 @@
 // isStuck tells whether a machine boots for too long, or is unheard for too long.
 func (c *Controller) isStuck(m *machineState) bool {
 	scaling := &c.scaling
-	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == domain.InstanceBooting && !m.heard && c.now-scaling.knownSince[m.Name] > bootPatience {
+	bootPatience := time.Duration(tuning.BootTimeoutFactor * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
+	if m.Status == domain.InstanceBooting && !m.isReporting && c.now-scaling.knownSince[m.Name] > bootPatience {
 		return true
 	}
-	since, unheard := scaling.unheardSince[m.Name]
-	return unheard && c.now-since > tuning.UnheardPatience
+	since, unheard := scaling.silentSince[m.Name]
+	return unheard && c.now-since > tuning.NoHeartbeatTimeout
 }
 
 // isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
 // held for less than the least time that is charged isn't.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
 	scaling := &c.scaling
-	if !m.heard || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinHeld {
+	if !m.isReporting || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinChargedTime {
 		return false
 	}
 	since, idle := scaling.idleSince[m.Name]
-	return idle && c.now-since > c.idleKeep(m)
+	return idle && c.now-since > c.idleTimeout(m)
 }
 
-// idleKeep is how long an idle machine is kept.
-func (c *Controller) idleKeep(m *machineState) time.Duration {
+// idleTimeout is how long an idle machine is kept.
+func (c *Controller) idleTimeout(m *machineState) time.Duration {
 	switch {
 	case c.scaling.reserved[m.Name]:
-		return tuning.IdleKeepReserved
+		return tuning.ReservedIdleTimeout
 	case c.scaling.resting[m.Name] && c.isLargeFleet():
-		return tuning.IdleKeepResting // beyond the headroom, which grows with the fleet
+		return tuning.RestingIdleTimeout // beyond the headroom, which grows with the fleet
 	case m.Spot:
-		return tuning.IdleKeepSpot
+		return tuning.SpotIdleTimeout
 	}
-	return tuning.IdleKeep
+	return tuning.IdleTimeout
 }
 
-// isWanted tells whether waiting work could run on a machine.
-func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
+// isNeeded tells whether waiting work could run on a machine.
+func (c *Controller) isNeeded(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
 		hasZone := work.zones.left(m.Zone, int64(work.tasks)) > 0
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -8,9 +8,9 @@
 	"brassglade/internal/tuning"
 )
 
-// TestWhyDrain: a machine is drained for what is wrong with it, and for idleness only when it
+// TestDrainReason: a machine is drained for what is wrong with it, and for idleness only when it
 // was idle for long, is no longer charged for anyway, and no waiting work could run on it.
-func TestWhyDrain(t *testing.T) {
+func TestDrainReason(t *testing.T) {
 	const long = time.Hour
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}
 	idle := func(state *scaling) { state.idleSince["n"] = 0 }
@@ -23,19 +23,19 @@
 	}{
 		{"failed", machineState{Instance: domain.Instance{Status: domain.InstanceFailed}}, nil, nil, domain.DrainFailed},
 		{"boots for too long", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}}, nil, nil, domain.DrainStuck},
-		{"boots, and is heard", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}, heard: true}, nil, nil, ""},
-		{"unheard for long", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, func(state *scaling) { state.unheardSince["n"] = 0 }, nil, domain.DrainStuck},
+		{"boots, and is heard", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}, isReporting: true}, nil, nil, ""},
+		{"unheard for long", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, func(state *scaling) { state.silentSince["n"] = 0 }, nil, domain.DrainStuck},
 		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, nil, nil, ""},
-		{"idle", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true}, idle, nil, domain.DrainIdle},
-		{"idle for a moment", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true},
+		{"idle", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true}, idle, nil, domain.DrainIdle},
+		{"idle for a moment", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true},
 			func(state *scaling) { state.idleSince["n"] = long }, nil, ""},
-		{"idle, and just rented", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true},
-			func(state *scaling) { idle(state); state.knownSince["n"] = long - tuning.MinHeld }, nil, ""},
-		{"idle, and wanted", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 16000}},
+		{"idle, and just rented", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true},
+			func(state *scaling) { idle(state); state.knownSince["n"] = long - tuning.MinChargedTime }, nil, ""},
+		{"idle, and wanted", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
 			idle, []pendingWork{{spec: spec, tasks: 1}}, ""},
-		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 16000}},
+		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
 			func(state *scaling) { idle(state); state.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
-		{"busy", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, heard: true, tasks: 1}, nil, nil, ""},
+		{"busy", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, tasks: 1}, nil, nil, ""},
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			c := acting()
@@ -46,7 +46,7 @@
 			}
 			m := test.machine
 			m.Name, m.Type, m.Zone = "n", "box", "a"
-			if got := c.whyDrain(&m, test.pending); got != test.reason {
+			if got := c.drainReason(&m, test.pending); got != test.reason {
 				t.Errorf("drained for %q, not %q", got, test.reason)
 			}
 		})
@@ -67,7 +67,7 @@
 		{"gone", domain.Cordon{State: domain.CordonGone}, nil, false},
 		{"idle", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}, nil, true},
 		{"idle, returned just now", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle},
-			func(c *Controller) { c.cordons.wanted["n"] = domain.Cordon{State: domain.CordonGone} }, false},
+			func(c *Controller) { c.cordons.requested["n"] = domain.Cordon{State: domain.CordonGone} }, false},
 		{"idle, with a booking", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle},
 			func(c *Controller) { c.cache.bookedOn["n"] = map[domain.TaskID]bool{id: true} }, false},
 		{"lost, with a booking", domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost},
@@ -86,31 +86,31 @@
 	}
 }
 
-// TestPackThereAndPlanned: work goes first to machines that are there, then to those planned
+// TestPackExistingAndPlanned: work goes first to machines that are there, then to those planned
 // for other work, and new machines are planned for the rest alone.
-func TestPackThereAndPlanned(t *testing.T) {
+func TestPackExistingAndPlanned(t *testing.T) {
 	c := acting()
 	c.cache.machineTypes[0].Price = 1
 	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
-	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, heard: true, free: domain.Resources{CPU: 8000}}
-	plan := scaleOutPlan{there: c.roomToCountOn([]machineState{there})}
-	unplaced := unplacedWork{pendingWork: pendingWork{spec: spec}, left: 7}
-	c.packThere(&plan, &unplaced)
-	if unplaced.left != 5 || plan.there[0].free.CPU != 0 {
-		t.Errorf("%d of 7 tasks are left after a machine with room for two", unplaced.left)
+	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 8000}}
+	plan := scaleOutPlan{existing: c.usableRoom([]machineState{there})}
+	unplaced := unplacedWork{pendingWork: pendingWork{spec: spec}, remaining: 7}
+	c.packExisting(&plan, &unplaced)
+	if unplaced.remaining != 5 || plan.existing[0].free.CPU != 0 {
+		t.Errorf("%d of 7 tasks are left after a machine with room for two", unplaced.remaining)
 	}
 	c.planMachines(&plan, &unplaced)
-	if unplaced.left != 0 || len(plan.planned) != 2 {
-		t.Errorf("%d machines are planned for 5 tasks of which 4 fit on one, %d tasks are left", len(plan.planned), unplaced.left)
+	if unplaced.remaining != 0 || len(plan.planned) != 2 {
+		t.Errorf("%d machines are planned for 5 tasks of which 4 fit on one, %d tasks are left", len(plan.planned), unplaced.remaining)
 	}
-	unplaced.left = 4
+	unplaced.remaining = 4
 	c.packPlanned(&plan, &unplaced)
-	if unplaced.left != 1 {
-		t.Errorf("%d of 4 tasks are left after planned machines with room for three", unplaced.left)
+	if unplaced.remaining != 1 {
+		t.Errorf("%d of 4 tasks are left after planned machines with room for three", unplaced.remaining)
 	}
 	c.scaling.reserved["n"] = true
-	plan, unplaced.left = scaleOutPlan{there: c.roomToCountOn([]machineState{there})}, 1
-	if c.packThere(&plan, &unplaced); unplaced.left != 1 {
+	plan, unplaced.remaining = scaleOutPlan{existing: c.usableRoom([]machineState{there})}, 1
+	if c.packExisting(&plan, &unplaced); unplaced.remaining != 1 {
 		t.Error("a machine kept for other jobs counts as room")
 	}
 }
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -58,9 +58,9 @@
 		machine := fmt.Sprintf("n-%06d", i)
 		switch c.cache.cordons[machine].State {
 		case "":
-			c.cordon(machine, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
+			c.requestCordon(machine, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle})
 		case domain.CordonDrain:
-			c.cordon(machine, domain.Cordon{State: domain.CordonGone})
+			c.requestCordon(machine, domain.Cordon{State: domain.CordonGone})
 		}
 	}
 }
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -108,7 +108,7 @@
 		return false
 	}
 	spec := j.Header.Spec
-	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
+	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.hasOnlyFailuresOf(j) &&
 		quota.Within(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
@@ -168,7 +168,7 @@
 // stealTo moves tasks from the queues of machines that are behind to that of an idle one
 // for as long as it has room, each drawn among the first of every queue that it can take.
 func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
-	for n := 0; n < tuning.MaxHandovers; n++ {
+	for n := 0; n < tuning.MaxStolenTasks; n++ {
 		var offers []policy.Choice
 		var tasks []domain.TaskID // by Ref of the offer
 		for _, other := range from {
@@ -248,10 +248,10 @@
 			continue
 		}
 		sent++
-		most := tuning.MaxHandovers
+		most := tuning.MaxStolenTasks
 		if large {
 			alike := idle[machineKind{m.Type, m.Zone, m.Spot}]
-			free, most = domain.Resources{}.Plus(free, alike), tuning.MaxHandovers*int(alike)
+			free, most = domain.Resources{}.Plus(free, alike), tuning.MaxStolenTasks*int(alike)
 			sent = tuning.MaxStealRequests // one for all alike
 		}
 		c.emit(SendPeerMessage{To: offers[k].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
@@ -273,7 +273,7 @@
 		if shards := c.otherShardsOf(j); len(shards) > 0 {
 			work = append(work, stealableWork{j.Header.Spec, shards})
 		}
-		if len(work) >= tuning.StealLots {
+		if len(work) >= tuning.MaxStealJobs {
 			break
 		}
 	}
@@ -284,7 +284,7 @@
 // far back, and wait in a shard that has no machine; only the first few are looked at.
 func (c *Controller) otherShardsOf(j *Job) map[string]bool {
 	shards := map[string]bool{}
-	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
+	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.MaxStealScan; i++ {
 		if task := j.task(i); task.State == domain.Queued {
 			seen++
 			shards[c.cache.taskShard(j, task)] = true
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -122,7 +122,7 @@
 	c.Work.Targets += len(roomy)
 	for _, i := range roomy {
 		target := &p.targets[i]
-		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.failedHere(j) {
+		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.hasOnlyFailuresOf(j) {
 			continue
 		}
 		if cached && !target.hasImage(spec.Image) && !slices.Contains(target.pendingImages, spec.Image) {
@@ -159,7 +159,7 @@
 	if slices.Contains(t.pendingImages, spec.Image) {
 		return fetch * others / 2
 	}
-	return fetch * (1 + tuning.FetchShare*others)
+	return fetch * (1 + tuning.ConcurrentFetchCost*others)
 }
 
 // packCost makes draws prefer fuller and cheaper machines among those where a task starts at
@@ -178,8 +178,8 @@
 	if t.machine.Spot {
 		price = t.machineType.SpotPrice
 	}
-	dearness := min(price/float64(slots)/cheapest, tuning.MaxDearness)
-	return q.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(dearness-1))
+	dearness := min(price/float64(slots)/cheapest, tuning.MaxPriceRatio)
+	return q.runTime(spec) * (tuning.EmptyMachineRuns*float64(room)/float64(slots) + tuning.DoublePriceRuns*(dearness-1))
 }
 
 // leastPrice is the least price of a slot for a task of the job.
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -97,12 +97,12 @@
 
 // isDoubtful tells whether all attempts so far failed, several times over. Such a job runs one
 // task at a time, or a mistaken one would take machines and changes from all others.
-func (j *Job) isDoubtful() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
+func (j *Job) isDoubtful() bool { return j.counts.done == 0 && j.failures >= tuning.ProbeAfterFailures }
 
 // isStarving tells whether a job could have begun long ago, and has nothing to show for it. One
 // whose bookings came to nothing is no better off than one that never had any.
 func (c *Controller) isStarving(j *Job, at placement) bool {
-	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
+	return at.booked == 0 && at.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarvationAge
 }
 
 // goesBefore is the order of the pool.
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -21,7 +21,7 @@
 	review          steady.Gate              // not looked whether one is needed before
 	adoptedAt       time.Duration            // when the view was taken from the watch
 	redirects       map[string][]redirect    // heartbeats sent on to their owners, by machine
-	lastRedirect    map[string]redirectMark  // newest heartbeat that was sent on, by machine
+	lastRedirect    map[string]heartbeatID   // newest heartbeat that was sent on, by machine
 	notServingSince map[string]time.Duration // by controller
 	peersHeardSince steady.Instant           // since when all serving peers are heard
 	zoneSilentAt    map[string]time.Duration // when most of a zone's machines were last silent
@@ -33,7 +33,7 @@
 
 func newViews() views {
 	return views{
-		redirects: map[string][]redirect{}, lastRedirect: map[string]redirectMark{},
+		redirects: map[string][]redirect{}, lastRedirect: map[string]heartbeatID{},
 		notServingSince: map[string]time.Duration{}, zoneSilentAt: map[string]time.Duration{},
 		overrideChanges: map[string]overrideChange{}, overrideSeenAt: map[string]time.Duration{},
 	}
@@ -46,9 +46,9 @@
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = view, c.now
 	c.membership.ViewChanged()
-	c.settleOwnership(old)
+	c.updateOwnership(old)
 	c.clearQueues()
-	c.views.noteOverrides(old, view, c.now)
+	c.views.recordOverrides(old, view, c.now)
 	c.planner.pendingReleases = map[attemptID]bool{} // their transactions named the old view
 	c.commits.inDoubt = inDoubtCommit{}
 	c.reportShareOverruns()
@@ -190,8 +190,8 @@
 // chooseZoned decides whether machines belong to the controllers of their own zones.
 // Overrides have room for only some of the machines that can't reach their owners while
 // zones are apart, and each would be a change of the view.
-func (c *Controller) chooseZoned(proposal *viewDraft, lost *lostOwners) {
-	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
+func (c *Controller) chooseZoned(proposal *viewDraft, lost *unreachableResult) {
+	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.otherZone) >= tuning.MinMachinesCutOff
 	if proposal.next.Zoned != proposal.present.Zoned {
 		proposal.changed = true
 	}
@@ -199,7 +199,7 @@
 		clear(lost.machines)
 		return
 	}
-	for _, machine := range lost.apart {
+	for _, machine := range lost.otherZone {
 		lost.machines[machine] = true
 	}
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -104,13 +104,13 @@
 	for _, zone := range zones {
 		allowed[zone] = tasks
 	}
-	kind, _ := c.cheapest(spec, int(tasks), allowed)
+	kind, _ := c.cheapestKind(spec, int(tasks), allowed)
 	return kind.zone
 }
 
 // isRentable tells whether a machine for the job's tasks may be asked for in the zone now.
 func (c *Controller) isRentable(spec *domain.JobSpec, tasks int64, zone string) bool {
-	_, ok := c.cheapest(spec, int(tasks), zoneAllowance{zone: tasks})
+	_, ok := c.cheapestKind(spec, int(tasks), zoneAllowance{zone: tasks})
 	return ok
 }
 
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -56,7 +56,7 @@
 		}
 		for name, m := range c.heartbeats.machines { // each every 5 s, at a time of its own
 			if at := time.Duration(ownership.Hash(name)%10) * 500 * time.Millisecond; heard(name) && c.owns(name) && c.now%(5*time.Second) == at {
-				m.heardAt, m.heartbeatAt = c.now, c.now
+				m.lastReportAt, m.lastHeartbeatAt = c.now, c.now
 			}
 		}
 		c.reviewMachines()
@@ -77,7 +77,7 @@
 	for i := 0; i < 2000; i++ { // machines of controllers that left come here by their bookings
 		if name := fmt.Sprintf("n-%06d", i); c.owns(name) && c.heartbeats.machines[name] == nil {
 			c.takeOwnership(name)
-			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].heardOnce = []string{"a", "b"}[i%2], true
+			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].hasReported = []string{"a", "b"}[i%2], true
 		}
 	}
 	c.pass(90*time.Second, func(name string) bool { return !inB(name) })
@@ -85,12 +85,12 @@
 		c.pass(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
 	}
 	c.pass(30*time.Second, func(string) bool { return true })
-	if len(c.cordons.wanted) > 0 {
-		t.Errorf("%d machines of a cut zone were drained", len(c.cordons.wanted))
+	if len(c.cordons.requested) > 0 {
+		t.Errorf("%d machines of a cut zone were drained", len(c.cordons.requested))
 	}
 	// A tenth of them hang: these are lost.
 	c.pass(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
-	if n := len(c.cordons.wanted); n < 50 || n > 150 {
+	if n := len(c.cordons.requested); n < 50 || n > 150 {
 		t.Errorf("of about 100 silent machines %d were drained", n)
 	}
 }
@@ -190,20 +190,20 @@
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
 		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
-		c.checkRepliesHeeded(m, heartbeat)
+		c.detectLostReplies(m, heartbeat)
 		c.recordHeartbeat(m, heartbeat, true)
 		m.answeredAt = c.now
 		c.now += time.Millisecond
 	}
-	if m.unheededReplies != 0 {
-		t.Errorf("%d heartbeats count as unheeded", m.unheededReplies)
+	if m.lostReplies != 0 {
+		t.Errorf("%d heartbeats count as unheeded", m.lostReplies)
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
-		c.checkRepliesHeeded(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
+		c.detectLostReplies(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
-	if m.unheededReplies != 2 {
-		t.Errorf("%d heartbeats count as unheeded, each 5 s after an answer", m.unheededReplies)
+	if m.lostReplies != 2 {
+		t.Errorf("%d heartbeats count as unheeded, each 5 s after an answer", m.lostReplies)
 	}
 }
 
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -202,7 +202,7 @@
 			p.watchRevision = max(p.watchRevision, advanced.Revision)
 			advanced.Sent = sent
 			p.step(advanced)
-			pause = tuning.WatchGap
+			pause = tuning.MinWatchInterval
 		}
 		c.after(pause, func() { p.watch(generation) })
 	})
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -10,8 +10,8 @@
 	// WatchWait is how long one watch waits for changes; it is short, so that a dead
 	// connection shows soon.
 	WatchWait = 4 * time.Second
-	// WatchGap is the least pause between watches, which count as requests.
-	WatchGap = 90 * time.Millisecond
+	// MinWatchInterval is the least pause between watches, which count as requests.
+	MinWatchInterval = 90 * time.Millisecond
 	// CloudTimeout ends a request to the cloud.
 	CloudTimeout = 4 * time.Second
 )
@@ -27,10 +27,10 @@
 	// number up to that: they don't all need theirs at the same time.
 	WriteOverlap            = 1.4
 	WriteOverlapControllers = 3.0
-	// RateCut is what is left of a controller's rate of changes after a refusal, down to an
+	// RateDecrease is what is left of a controller's rate of changes after a refusal, down to an
 	// equal part. RateRegain is the part of its full rate that it gains back a second.
-	RateCut    = 0.85
-	RateRegain = 0.01
+	RateDecrease = 0.85
+	RateRecovery = 0.01
 	// LeaderWeight is the leader's part of the changes in large deployments, in equal parts:
 	// gangs and cordons take about as many as its own shard.
 	LeaderWeight = 1.7
@@ -47,15 +47,15 @@
 	// TaskCredit is the credit, in seconds' worth of changes, with which a task commit goes
 	// out however large it is.
 	TaskCredit = 0.6
-	// RefusedLeast is the least time that a controller waits after a commit that was refused
+	// MinCommitBackoff is the least time that a controller waits after a commit that was refused
 	// or whose outcome is unknown; up to RefusedSpread is added by random draw, since
 	// controllers that were refused together must not come back together.
-	RefusedLeast  = 150 * time.Millisecond
-	RefusedSpread = 300 * time.Millisecond
-	// AvoidLeast is the least time for which a key whose condition failed in a conflict is
+	MinCommitBackoff    = 150 * time.Millisecond
+	CommitBackoffJitter = 300 * time.Millisecond
+	// MinConflictAvoidance is the least time for which a key whose condition failed in a conflict is
 	// left out of this controller's commits; up to AvoidSpread is added by random draw.
-	AvoidLeast  = 150 * time.Millisecond
-	AvoidSpread = time.Second
+	MinConflictAvoidance    = 150 * time.Millisecond
+	ConflictAvoidanceJitter = time.Second
 	// FormatRetry is the pause before the announcement of a format is tried again.
 	FormatRetry = 500 * time.Millisecond
 )
@@ -92,8 +92,8 @@
 	// ReleaseBytes is the most by which a release lengthens a chunk: it splits a run of equal
 	// tasks.
 	ReleaseBytes = 12
-	// ValueGrow is what one commit is planned to add to a value.
-	ValueGrow = 2000
+	// MaxValueGrowth is what one commit is planned to add to a value.
+	MaxValueGrowth = 2000
 	// PackSlack is kept free in a value for names and the frame.
 	PackSlack = 400
 	// PackPercent of a value's bound is what the tasks of a pack's jobs are planned to take
@@ -103,12 +103,12 @@
 
 // Shares of quotas.
 const (
-	// SlackShare is the divisor of the most that a controller sets aside of a team's limit
+	// SlackDivisor is the divisor of the most that a controller sets aside of a team's limit
 	// beyond its bookings: an equal share of the limit divided by it. Without it each
 	// booking changes the team's key.
-	SlackShare = 4
-	// SlackTasks is the least that is worth setting aside, in tasks.
-	SlackTasks = 16
+	SlackDivisor = 4
+	// MinSlackTasks is the least that is worth setting aside, in tasks.
+	MinSlackTasks = 16
 )
 
 // Bounds of a transaction.
--- a/internal/tuning/connections.go
+++ b/internal/tuning/connections.go
@@ -25,14 +25,14 @@
 
 // Readiness: whether the load balancer should send users to this controller.
 const (
-	// UsableFor is the age up to which an answered confirmation shows that the state service
+	// UsableAge is the age up to which an answered confirmation shows that the state service
 	// answers this controller: half of FenceAge, so that users are sent elsewhere before
 	// workers must be refused.
-	UsableFor = 3500 * time.Millisecond
-	// StepBack is how long another controller must be the better choice before this one
+	UsableAge = 3500 * time.Millisecond
+	// UnreadyDelay is how long another controller must be the better choice before this one
 	// leaves the load balancer: in an outage for all, controllers notice it some time after
 	// each other.
-	StepBack = 2500 * time.Millisecond
+	UnreadyDelay = 2500 * time.Millisecond
 )
 
 // Connections of HTTP clients.
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -56,17 +56,17 @@
 	// MaxOverrideChanges changes of a machine's override within OverrideChangeMemory are
 	// enough: then it is the machine that can't be reached, not its owners.
 	MaxOverrideChanges   = 2
-	OverrideChangeMemory = 60 * time.Second
+	OverrideChangeWindow = 60 * time.Second
 	// RedirectCount is the number of times that a worker is sent to the same owner within
 	// RedirectWindow, and comes back, after which the owner counts as out of its reach.
 	RedirectWindow = 14 * time.Second
 	RedirectCount  = 2
-	// RedirectSettle is how long workers of one owner must keep coming back before large
+	// RedirectPersistence is how long workers of one owner must keep coming back before large
 	// deployments move them: longer than the owner's lease, whose end moves all of them.
-	RedirectSettle = LeaseTTL + 1500*time.Millisecond
-	// RedirectReturn is the least time between two visits of a worker that tried its owner
+	RedirectPersistence = LeaseTTL + 1500*time.Millisecond
+	// MinRedirectSpan is the least time between two visits of a worker that tried its owner
 	// in between: it waits 4 s for an answer, or 1 s after a refusal.
-	RedirectReturn = 900 * time.Millisecond
+	MinRedirectSpan = 900 * time.Millisecond
 	// UnreachableMachines is the number of machines that must fail to reach one owner before
 	// the owner counts as at fault.
 	UnreachableMachines = 2
@@ -76,14 +76,14 @@
 	// ServeAgainAfter is how long a controller that was taken off serving stays off,
 	// so that its machines don't move to and fro while it can't be reached.
 	ServeAgainAfter = 45 * time.Second
-	// MinMachinesApart machines of one zone that can't reach the owners in another zone mean
+	// MinMachinesCutOff machines of one zone that can't reach the owners in another zone mean
 	// that the zones are cut apart; fewer may be at fault themselves.
-	MinMachinesApart = 12
+	MinMachinesCutOff = 12
 	// MinZonedTime is how long all controllers must have heard each other again, and the
 	// view of zones apart must have stood, before that view ends.
 	MinZonedTime = 12 * time.Second
 )
 
-// MaxUnsettledConfirmations bounds the confirmations that wait for the cache; of more, the
+// MaxPendingConfirmations bounds the confirmations that wait for the cache; of more, the
 // oldest are forgotten. Only a watch that hangs lets them pile up.
-const MaxUnsettledConfirmations = 16
+const MaxPendingConfirmations = 16
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -4,20 +4,20 @@
 
 // Pace of planning.
 const (
-	// PaceMachine is the pause between plans for each machine that is heard of: what a plan
+	// PacePerMachine is the pause between plans for each machine that is heard of: what a plan
 	// costs grows with them. MaxPace bounds the pause.
-	PaceMachine = 400 * time.Microsecond
-	MaxPace     = 400 * time.Millisecond
-	// DrawEvery is the interval by which the draws' view of other shards is refreshed; rounds
+	PacePerMachine = 400 * time.Microsecond
+	MaxPace        = 400 * time.Millisecond
+	// DrawInterval is the interval by which the draws' view of other shards is refreshed; rounds
 	// of gossip, draws and steals are fractions of it, and older news is left out of account
 	// after a few of it.
-	DrawEvery = 2 * time.Second
-	// TasksAtOnce is the most tasks that one plan books of a job that the leader places, other
+	DrawInterval = 2 * time.Second
+	// MaxTasksPerPlan is the most tasks that one plan books of a job that the leader places, other
 	// than a gang: others' bookings wait for the same plan.
-	TasksAtOnce = 64
-	// LargeAtOnce is the same for large arrays, whose tasks share values by the hundred:
+	MaxTasksPerPlan = 64
+	// MaxArrayTasksPerPlan is the same for large arrays, whose tasks share values by the hundred:
 	// booked in large lots they also end together, and take fewer changes.
-	LargeAtOnce = 256
+	MaxArrayTasksPerPlan = 256
 	// LargeJobTasks is the number of tasks from which the leader places a job.
 	LargeJobTasks = 1000
 	// LargeFleetMachines is the number of machines heard of, and LargeBacklogTasks the number
@@ -31,9 +31,9 @@
 const (
 	// Window is the length of a learning window: weights are updated at its end.
 	Window = 10 * time.Second
-	// ConsensusEvery is the number of windows after which the controllers' critics are
+	// ConsensusWindows is the number of windows after which the controllers' critics are
 	// averaged (C in the thesis).
-	ConsensusEvery = 5
+	ConsensusWindows = 5
 	// Gamma discounts payoffs from window to window.
 	Gamma = 0.9
 	// CriticRate and ActorRate are the step sizes of the temporal difference.
@@ -48,10 +48,10 @@
 	LoadScale = 0.01
 	// WeightBound is the magnitude beyond which weights have run away and are reset.
 	WeightBound = 20.0
-	// RateSmooth is the weight of a newly finished task in the smoothed run time.
-	RateSmooth = 0.2
-	// SeedRun is the run time that is assumed where nothing is estimated, in seconds.
-	SeedRun = 60.0
+	// RunTimeSmoothing is the weight of a newly finished task in the smoothed run time.
+	RunTimeSmoothing = 0.2
+	// DefaultRunSeconds is the run time that is assumed where nothing is estimated, in seconds.
+	DefaultRunSeconds = 60.0
 )
 
 // Queues, draws and the cost of a target.
@@ -65,16 +65,16 @@
 	QueueDepth = 1
 	// MaxDrawTargets is the most machines among which one task's target is drawn.
 	MaxDrawTargets = 16
-	// PackRuns is what an empty machine costs a draw beside a nearly full one, in run times;
+	// EmptyMachineRuns is what an empty machine costs a draw beside a nearly full one, in run times;
 	// more than one outweighs the loads' difference.
-	PackRuns = 2.0
-	// DearRuns is what a machine at twice the least price for the task costs a draw, in run
+	EmptyMachineRuns = 2.0
+	// DoublePriceRuns is what a machine at twice the least price for the task costs a draw, in run
 	// times. MaxDearness bounds the multiple of the least price that counts.
-	DearRuns    = 1.0
-	MaxDearness = 4.0
-	// FetchShare is what each other image on its way to a machine adds to the cost of a fetch
+	DoublePriceRuns = 1.0
+	MaxPriceRatio   = 4.0
+	// ConcurrentFetchCost is what each other image on its way to a machine adds to the cost of a fetch
 	// there, in fetches: its own delay and that of the others.
-	FetchShare = 2.0
+	ConcurrentFetchCost = 2.0
 	// StartLag is what passes between a task's booking and its committed end besides its run,
 	// in seconds: heartbeats, a part of the fetch, and commits.
 	StartLag = 8.0
@@ -82,15 +82,15 @@
 
 // Work stealing.
 const (
-	// StealLots is the most jobs that one round of looking for work of other shards looks at,
+	// MaxStealJobs is the most jobs that one round of looking for work of other shards looks at,
 	// and MaxStealRequests the most machines that ask.
-	StealLots        = 32
+	MaxStealJobs     = 32
 	MaxStealRequests = 8
-	// StealLook is the most queued tasks of one job that are looked at for the shards that
+	// MaxStealScan is the most queued tasks of one job that are looked at for the shards that
 	// have them.
-	StealLook = 256
-	// MaxHandovers is the most tasks of one steal.
-	MaxHandovers = 8
+	MaxStealScan = 256
+	// MaxStolenTasks is the most tasks of one steal.
+	MaxStolenTasks = 8
 	// MaxHops is how often a job may change its shard as a whole, and StealAfter how long it stays
 	// where it was sent before others may ask for it.
 	MaxHops    = 3
@@ -99,18 +99,18 @@
 
 // Waiting: who goes first.
 const (
-	// StarveAfter is the age from which a job that has begun nothing goes first; even the
+	// StarvationAge is the age from which a job that has begun nothing goes first; even the
 	// largest are to begin within four minutes.
-	StarveAfter = 150 * time.Second
-	// GangStarve is the age from which a gang of several tasks keeps later ones from the
+	StarvationAge = 150 * time.Second
+	// GangStarvationAge is the age from which a gang of several tasks keeps later ones from the
 	// machines it needs, and GangBlock the longest that it does: it may not be possible.
-	GangStarve = 120 * time.Second
-	GangBlock  = 100 * time.Second
+	GangStarvationAge = 120 * time.Second
+	MaxGangBlock      = 100 * time.Second
 	// MaxClaimAge is how long a small job waits for its team's gangs to use what is left of
 	// the limit: beside room none is to wait for 90 s.
 	MaxClaimAge = 70 * time.Second
-	// ReservationFresh is how long the leader keeps room for a gang that doesn't fit.
-	ReservationFresh = 25 * time.Second
+	// ReservationMaxAge is how long the leader keeps room for a gang that doesn't fit.
+	ReservationMaxAge = 25 * time.Second
 	// MaxCountedSlots bounds the tasks of one kind that a machine is counted for.
 	MaxCountedSlots = 64
 )
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -4,9 +4,9 @@
 
 // Requests of users and workers.
 const (
-	// PollPatience ends the wait of a user's query for a confirmation of what the cache
+	// QueryTimeout ends the wait of a user's query for a confirmation of what the cache
 	// has. Users wait 2 s.
-	PollPatience = 1200 * time.Millisecond
+	QueryTimeout = 1200 * time.Millisecond
 	// RetryAfterSeconds is when clients that could not be served are asked to come again:
 	// the least that the header can say, since most causes are over by then.
 	RetryAfterSeconds = 1
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -30,12 +30,12 @@
 	// TurnoverCredit is the share of the busy slots that counts as room: they fall free before
 	// a new machine has booted and fetched its image.
 	TurnoverCredit = 0.3
-	// Spare is how many machines are kept ready for a class whose tasks should start sooner
+	// SpareMachines is how many machines are kept ready for a class whose tasks should start sooner
 	// than a machine boots; the operators' file may change it.
-	Spare = 1
-	// SpareReach is the multiple of the time for boot and fetch within which a class's tasks
+	SpareMachines = 1
+	// SpareStartFactor is the multiple of the time for boot and fetch within which a class's tasks
 	// should start for machines to be kept ready for it.
-	SpareReach = 1.5
+	SpareStartFactor = 1.5
 	// SpareSeconds is the time for whose arrivals machines are kept ready: those that fall
 	// free elsewhere make up for them by then. RateWindow is the time over which arrivals of
 	// the jobs are counted that machines are reserved for.
@@ -48,14 +48,14 @@
 const (
 	// KeepReservedAfterGang is how long a machine stays reserved after such a job ran there.
 	KeepReservedAfterGang = 10 * time.Second
-	// GangClassMemory is how long after its last such job a class still has machines kept for
+	// GangClassRetention is how long after its last such job a class still has machines kept for
 	// it.
-	GangClassMemory = 150 * time.Second
+	GangClassRetention = 150 * time.Second
 	// ReservationBonus favours machines already reserved over others, in seconds of waiting.
 	ReservationBonus = 10.0
-	// RestingStickiness multiplies the price of a resting machine in comparisons, so that
+	// RestingPriceFactor multiplies the price of a resting machine in comparisons, so that
 	// machines don't take turns.
-	RestingStickiness = 1.2
+	RestingPriceFactor = 1.2
 	// HeadroomPercent of what runs is kept free on top before machines rest.
 	HeadroomPercent = 8
 )
@@ -64,27 +64,27 @@
 const (
 	// MaxReturnsAtOnce is the largest number of machines in one return, by the protocol.
 	MaxReturnsAtOnce = 100
-	// MinHeld is the least time that is charged; earlier returns save nothing.
-	MinHeld = 60 * time.Second
-	// IdleKeep is how long an idle machine is kept.
-	IdleKeep = 20 * time.Second
-	// IdleKeepSpot is the same for spot machines, whose price is a fraction.
-	IdleKeepSpot = 60 * time.Second
-	// IdleKeepResting is the same for resting machines of large deployments: these are beyond
+	// MinChargedTime is the least time that is charged; earlier returns save nothing.
+	MinChargedTime = 60 * time.Second
+	// IdleTimeout is how long an idle machine is kept.
+	IdleTimeout = 20 * time.Second
+	// SpotIdleTimeout is the same for spot machines, whose price is a fraction.
+	SpotIdleTimeout = 60 * time.Second
+	// RestingIdleTimeout is the same for resting machines of large deployments: these are beyond
 	// the headroom, which grows with the deployment.
-	IdleKeepResting = 8 * time.Second
-	// IdleKeepReserved is the same for a machine whose type serves tasks that need all of it
+	RestingIdleTimeout = 8 * time.Second
+	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of it
 	// and therefore can't share another.
-	IdleKeepReserved = 120 * time.Second
-	// BootPatience is the multiple of a machine type's boot time after which a machine that
+	ReservedIdleTimeout = 120 * time.Second
+	// BootTimeoutFactor is the multiple of a machine type's boot time after which a machine that
 	// still boots is given up.
-	BootPatience = 3.0
-	// UnheardPatience is how long a running machine may go unheard by all controllers, with
+	BootTimeoutFactor = 3.0
+	// NoHeartbeatTimeout is how long a running machine may go unheard by all controllers, with
 	// all controllers heard from, before it is returned.
-	UnheardPatience = 45 * time.Second
-	// UnheardCut is how long most of a zone's machines may go unheard before these are looked
+	NoHeartbeatTimeout = 45 * time.Second
+	// ZoneOutageTimeout is how long most of a zone's machines may go unheard before these are looked
 	// at one by one after all.
-	UnheardCut = 4 * UnheardPatience
+	ZoneOutageTimeout = 4 * NoHeartbeatTimeout
 )
 
 // Pauses after what failed, and bounds of what is counted.
@@ -99,18 +99,18 @@
 	ReturnRetry = 2 * time.Second
 	// ForgetInstanceAfter is how long an instance that no list has any more is remembered.
 	ForgetInstanceAfter = 5 * time.Minute
-	// UnlistedPatience, with twice the list's lag, is when a rented instance that was never
+	// UnlistedTimeout, with twice the list's lag, is when a rented instance that was never
 	// listed is forgotten.
-	UnlistedPatience = 2 * time.Minute
+	UnlistedTimeout = 2 * time.Minute
 	// MaxPendingTasks of a job are counted as waiting; more would be rented for later.
 	MaxPendingTasks = 2000
 	// MaxPendingFailures in a row of a job's tasks, and nothing is rented for it.
 	MaxPendingFailures = 3
 	// ShortestRemainingRun, in seconds, is the least that a running task is expected to go on.
 	ShortestRemainingRun = 3
-	// PricedAtLeast is the least GPU, or else CPU, in thousandths, by which a price is
+	// MinPricedAmount is the least GPU, or else CPU, in thousandths, by which a price is
 	// divided.
-	PricedAtLeast = 1000
+	MinPricedAmount = 1000
 	// MaxCountedGangs bounds the gangs that are counted against a team's limit.
 	MaxCountedGangs = 1000
 	// RentalAnswerMargin, beyond CloudTimeout, is when a rental without an answer is asked for
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -8,12 +8,12 @@
 	// first task if the machine is idle. The worker waits 4 s, and a slow controller must
 	// still be in time.
 	HeartbeatHold = 2 * time.Second
-	// ReplySettleTime is the least time after a reply at which a heartbeat may show its
+	// ReplyEffectDelay is the least time after a reply at which a heartbeat may show its
 	// effect: a worker's heartbeats are half a second apart at the least.
-	ReplySettleTime = 400 * time.Millisecond
-	// MaxUnheededReplies is the number of heartbeats in a row that show no effect of the
+	ReplyEffectDelay = 400 * time.Millisecond
+	// MaxLostReplies is the number of heartbeats in a row that show no effect of the
 	// replies before them after which a machine counts as one that can't be reached.
-	MaxUnheededReplies = 2
+	MaxLostReplies = 2
 	// StopRepeat is the pause between stops that are sent straight to one machine.
 	StopRepeat = 2 * time.Second
 	// PreemptionMargin is kept free of the time that a preemption notice leaves when tasks
@@ -23,15 +23,15 @@
 
 // Silence: when a machine counts as lost.
 const (
-	// Silent is the silence after which a machine counts as lost, if most others of its owner
+	// SilenceTimeout is the silence after which a machine counts as lost, if most others of its owner
 	// are still heard.
-	Silent = 13 * time.Second
-	// SilentCut is the same while a peer is silent too: a cut may lie between, and machines
+	SilenceTimeout = 13 * time.Second
+	// PartitionSilenceTimeout is the same while a peer is silent too: a cut may lie between, and machines
 	// beyond it find other owners meanwhile.
-	SilentCut = 27 * time.Second
-	// SilentFew is the number of machines that a controller owns in a zone up to which they
+	PartitionSilenceTimeout = 27 * time.Second
+	// FewZoneMachines is the number of machines that a controller owns in a zone up to which they
 	// may count as lost although none of the zone is heard, if most others are heard.
-	SilentFew = 4
+	FewZoneMachines = 4
 	// TakeoverSilence is added to the silence after a change of owner: the workers first
 	// have to find the new one.
 	TakeoverSilence = 12 * time.Second
@@ -54,9 +54,9 @@
 	// FaultyErrors is the number of errors in a row on one machine, of different jobs where
 	// there are several, that show a faulty machine.
 	FaultyErrors = 2
-	// FaultySettle is the time that a job has for tries elsewhere, some placements and image
+	// FaultyGracePeriod is the time that a job has for tries elsewhere, some placements and image
 	// fetches, before the machine where it failed is blamed.
-	FaultySettle = 30 * time.Second
+	FaultyGracePeriod = 30 * time.Second
 	// RefusedPause is how long a machine that refused a task for lack of room gets no
 	// bookings. After errors it is the pause for each of them in a row.
 	RefusedPause = 2 * time.Second
@@ -68,9 +68,9 @@
 	// error, up to MaxErrorPause.
 	ErrorPause    = 1 * time.Second
 	MaxErrorPause = 45 * time.Second
-	// DoubtAfter is the number of failures, with no task done, from which a job is tried one
+	// ProbeAfterFailures is the number of failures, with no task done, from which a job is tried one
 	// task at a time.
-	DoubtAfter = 3
+	ProbeAfterFailures = 3
 )
 
 // Times for saving, and what counts as small.
@@ -81,9 +81,9 @@
 	// PreemptionSaveSlackSeconds is the same before the cloud takes the machine, which is
 	// final.
 	PreemptionSaveSlackSeconds = 4
-	// SmallTaskShare: a task that needs a machine's resources divided by this is small; the
+	// SmallTaskDivisor: a task that needs a machine's resources divided by this is small; the
 	// next one may come any moment.
-	SmallTaskShare = 8
+	SmallTaskDivisor = 8
 	// ForgetMachineAfter is how long a machine that is gone or belongs to another controller
 	// is remembered.
 	ForgetMachineAfter = time.Minute
