--- a/internal/ownership/hashing.go
+++ b/internal/ownership/hashing.go
@@ -1,9 +1,9 @@
 package ownership
 
-// Hash is FNV-1a over the parts, each closed by a byte that no text has, with a
-// finishing mix: FNV alone hardly carries the last bytes into the high bits, by which
-// rendezvous hashing decides. All controllers, of this version and the one before, must
-// find the same values, so it never changes.
+// Hash returns the 64-bit FNV-1a hash of the parts, each followed by a byte that occurs in no
+// text, and finally mixed: FNV alone hardly propagates the last bytes into the high bits, which
+// decide in rendezvous hashing. It must never change, since all controllers, of this version and
+// of the previous one, must compute the same values.
 func Hash(parts ...string) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, part := range parts {
@@ -19,10 +19,10 @@
 	return hash ^ hash>>33
 }
 
-// Rendezvous gives the key to one of the controllers, "" if there are none: to that with
-// the highest hash of controller and key (D. G. Thaler and C. V. Ravishankar, "Using
-// name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking 6, 1998).
-// Whichever controller comes or goes, only the keys that it gains or loses change hands.
+// Rendezvous returns the controller to which the key belongs, or "" if there are no controllers:
+// the one with the highest hash of controller and key (D. G. Thaler and C. V. Ravishankar, "Using
+// name-based mappings to increase hit rates", IEEE/ACM Transactions on Networking 6, 1998). When
+// a controller is added or removed, only the keys that it gains or loses change owner.
 func Rendezvous(key string, controllers []string) string {
 	best, highest := "", uint64(0)
 	for _, controller := range controllers {
--- a/internal/ownership/hashing_test.go
+++ b/internal/ownership/hashing_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestHashNeverChanges: controllers of this version and the one before must agree on every
-// owner.
+// TestHashNeverChanges guards against a change of the hash: controllers of this version and of
+// the previous one must agree on every owner.
 func TestHashNeverChanges(t *testing.T) {
 	for want, parts := range map[uint64][]string{
 		0xefd01f60ba992926: {},
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestRendezvousMovesFewKeys: a controller that leaves takes along only the keys that it
-// had, and each controller has about an equal share.
+// TestRendezvousMovesFewKeys checks that only the keys of a removed controller change owner, and
+// that each controller has about an equal share.
 func TestRendezvousMovesFewKeys(t *testing.T) {
 	all, left := []string{"c-0", "c-1", "c-2", "c-3"}, []string{"c-0", "c-1", "c-3"}
 	count := map[string]int{}
@@ -30,12 +30,12 @@
 		owner := Rendezvous(key, all)
 		count[owner]++
 		if owner != "c-2" && Rendezvous(key, left) != owner {
-			t.Errorf("%s moves from %s", key, owner)
+			t.Errorf("%s changes owner from %s, which still serves", key, owner)
 		}
 	}
 	for _, controller := range all {
 		if n := count[controller]; n < 900 || n > 1100 {
-			t.Errorf("%s has %d of 4000 keys", controller, n)
+			t.Errorf("%s owns %d of 4000 keys, want 900 to 1100", controller, n)
 		}
 	}
 	if got := Rendezvous("n-000001", nil); got != "" {
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -1,6 +1,6 @@
-// Package ownership says which controller owns what under a view: each machine, the shard
-// in which a job's tasks wait, and the lead. All of it are pure functions of the view, so that
-// controllers with the same view agree without a word between them.
+// Package ownership determines which controller owns what under a view: each machine, the shard
+// in which a job's tasks wait, and the leadership. All its functions are pure functions of their
+// arguments, so that controllers with the same view agree without communicating.
 package ownership
 
 import (
@@ -9,11 +9,12 @@
 	"brassglade/internal/domain"
 )
 
-// OfMachine is the owner of a machine under a view, "" for none: its override, or the
-// rendezvous hash over the serving controllers. While zones are apart it is the hash over
-// those of the machine's own zone, if any serve there. A machine never changes its zone, so
-// whoever knows the zone finds the same owner; whoever doesn't, and passes "", finds none.
-// zoneOf maps controllers to their zones.
+// OfMachine returns the owner of a machine under a view, or "" if there is none. This is the
+// owner of the machine's override, if that controller serves, and otherwise the result of
+// rendezvous hashing over the serving controllers. In a zoned view the hash covers only the
+// serving controllers of the machine's zone, if there are any. A machine never changes its zone,
+// so that every caller that knows the zone finds the same owner; for an unknown zone, given as
+// "", a zoned view yields none. zoneOf maps controllers to their zones.
 func OfMachine(view *domain.View, zoneOf map[string]string, machine, zone string) string {
 	if view == nil {
 		return ""
@@ -30,23 +31,23 @@
 	return Rendezvous(machine, servingInZone(view, zoneOf, zone))
 }
 
-// servingInZone are the serving controllers of a zone, or all of them if there are none.
+// servingInZone returns the serving controllers of a zone, or all of them if the zone has none.
 func servingInZone(view *domain.View, zoneOf map[string]string, zone string) []string {
-	var near []string
+	var inZone []string
 	for _, controller := range view.Serving {
 		if zoneOf[controller] == zone {
-			near = append(near, controller)
+			inZone = append(inZone, controller)
 		}
 	}
-	if len(near) == 0 {
+	if len(inZone) == 0 {
 		return view.Serving
 	}
-	return near
+	return inZone
 }
 
-// OfShard is the controller that cares for what was put into a shard, each shard having the
-// name of a controller. What is in the shard of one that doesn't serve falls to the
-// rendezvous hash of its key, without any write.
+// OfShard returns the controller that is responsible for what was put into a shard. Each shard
+// has the name of a controller. If that controller doesn't serve, rendezvous hashing of the key
+// selects another one, without any write.
 func OfShard(view *domain.View, shard, key string) string {
 	if slices.Contains(view.Serving, shard) {
 		return shard
@@ -54,9 +55,10 @@
 	return Rendezvous(key, view.Serving)
 }
 
-// NextLeader is who leads under the view after the present one: the same leader while its
-// process stays and serves. Else the first that serves leads, one that stayed before one
-// that is new. At least one controller serves under the next view.
+// NextLeader returns the leader under the view after the present one. The leader stays while its
+// process stays a member and serves. Otherwise the first serving controller leads whose process
+// was a member before or, if there is none, the first serving controller. next must have at least
+// one serving controller.
 func NextLeader(present, next *domain.View) string {
 	stayed := func(controller string) bool {
 		return present.Members[controller] == next.Members[controller]
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -6,8 +6,8 @@
 	"brassglade/internal/domain"
 )
 
-// TestOnlyMachinesOfALeavingControllerChangeOwner, and each controller owns about an equal
-// share of the machines.
+// TestOnlyMachinesOfALeavingControllerChangeOwner also checks that each controller owns about an
+// equal share of the machines.
 func TestOnlyMachinesOfALeavingControllerChangeOwner(t *testing.T) {
 	three, two := &domain.View{Serving: []string{"a", "b", "c"}}, &domain.View{Serving: []string{"a", "c"}}
 	count := map[string]int{}
@@ -16,28 +16,29 @@
 		owner := OfMachine(three, nil, machine, "")
 		count[owner]++
 		if after := OfMachine(two, nil, machine, ""); owner != "b" && after != owner {
-			t.Fatalf("%s moved from %s to %s", machine, owner, after)
+			t.Fatalf("%s changed owner from %s to %s", machine, owner, after)
 		}
 	}
 	for _, controller := range three.Serving {
 		if count[controller] < 60 {
-			t.Errorf("%s owns %d of 300", controller, count[controller])
+			t.Errorf("%s owns %d of 300 machines, want at least 60", controller, count[controller])
 		}
 	}
 }
 
-// TestOfMachine: overrides go before the hash, and zones that are apart keep their machines.
+// TestOfMachine checks that overrides take precedence over the hash, and that a zoned view keeps
+// machines in their own zones.
 func TestOfMachine(t *testing.T) {
 	serving := []string{"c-0", "c-1", "c-2", "c-3"}
 	zoneOf := map[string]string{"c-0": "a", "c-1": "a", "c-2": "b", "c-3": "b"}
 	override := map[string]string{"n-1": "c-3"}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		view *domain.View
 		zone string
 		want string
 	}{
 		"no view":                            {nil, "a", ""},
-		"nobody serves":                      {&domain.View{}, "a", ""},
+		"none serve":                         {&domain.View{}, "a", ""},
 		"by hash":                            {&domain.View{Serving: serving}, "a", Rendezvous("n-1", serving)},
 		"by hash, of an unknown zone":        {&domain.View{Serving: serving}, "", Rendezvous("n-1", serving)},
 		"by override":                        {&domain.View{Serving: serving, OwnerOverrides: override}, "a", "c-3"},
@@ -50,35 +51,37 @@
 		"zoned, of an unknown zone":          {&domain.View{Serving: serving, Zoned: true}, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := OfMachine(x.view, zoneOf, "n-1", x.zone); got != x.want {
-				t.Errorf("owned by %q, want %q", got, x.want)
+			if got := OfMachine(test.view, zoneOf, "n-1", test.zone); got != test.want {
+				t.Errorf("owned by %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// TestOfShard: a shard whose controller doesn't serve falls to the others by the hash.
+// TestOfShard checks that the contents of a shard whose controller doesn't serve are distributed
+// over the serving controllers by the hash.
 func TestOfShard(t *testing.T) {
 	view := &domain.View{Serving: []string{"c-0", "c-2"}}
-	for name, x := range map[string]struct{ shard, key, want string }{
+	for name, test := range map[string]struct{ shard, key, want string }{
 		"serves":            {"c-2", "job-000001", "c-2"},
 		"serves no longer":  {"c-1", "job-000001", Rendezvous("job-000001", view.Serving)},
 		"another key of it": {"c-1", "job-000002", Rendezvous("job-000002", view.Serving)},
 		"never had a shard": {"", "job-000001", Rendezvous("job-000001", view.Serving)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := OfShard(view, x.shard, x.key); got != x.want {
-				t.Errorf("cared for by %q, want %q", got, x.want)
+			if got := OfShard(view, test.shard, test.key); got != test.want {
+				t.Errorf("shard belongs to %q, want %q", got, test.want)
 			}
 		})
 	}
 	if got := OfShard(&domain.View{}, "c-1", "job-000001"); got != "" {
-		t.Errorf("cared for by %q while nobody serves", got)
+		t.Errorf("shard belongs to %q while no controller serves", got)
 	}
 }
 
-// TestNextLeader: the leader stays while this process of it serves; else the first that
-// serves and was there before follows, and a new one only if there is no other.
+// TestNextLeader checks that the leader stays while the same process of it serves; otherwise the
+// first serving controller that was a member before leads, and a new one only if there is no
+// other.
 func TestNextLeader(t *testing.T) {
 	members := func(incarnations ...string) map[string]string {
 		m := map[string]string{}
@@ -90,7 +93,7 @@
 		return m
 	}
 	present := domain.View{Leader: "c-1", Members: members("a", "b", "c"), Serving: []string{"c-0", "c-1", "c-2"}}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		members map[string]string
 		serving []string
 		want    string
@@ -105,8 +108,8 @@
 		"left, the first no longer serves": {members("a", "", "c"), []string{"c-2"}, "c-2"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := NextLeader(&present, &domain.View{Members: x.members, Serving: x.serving}); got != x.want {
-				t.Errorf("%s leads, want %s", got, x.want)
+			if got := NextLeader(&present, &domain.View{Members: test.members, Serving: test.serving}); got != test.want {
+				t.Errorf("%s leads, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -12,25 +12,25 @@
 	"brassglade/internal/tuning"
 )
 
-// cordons are the cordons that this controller wants written. Those that are written are the
-// cache's. A machine drains first and is gone once the cloud confirmed its return.
+// cordons holds the cordons that this controller wants to write. Written cordons are in the
+// cache. A machine drains first, and is gone once the cloud has confirmed its return.
 type cordons struct {
 	requested   map[string]domain.Cordon // by machine
 	writing     bool                     // a commit of cordons is under way
 	nextWrite   steady.Gate
-	lastWriteAt time.Duration // when the cordons of a large fleet were last let pass; others don't keep it
+	lastWriteAt time.Duration // when a large fleet last wrote cordons; unused in other fleets
 }
 
 func newCordons() cordons { return cordons{requested: map[string]domain.Cordon{}} }
 
-// cordonPages are the pages of cordons that one commit changes.
+// cordonPages holds the pages of cordons that one commit changes.
 type cordonPages struct {
 	pages    map[string]codec.CordonPage // by the name of the page
-	machines []string                    // whose wanted cordons are in the pages, in order
+	machines []string                    // machines whose requested cordons are in the pages, sorted
 }
 
-// requestCordon wants a machine's requestCordon written; writeCordons does it, many at a time. A wanted one
-// is replaced by "gone" alone, and a written one is never taken back.
+// requestCordon requests that a machine's cordon be written; writeCordons writes many at a time.
+// Only "gone" replaces a requested cordon, and a written cordon is never withdrawn.
 func (c *Controller) requestCordon(machine string, wanted domain.Cordon) {
 	if _, already := c.cordons.requested[machine]; already && wanted.State != domain.CordonGone {
 		return
@@ -39,16 +39,16 @@
 		return
 	}
 	c.cordons.requested[machine] = wanted
-	c.info("machine marked", "machine", machine, "mark", wanted.State, "why", wanted.Reason)
+	c.info("machine marked", "machine", machine, "state", wanted.State, "reason", wanted.Reason)
 }
 
-// hasCordon tells whether the machine's committed cordon is of the state, or gone, after
-// which nothing comes.
+// hasCordon reports whether the machine's committed cordon has the state, or is "gone", which is
+// the final state.
 func (c *cache) hasCordon(machine string, state string) bool {
 	return c.isReturned(machine) || c.cordons[machine].State == state
 }
 
-// writeCordons writes the wanted cordons, many pages in one commit.
+// writeCordons writes the requested cordons, with many pages in one commit.
 func (c *Controller) writeCordons() {
 	if !c.cordons.isDue(c.now) || !c.mayWriteCordons() || !c.beginCordonRound() {
 		return
@@ -58,22 +58,22 @@
 	}
 }
 
-// isDue tells whether there is anything to write, no other write is under way, and none was
-// just before.
+// isDue reports whether there are cordons to write, no write is under way and the pause after the
+// last one is over.
 func (c *cordons) isDue(now time.Duration) bool {
 	return !c.writing && len(c.requested) > 0 && c.nextWrite.IsOpen(now)
 }
 
-// mayWriteCordons tells whether a commit of cordons may be sent. Task commits spend the changes
-// as soon as there are any: cordons may go into debt, or machines taken away would be neither
-// returned nor replaced.
+// mayWriteCordons reports whether a commit of cordons may be sent. Task commits use up the credit
+// for changes as soon as there is any. Cordons may therefore exceed it, since otherwise machines
+// that were taken away would be neither returned nor replaced.
 func (c *Controller) mayWriteCordons() bool {
 	return c.mayAct() && (c.cfg.WriteRate <= 0 || c.commits.tokens > -c.cfg.WriteRate*tuning.CordonDebt)
 }
 
-// beginCordonRound closes the gate for a while and tells whether to write now. In a
-// large fleet idle machines can wait for others: each change of a page fails the bookings
-// under way on the machines that share it.
+// beginCordonRound sets the earliest time of the next round and reports whether to write in this
+// one. In a large fleet cordons of idle machines wait longer, so that others can be written with
+// them: each change of a page fails the bookings under way on the machines that share the page.
 func (c *Controller) beginCordonRound() bool {
 	if !c.isLargeFleet() {
 		c.cordons.nextWrite.Close(c.now + c.pace())
@@ -87,7 +87,7 @@
 	return true
 }
 
-// hasUrgent tells whether a machine is to be drained for another reason than being idle.
+// hasUrgent reports whether a machine is to be drained for another reason than being idle.
 func (c *cordons) hasUrgent() bool {
 	for _, cordon := range c.requested {
 		if cordon.State == domain.CordonDrain && cordon.Reason != domain.DrainIdle {
@@ -97,9 +97,9 @@
 	return false
 }
 
-// changedCordonPages puts the wanted cordons into copies of their pages, as many pages as one
-// commit takes, and forgets those that need no writing any more. A cordon that its page has
-// no room for waits until others of the page are returned.
+// changedCordonPages adds the requested cordons to copies of their pages, for as many pages as
+// one commit takes, and drops the requests that need no writing any more. A cordon for which its
+// page has no room waits until other machines of the page are returned.
 func (c *Controller) changedCordonPages() cordonPages {
 	changed := cordonPages{pages: map[string]codec.CordonPage{}}
 	for _, machine := range slices.Sorted(maps.Keys(c.cordons.requested)) {
@@ -124,7 +124,7 @@
 	return changed
 }
 
-// copyCordonPage is a copy of a committed page that fits the present limits.
+// copyCordonPage returns a copy of a committed page, reduced to the current size limit.
 func (c *Controller) copyCordonPage(name string) codec.CordonPage {
 	committed := c.cache.cordonPages[name]
 	page := codec.CordonPage{Draining: maps.Clone(committed.Draining), Gone: slices.Clone(committed.Gone)}
@@ -135,7 +135,8 @@
 	return page
 }
 
-// addCordon puts a cordon into a page and trims the page; false: there is no room for it.
+// addCordon adds a cordon to a page and trims the page. It returns false, with the draining
+// machines of the page unchanged, if there is no room.
 func (c *Controller) addCordon(page *codec.CordonPage, machine string, wanted domain.Cordon) bool {
 	before, drained := page.Draining[machine]
 	if wanted.State == domain.CordonGone {
@@ -154,7 +155,8 @@
 	return false
 }
 
-// commitCordons writes changed pages under the condition of the view and of each page.
+// commitCordons commits changed pages, on condition that neither the view nor any of the pages
+// has changed.
 func (c *Controller) commitCordons(changed cordonPages) {
 	transaction := domain.Transaction{
 		Conditions: []domain.Condition{{Key: codec.KeyView, ModRevision: c.cache.modRevisions[codec.KeyView]}},
@@ -168,15 +170,15 @@
 	c.commit(LaneTask, transaction, func(result domain.CommitResult, _ CommitAnswered) {
 		c.cordons.writing = false
 		if result != domain.Committed {
-			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // and again, by then the cache knows more
+			c.cordons.nextWrite.Close(c.now + tuning.ConfirmationRetry) // retried with a newer cache
 			return
 		}
 		c.cordons.dropWritten(changed.machines, c.cache.cordons)
 	})
 }
 
-// dropWritten forgets the wanted cordons of machines that are written as wanted. Another one may
-// have been wanted meanwhile.
+// dropWritten drops the requests of machines whose written cordon has the requested state.
+// Another cordon may have been requested since the commit was sent.
 func (c *cordons) dropWritten(machines []string, written map[string]domain.Cordon) {
 	for _, machine := range machines {
 		if written[machine].State == c.requested[machine].State {
@@ -185,8 +187,9 @@
 	}
 }
 
-// dropDraining drops draining machines from a page written under larger limits until it fits
-// again, idle ones first: such a machine takes bookings once more, until it is cordoned anew.
+// dropDraining removes draining machines, idle ones first, from a page written under larger
+// limits until it fits again. A removed machine takes bookings again until it is cordoned once
+// more.
 func (c *Controller) dropDraining(page *codec.CordonPage) {
 	if c.trimCordonPage(page) {
 		return
@@ -205,8 +208,9 @@
 	}
 }
 
-// trimCordonPage forgets the machines gone longest until the page fits its value, but none
-// with bookings left to release; false: it doesn't fit even so.
+// trimCordonPage removes the machines that have been gone longest until the page fits the size
+// limit of a value. Machines with bookings that are still to be released stay. It returns false
+// if the page doesn't fit even then.
 func (c *Controller) trimCordonPage(page *codec.CordonPage) bool {
 	for i := 0; cordonPageSize(page) > c.cfg.ValueLimit; {
 		for i < len(page.Gone) && len(c.cache.bookedOn[page.Gone[i]]) > 0 {
@@ -220,7 +224,7 @@
 	return true
 }
 
-// cordonPageSize is an upper bound of a page's size as a value, in bytes.
+// cordonPageSize returns an upper bound of a page's size as a value, in bytes.
 func cordonPageSize(page *codec.CordonPage) int {
 	const quotes, separators = 2, 1
 	size := tuning.PackSlack
--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -10,8 +10,8 @@
 	"brassglade/internal/tuning"
 )
 
-// TestCordonIsRequestedOnce: a wanted cordon is replaced by "gone" alone, and a written one
-// neither wanted again nor taken back.
+// TestCordonIsRequestedOnce checks that only "gone" replaces a requested cordon, and that a
+// written cordon is neither requested again nor withdrawn.
 func TestCordonIsRequestedOnce(t *testing.T) {
 	drain := func(reason string) domain.Cordon {
 		return domain.Cordon{State: domain.CordonDrain, Reason: reason}
@@ -22,12 +22,12 @@
 		written, before, now domain.Cordon
 		wanted               domain.Cordon
 	}{
-		{"the first", domain.Cordon{}, domain.Cordon{}, drain(domain.DrainIdle), drain(domain.DrainIdle)},
+		{"first request", domain.Cordon{}, domain.Cordon{}, drain(domain.DrainIdle), drain(domain.DrainIdle)},
 		{"another reason", domain.Cordon{}, drain(domain.DrainIdle), drain(domain.DrainLost), drain(domain.DrainIdle)},
-		{"gone before it drains", domain.Cordon{}, drain(domain.DrainIdle), gone, gone},
-		{"gone once drained", drain(domain.DrainIdle), domain.Cordon{}, gone, gone},
-		{"drains already", drain(domain.DrainIdle), domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
-		{"gone already", gone, domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
+		{"gone before the drain is written", domain.Cordon{}, drain(domain.DrainIdle), gone, gone},
+		{"gone after the drain is written", drain(domain.DrainIdle), domain.Cordon{}, gone, gone},
+		{"already draining", drain(domain.DrainIdle), domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
+		{"already gone", gone, domain.Cordon{}, drain(domain.DrainLost), domain.Cordon{}},
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			c := acting()
@@ -39,14 +39,15 @@
 			}
 			c.requestCordon("n", test.now)
 			if got := c.cordons.requested["n"]; got != test.wanted {
-				t.Errorf("wanted is %v, not %v", got, test.wanted)
+				t.Errorf("requested cordon is %v, want %v", got, test.wanted)
 			}
 		})
 	}
 }
 
-// TestCordonPageDropsOldestToFit: a page forgets the machines gone longest to take another
-// cordon, but none with bookings left to release, and then takes the cordon not at all.
+// TestCordonPageDropsOldestToFit checks that a page drops the machines that have been gone
+// longest to make room for another cordon, but none with bookings that are still to be released;
+// if nothing else can be dropped, the cordon isn't added.
 func TestCordonPageDropsOldestToFit(t *testing.T) {
 	c := acting()
 	long := strings.Repeat("n", 100)
@@ -54,24 +55,24 @@
 	page := codec.CordonPage{Draining: map[string]string{}, Gone: []string{long + "1", long + "2"}}
 	c.cfg.ValueLimit = cordonPageSize(&page)
 	if !c.addCordon(&page, "n-3", drain) || len(page.Gone) != 1 || page.Gone[0] != long+"2" {
-		t.Errorf("the machine gone longest was not forgotten: %v", page)
+		t.Errorf("the machine that has been gone longest was not dropped: %v", page)
 	}
 	c.cache.bookedOn[long+"2"] = map[domain.TaskID]bool{{Job: jobName(1)}: true}
 	if c.addCordon(&page, long+"4", drain) {
 		t.Error("a cordon was added to a page without room for it")
 	}
 	if _, there := page.Draining[long+"4"]; there || len(page.Gone) != 1 || page.Draining["n-3"] != domain.DrainIdle {
-		t.Errorf("the page has changed: %v", page)
+		t.Errorf("the page changed although the cordon was not added: %v", page)
 	}
 	c.cfg.ValueLimit = tuning.PackSlack + 1
 	c.cache.bookedOn = map[string]map[domain.TaskID]bool{}
 	if c.dropDraining(&page); len(page.Draining) != 0 {
-		t.Errorf("the page is larger than a value: %v", page)
+		t.Errorf("draining machines remain in a page without room for any: %v", page)
 	}
 }
 
-// TestIdleCordonsWait: in a large fleet cordons of idle machines wait for others, and any
-// are written no more often than at an interval.
+// TestIdleCordonsWait checks that in a large fleet cordons of idle machines wait for others to be
+// written with them, and that cordons are written no more often than once per interval.
 func TestIdleCordonsWait(t *testing.T) {
 	c := acting()
 	for i := range 4000 {
@@ -83,13 +84,13 @@
 	c.cordons.lastWriteAt = c.now
 	c.cordons.requested["n"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainIdle}
 	if !c.cordons.isDue(c.now) || c.beginCordonRound() {
-		t.Error("idle machines don't wait")
+		t.Error("the cordon of an idle machine is written at once or isn't due")
 	}
 	if c.cordons.isDue(c.now + tuning.CordonInterval - time.Millisecond) {
-		t.Error("due within the interval")
+		t.Error("cordons are due again within the interval")
 	}
 	c.cordons.requested["m"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed}
 	if !c.beginCordonRound() {
-		t.Error("a failed machine waits")
+		t.Error("the cordon of a failed machine waits")
 	}
 }
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -7,13 +7,14 @@
 	"brassglade/internal/tuning"
 )
 
-// detectLostReplies notices a machine whose heartbeats arrive while answers don't reach it: a
-// heartbeat newer than an answer must show the answer's token and tasks.
+// detectLostReplies detects a machine whose heartbeats arrive while answers don't reach it: a
+// heartbeat newer than an answer must contain the answer's fencing token and the tasks that it
+// started.
 func (c *Controller) detectLostReplies(m *Machine, heartbeat *domain.Heartbeat) {
 	if !m.shouldReflectReply(heartbeat, c.now) {
 		return
 	}
-	unheeded := heartbeat.FencingToken < m.sentToken
+	lost := heartbeat.FencingToken < m.sentToken
 	listed := make(map[domain.TaskID]bool, len(heartbeat.Tasks))
 	for _, report := range heartbeat.Tasks {
 		listed[report.Task] = true
@@ -25,21 +26,22 @@
 		}
 		wasSentBefore := sequence > 0 && sequence < heartbeat.Sequence
 		if wasSentBefore && !listed[attempt.Task] && c.cache.jobs[attempt.Task.Job].task(attempt.Task.Index).Attempt == attempt.Attempt {
-			unheeded = true
+			lost = true
 		}
 	}
-	m.countLostReplies(unheeded, c.now)
+	m.countLostReplies(lost, c.now)
 }
 
-// shouldReflectReply tells whether a heartbeat would show the last answer had it arrived. Those
-// that a cut held back come all at once, and none of them can show an answer given a moment ago.
+// shouldReflectReply reports whether a heartbeat would show the effect of the last answer if that
+// answer had arrived. Heartbeats that a network partition held back arrive all at once, and none
+// of them can show an answer given a moment ago.
 func (m *Machine) shouldReflectReply(heartbeat *domain.Heartbeat, now time.Duration) bool {
 	return m.isInEpoch(heartbeat.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplyEffectDelay
 }
 
-// countLostReplies counts heartbeats in a row that show that an answer had no effect.
-func (m *Machine) countLostReplies(unheeded bool, now time.Duration) {
-	if !unheeded {
+// countLostReplies counts consecutive heartbeats that show that an answer had no effect.
+func (m *Machine) countLostReplies(lost bool, now time.Duration) {
+	if !lost {
 		m.lostReplies = 0
 		return
 	}
@@ -49,10 +51,11 @@
 	m.lostReplies++
 }
 
-// isMissingReplies tells whether answers to m had no effect, twice in a row. In large fleets it
-// takes two heartbeat intervals as well: after a cut hundreds of machines are answered late,
-// and each that gave an answer up would be returned, while one that really hears nothing
-// loses its tasks with its lease anyway.
+// isMissingReplies reports whether at least tuning.MaxLostReplies consecutive heartbeats showed
+// that answers to m had no effect. In a large fleet two heartbeat intervals must also have passed
+// since the first of them: after a network partition hundreds of machines are answered late, and
+// each that missed an answer would be returned, while a machine that receives nothing loses its
+// tasks with its lease anyway.
 func (c *Controller) isMissingReplies(m *Machine) bool {
 	if m.lostReplies < tuning.MaxLostReplies {
 		return false
@@ -60,16 +63,17 @@
 	return !c.isLargeFleet() || c.now-m.lostRepliesSince >= 2*c.cfg.HeartbeatInterval
 }
 
-// failureCount counts a job's errors on a machine, from the first on.
+// failureCount counts a job's errors on a machine since the first one.
 type failureCount struct {
 	count   int
 	firstAt time.Duration
 }
 
-// isFaulty tells whether tasks keep failing on m for the machine's sake: errors of two jobs,
-// or twice as many of one. A job that was submitted with a mistake fails on every machine. On
-// a day of the users with such jobs 196 of 1,160 machines were returned as faulty when all
-// errors counted.
+// isFaulty reports whether tasks keep failing on m because of the machine: there were at least
+// tuning.FaultyErrors errors of two jobs, or twice as many of one job. Errors that may be the
+// job's fault don't count, since a job that was submitted with a mistake fails on every machine:
+// when all errors counted, 196 of 1,160 machines were returned as faulty in a scenario with such
+// jobs.
 func (c *Controller) isFaulty(m *Machine) bool {
 	count, jobs := 0, 0
 	for id, failures := range m.failures {
@@ -81,9 +85,10 @@
 	return count >= tuning.FaultyErrors && (jobs >= 2 || count >= 2*tuning.FaultyErrors)
 }
 
-// countsAgainstMachine tells whether a job's errors on a machine may be the machine's fault
-// (j nil: the job isn't known any more). They may at once if a task of the job was done
-// somewhere, and else when it had time to be tried elsewhere and doesn't fail there.
+// countsAgainstMachine reports whether a job's errors on a machine may be the machine's fault. j
+// is nil if the job isn't known any more. If some task of the job was done anywhere, the errors
+// count at once. Otherwise they count after the job had time for attempts elsewhere, unless it
+// fails there too.
 func (c *Controller) countsAgainstMachine(j *Job, failures failureCount) bool {
 	if j == nil || j.cancelled() {
 		return false
@@ -94,24 +99,26 @@
 	return c.now-failures.firstAt >= tuning.FaultyGracePeriod && !j.failsElsewhere(failures.count)
 }
 
-// hasOnlyFailuresOf tells whether tasks of the job failed on m, and none was ever done. It is tried
-// elsewhere next, which shows whose fault it is.
+// hasOnlyFailuresOf reports whether tasks of the job failed repeatedly on m while no task of it
+// was ever done. The job is then tried elsewhere, which shows whether the machine or the job is
+// at fault.
 func (m *Machine) hasOnlyFailuresOf(j *Job) bool {
 	return j.counts.done == 0 && m.failures[j.ID].count >= tuning.FaultyErrors
 }
 
-// failsElsewhere tells of a job of which nothing was ever done whether a good many of its
-// attempts came to nothing beside the errors here. The records say so to all controllers alike.
+// failsElsewhere reports, for a job of which no task was ever done, whether several of its
+// attempts failed on other machines than the one with errorsHere errors. All controllers compute
+// the same result, since the attempts are counted from the committed records.
 func (j *Job) failsElsewhere(errorsHere int) bool {
 	elsewhere := -errorsHere
 	for i := range j.Tasks {
 		task := &j.Tasks[i]
 		elsewhere += int(task.Attempt)
 		if task.State == domain.Booked {
-			elsewhere-- // this one may still succeed
+			elsewhere-- // this attempt may still succeed
 		}
 		isGang := j.Header.Spec != nil && j.Header.Spec.Shape == domain.Gang
-		if isGang || elsewhere >= max(2, errorsHere) { // an attempt of a gang is one for all its tasks
+		if isGang || elsewhere >= max(2, errorsHere) { // all tasks of a gang share each attempt
 			break
 		}
 	}
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -8,8 +8,8 @@
 	"brassglade/internal/tuning"
 )
 
-// machineNames are the machines that this controller knows, in order. They change far
-// less often than they are walked.
+// machineNames returns the names of the machines that this controller knows, sorted. The result
+// is cached, since the set changes far less often than it is read.
 func (h *heartbeats) machineNames() []string {
 	if h.sortedNames == nil {
 		h.sortedNames = slices.Sorted(maps.Keys(h.machines))
@@ -17,7 +17,8 @@
 	return h.sortedNames
 }
 
-// addMachine and dropMachine are the only changes of the set of machines.
+// addMachine adds a machine. Only addMachine and dropMachine change the set of machines, since
+// they invalidate the cached names.
 func (h *heartbeats) addMachine(name string) *Machine {
 	m := newMachine(name)
 	h.machines[name], h.sortedNames = m, nil
@@ -29,13 +30,14 @@
 	h.sortedNames = nil
 }
 
-// acceptsTasks tells whether tasks may be queued on one of this controller's machines now.
+// acceptsTasks reports whether this controller may queue tasks on a machine now: it owns the
+// machine, which is bookable and not reserved.
 func (c *Controller) acceptsTasks(m *Machine) bool {
 	return c.owns(m.Name) && c.isBookable(m) && !c.isReserved(m.Name)
 }
 
-// isReserved tells whether the leader keeps a machine for jobs that it places; no
-// controller queues anything on it.
+// isReserved reports whether the leader reserves a machine for jobs that it places, or lets it
+// rest. No controller queues tasks on it.
 func (c *Controller) isReserved(name string) bool {
 	if c.isLeader() {
 		return c.scaling.reserved[name] || c.scaling.resting[name]
@@ -44,7 +46,7 @@
 	return leader != nil && leader.reserved[name]
 }
 
-// isEvicting tells whether the leader wants a machine emptied for work of higher priority.
+// isEvicting reports whether the leader wants a machine emptied for work of higher priority.
 func (c *Controller) isEvicting(name string) bool {
 	if c.isLeader() {
 		return c.scaling.evicting[name]
@@ -53,7 +55,8 @@
 	return leader != nil && leader.evicting[name]
 }
 
-// leaderGossip is what the leader, another controller, told less than age ago; nil: nothing.
+// leaderGossip returns the state that the leader, if it is another controller, sent less than age
+// ago, or nil if there is none.
 func (c *Controller) leaderGossip(age time.Duration) *peerState {
 	if c.cache.view == nil {
 		return nil
--- a/internal/scheduler/machine_capacity.go
+++ b/internal/scheduler/machine_capacity.go
@@ -6,8 +6,8 @@
 	"brassglade/internal/domain"
 )
 
-// freeOn is the room on a machine of a size as committed, less what the draft (nil: none)
-// books.
+// freeOn returns the free resources on a machine of the given size: its size less its committed
+// bookings and those of the draft (nil: none).
 func (c *cache) freeOn(name string, size domain.Resources, d *draft) domain.Resources {
 	free := size.Plus(c.occupancy[name].used, -1)
 	if d != nil {
@@ -16,7 +16,8 @@
 	return free
 }
 
-// machineType is the cloud's type of a name; nil: it has none such, or was not asked yet.
+// machineType returns the machine type of the given name, or nil if the cloud has none such or
+// its types aren't known yet.
 func (c *cache) machineType(name string) *domain.MachineType {
 	for i := range c.machineTypes {
 		if c.machineTypes[i].Name == name {
@@ -26,22 +27,23 @@
 	return nil
 }
 
-// isBookable tells whether the machine takes new bookings: its agent is there and stays, it
-// isn't cordoned, and it didn't refuse or fail a task just now.
+// isBookable reports whether the machine takes new bookings: its agent is alive and stays, it
+// isn't cordoned, and it didn't refuse or fail a task recently.
 func (c *Controller) isBookable(m *Machine) bool {
 	hasLiveAgent := m.hasReported && m.agentEpoch > m.abandonedEpoch && c.now-m.lastReportAt < 2*c.cfg.HeartbeatInterval+time.Second
 	stays := m.preemptionAt < 0 && c.cache.cordons[m.Name].State == ""
 	return hasLiveAgent && stays && c.now >= m.noBookingsUntil && c.cache.machineType(m.Type) != nil
 }
 
-// allowsMachine tells whether a machine of the type and zone may take a task of the job, room
-// aside.
+// allowsMachine reports whether the job's constraints admit a machine of the type, zone and price
+// model, regardless of room.
 func allowsMachine(spec *domain.JobSpec, machineType, zone string, spot bool) bool {
 	return listAllows(spec.MachineTypes, machineType) && (spec.Zone == "" || spec.Zone == zone) && (spec.Spot || !spot)
 }
 
-// fitsOn tells whether a machine may take one more task of a job and has room for it
-// beside the draft's bookings and others that are only chosen so far.
+// fitsOn reports whether a machine is allowed for a job and has room for one more of its tasks,
+// in addition to the draft's bookings and to the resources of tasks that are chosen but not yet
+// in the draft.
 func (c *cache) fitsOn(spec *domain.JobSpec, m *inventoryMachine, chosen domain.Resources, d *draft) bool {
 	machineType := c.machineType(m.machineType)
 	return machineType != nil && allowsMachine(spec, m.machineType, m.zone, m.spot) &&
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -8,7 +8,8 @@
 	"brassglade/internal/tuning"
 )
 
-// onMachineTypesListed takes the cloud's machine types; the leader commits them if they changed.
+// onMachineTypesListed handles the cloud's list of machine types; the leader commits it if it
+// changed.
 func (c *Controller) onMachineTypesListed(listed MachineTypesListed) {
 	c.scaling.listingMachineTypes = false
 	if !listed.OK {
@@ -29,8 +30,8 @@
 	})
 }
 
-// machineTypePuts are the values that the types go into: one page, or where it would not
-// fit a smaller bound, several, once all controllers read those.
+// machineTypePuts returns the writes that store the types: one value, or several pages if one
+// value would exceed the size limit and all controllers can read pages.
 func (c *Controller) machineTypePuts(types []domain.MachineType) []domain.Put {
 	value := codec.Encode(codec.MachineTypePage{Types: types})
 	if len(value) <= c.cfg.ValueLimit || !c.cache.formatOn() && len(value) <= c.valueBound() {
@@ -38,7 +39,7 @@
 	}
 	pages := paginateMachineTypes(types, c.cfg.ValueLimit)
 	if len(pages) > c.cfg.TransactionLimit {
-		c.error("too many machine types", "pages", len(pages))
+		c.error("machine types exceed the pages of one transaction", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
 	}
 	pages[0].More = len(pages) - 1
@@ -49,8 +50,8 @@
 	return puts
 }
 
-// paginateMachineTypes spreads the types over pages that fit a value each, of at most limit
-// bytes, with room for the number of further pages in the first.
+// paginateMachineTypes distributes the types over pages whose values take at most limit bytes,
+// with room in the first page for the number of further pages.
 func paginateMachineTypes(types []domain.MachineType, limit int) []codec.MachineTypePage {
 	var pages []codec.MachineTypePage
 	for _, machineType := range types {
@@ -66,7 +67,7 @@
 	return pages
 }
 
-// applyMachineTypes takes a page of types, and puts those of all pages together anew.
+// applyMachineTypes stores a page of types and rebuilds the list of all pages.
 func (c *Controller) applyMachineTypes(key string, value []byte) (matters bool, err error) {
 	page, err := decodePage[codec.MachineTypePage](value)
 	if err != nil {
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -11,48 +11,48 @@
 	"brassglade/internal/tuning"
 )
 
-// A machine that can't reach its owner comes to other controllers, which send it on: a
-// redirect. Redirects that repeat show that the machine can't reach its owner, and whoever sees
-// them proposes a view that gives the machine to itself (an override), takes an owner that
-// many machines miss out of service, or keeps machines in their own zones.
+// A machine that can't reach its owner sends its heartbeats to other controllers, which redirect
+// it to the owner. Repeated redirects show that the machine can't reach its owner. The controller
+// that sees them proposes a view that makes itself the owner (an override), that removes an owner
+// from service if many machines can't reach it, or that keeps machines in their own zones.
 
-// redirect is a heartbeat that was sent on to the machine's owner.
+// redirect is a heartbeat that was redirected to the machine's owner.
 type redirect struct {
 	at     time.Duration
-	owner  string // and its incarnation: a new one starts afresh
+	owner  string // with its incarnation: redirects to an earlier incarnation don't count
 	weight int
-	zone   string // the machine's
+	zone   string // zone of the machine
 }
 
-// heartbeatID names a heartbeat of one machine.
+// heartbeatID identifies a heartbeat of a machine.
 type heartbeatID struct{ agentEpoch, sequence uint64 }
 
-// overrideChange counts a machine's changes of override.
+// overrideChange counts the recent changes of a machine's override.
 type overrideChange struct {
 	count  int
 	lastAt time.Duration
 }
 
-// isFlapping tells whether the machine's override changed so often lately that it must
-// not change again for now.
+// isFlapping reports whether the machine's override changed so often recently that it must not
+// change again for now.
 func (o overrideChange) isFlapping(now time.Duration) bool {
 	return o.count >= tuning.MaxOverrideChanges && now-o.lastAt < tuning.OverrideChangeWindow
 }
 
-// recordOverrides remembers which overrides a new view brings and changes. old is the view
-// before, nil for none.
-func (v *views) recordOverrides(old, view *domain.View, now time.Duration) {
+// recordOverrides records which overrides a new view adds or changes. previous is the view before
+// it, or nil if there is none.
+func (v *views) recordOverrides(previous, view *domain.View, now time.Duration) {
 	for machine := range v.overrideSeenAt {
 		if _, ok := view.OwnerOverrides[machine]; !ok {
 			delete(v.overrideSeenAt, machine)
 		}
 	}
 	for machine, owner := range view.OwnerOverrides {
-		if old == nil {
+		if previous == nil {
 			v.overrideSeenAt[machine] = now
 			continue
 		}
-		if old.OwnerOverrides[machine] == owner {
+		if previous.OwnerOverrides[machine] == owner {
 			continue
 		}
 		v.overrideSeenAt[machine] = now
@@ -64,13 +64,13 @@
 	}
 }
 
-// recordRedirect remembers that a heartbeat was sent on to the machine's owner. A machine
-// that had an answer in this epoch has lost its owner for certain; another may only just
-// be looking for it.
+// recordRedirect records that a heartbeat was redirected to the machine's owner. A machine that
+// was already answered under the current view has certainly lost its owner, so that one redirect
+// of it counts in full. Another machine may only be looking for its owner.
 func (c *Controller) recordRedirect(heartbeat *domain.Heartbeat, owner string) {
-	// A late copy of a heartbeat says nothing about the machine now, and a machine that
-	// answers don't reach comes round to all controllers: neither may move it again and
-	// again.
+	// A delayed copy of a heartbeat says nothing about the machine's present state, and a
+	// machine that answers don't reach tries all controllers in turn. Neither may change the
+	// machine's owner repeatedly.
 	last := c.views.lastRedirect[heartbeat.Machine]
 	if heartbeat.AgentEpoch < last.agentEpoch || heartbeat.AgentEpoch == last.agentEpoch && heartbeat.Sequence <= last.sequence {
 		return
@@ -93,59 +93,61 @@
 	c.views.redirects[heartbeat.Machine] = append(recent, redirect{c.now, owner, weight, heartbeat.Zone})
 }
 
-// withIncarnation is a controller's name together with its incarnation in the view.
+// withIncarnation returns a controller's name with its incarnation in the view.
 func (c *cache) withIncarnation(node string) string {
 	return node + "/" + c.view.Members[node]
 }
 
-// isRecent tells whether the redirect still counts, for an owner with its incarnation.
+// isRecent reports whether the redirect still counts for an owner, given with its incarnation.
 func (r redirect) isRecent(owner string, now time.Duration) bool {
 	return now-r.at < tuning.RedirectWindow && r.owner == owner
 }
 
-// unreachableResult is what redirects tell.
+// unreachableResult is what the redirects show about unreachable owners.
 type unreachableResult struct {
-	owners    map[string]bool // that many machines can't reach
-	machines  map[string]bool // that this controller should rather own
-	otherZone []string        // machines of this zone that reach none of another zone's owners
+	owners    map[string]bool // owners that many machines can't reach
+	machines  map[string]bool // machines that this controller should own instead
+	otherZone []string        // machines of this zone that can't reach owners in other zones
 }
 
-// cutOffMachine can't reach its owner.
+// cutOffMachine is a machine that can't reach its owner.
 type cutOffMachine struct{ name, zone string }
 
-// unreachableOwners judges each owner by the machines that can't reach it.
+// unreachableOwners determines for each owner the consequence of the machines that can't reach
+// it.
 func (c *Controller) unreachableOwners() unreachableResult {
 	isLarge := c.isLargeFleet()
-	stranded := c.cutOffMachines(isLarge)
-	lost := unreachableResult{owners: map[string]bool{}, machines: map[string]bool{}}
-	for _, owner := range slices.Sorted(maps.Keys(stranded)) {
+	cutOff := c.cutOffMachines(isLarge)
+	result := unreachableResult{owners: map[string]bool{}, machines: map[string]bool{}}
+	for _, owner := range slices.Sorted(maps.Keys(cutOff)) {
 		if owner == c.cfg.Node || owner == "" {
 			continue
 		}
-		machines := stranded[owner]
+		machines := cutOff[owner]
 		slices.SortFunc(machines, func(a, b cutOffMachine) int { return cmp.Compare(a.name, b.name) })
-		// Machines of its own zone may well reach it, if all these are of another.
-		across := isLarge && c.areAcrossZones(owner, machines)
+		// If all these machines are in another zone than the owner, those in the owner's zone may
+		// still reach it.
+		acrossZones := isLarge && c.areAcrossZones(owner, machines)
 		switch {
-		case !across && c.peers.isUnreachableForMany(owner, len(machines)):
-			lost.owners[owner] = true
-		case across && !c.isPeerFresh(owner):
+		case !acrossZones && c.peers.isUnreachableForMany(owner, len(machines)):
+			result.owners[owner] = true
+		case acrossZones && !c.isPeerFresh(owner):
 			for _, machine := range machines {
-				lost.otherZone = append(lost.otherZone, machine.name)
+				result.otherZone = append(result.otherZone, machine.name)
 			}
 		default:
 			for _, machine := range machines {
-				lost.machines[machine.name] = true
+				result.machines[machine.name] = true
 			}
 		}
 	}
-	return lost
+	return result
 }
 
-// cutOffMachines are the machines that can't reach their owners, by owner. Redirects
-// that no longer count are forgotten.
+// cutOffMachines returns the machines that can't reach their owners, by owner. It also removes
+// machines all of whose redirects no longer count.
 func (c *Controller) cutOffMachines(isLarge bool) map[string][]cutOffMachine {
-	stranded := map[string][]cutOffMachine{}
+	cutOff := map[string][]cutOffMachine{}
 	for machine, redirects := range c.views.redirects {
 		owner := c.ownerIn(machine, redirects[len(redirects)-1].zone)
 		recent := c.recentRedirects(redirects, c.cache.withIncarnation(owner))
@@ -153,21 +155,21 @@
 			delete(c.views.redirects, machine)
 		}
 		if recent.weight >= tuning.RedirectCount && (!isLarge || recent.arePersistent(c.now)) {
-			stranded[owner] = append(stranded[owner], cutOffMachine{machine, recent.zone})
+			cutOff[owner] = append(cutOff[owner], cutOffMachine{machine, recent.zone})
 		}
 	}
-	return stranded
+	return cutOff
 }
 
-// redirectSum is what the redirects of one machine that still count amount to.
+// redirectSum summarizes the redirects of one machine that still count.
 type redirectSum struct {
 	weight      int
 	first, last time.Duration
-	zone        string // the machine's, as it last named it
+	zone        string // zone in the machine's newest heartbeat among them
 }
 
-// recentRedirects sums up those redirects of a machine that still count for an owner, which is
-// given with its incarnation.
+// recentRedirects summarizes those redirects of a machine that still count for an owner, given
+// with its incarnation.
 func (c *Controller) recentRedirects(redirects []redirect, owner string) redirectSum {
 	sum := redirectSum{first: c.now}
 	for _, earlier := range redirects {
@@ -180,26 +182,26 @@
 	return sum
 }
 
-// arePersistent tells whether the redirects count in a large fleet. There the machines of a
-// controller that ended come round before its lease expires, its whole shard: the view
-// without it is on its way, and moving them one by one would change the view again and
-// again, and leave their tasks in other shards' packs. Controllers also see a new view one
-// after the other, and send a machine to and fro meanwhile: only one that came back after
-// trying its owner in vain has lost it.
+// arePersistent reports whether the redirects have gone on long enough to count in a large fleet.
+// When a controller ends there, all machines of its shard try other controllers before its lease
+// expires and a view without it is proposed. Moving the machines one by one meanwhile would
+// change the view repeatedly and leave their tasks in other shards' packs. Controllers also see a
+// new view at different times and redirect a machine to each other meanwhile: a machine has lost
+// its owner only if it came back after trying the owner without success.
 func (s redirectSum) arePersistent(now time.Duration) bool {
 	return now-s.first >= tuning.RedirectPersistence && s.last-s.first >= tuning.MinRedirectSpan
 }
 
-// areAcrossZones tells whether the owner is in another zone than this controller, and all
-// the machines are in this controller's.
+// areAcrossZones reports whether the owner is in another zone than this controller, and all the
+// machines are in this controller's zone.
 func (c *Controller) areAcrossZones(owner string, machines []cutOffMachine) bool {
-	own := c.cfg.ZoneOf[c.cfg.Node]
-	return c.cfg.ZoneOf[owner] != own &&
-		!slices.ContainsFunc(machines, func(machine cutOffMachine) bool { return machine.zone != own })
+	ownZone := c.cfg.ZoneOf[c.cfg.Node]
+	return c.cfg.ZoneOf[owner] != ownZone &&
+		!slices.ContainsFunc(machines, func(machine cutOffMachine) bool { return machine.zone != ownZone })
 }
 
-// isUnreachableForMany tells whether so many machines can't reach the owner, of those that it
-// last said to hear, that it should not serve.
+// isUnreachableForMany reports whether count machines, of those from which the owner last
+// reported heartbeats, are so many that an owner that they can't reach should not serve.
 func (p *peers) isUnreachableForMany(owner string, count int) bool {
 	owned := 0
 	if peer := p.byName[owner]; peer != nil {
@@ -208,26 +210,27 @@
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
 }
 
-// isPeerFresh tells whether this controller heard another lately.
+// isPeerFresh reports whether this controller received a message of the given controller
+// recently.
 func (c *Controller) isPeerFresh(node string) bool {
 	peer := c.peers.byName[node]
 	return peer != nil && c.now-peer.heardAt <= tuning.PeerFresh
 }
 
-// chooseOverrides keeps what overrides still have a reason, and gives this controller the
-// machines that should rather be its own. The view must stay under the size of a value, or
-// it could never change again: overrides have room up to a bound, and machines beyond it
-// wait. Those of a view written under larger limits are dropped beyond it: any controller
-// may own a machine after a change of epoch.
+// chooseOverrides keeps the present overrides that still have a reason, and makes this controller
+// the owner of the wanted machines. The view must stay below the size limit of a value, or it
+// could never change again. The number of overrides is therefore limited, and machines beyond the
+// limit wait. Overrides beyond it in a view written under larger limits are dropped: any
+// controller may own a machine after a change of epoch.
 func (c *Controller) chooseOverrides(proposal *viewDraft, wanted map[string]bool) {
-	most := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
-	if len(proposal.present.OwnerOverrides) > most && (c.cache.formatOn() || c.formats.limitsFell) {
+	maxOverrides := max(8, (c.cfg.ValueLimit-tuning.ViewBytes)/tuning.OverrideBytes)
+	if len(proposal.present.OwnerOverrides) > maxOverrides && (c.cache.formatOn() || c.formats.limitsFell) {
 		proposal.changed = true
 	}
 	overrides := proposal.next.OwnerOverrides
 	if !proposal.next.Zoned {
 		for _, machine := range slices.Sorted(maps.Keys(proposal.present.OwnerOverrides)) {
-			if len(overrides) >= most {
+			if len(overrides) >= maxOverrides {
 				break
 			}
 			if owner := proposal.present.OwnerOverrides[machine]; c.keepsOverride(proposal.next, machine, owner) {
@@ -236,7 +239,7 @@
 		}
 	}
 	for _, machine := range slices.Sorted(maps.Keys(wanted)) {
-		if _, was := overrides[machine]; !was && len(overrides) >= most {
+		if _, present := overrides[machine]; !present && len(overrides) >= maxOverrides {
 			continue
 		}
 		if overrides[machine] != c.cfg.Node {
@@ -250,8 +253,8 @@
 	}
 }
 
-// keepsOverride tells whether a present override goes into the next view. In a large fleet
-// it ends after a while: the machine comes back if the reason is still there.
+// keepsOverride reports whether a present override is kept in the next view. In a large fleet it
+// expires after tuning.OverrideLifetime; if its cause persists, redirects lead to a new one.
 func (c *Controller) keepsOverride(next *domain.View, machine, owner string) bool {
 	if c.isLargeFleet() && c.now-c.views.overrideSeenAt[machine] > tuning.OverrideLifetime {
 		return false
@@ -260,8 +263,8 @@
 	return isMember && !c.cache.isReturned(machine) && ownership.Rendezvous(machine, next.Serving) != owner
 }
 
-// mayChangeOverrides tells whether overrides alone are reason enough for a view. In a
-// large fleet there is a pause between such views, since each fails all commits under way.
+// mayChangeOverrides reports whether a view may be proposed for a change of overrides alone. In a
+// large fleet there is a pause after each view, since each new view fails all commits under way.
 func (c *Controller) mayChangeOverrides() bool {
 	return !c.isLargeFleet() || c.now-c.views.adoptedAt >= tuning.OverridePause
 }
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -6,7 +6,8 @@
 	"brassglade/internal/tuning"
 )
 
-// zoneOf a machine, as its heartbeats or its bookings name it; "" if neither does.
+// zoneOf returns the zone of a machine according to its heartbeats or its bookings, or "" if
+// neither names it.
 func (c *Controller) zoneOf(machine string) string {
 	if m := c.heartbeats.machines[machine]; m != nil && m.Zone != "" {
 		return m.Zone
@@ -14,10 +15,10 @@
 	return c.cache.occupancy[machine].zone
 }
 
-// ownerOf a machine under the current view, "" for none.
+// ownerOf returns the owner of a machine under the current view, or "" if there is none.
 func (c *Controller) ownerOf(machine string) string { return c.ownerIn(machine, "") }
 
-// ownerIn is ownerOf where the machine's zone is at hand.
+// ownerIn is like ownerOf for a caller that knows the machine's zone ("": unknown).
 func (c *Controller) ownerIn(machine, zone string) string {
 	view := c.cache.view
 	if view == nil {
@@ -38,18 +39,18 @@
 	return owner
 }
 
-// owns tells whether this controller owns a machine under the current view.
+// owns reports whether this controller owns a machine under the current view.
 func (c *Controller) owns(machine string) bool {
 	return c.isMemberOf(c.cache.view) && c.ownerOf(machine) == c.cfg.Node
 }
 
-// isLeader tells whether this process leads under the current view.
+// isLeader reports whether this process leads under the current view.
 func (c *Controller) isLeader() bool {
 	return c.isMemberOf(c.cache.view) && c.cache.view.Leader == c.cfg.Node
 }
 
-// taskShard tells in whose shard a queued task waits. A shard whose controller doesn't
-// serve falls to a hash over the view without any write.
+// taskShard returns the shard in which a queued task waits. If the shard's controller doesn't
+// serve, a hash of the job over the serving controllers determines the shard, without any write.
 func (c *cache) taskShard(j *Job, task domain.Task) string {
 	shard := task.Shard
 	if shard == "" {
@@ -61,26 +62,26 @@
 	return ownership.OfShard(c.view, shard, j.ID)
 }
 
-// shardOf is the shard of a job, where its tasks wait unless they were passed on.
+// shardOf returns the shard of a job, in which its tasks wait unless they were passed on.
 func (c *cache) shardOf(j *Job) string { return c.taskShard(j, domain.Task{}) }
 
-// updateOwnership settles from when on this controller owns each machine, now that the
-// view is no longer the old one, nil for none.
-func (c *Controller) updateOwnership(old *domain.View) {
-	// Continuous: this incarnation saw the view just before this one.
-	continuous := c.isMemberOf(old) && old.Epoch+1 == c.cache.view.Epoch
+// updateOwnership begins or ends this controller's ownership of each machine after a change of
+// the view. previous is the view before the change, or nil if there was none.
+func (c *Controller) updateOwnership(previous *domain.View) {
+	// Ownership continues only if this incarnation saw the view just before this one.
+	continuous := c.isMemberOf(previous) && previous.Epoch+1 == c.cache.view.Epoch
 	for machine := range c.knownMachines() {
 		switch {
 		case !c.owns(machine):
 			c.endOwnership(machine)
-		case continuous && ownership.OfMachine(old, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Node:
+		case continuous && ownership.OfMachine(previous, c.cfg.ZoneOf, machine, c.zoneOf(machine)) == c.cfg.Node:
 		default:
 			c.takeOwnership(machine)
 		}
 	}
 }
 
-// knownMachines are those heard and those with bookings.
+// knownMachines returns the machines that have sent a heartbeat here and those with bookings.
 func (c *Controller) knownMachines() map[string]bool {
 	known := map[string]bool{}
 	for machine := range c.heartbeats.machines {
@@ -92,17 +93,18 @@
 	return known
 }
 
-// endOwnership lets go of a machine that another controller owns, if this one had it.
+// endOwnership handles a machine that another controller owns: its queue is emptied, and it is
+// forgotten if its zone is unknown.
 func (c *Controller) endOwnership(machine string) {
 	c.dequeueAll(machine)
-	// Known by its bookings alone: should its zone show again later in a zoned view,
-	// ownership must begin then, not when it once began.
+	// The machine is known only by its bookings. If its zone becomes known later in a zoned
+	// view, ownership must begin at that time and not at its earlier beginning.
 	if m := c.heartbeats.machines[machine]; m != nil && m.Zone == "" {
 		c.heartbeats.dropMachine(machine)
 	}
 }
 
-// takeOwnership starts this controller's ownership of a machine.
+// takeOwnership begins this controller's ownership of a machine.
 func (c *Controller) takeOwnership(machine string) {
 	m := c.heartbeats.machines[machine]
 	if m == nil {
@@ -111,6 +113,6 @@
 	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
 	m.lastReportAt = c.now + tuning.TakeoverSilence
 	m.lostReplies, m.sentToken, m.lastHeartbeatAt = 0, 0, -1
-	m.abandonedEpoch = 0 // another owner may have known better meanwhile
+	m.abandonedEpoch = 0 // may be outdated, since another owner has acted meanwhile
 	clear(m.startsSent)
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -12,35 +12,37 @@
 	"brassglade/internal/tuning"
 )
 
-// machineKind is a kind of machine that can be rented.
+// machineKind is a type, zone and price model of machines that can be rented.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// rentalPause is the pause of a kind of which the cloud had fewer than were asked for.
+// rentalPause is a pause in renting a kind of which the cloud had fewer machines than were
+// requested.
 type rentalPause struct {
 	until    time.Duration
-	failures int // in a row
+	failures int // consecutive rentals with too few machines
 }
 
-// rental is a request without a final answer.
+// rental is a rental request without a final answer.
 type rental struct {
 	request RentMachines
 	sentAt  time.Duration
 }
 
-// pendingWork is unbooked work of one job that its team's limit lets run, or machines to be
-// kept ready for a class of jobs.
+// pendingWork is either unbooked tasks of one job that its team's limit allows to run, or
+// machines to be kept ready for a class of jobs.
 type pendingWork struct {
 	spec  *domain.JobSpec
 	tasks int
-	job   *Job          // nil: none yet
-	zones zoneAllowance // how many of them each zone may take; nil: any number
+	job   *Job          // nil for machines to be kept ready
+	zones zoneAllowance // how many of the tasks each zone may take; nil: any number
 }
 
-// pendingWork is the work that waits, given the machines that are there or boot. It also notes
-// which classes reserve machines, and how many of their tasks came lately.
+// pendingWork returns the work that waits, given the machines that are running or booting. It
+// also records which classes reserve machines, and the rate at which their tasks were submitted
+// recently.
 func (c *Controller) pendingWork(machines []machineState) []pendingWork {
 	used := map[string]domain.Resources{}
 	for team := range c.cfg.Teams {
@@ -73,8 +75,8 @@
 	return pending
 }
 
-// claimForPending counts the queued tasks of a job that its team's limit lets run beside what
-// the team uses, and adds them to that.
+// claimForPending returns how many queued tasks of a job its team's limit allows to run in
+// addition to what the team uses, and adds these tasks to used.
 func (c *Controller) claimForPending(j *Job, used map[string]domain.Resources, claim quotaClaim) int {
 	spec := j.Header.Spec
 	limit := c.cfg.Teams[spec.Team].Limit
@@ -89,47 +91,47 @@
 	return claimed
 }
 
-// scaleOutPlan packs what waits on what is there, boots or is to be rented.
+// scaleOutPlan assigns pending work to machines that exist, are booting or are to be rented.
 type scaleOutPlan struct {
 	existing       []existingRoom
 	planned        []plannedMachine
-	turnoverCredit int // tasks that need no new machine, since slots fall free soon
+	turnoverCredit int // tasks that need no new machine, since busy slots become free soon
 }
 
-// existingRoom is what a scaleOutPlan leaves free on a machine that is there or boots.
+// existingRoom is the room that a scaleOutPlan leaves on a machine that is running or booting.
 type existingRoom struct {
 	machine     *machineState
 	free        domain.Resources
 	preemptible domain.Resources // held by preemptible tasks
 }
 
-// plannedMachine is a machine to be rented, and what a scaleOutPlan leaves free on it.
+// plannedMachine is a machine to be rented, with the room that a scaleOutPlan leaves on it.
 type plannedMachine struct {
 	kind machineKind
 	free domain.Resources
 }
 
-// unplacedWork is what a scaleOutPlan has not yet placed of some pending work.
+// unplacedWork is pending work with the part of it that a scaleOutPlan has not placed yet.
 type unplacedWork struct {
 	pendingWork
 	remaining int64
-	zonesLeft zoneAllowance // what remains of the work's
+	zonesLeft zoneAllowance // the part of pendingWork.zones that remains
 }
 
-// recordPlaced counts tasks as placed in a zone.
+// recordPlaced counts n tasks as placed in a zone.
 func (w *unplacedWork) recordPlaced(zone string, n int64) {
 	w.zonesLeft.take(zone, n)
 	w.remaining -= n
 }
 
-// countFitting is how many of the tasks that are left have room in a zone.
+// countFitting returns how many of the remaining tasks fit into the given room in a zone.
 func (w *unplacedWork) countFitting(room domain.Resources, zone string) int64 {
 	return room.CountFitting(w.spec.Request, w.zonesLeft.left(zone, w.remaining))
 }
 
-// planScaleOut packs what is pending on what is there or boots, and rents for the rest the
-// kind with the least price per task that fits. Nothing is planned while a request is open:
-// what it brings isn't known yet.
+// planScaleOut assigns pending work to machines that are running or booting, and rents machines
+// for the rest: of the kinds that fit, the one with the lowest price per task. It plans nothing
+// while a rental request is open, since the machines that it yields aren't known yet.
 func (c *Controller) planScaleOut(machines []machineState, pending []pendingWork) {
 	c.resendRentals()
 	if len(c.scaling.rentals) > 0 {
@@ -147,8 +149,8 @@
 	c.rentPlanned(plan.planned)
 }
 
-// resendRentals asks again for what the cloud left unanswered for too long. The request's name
-// is the same, so that a repeat rents nothing more.
+// resendRentals repeats rental requests that the cloud left unanswered for too long. The
+// request's name stays the same, so that a repetition rents no further machines.
 func (c *Controller) resendRentals() {
 	scaling := &c.scaling
 	for _, id := range slices.Sorted(maps.Keys(scaling.rentals)) {
@@ -161,9 +163,9 @@
 	}
 }
 
-// usableRoom lists the room on the machines that are there or to come and stay.
+// usableRoom lists the room on the machines that are running or booting and will stay.
 func (c *Controller) usableRoom(machines []machineState) []existingRoom {
-	var there []existingRoom
+	var rooms []existingRoom
 	leaving := c.leavingMachines()
 	for i := range machines {
 		m := &machines[i]
@@ -171,26 +173,26 @@
 		if m.cordon.State != "" || leaving[m.Name] || m.Status == domain.InstanceFailed || isLost {
 			continue
 		}
-		there = append(there, existingRoom{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
+		rooms = append(rooms, existingRoom{m, m.free, c.cache.occupancy[m.Name].preemptible.used})
 	}
-	return there
+	return rooms
 }
 
-// turnoverCredit is how many tasks need no new machine since slots fall free before such a one
-// could start them.
-func (s *scaling) turnoverCredit(there []existingRoom) int {
+// turnoverCredit returns how many tasks need no new machine, since busy slots become free before
+// a new machine could start these tasks.
+func (s *scaling) turnoverCredit(rooms []existingRoom) int {
 	busy := 0
-	for i := range there {
-		if m := there[i].machine; m.isReporting && !s.reserved[m.Name] {
+	for i := range rooms {
+		if m := rooms[i].machine; m.isReporting && !s.reserved[m.Name] {
 			busy += m.tasks
 		}
 	}
 	return int(float64(busy) * tuning.TurnoverCredit)
 }
 
-// workToPlace is the pending work and the machines to be kept ready, in the order in which it
-// is to be placed: what needs whole machines first, since small tasks find room in what that
-// leaves, and preemptible ones in what these leave.
+// workToPlace returns the pending work and the machines to be kept ready in the order of
+// placement. Work that needs whole machines comes first, since small tasks can use the room that
+// remains, and preemptible work comes last.
 func (c *Controller) workToPlace(pending []pendingWork) []pendingWork {
 	work := slices.Clone(pending)
 	classes := c.scaling.gangClasses
@@ -203,7 +205,7 @@
 	return work
 }
 
-// packingRank orders work by what is to be placed first.
+// packingRank returns the position of the work in the order of placement; lower ranks come first.
 func (p *pendingWork) packingRank() int {
 	switch {
 	case preemptible(p.spec):
@@ -214,20 +216,20 @@
 	return 1
 }
 
-// packExisting places work on machines that are there or boot.
+// packExisting places work on machines that are running or booting.
 func (c *Controller) packExisting(plan *scaleOutPlan, unplaced *unplacedWork) {
 	mayUseReserved := reservesMachines(unplaced.spec)
 	for i := range plan.existing {
 		if unplaced.remaining == 0 {
 			return
 		}
-		slot := &plan.existing[i]
-		m := slot.machine
+		room := &plan.existing[i]
+		m := room.machine
 		if !allowsMachine(unplaced.spec, m.Type, m.Zone, m.Spot) || c.scaling.reserved[m.Name] && !mayUseReserved {
 			continue
 		}
-		placed := unplaced.countFitting(roomBeside(slot.free, slot.preemptible, preemptible(unplaced.spec)), m.Zone)
-		slot.free = slot.free.Plus(unplaced.spec.Request, -placed)
+		placed := unplaced.countFitting(roomBeside(room.free, room.preemptible, preemptible(unplaced.spec)), m.Zone)
+		room.free = room.free.Plus(unplaced.spec.Request, -placed)
 		unplaced.recordPlaced(m.Zone, placed)
 	}
 }
@@ -248,8 +250,8 @@
 	}
 }
 
-// creditTurnover leaves work to the slots that fall free soon, unless it needs a whole machine
-// or its job waits for too long.
+// creditTurnover leaves tasks to the busy slots that become free soon, unless the tasks need a
+// whole machine or their job has waited for too long.
 func (c *Controller) creditTurnover(plan *scaleOutPlan, unplaced *unplacedWork) {
 	if reservesMachines(unplaced.spec) || unplaced.job != nil && c.isStarving(unplaced.job, placementOf(unplaced.job, nil)) {
 		return
@@ -259,7 +261,7 @@
 	unplaced.remaining -= n
 }
 
-// planMachines adds machines to the plan for the work that is left.
+// planMachines adds machines to the plan for the remaining work.
 func (c *Controller) planMachines(plan *scaleOutPlan, unplaced *unplacedWork) {
 	for unplaced.remaining > 0 && len(plan.planned) < tuning.MaxRentalPlans {
 		kind, ok := c.cheapestKind(unplaced.spec, int(unplaced.remaining), unplaced.zonesLeft)
@@ -273,9 +275,9 @@
 	}
 }
 
-// rentPlanned asks the cloud for the planned machines, by kind in the order in which the kinds
-// came into the plan. Of a kind that was short the last time one request tells whether there
-// are any.
+// rentPlanned requests the planned machines from the cloud, kind by kind in the order in which
+// the kinds entered the plan. For a kind of which the cloud last had too few machines it sends
+// only one request, to find out whether any are available.
 func (c *Controller) rentPlanned(planned []plannedMachine) {
 	count := map[machineKind]int{}
 	var kinds []machineKind
@@ -298,19 +300,19 @@
 	}
 }
 
-// rent asks the cloud for machines of a kind.
+// rent requests machines of a kind from the cloud.
 func (c *Controller) rent(kind machineKind, count int) {
 	scaling := &c.scaling
 	scaling.rentalCount++
 	id := fmt.Sprintf("%s-%s-%d", c.cfg.Node, c.membership.Incarnation(), scaling.rentalCount)
 	request := RentMachines{RentalID: id, Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}
 	scaling.rentals[id] = rental{request, c.now}
-	c.info("renting", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
+	c.info("machine rental requested", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "count", count)
 	c.emit(request)
 }
 
-// leavingMachines are the machines that the cloud takes back soon, or that take no bookings for
-// another reason that their owners see.
+// leaving returns the machines that the cloud takes back soon, and those that their owners report
+// as taking no bookings for another reason.
 func (c *Controller) leavingMachines() map[string]bool {
 	leaving := map[string]bool{}
 	for name, m := range c.heartbeats.machines {
@@ -331,8 +333,9 @@
 	return leaving
 }
 
-// cheapestKind is the kind of machine with the least price per task, of which tasksLeft are left,
-// in the zones that may take any; false: none may be rented now.
+// cheapestKind returns the kind of machine with the lowest price per task for up to tasksLeft
+// tasks, among the zones that may take more tasks. It returns false if no suitable kind may be
+// rented now.
 func (c *Controller) cheapestKind(spec *domain.JobSpec, tasksLeft int, zones zoneAllowance) (machineKind, bool) {
 	best, bestPrice, found := machineKind{}, math.Inf(1), false
 	for i := range c.cache.machineTypes {
@@ -362,8 +365,9 @@
 	return best, found
 }
 
-// mayRent tells whether a kind of machine may be rented for a job now. Preemptible work takes
-// ordinary machines only while others leave them empty.
+// mayRent reports whether a kind of machine may be rented for a job now. For preemptible work
+// that allows spot machines only spot machines are rented; on ordinary machines it uses the room
+// that other work leaves.
 func (s *scaling) mayRent(spec *domain.JobSpec, kind machineKind, now time.Duration) bool {
 	if spec.Zone != "" && kind.zone != spec.Zone || now < s.rentalPauses[kind].until {
 		return false
@@ -374,8 +378,8 @@
 	return !spec.Spot || !preemptible(spec)
 }
 
-// pricePerTask is what a machine of the kind costs per task of a job if it has that many. Among
-// equals it spreads jobs over zones.
+// pricePerTask returns the price per task if a machine of the kind runs the given number of tasks
+// of a job. A small factor that depends on job and zone spreads jobs over zones of equal price.
 func pricePerTask(spec *domain.JobSpec, machineType *domain.MachineType, kind machineKind, tasks float64) float64 {
 	price := machineType.Price / tasks
 	if kind.spot {
@@ -384,15 +388,16 @@
 	return price * (1 + 0.001*float64(ownership.Hash(kind.zone, spec.ID)%16))
 }
 
-// onRentalAnswered takes in what a request brought.
+// onRentalAnswered records the machines that a rental request yielded.
 func (c *Controller) onRentalAnswered(answer RentalAnswered) {
 	scaling := &c.scaling
 	rental, ok := scaling.rentals[answer.RentalID]
 	if !ok {
-		return // an earlier leadership's; the list will show what came of it
+		return // from an earlier term as leader; the list will show its machines
 	}
 	if !answer.OK && !answer.NoCapacity {
-		// Unknown or refused for now: the same name again, later.
+		// The outcome is unknown, or the request was refused for the moment: it is sent again
+		// later under the same name.
 		rental.sentAt = c.now + tuning.RentalRetry - (tuning.CloudTimeout + tuning.RentalAnswerMargin)
 		scaling.rentals[answer.RentalID] = rental
 		return
@@ -406,11 +411,11 @@
 		}
 		scaling.knownSince[name] = c.now
 	}
-	c.info("rented", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "asked", rental.request.Count, "got", len(answer.Names))
+	c.info("machine rental answered", "type", kind.machineType, "zone", kind.zone, "spot", kind.spot, "requested", rental.request.Count, "received", len(answer.Names))
 }
 
-// updateRentalPause keeps a kind from being rented for a while, longer each time, when machines of
-// it were missing in an answer, and ends the pause when none were.
+// updateRentalPause pauses rentals of a kind when an answer contained fewer machines than
+// requested, for longer each time, and ends the pause when none were missing.
 func (s *scaling) updateRentalPause(kind machineKind, missing int, now time.Duration) {
 	pause := s.rentalPauses[kind]
 	switch {
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -12,55 +12,55 @@
 	"brassglade/internal/tuning"
 )
 
-// scaling is the leader's care for machines: renting, keeping some for gangs, letting some
-// run empty, and returning. A new leader rebuilds all of it from the cloud's list and the cache.
-// Maps without a word on their key are by machine.
+// scaling is the leader's state for renting machines, reserving some for gangs, letting some
+// become empty, and returning them. A new leader rebuilds it from the cloud's list and the cache.
+// Maps whose comment names no other key are keyed by machine.
 type scaling struct {
-	// What the cloud says.
+	// State reported by the cloud.
 
 	instances           map[string]domain.Instance // the newest list
 	unlisted            map[string]domain.Instance // rented, and not yet in a list
-	knownSince          map[string]time.Duration   // when an instance was rented, or first listed or heard
-	hasInstanceList     bool                       // a list has come since this controller became leader
-	listingInstances    bool                       // a list is under way
+	knownSince          map[string]time.Duration   // when an instance was rented, first listed or first reported by a heartbeat
+	hasInstanceList     bool                       // a list has arrived since this controller became leader
+	listingInstances    bool                       // a list of instances has been requested
 	nextInstanceList    steady.Gate
-	listingMachineTypes bool          // a list of machine types is under way
-	nextMachineTypesAt  time.Duration // no other list of machine types before
+	listingMachineTypes bool          // a list of machine types has been requested
+	nextMachineTypesAt  time.Duration // earliest time of the next list of machine types
 
 	// Renting and returning.
 
-	rentalCount  int                         // rentals asked for, over all terms as a leader; in their names
+	rentalCount  int                         // rentals requested in all terms as leader; part of their names
 	rentals      map[string]rental           // requests without a final answer, by name
-	rentalPauses map[machineKind]rentalPause // kinds of which the cloud had too few
-	returning    bool                        // a return is under way
+	rentalPauses map[machineKind]rentalPause // kinds of which the cloud had too few machines
+	returning    bool                        // a return has been requested
 	nextReturn   steady.Gate
 
-	// What the leader decides.
+	// Decisions of the leader.
 
 	nextDecision steady.Gate
 	reserved     map[string]bool // kept for jobs that need a whole machine
-	evicting     map[string]bool // of the reserved: to be emptied of other work now
+	evicting     map[string]bool // reserved machines whose other tasks are to be evicted now
 	resting      map[string]bool // no new tasks, since the cheaper machines suffice
-	nextLog      steady.Gate     // for the debug line about all machines
+	nextLog      steady.Gate     // for the debug message about all machines
 
-	// What the decisions rest on.
+	// Observations on which the decisions are based.
 
 	gangTaskSeenAt map[string]time.Duration // when a task of a job that reserves machines was last seen there
-	idleSince      map[string]time.Duration // heard and without tasks
-	silentSince    map[string]time.Duration // running, though no controller hears it
-	zoneDownSince  map[string]time.Duration // most of the zone's machines are unheard, by zone
+	idleSince      map[string]time.Duration // sends heartbeats and has no tasks
+	silentSince    map[string]time.Duration // running, but no controller receives its heartbeats
+	zoneDownSince  map[string]time.Duration // most of the zone's machines are silent, by zone
 	gangClasses    map[string]gangClass     // classes of jobs that reserve machines, by name
-	gangTaskRate   map[string]float64       // their tasks that came lately, per second, by class
+	gangTaskRate   map[string]float64       // their recently submitted tasks per second, by class
 }
 
 // gangClass is a class of jobs that reserve machines.
 type gangClass struct {
-	spec   *domain.JobSpec // of its job seen last
-	seenAt time.Duration   // when one was last open
+	spec   *domain.JobSpec // of the most recently seen job of the class
+	seenAt time.Duration   // when a job of the class was last open
 }
 
-// newScaling is the state of a leader that has just begun, after the given count of rentals in
-// earlier terms, since the names of rentals must stay unique.
+// newScaling returns the state of a new leader. rentalCount is the number of rentals that this
+// controller requested in earlier terms, since the names of rentals must be unique.
 func newScaling(rentalCount int) scaling {
 	return scaling{
 		rentalCount: rentalCount,
@@ -73,9 +73,9 @@
 	}
 }
 
-// scale does the leader's care for machines: it keeps the cloud's lists fresh and decides
-// once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
-// in which each decision uses those before.
+// scale refreshes the cloud's lists and decides at intervals which machines to return, drain,
+// reserve, rest and rent. It does so in this order, since each decision uses the earlier ones.
+// Only the leader does anything here.
 func (c *Controller) scale() {
 	scaling := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
@@ -108,7 +108,7 @@
 	c.planScaleOut(machines, pending)
 }
 
-// onInstancesListed takes the cloud's list of this deployment's instances.
+// onInstancesListed stores the cloud's list of this deployment's instances.
 func (c *Controller) onInstancesListed(answer InstancesListed) {
 	scaling := &c.scaling
 	scaling.listingInstances = false
@@ -128,7 +128,8 @@
 	scaling.forgetInstances(c.now)
 }
 
-// forgetInstances forgets what is in no list any more and was known long ago.
+// forgetInstances removes instances that are in no list any more and became known more than
+// tuning.ForgetInstanceAfter ago.
 func (s *scaling) forgetInstances(now time.Duration) {
 	for name, since := range s.knownSince {
 		_, listed := s.instances[name]
@@ -140,17 +141,19 @@
 	}
 }
 
-// machineState is a machine that the leader counts on or has to care for.
+// machineState describes a machine whose room the leader may use, or which it must drain or
+// return.
 type machineState struct {
 	domain.Instance
-	isReporting bool             // by its owner, lately
+	isReporting bool             // a controller has received its heartbeat lately
 	cordon      domain.Cordon    // the committed one
 	free        domain.Resources // as committed
 	tasks       int              // booked there
 }
 
-// machines joins the cloud's list, own rentals and what the controllers hear, ordered by
-// name. Those that are gone, or of a type not known, are left out.
+// machines combines the cloud's list, the machines rented here and those whose heartbeats any
+// controller receives, sorted by name. Machines that are gone or whose type is unknown are left
+// out.
 func (c *Controller) machines() []machineState {
 	all := map[string]*machineState{}
 	for name, instance := range c.scaling.instances {
@@ -176,8 +179,8 @@
 	return machines
 }
 
-// addUnlisted adds the rented instances that no list has yet, and forgets those that no list
-// ever had: they are gone again.
+// addUnlisted adds the rented instances that are in no list yet, and forgets those that never
+// appeared in a list within the allowed time, since they no longer exist.
 func (c *Controller) addUnlisted(all map[string]*machineState) {
 	scaling := &c.scaling
 	for name, instance := range scaling.unlisted {
@@ -191,26 +194,27 @@
 	}
 }
 
-// addReporting adds the machines that any controller hears, and notes which these are.
+// addReporting adds the machines whose heartbeats any controller receives, and marks them as
+// reporting.
 func (c *Controller) addReporting(all map[string]*machineState) {
-	for _, heard := range c.inventory() {
-		m := all[heard.name]
+	for _, reporting := range c.inventory() {
+		m := all[reporting.name]
 		if m == nil {
 			m = &machineState{Instance: domain.Instance{
-				Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot,
+				Name: reporting.name, Addr: reporting.addr, Type: reporting.machineType, Zone: reporting.zone, Spot: reporting.spot,
 				Status: domain.InstanceRunning,
 			}}
-			all[heard.name] = m
+			all[reporting.name] = m
 		}
 		m.isReporting = true
-		if _, known := c.scaling.knownSince[heard.name]; !known {
-			c.scaling.knownSince[heard.name] = c.now
+		if _, known := c.scaling.knownSince[reporting.name]; !known {
+			c.scaling.knownSince[reporting.name] = c.now
 		}
 	}
 }
 
-// planReturns returns drained machines to the cloud. Only after the cloud's 200 is a machine
-// cordoned as gone, which proves its tasks off.
+// planReturns returns drained machines to the cloud. A machine is cordoned as gone only after the
+// cloud answered 200, which proves that its tasks have stopped.
 func (c *Controller) planReturns() {
 	scaling := &c.scaling
 	if scaling.returning || !scaling.nextReturn.IsOpen(c.now) {
@@ -231,9 +235,9 @@
 	}
 }
 
-// mayReturn tells whether a machine may be returned now: it drains, by a cordon that the cache
-// has in full, and isn't returned already. Where nothing is wrong with it but that it was idle
-// or its tasks failed, those still booked there end first.
+// mayReturn reports whether a machine may be returned now: it drains under a committed cordon
+// that the cache contains, and it isn't returned already. If it was drained for being idle or
+// because its tasks failed, the tasks still booked there end first.
 func (c *Controller) mayReturn(name string) bool {
 	cordon := c.cache.cordons[name]
 	if cordon.State != domain.CordonDrain {
@@ -249,7 +253,7 @@
 	return !waitsForTasks || len(c.cache.bookedOn[name]) == 0
 }
 
-// onReturnAnswered cordons as gone what the cloud took back.
+// onReturnAnswered cordons as gone the machines that the cloud took back.
 func (c *Controller) onReturnAnswered(answer ReturnAnswered) {
 	scaling := &c.scaling
 	scaling.returning = false
@@ -263,14 +267,15 @@
 	c.info("machines returned", "machines", answer.Names)
 }
 
-// silenceContext is what tells whether a machine that nobody hears is at fault itself.
+// silenceContext holds other possible causes of a machine's silence, to determine whether the
+// machine itself is at fault.
 type silenceContext struct {
-	peersFresh bool            // every controller is heard, so that one of them should hear it
+	peersFresh bool            // recent messages came from every controller, so that one of them should receive the heartbeats
 	leaving    map[string]bool // machines that the cloud takes back soon
 	cutOff     map[string]bool // zones that are cut off
 }
 
-// planCordons drains machines that failed, are stuck or were idle for long.
+// planCordons drains machines that failed, are stuck or were idle for too long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
 	review := silenceContext{c.arePeersFresh(), c.leavingMachines(), c.cutOffZones(machines)}
 	for i := range machines {
@@ -286,29 +291,31 @@
 	}
 }
 
-// cutOffZones are the zones of which most machines are unheard: each is cut off for now, and
-// its machines get their time anew when they can be heard again.
+// cutOffZones returns the zones most of whose machines are silent. Such a zone counts as cut off
+// for a limited time, and the silence of its machines is measured anew once it is reachable
+// again.
 func (c *Controller) cutOffZones(machines []machineState) map[string]bool {
-	heard, unheard, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
+	reporting, silent, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
 		switch {
 		case m.isReporting:
-			heard[m.Zone]++
+			reporting[m.Zone]++
 		case m.Status == domain.InstanceRunning:
-			unheard[m.Zone]++
+			silent[m.Zone]++
 		}
 	}
 	downSince := c.scaling.zoneDownSince
 	for _, zone := range c.cfg.Zones {
-		isDown := unheard[zone] > heard[zone] && unheard[zone] > tuning.FewZoneMachines
+		isDown := silent[zone] > reporting[zone] && silent[zone] > tuning.FewZoneMachines
 		trackSince(downSince, zone, isDown, c.now)
 		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.ZoneOutageTimeout
 	}
 	return cutOff
 }
 
-// trackSince keeps since when something has held for a machine or zone without a break.
+// trackSince records since when a condition has held without interruption for a machine or zone,
+// and removes the entry when the condition doesn't hold.
 func trackSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
 	if !holds {
 		delete(since, name)
@@ -317,13 +324,14 @@
 	}
 }
 
-// isSilent tells whether nobody hears a running machine, though every controller is heard and
-// nothing else explains it.
+// isSilent reports whether a running machine without tasks is silent for no known other cause: no
+// controller receives its heartbeats although all controllers exchange messages, the cloud isn't
+// taking it back, and its zone isn't cut off.
 func (r *silenceContext) isSilent(m *machineState) bool {
 	return r.peersFresh && m.Status == domain.InstanceRunning && !m.isReporting && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
-// drainReason is the reason to drain a machine; "": none.
+// drainReason returns the reason to drain a machine, or "" if there is none.
 func (c *Controller) drainReason(m *machineState, pending []pendingWork) string {
 	switch {
 	case m.Status == domain.InstanceFailed:
@@ -336,19 +344,19 @@
 	return ""
 }
 
-// isStuck tells whether a machine boots for too long, or is unheard for too long.
+// isStuck reports whether a machine has been booting or silent for too long.
 func (c *Controller) isStuck(m *machineState) bool {
 	scaling := &c.scaling
-	bootPatience := time.Duration(tuning.BootTimeoutFactor * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == domain.InstanceBooting && !m.isReporting && c.now-scaling.knownSince[m.Name] > bootPatience {
+	bootTimeout := time.Duration(tuning.BootTimeoutFactor * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
+	if m.Status == domain.InstanceBooting && !m.isReporting && c.now-scaling.knownSince[m.Name] > bootTimeout {
 		return true
 	}
-	since, unheard := scaling.silentSince[m.Name]
-	return unheard && c.now-since > tuning.NoHeartbeatTimeout
+	since, isSilent := scaling.silentSince[m.Name]
+	return isSilent && c.now-since > tuning.NoHeartbeatTimeout
 }
 
-// isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
-// held for less than the least time that is charged isn't.
+// isIdleTooLong reports whether a machine has been idle for longer than it is kept. A machine
+// held for no longer than the shortest time that is charged never counts.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
 	scaling := &c.scaling
 	if !m.isReporting || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinChargedTime {
@@ -358,20 +366,20 @@
 	return idle && c.now-since > c.idleTimeout(m)
 }
 
-// idleTimeout is how long an idle machine is kept.
+// idleTimeout returns how long an idle machine is kept.
 func (c *Controller) idleTimeout(m *machineState) time.Duration {
 	switch {
 	case c.scaling.reserved[m.Name]:
 		return tuning.ReservedIdleTimeout
 	case c.scaling.resting[m.Name] && c.isLargeFleet():
-		return tuning.RestingIdleTimeout // beyond the headroom, which grows with the fleet
+		return tuning.RestingIdleTimeout // exceeds the headroom, which grows with the fleet
 	case m.Spot:
 		return tuning.SpotIdleTimeout
 	}
 	return tuning.IdleTimeout
 }
 
-// isNeeded tells whether waiting work could run on a machine.
+// isNeeded reports whether some pending work could run on a machine.
 func (c *Controller) isNeeded(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
--- a/internal/scheduler/scaling_test.go
+++ b/internal/scheduler/scaling_test.go
@@ -8,8 +8,9 @@
 	"brassglade/internal/tuning"
 )
 
-// TestDrainReason: a machine is drained for what is wrong with it, and for idleness only when it
-// was idle for long, is no longer charged for anyway, and no waiting work could run on it.
+// TestDrainReason checks that a machine is drained if it failed or is stuck, and for idleness
+// only if it has been idle for long, was held for longer than the shortest time that is charged,
+// and no pending work could run on it.
 func TestDrainReason(t *testing.T) {
 	const long = time.Hour
 	spec := &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{CPU: 1000}}
@@ -23,17 +24,17 @@
 	}{
 		{"failed", machineState{Instance: domain.Instance{Status: domain.InstanceFailed}}, nil, nil, domain.DrainFailed},
 		{"boots for too long", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}}, nil, nil, domain.DrainStuck},
-		{"boots, and is heard", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}, isReporting: true}, nil, nil, ""},
-		{"unheard for long", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, func(state *scaling) { state.silentSince["n"] = 0 }, nil, domain.DrainStuck},
-		{"unheard, since a zone is cut off", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, nil, nil, ""},
+		{"boots, and sends heartbeats", machineState{Instance: domain.Instance{Status: domain.InstanceBooting}, isReporting: true}, nil, nil, ""},
+		{"silent for long", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, func(state *scaling) { state.silentSince["n"] = 0 }, nil, domain.DrainStuck},
+		{"silent, since a zone is cut off", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}}, nil, nil, ""},
 		{"idle", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true}, idle, nil, domain.DrainIdle},
 		{"idle for a moment", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true},
 			func(state *scaling) { state.idleSince["n"] = long }, nil, ""},
 		{"idle, and just rented", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true},
 			func(state *scaling) { idle(state); state.knownSince["n"] = long - tuning.MinChargedTime }, nil, ""},
-		{"idle, and wanted", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
+		{"idle, and needed", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
 			idle, []pendingWork{{spec: spec, tasks: 1}}, ""},
-		{"idle, and wanted, but resting", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
+		{"idle, and needed, but resting", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 16000}},
 			func(state *scaling) { idle(state); state.resting["n"] = true }, []pendingWork{{spec: spec, tasks: 1}}, domain.DrainIdle},
 		{"busy", machineState{Instance: domain.Instance{Status: domain.InstanceRunning}, isReporting: true, tasks: 1}, nil, nil, ""},
 	} {
@@ -47,14 +48,14 @@
 			m := test.machine
 			m.Name, m.Type, m.Zone = "n", "box", "a"
 			if got := c.drainReason(&m, test.pending); got != test.reason {
-				t.Errorf("drained for %q, not %q", got, test.reason)
+				t.Errorf("drain reason is %q, want %q", got, test.reason)
 			}
 		})
 	}
 }
 
-// TestMayReturn: a machine is returned once its cordon is committed, and an idle one only
-// without bookings.
+// TestMayReturn checks that a machine may be returned once its cordon is committed, and an idle
+// one only without bookings.
 func TestMayReturn(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	for _, test := range []struct {
@@ -80,20 +81,20 @@
 				test.change(c)
 			}
 			if got := c.mayReturn("n"); got != test.may {
-				t.Errorf("may be returned: %v", got)
+				t.Errorf("mayReturn is %v", got)
 			}
 		})
 	}
 }
 
-// TestPackExistingAndPlanned: work goes first to machines that are there, then to those planned
-// for other work, and new machines are planned for the rest alone.
+// TestPackExistingAndPlanned checks that work is placed first on existing machines, then on those
+// planned for other work, and that new machines are planned only for the rest.
 func TestPackExistingAndPlanned(t *testing.T) {
 	c := acting()
 	c.cache.machineTypes[0].Price = 1
 	spec := &domain.JobSpec{ID: jobName(1), Class: "c", Team: "red", Shape: domain.Array, TaskCount: 20, Request: domain.Resources{CPU: 4000}}
-	there := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 8000}}
-	plan := scaleOutPlan{existing: c.usableRoom([]machineState{there})}
+	running := machineState{Instance: domain.Instance{Name: "n", Type: "box", Zone: "a", Status: domain.InstanceRunning}, isReporting: true, free: domain.Resources{CPU: 8000}}
+	plan := scaleOutPlan{existing: c.usableRoom([]machineState{running})}
 	unplaced := unplacedWork{pendingWork: pendingWork{spec: spec}, remaining: 7}
 	c.packExisting(&plan, &unplaced)
 	if unplaced.remaining != 5 || plan.existing[0].free.CPU != 0 {
@@ -109,8 +110,8 @@
 		t.Errorf("%d of 4 tasks are left after planned machines with room for three", unplaced.remaining)
 	}
 	c.scaling.reserved["n"] = true
-	plan, unplaced.remaining = scaleOutPlan{existing: c.usableRoom([]machineState{there})}, 1
+	plan, unplaced.remaining = scaleOutPlan{existing: c.usableRoom([]machineState{running})}, 1
 	if c.packExisting(&plan, &unplaced); unplaced.remaining != 1 {
-		t.Error("a machine kept for other jobs counts as room")
+		t.Error("a machine reserved for other jobs counts as room")
 	}
 }
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -1,7 +1,7 @@
-// Package tuning holds every constant of the service that a choice was made for, each with
-// its unit and the reason for its value. Nothing here repeats a figure of one deployment;
-// those come with the settings file.
+// Package tuning holds the constants of the service whose values were chosen, each with its
+// unit and the reason for its value. It contains no figure that is specific to one deployment;
+// those come from the settings file.
 //
-// "Large deployment" means more than LargeFleetMachines machines or LargeBacklogTasks
-// waiting tasks.
+// A "large deployment" has more than LargeFleetMachines machines or LargeBacklogTasks waiting
+// tasks.
 package tuning
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -9,7 +9,7 @@
 	// MachineTypesInterval is the pause between lists of the machine types, whose prices
 	// change.
 	MachineTypesInterval = 60 * time.Second
-	// ScalingInterval is the least pause between the leader's decisions.
+	// ScalingInterval is the shortest pause between the leader's scaling decisions.
 	ScalingInterval = 500 * time.Millisecond
 	// ScalingLogInterval is the pause between the leader's log lines about its machines.
 	ScalingLogInterval = 10 * time.Second
@@ -17,46 +17,49 @@
 
 // Scaling out.
 const (
-	// MaxRentalPlans is the most machines planned in one decision, and MaxRentalsAtOnce the
-	// most requests that it makes: the cloud's rate lets a few through each second.
+	// MaxRentalPlans is the largest number of machines planned in one decision, and
+	// MaxRentalsAtOnce the largest number of requests that the decision makes: the cloud's
+	// rate limit admits a few each second.
 	MaxRentalPlans   = 600
 	MaxRentalsAtOnce = 8
 	// MaxMachinesPerRental is the largest count of one rental, by the protocol.
 	MaxMachinesPerRental = 50
-	// NoCapacityPause is the first pause after a rental that the cloud had no machine for; it
-	// doubles, up to MaxNoCapacityPause.
+	// NoCapacityPause is the first pause after a rental for which the cloud had too few
+	// machines. The pause doubles with each further one, up to MaxNoCapacityPause.
 	NoCapacityPause    = 4 * time.Second
 	MaxNoCapacityPause = 20 * time.Second
-	// TurnoverCredit is the share of the busy slots that counts as room: they fall free before
-	// a new machine has booted and fetched its image.
+	// TurnoverCredit is the share of the busy slots that counts as room: these slots become
+	// free before a new machine has booted and fetched its image.
 	TurnoverCredit = 0.3
-	// SpareMachines is how many machines are kept ready for a class whose tasks should start sooner
-	// than a machine boots; the operators' file may change it.
+	// SpareMachines is how many machines are kept ready for a class whose tasks should start
+	// sooner than a machine boots. The settings file can override it.
 	SpareMachines = 1
-	// SpareStartFactor is the multiple of the time for boot and fetch within which a class's tasks
-	// should start for machines to be kept ready for it.
+	// SpareStartFactor is the multiple of the time for boot and fetch below which the intended
+	// start time of a class's tasks must lie for machines to be kept ready for the class.
 	SpareStartFactor = 1.5
-	// SpareSeconds is the time for whose arrivals machines are kept ready: those that fall
-	// free elsewhere make up for them by then. RateWindow is the time over which arrivals of
-	// the jobs are counted that machines are reserved for.
+	// SpareSeconds is the period for whose arrivals machines are kept ready: after it other
+	// machines become free to replace them. RateWindow is the period over which the arrivals
+	// of jobs that reserve machines are counted.
 	SpareSeconds = 20.0
 	RateWindow   = 60 * time.Second
 )
 
-// Reservations, for gangs and other jobs that the leader places as one, and resting
-// machines, on which shards queue nothing so that they fall empty.
+// Reservations, for gangs and other jobs that the leader places as a whole, and resting
+// machines, on which shards queue nothing so that they become empty.
 const (
 	// KeepReservedAfterGang is how long a machine stays reserved after such a job ran there.
 	KeepReservedAfterGang = 10 * time.Second
-	// GangClassRetention is how long after its last such job a class still has machines kept for
-	// it.
+	// GangClassRetention is how long after its last such job a class still has machines kept
+	// ready for it.
 	GangClassRetention = 150 * time.Second
-	// ReservationBonus favours machines already reserved over others, in seconds of waiting.
+	// ReservationBonus is the advantage of machines already reserved over others, in seconds
+	// of waiting.
 	ReservationBonus = 10.0
 	// RestingPriceFactor multiplies the price of a resting machine in comparisons, so that
-	// machines don't take turns.
+	// machines don't alternate between resting and working.
 	RestingPriceFactor = 1.2
-	// HeadroomPercent of what runs is kept free on top before machines rest.
+	// HeadroomPercent is the room that is kept free before machines rest, in percent of the
+	// resources in use.
 	HeadroomPercent = 8
 )
 
@@ -64,56 +67,61 @@
 const (
 	// MaxReturnsAtOnce is the largest number of machines in one return, by the protocol.
 	MaxReturnsAtOnce = 100
-	// MinChargedTime is the least time that is charged; earlier returns save nothing.
+	// MinChargedTime is the shortest time that the cloud charges for a machine. An earlier
+	// return saves nothing.
 	MinChargedTime = 60 * time.Second
 	// IdleTimeout is how long an idle machine is kept.
 	IdleTimeout = 20 * time.Second
-	// SpotIdleTimeout is the same for spot machines, whose price is a fraction.
+	// SpotIdleTimeout is the same for spot machines, which cost a fraction of the price.
 	SpotIdleTimeout = 60 * time.Second
-	// RestingIdleTimeout is the same for resting machines of large deployments: these are beyond
+	// RestingIdleTimeout is the same for resting machines of large deployments: these exceed
 	// the headroom, which grows with the deployment.
 	RestingIdleTimeout = 8 * time.Second
-	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of it
-	// and therefore can't share another.
+	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of
+	// it and therefore can't share another.
 	ReservedIdleTimeout = 120 * time.Second
-	// BootTimeoutFactor is the multiple of a machine type's boot time after which a machine that
-	// still boots is given up.
+	// BootTimeoutFactor is the multiple of a machine type's boot time after which a machine
+	// that is still booting is given up.
 	BootTimeoutFactor = 3.0
-	// NoHeartbeatTimeout is how long a running machine may go unheard by all controllers, with
-	// all controllers heard from, before it is returned.
+	// NoHeartbeatTimeout is how long a running machine may send no heartbeat to any controller,
+	// while all controllers exchange messages, before it is returned.
 	NoHeartbeatTimeout = 45 * time.Second
-	// ZoneOutageTimeout is how long most of a zone's machines may go unheard before these are looked
-	// at one by one after all.
+	// ZoneOutageTimeout is how long most of a zone's machines may send no heartbeat before
+	// these machines are nevertheless judged one by one.
 	ZoneOutageTimeout = 4 * NoHeartbeatTimeout
 )
 
-// Pauses after what failed, and bounds of what is counted.
+// Pauses after failures, and limits of what is counted.
 const (
 	// MachineTypesRetry is the pause after a listing of machine types that failed.
 	MachineTypesRetry = 3 * time.Second
-	// MachineTypesCommitRetry is the pause after a commit of a new list that failed.
+	// MachineTypesCommitRetry is the pause after a failed commit of changed machine types.
 	MachineTypesCommitRetry = time.Second
-	// RentalRetry is the pause after the cloud refused a rental for now.
+	// RentalRetry is the pause after a rental that the cloud refused for the moment.
 	RentalRetry = 1500 * time.Millisecond
 	// ReturnRetry is the pause after a return that failed.
 	ReturnRetry = 2 * time.Second
-	// ForgetInstanceAfter is how long an instance that no list has any more is remembered.
+	// ForgetInstanceAfter is the time since an instance became known after which it is
+	// forgotten if no list contains it any more.
 	ForgetInstanceAfter = 5 * time.Minute
-	// UnlistedTimeout, with twice the list's lag, is when a rented instance that was never
-	// listed is forgotten.
+	// UnlistedTimeout plus twice the list's lag is the time after which a rented instance that
+	// was never listed is forgotten.
 	UnlistedTimeout = 2 * time.Minute
-	// MaxPendingTasks of a job are counted as waiting; more would be rented for later.
+	// MaxPendingTasks is the largest number of tasks of a job that are counted as waiting.
+	// Machines for more tasks are rented later.
 	MaxPendingTasks = 2000
-	// MaxPendingFailures in a row of a job's tasks, and nothing is rented for it.
+	// MaxPendingFailures is the number of failures in a row of a job's tasks above which
+	// nothing is rented for the job.
 	MaxPendingFailures = 3
-	// ShortestRemainingRun, in seconds, is the least that a running task is expected to go on.
+	// ShortestRemainingRun is the least remaining run time that is expected of a running task,
+	// in seconds.
 	ShortestRemainingRun = 3
-	// MinPricedAmount is the least GPU, or else CPU, in thousandths, by which a price is
-	// divided.
+	// MinPricedAmount is the smallest divisor of a machine's price: the price is divided by
+	// the machine's GPUs or, if it has none, by its CPUs, both in thousandths.
 	MinPricedAmount = 1000
-	// MaxCountedGangs bounds the gangs that are counted against a team's limit.
+	// MaxCountedGangs limits the number of gangs that are counted against a team's limit.
 	MaxCountedGangs = 1000
-	// RentalAnswerMargin, beyond CloudTimeout, is when a rental without an answer is asked for
-	// again under the same name.
+	// RentalAnswerMargin is added to CloudTimeout to get the time after which a rental without
+	// an answer is requested again under the same name.
 	RentalAnswerMargin = time.Second
 )
