--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -63,10 +63,10 @@
 func TestOfShard(t *testing.T) {
 	view := &domain.View{Serving: []string{"c-0", "c-2"}}
 	for name, test := range map[string]struct{ shard, key, want string }{
-		"serves":            {"c-2", "job-000001", "c-2"},
-		"serves no longer":  {"c-1", "job-000001", Rendezvous("job-000001", view.Serving)},
-		"another key of it": {"c-1", "job-000002", Rendezvous("job-000002", view.Serving)},
-		"never had a shard": {"", "job-000001", Rendezvous("job-000001", view.Serving)},
+		"serves":                        {"c-2", "job-000001", "c-2"},
+		"serves no longer":              {"c-1", "job-000001", Rendezvous("job-000001", view.Serving)},
+		"another key of the same shard": {"c-1", "job-000002", Rendezvous("job-000002", view.Serving)},
+		"no shard":                      {"", "job-000001", Rendezvous("job-000001", view.Serving)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := OfShard(view, test.shard, test.key); got != test.want {
--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -135,8 +135,8 @@
 	return page
 }
 
-// addCordon adds a cordon to a page and trims the page. It returns false, with the draining
-// machines of the page unchanged, if there is no room.
+// addCordon adds a cordon to a page and trims the page. If there is no room it returns false and
+// leaves the draining machines of the page unchanged.
 func (c *Controller) addCordon(page *codec.CordonPage, machine string, wanted domain.Cordon) bool {
 	before, drained := page.Draining[machine]
 	if wanted.State == domain.CordonGone {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -22,9 +22,9 @@
 	sequence        uint64                              // number of the report within its agent epoch
 	fencingToken    uint64                              // highest epoch of a view under which the agent was answered
 	reported        map[domain.TaskID]domain.TaskReport // every task in the report
-	byHeartbeat     bool                                // the report was a heartbeat, not a direct answer to commands
+	byHeartbeat     bool                                // the report was a heartbeat, not a direct answer
 	lastReportAt    time.Duration                       // when the report arrived, or the end of a grace period
-	lastHeartbeatAt time.Duration                       // when a report last arrived here during the current ownership; < 0: not yet
+	lastHeartbeatAt time.Duration                       // as lastReportAt, but < 0 until a report arrives in this ownership
 	epochSeenAt     time.Duration                       // when agentEpoch was first seen here
 	preemptionAt    time.Duration                       // when the cloud takes the machine back; < 0: no notice
 
@@ -48,7 +48,7 @@
 
 	// Placement of tasks.
 
-	queue           []domain.TaskID          // tasks that wait for room here; some may no longer be queued (queues.trim)
+	queue           []domain.TaskID          // tasks that wait for room here; may be outdated (queues.trim)
 	noBookingsUntil time.Duration            // end of the pause after it refused or failed tasks
 	failures        map[string]failureCount  // errors since a task was last done here, by job
 	nextDirectStop  steady.Gate              // for direct stop commands
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -183,11 +183,11 @@
 }
 
 // arePersistent reports whether the redirects have gone on long enough to count in a large fleet.
-// When a controller ends there, all machines of its shard try other controllers before its lease
-// expires and a view without it is proposed. Moving the machines one by one meanwhile would
-// change the view repeatedly and leave their tasks in other shards' packs. Controllers also see a
-// new view at different times and redirect a machine to each other meanwhile: a machine has lost
-// its owner only if it came back after trying the owner without success.
+// After a controller ends, all machines of its shard try other controllers before its lease
+// expires, and the view without it follows shortly. Moving the machines one by one before that
+// would change the view repeatedly and leave their tasks in other shards' packs. Controllers also
+// see a new view at different times and redirect a machine to each other meanwhile. A machine has
+// therefore lost its owner only if it came back after trying the owner without success.
 func (s redirectSum) arePersistent(now time.Duration) bool {
 	return now-s.first >= tuning.RedirectPersistence && s.last-s.first >= tuning.MinRedirectSpan
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -311,8 +311,8 @@
 	c.emit(request)
 }
 
-// leaving returns the machines that the cloud takes back soon, and those that their owners report
-// as taking no bookings for another reason.
+// leavingMachines returns the machines that the cloud takes back soon, and those that their
+// owners report as taking no bookings for another reason.
 func (c *Controller) leavingMachines() map[string]bool {
 	leaving := map[string]bool{}
 	for name, m := range c.heartbeats.machines {
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -20,7 +20,7 @@
 
 	instances           map[string]domain.Instance // the newest list
 	unlisted            map[string]domain.Instance // rented, and not yet in a list
-	knownSince          map[string]time.Duration   // when an instance was rented, first listed or first reported by a heartbeat
+	knownSince          map[string]time.Duration   // when an instance was rented, listed or reporting for the first time
 	hasInstanceList     bool                       // a list has arrived since this controller became leader
 	listingInstances    bool                       // a list of instances has been requested
 	nextInstanceList    steady.Gate
@@ -74,8 +74,8 @@
 }
 
 // scale refreshes the cloud's lists and decides at intervals which machines to return, drain,
-// reserve, rest and rent. It does so in this order, since each decision uses the earlier ones.
-// Only the leader does anything here.
+// reserve, let rest and rent. It does so in this order, since each decision uses the earlier
+// ones. It does nothing on controllers other than the leader.
 func (c *Controller) scale() {
 	scaling := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
@@ -146,9 +146,9 @@
 type machineState struct {
 	domain.Instance
 	isReporting bool             // a controller has received its heartbeat lately
-	cordon      domain.Cordon    // the committed one
-	free        domain.Resources // as committed
-	tasks       int              // booked there
+	cordon      domain.Cordon    // committed cordon; zero: none
+	free        domain.Resources // committed free resources
+	tasks       int              // number of booked tasks
 }
 
 // machines combines the cloud's list, the machines rented here and those whose heartbeats any
@@ -270,21 +270,21 @@
 // silenceContext holds other possible causes of a machine's silence, to determine whether the
 // machine itself is at fault.
 type silenceContext struct {
-	peersFresh bool            // recent messages came from every controller, so that one of them should receive the heartbeats
+	peersFresh bool            // all controllers exchange messages
 	leaving    map[string]bool // machines that the cloud takes back soon
 	cutOff     map[string]bool // zones that are cut off
 }
 
 // planCordons drains machines that failed, are stuck or were idle for too long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := silenceContext{c.arePeersFresh(), c.leavingMachines(), c.cutOffZones(machines)}
+	silence := silenceContext{c.arePeersFresh(), c.leavingMachines(), c.cutOffZones(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
 			continue
 		}
 		trackSince(c.scaling.idleSince, m.Name, m.isReporting && m.tasks == 0, c.now)
-		trackSince(c.scaling.silentSince, m.Name, review.isSilent(m), c.now)
+		trackSince(c.scaling.silentSince, m.Name, silence.isSilent(m), c.now)
 		if reason := c.drainReason(m, pending); reason != "" {
 			c.requestCordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
 		}
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -13,8 +13,8 @@
 	// UserQueue is the largest number of user requests that wait for the scheduler. Beyond it
 	// the answer is an immediate 503, which costs less than a late answer.
 	UserQueue = 64
-	// WorkerQueue is the largest number of heartbeats that wait for the scheduler, which is at
-	// least one for each machine of a controller, and the largest number of events that wait
+	// WorkerQueue is the largest number of heartbeats that wait for the scheduler, which allows
+	// at least one for each machine of a controller, and the largest number of events that wait
 	// in a separate queue.
 	WorkerQueue = 256
 	// CloseConnectionsPercent is the share of the process's sockets in use, in percent, above
