--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -48,7 +48,7 @@
 
 	// Placement of tasks.
 
-	queue           []domain.TaskID          // tasks that wait for room here; may be outdated (queues.trim)
+	queue           []domain.TaskID          // tasks that wait for room here; some may have left (queues.trim)
 	noBookingsUntil time.Duration            // end of the pause after it refused or failed tasks
 	failures        map[string]failureCount  // errors since a task was last done here, by job
 	nextDirectStop  steady.Gate              // for direct stop commands
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -59,7 +59,7 @@
 	// machines don't alternate between resting and working.
 	RestingPriceFactor = 1.2
 	// HeadroomPercent is the room that is kept free before machines rest, in percent of the
-	// resources in use.
+	// resources that running and pending tasks need.
 	HeadroomPercent = 8
 )
 
