--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -66,8 +66,8 @@
 			m.viewConfirmedAt = monotime.Latest(m.viewConfirmedAt, monotime.At(answer.sent))
 		}
 	}
-	if len(behind) > tuning.MaxUnsettledConfirmations {
-		behind = behind[len(behind)-tuning.MaxUnsettledConfirmations:]
+	if len(behind) > tuning.MaxPendingConfirmations {
+		behind = behind[len(behind)-tuning.MaxPendingConfirmations:]
 	}
 	m.awaitingCache = behind
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -330,7 +330,7 @@
 		m.ConfirmationAnswered(now, true, uint64(100+i))
 		m.CacheReached(10)
 	}
-	if len(m.awaitingCache) != tuning.MaxUnsettledConfirmations {
+	if len(m.awaitingCache) != tuning.MaxPendingConfirmations {
 		t.Errorf("%d confirmations kept", len(m.awaitingCache))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
@@ -351,18 +351,18 @@
 	m.BecomeReady()
 	const start = time.Minute
 	m.MaybeBecomeUnready(start, true)
-	if m.MaybeBecomeUnready(start+tuning.StepBack, true); !m.IsReady() {
+	if m.MaybeBecomeUnready(start+tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("becomes unready too early")
 	}
-	m.MaybeBecomeUnready(start+tuning.StepBack+1, false)
-	if m.MaybeBecomeUnready(start+2*tuning.StepBack, true); !m.IsReady() {
+	m.MaybeBecomeUnready(start+tuning.UnreadyDelay+1, false)
+	if m.MaybeBecomeUnready(start+2*tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("becomes unready although the other controller's advantage was interrupted")
 	}
-	if m.MaybeBecomeUnready(start+3*tuning.StepBack+1, true); m.IsReady() {
+	if m.MaybeBecomeUnready(start+3*tuning.UnreadyDelay+1, true); m.IsReady() {
 		t.Error("doesn't become unready")
 	}
 	m.BecomeReady()
-	if m.MaybeBecomeUnready(start+9*tuning.StepBack, true); !m.IsReady() {
+	if m.MaybeBecomeUnready(start+9*tuning.UnreadyDelay, true); !m.IsReady() {
 		t.Error("becomes unready at once after it was ready again")
 	}
 }
@@ -373,12 +373,12 @@
 		t.Error("reachable before any answer")
 	}
 	m = confirmedAtZero(t)
-	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) || m.HasRecentStateResponse(tuning.UsableFor) {
+	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableAge-1) || m.HasRecentStateResponse(tuning.UsableAge) {
 		t.Error("a response must count until it is as old as tuning.UsableFor")
 	}
 	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
-	if m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableFor-1) {
+	if m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableAge-1) {
 		t.Error("a failure must show at once in IsStateReachable and not in HasRecentStateResponse")
 	}
 }
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -13,7 +13,7 @@
 // HasRecentStateResponse reports whether the state service responded to a confirmation sent
 // less than tuning.UsableFor ago.
 func (m *Member) HasRecentStateResponse(now time.Duration) bool {
-	return m.stateAnsweredAt.Within(tuning.UsableFor, now)
+	return m.stateAnsweredAt.Within(tuning.UsableAge, now)
 }
 
 // BecomeReady records that this controller can take requests.
@@ -29,7 +29,7 @@
 		m.anotherBetterSince = monotime.Instant{}
 	case !m.anotherBetterSince.IsSet():
 		m.anotherBetterSince = monotime.At(now)
-	case now-m.anotherBetterSince.Time() > tuning.StepBack:
+	case now-m.anotherBetterSince.Time() > tuning.UnreadyDelay:
 		m.ready = false
 	}
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -43,7 +43,7 @@
 // there may be a task to start.
 func (c *cache) hasUnstartedBooking(m *Machine) bool {
 	for id := range c.bookedOn[m.Name] {
-		if !m.lists(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
+		if !m.listsAttempt(attemptID{id, c.jobs[id.Job].task(id.Index).Attempt}) {
 			return true
 		}
 	}
@@ -65,7 +65,7 @@
 func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
-		CPU: capacity.CPU / tuning.SmallTaskShare, GPU: capacity.GPU / tuning.SmallTaskShare, Memory: capacity.Memory / tuning.SmallTaskShare,
+		CPU: capacity.CPU / tuning.SmallTaskDivisor, GPU: capacity.GPU / tuning.SmallTaskDivisor, Memory: capacity.Memory / tuning.SmallTaskDivisor,
 	}
 	return c.freeOn(m.Name, capacity, nil).Fits(small)
 }
@@ -169,7 +169,7 @@
 func (c *Controller) startRefusalFor(m *Machine, j *Job, id domain.TaskID, task domain.Task) startRefusal {
 	attempt := attemptID{id, task.Attempt}
 	switch {
-	case m.lists(attempt):
+	case m.listsAttempt(attempt):
 		return alreadyReported
 	case j.isStopped(task):
 		return gangStopped
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -110,7 +110,7 @@
 		s.isLeaderRate = isLeader
 		s.rate = full
 	}
-	s.rate = min(full, s.rate+seconds*tuning.RateRegain*full)
+	s.rate = min(full, s.rate+seconds*tuning.RateRecovery*full)
 	s.tokens = min(s.rate, s.tokens+seconds*s.rate)
 	s.tokensAt = now
 }
@@ -132,7 +132,7 @@
 // controllers together write more than the store accepts and that it refuses users' submissions
 // as well, so each controller returns towards its fair share.
 func (s *commits) reduceRate(fair float64) {
-	s.rate = max(min(fair, s.rate), s.rate*tuning.RateCut)
+	s.rate = max(min(fair, s.rate), s.rate*tuning.RateDecrease)
 }
 
 // --- avoided keys ---
@@ -171,7 +171,7 @@
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
 		case codec.KindTeam, codec.KindPack, codec.KindTasks:
-			c.commits.avoidUntil[key] = c.now + tuning.AvoidLeast + time.Duration(c.rng.Int64N(int64(tuning.AvoidSpread)))
+			c.commits.avoidUntil[key] = c.now + tuning.MinConflictAvoidance + time.Duration(c.rng.Int64N(int64(tuning.ConflictAvoidanceJitter)))
 		}
 	}
 }
@@ -235,7 +235,7 @@
 	if result == domain.Refused && c.membership.IsStateReachable() {
 		c.commits.reduceRate(c.cfg.FairWriteRate * c.writeWeight())
 	}
-	c.commits.nextTaskCommit.Set(c.now + tuning.RefusedLeast + time.Duration(c.rng.Int64N(int64(tuning.RefusedSpread))))
+	c.commits.nextTaskCommit.Set(c.now + tuning.MinCommitBackoff + time.Duration(c.rng.Int64N(int64(tuning.CommitBackoffJitter))))
 }
 
 // --- sizes ---
@@ -243,7 +243,7 @@
 // maxValueBytes returns the size, in bytes, that a value is planned to have at most after a
 // transaction that changes it.
 func (c *Controller) maxValueBytes(key string) int {
-	return min(c.valueLimit(), c.cache.valueSizes[key]+tuning.ValueGrow)
+	return min(c.valueLimit(), c.cache.valueSizes[key]+tuning.MaxValueGrowth)
 }
 
 // transactionBytes returns the total size of a transaction's values, in bytes.
--- a/internal/scheduler/commits_test.go
+++ b/internal/scheduler/commits_test.go
@@ -21,7 +21,7 @@
 	}{
 		"half a second":                  {commits{rate: fullRate}, 500 * time.Millisecond, false, fullRate, fullRate / 2},
 		"at most one second's worth":     {commits{rate: fullRate}, time.Minute, false, fullRate, fullRate},
-		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRegain*fullRate, 2 + tuning.RateRegain*fullRate},
+		"after refusals":                 {commits{rate: 2}, time.Second, false, 2 + tuning.RateRecovery*fullRate, 2 + tuning.RateRecovery*fullRate},
 		"at most the full rate":          {commits{rate: fullRate, tokens: 5}, time.Hour, false, fullRate, fullRate},
 		"full rate became smaller":       {commits{rate: 3 * fullRate, tokens: 2 * fullRate}, 0, false, fullRate, fullRate},
 		"becomes leader, after refusals": {commits{rate: 2}, 0, true, fullRate, 0},
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -50,7 +50,7 @@
 // place.
 func (j *Job) blocksOthers(now time.Duration) bool {
 	age := j.age(now)
-	return age > tuning.GangStarve && age < tuning.GangStarve+tuning.GangBlock
+	return age > tuning.GangStarvationAge && age < tuning.GangStarvationAge+tuning.MaxGangBlock
 }
 
 // holdsMachinesBack reports whether a job of several tasks has waited for so long that smaller
@@ -344,7 +344,7 @@
 		return max(0, 1-p.placed.booked)
 	}
 	inDraft := p.placed.booked - p.job.counts.booked
-	return max(0, tuning.TasksAtOnce-max(0, inDraft))
+	return max(0, tuning.MaxTasksPerPlan-max(0, inDraft))
 }
 
 // zoneAssignments are the assignments made so far for a job's tasks to machines of one zone, or
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -66,7 +66,7 @@
 		c.refuseHeartbeat(received.RequestID, &heartbeat, refusal)
 		return
 	}
-	c.checkRepliesHeeded(m, &heartbeat)
+	c.detectLostReplies(m, &heartbeat)
 	c.recordHeartbeat(m, &heartbeat, true)
 	if previous := c.heartbeats.pending[m.Name]; previous != nil { // the agent gave up waiting and sent this one
 		delete(c.heartbeats.pending, m.Name)
@@ -158,7 +158,7 @@
 	if m.Addr == "" || m.Type == "" {
 		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
-	if m.heardOnce && heartbeat.AgentEpoch > m.agentEpoch {
+	if m.hasReported && heartbeat.AgentEpoch > m.agentEpoch {
 		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
 		clear(m.images)
 	}
@@ -212,9 +212,9 @@
 	if !m.isNewer(answer.Heartbeat.AgentEpoch, answer.Heartbeat.Sequence) || answer.Heartbeat.AgentEpoch <= m.abandonedEpoch {
 		return
 	}
-	graceUntil := m.heardAt
+	graceUntil := m.lastReportAt
 	c.recordHeartbeat(m, answer.Heartbeat, false)
-	m.heardAt = max(graceUntil, c.now)
+	m.lastReportAt = max(graceUntil, c.now)
 	c.planner.dirty = true
 }
 
@@ -239,10 +239,10 @@
 // once its attempt can neither run any more nor be started by an answer that is still in
 // flight.
 func (c *Controller) isProvenStopped(m *Machine, id domain.TaskID, task domain.Task) bool {
-	if !c.isGuardEnabled(GuardProof) && c.now-m.heardAt > 4*time.Second {
+	if !c.isGuardEnabled(GuardProof) && c.now-m.lastReportAt > 4*time.Second {
 		return true // only in tests, which disable the guard
 	}
-	if c.cache.isReturned(m.Name) || m.hasLeftEpoch(task.AgentEpoch) {
+	if c.cache.isReturned(m.Name) || m.isEpochOver(task.AgentEpoch) {
 		return true
 	}
 	if !m.isInEpoch(task.AgentEpoch) {
@@ -258,7 +258,7 @@
 // answered would be abandoned because the last answer to the previous epoch is old, and its
 // live tasks would later be started elsewhere.
 func (c *Controller) hasMachineLeaseExpired(m *Machine) bool {
-	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochHeardAt)
+	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochSeenAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
 	return c.now > renewedAt+lease+tuning.DriftMargin
 }
@@ -292,7 +292,7 @@
 // isTooFewForPartition reports whether the zone has too few silent machines for its silence
 // to suggest a network partition.
 func (r *silenceReview) isTooFewForPartition(zone *zoneSilence) bool {
-	return zone.machines <= tuning.SilentFew && r.silent <= r.responding || r.silent == 1 && r.responding == 0
+	return zone.machines <= tuning.FewZoneMachines && r.silent <= r.responding || r.silent == 1 && r.responding == 0
 }
 
 // reviewMachines reviews all machines once per planInterval. It abandons agent epochs whose
@@ -304,9 +304,9 @@
 	}
 	c.heartbeats.nextMachineReview.Set(c.now + c.planInterval())
 	c.adoptBookedMachines()
-	review := silenceReview{limit: tuning.Silent, zones: map[string]*zoneSilence{}}
+	review := silenceReview{limit: tuning.SilenceTimeout, zones: map[string]*zoneSilence{}}
 	if !c.hasRecentMessageFromAllPeers() {
-		review.limit = tuning.SilentCut
+		review.limit = tuning.PartitionSilenceTimeout
 	}
 	c.Work.Machines += len(c.heartbeats.machines)
 	for _, name := range c.heartbeats.machineNames() {
@@ -328,7 +328,7 @@
 	for name := range c.cache.bookedOn {
 		if c.heartbeats.machines[name] == nil && c.owns(name) {
 			m := c.heartbeats.addMachine(name)
-			m.ownedEpoch, m.ownedSince, m.heardAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
+			m.ownedEpoch, m.ownedSince, m.lastReportAt = c.cache.view.Epoch, c.now, c.now+tuning.TakeoverSilence
 		}
 	}
 }
@@ -337,7 +337,7 @@
 // has been silent for tuning.ForgetMachineAfter. The owner keeps a returned machine for as
 // long as it has bookings, which still have to be released.
 func (c *Controller) forgetIfSilent(m *Machine) {
-	if c.now-m.heardAt <= tuning.ForgetMachineAfter {
+	if c.now-m.lastReportAt <= tuning.ForgetMachineAfter {
 		return
 	}
 	if c.owns(m.Name) && len(c.cache.bookedOn[m.Name]) > 0 {
@@ -369,18 +369,18 @@
 func (c *Controller) reviewSilence(m *Machine, review *silenceReview) {
 	zone := review.zone(c.zoneOf(m.Name))
 	zone.machines++
-	if c.now-m.heardAt > review.limit {
+	if c.now-m.lastReportAt > review.limit {
 		if c.cache.cordons[m.Name].State == "" {
 			zone.silent = append(zone.silent, m)
 			review.silent++
 		}
 		return
 	}
-	if m.heartbeatAt < 0 || c.now-m.heartbeatAt > review.limit {
+	if m.lastHeartbeatAt < 0 || c.now-m.lastHeartbeatAt > review.limit {
 		return
 	}
 	review.responding++
-	if c.now-m.heartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
+	if c.now-m.lastHeartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
 		zone.onTime++
 	}
 	c.sendDirectStops(m)
@@ -406,11 +406,11 @@
 		if len(zone.silent) > zone.onTime && !tooFew {
 			c.views.zoneSilentAt[name] = c.now
 		}
-		if silentAt, known := c.views.zoneSilentAt[name]; !tooFew && known && c.now-silentAt < tuning.SilentCut {
+		if silentAt, known := c.views.zoneSilentAt[name]; !tooFew && known && c.now-silentAt < tuning.PartitionSilenceTimeout {
 			continue
 		}
 		for _, m := range zone.silent {
-			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
+			c.requestCordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainLost})
 		}
 	}
 }
@@ -421,18 +421,18 @@
 func (c *Controller) drainUnresponsiveAndFaulty(responding int) {
 	ignoring := 0
 	for _, m := range c.heartbeats.machines {
-		if c.ignoresReplies(m) {
+		if c.isMissingReplies(m) {
 			ignoring++
 		}
 	}
 	isOwnFault := ignoring > 2+responding/10
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
-		if c.ignoresReplies(m) && !isOwnFault && c.ownsUncordoned(m) {
-			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
+		if c.isMissingReplies(m) && !isOwnFault && c.ownsUncordoned(m) {
+			c.requestCordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
 		}
 		if len(m.failures) > 0 && c.ownsUncordoned(m) && c.isFaulty(m) {
-			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
+			c.requestCordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
 		}
 	}
 }
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -90,7 +90,7 @@
 	if j.hasOnlyFailures() {
 		return 1 - placementOf(j, d).booked
 	}
-	return tuning.LargeAtOnce
+	return tuning.MaxArrayTasksPerPlan
 }
 
 // anyQueued reports whether any task of the cell that begins with task from is queued.
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -60,7 +60,7 @@
 func (c *Controller) ownLoads() []float64 {
 	loads := []float64{}
 	for _, name := range c.heartbeats.machineNames() {
-		if m := c.heartbeats.machines[name]; c.takesTasks(m) {
+		if m := c.heartbeats.machines[name]; c.acceptsTasks(m) {
 			loads = append(loads, math.Round(c.load(m)*10)/10)
 		}
 	}
@@ -113,7 +113,7 @@
 		c.info("policy weights were too large or not finite and have been reset", "count", n)
 	}
 	c.debug("learning window ended", "imbalance", imbalance, "handovers", handovers, "delta", delta, "finished_tasks", learner.finishedTasks, "critic_weights", learner.critic.Weights())
-	if learner.sequence%tuning.ConsensusEvery == 0 {
+	if learner.sequence%tuning.ConsensusWindows == 0 {
 		learner.critic.Average(c.peerCriticWeights())
 	}
 }
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -235,7 +235,7 @@
 // and the view has the reporting peer as their owner.
 func (c *Controller) appendPeerMachines(machines []inventoryMachine) []inventoryMachine {
 	for controller, peer := range c.peers.byName {
-		if c.now-peer.receivedAt > 4*tuning.DrawEvery || controller == c.cfg.Controller {
+		if c.now-peer.receivedAt > 4*tuning.DrawInterval || controller == c.cfg.Controller {
 			continue
 		}
 		for i := range peer.machines {
@@ -277,7 +277,7 @@
 // machines. Both take time in proportion to the number of machines, and a controller has only
 // a small share of a processor.
 func (c *Controller) planInterval() time.Duration {
-	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PaceMachine)
+	return min(tuning.MaxPace, time.Duration(c.machineCount())*tuning.PacePerMachine)
 }
 
 // gossip reports this controller's machines and load to the peers, and whether the state
@@ -286,7 +286,7 @@
 	if !c.peers.nextGossip.HasPassed(c.now) || c.cache.view == nil {
 		return
 	}
-	c.peers.nextGossip.Set(c.now + max(tuning.DrawEvery/4, 2*c.planInterval()))
+	c.peers.nextGossip.Set(c.now + max(tuning.DrawInterval/4, 2*c.planInterval()))
 	message := PeerMessage{Epoch: c.cache.view.Epoch, Load: c.meanLoad(), StateReachable: c.membership.HasRecentStateResponse(c.now)}
 	if c.mayAct() {
 		message.Machines = c.gossipMachines()
@@ -324,6 +324,6 @@
 // isAlive reports whether a machine has sent a report within tuning.Silent, in an agent epoch
 // that is not abandoned, and has not been returned to the cloud.
 func (c *Controller) isAlive(m *Machine) bool {
-	return m.heardOnce && c.now-m.heardAt <= tuning.Silent &&
+	return m.hasReported && c.now-m.lastReportAt <= tuning.SilenceTimeout &&
 		!c.cache.isReturned(m.Name) && m.agentEpoch > m.abandonedEpoch
 }
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -156,7 +156,7 @@
 func (c *Controller) expireWaiters() {
 	remaining := c.requests.waiting[:0]
 	for _, request := range c.requests.waiting {
-		if c.now-request.receivedAt > tuning.PollPatience {
+		if c.now-request.receivedAt > tuning.QueryTimeout {
 			c.retryLater(request.requestID, stateSlow)
 			continue
 		}
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -12,92 +12,92 @@
 	"brassglade/internal/tuning"
 )
 
-// scaling is the leader's care for machines: renting, keeping some for gangs, letting some
-// run empty, and returning. A new leader rebuilds all of it from the cloud's list and the cache.
-// Maps without a word on their key are by machine.
+// scaling is the leader's state for renting machines, reserving some for gangs, letting some
+// become empty, and returning them. A new leader rebuilds it from the cloud's list and the cache.
+// Maps whose comment names no other key are keyed by machine.
 type scaling struct {
-	// What the cloud says.
+	// State reported by the cloud.
 
-	instances    map[string]domain.Instance // the newest list
-	unlisted     map[string]domain.Instance // rented, and not yet in a list
-	knownSince   map[string]time.Duration   // when an instance was rented, or first listed or heard
-	listed       bool                       // a list has come since this controller became leader
-	listing      bool                       // a list is under way
-	nextList     monotime.Deadline
-	listingTypes bool          // a list of machine types is under way
-	nextTypesAt  time.Duration // no other list of machine types before
+	instances           map[string]domain.Instance // the newest list
+	unlisted            map[string]domain.Instance // rented, and not yet in a list
+	knownSince          map[string]time.Duration   // when an instance was rented, listed or reporting for the first time
+	hasInstanceList     bool                       // a list has arrived since this controller became leader
+	listingInstances    bool                       // a list of instances has been requested
+	nextInstanceList    monotime.Deadline
+	listingMachineTypes bool          // a list of machine types has been requested
+	nextMachineTypesAt  time.Duration // earliest time of the next list of machine types
 
 	// Renting and returning.
 
-	rentalCount int                         // rentals asked for, over all terms as a leader; in their names
-	rentals     map[string]rental           // requests without a final answer, by name
-	pauses      map[machineKind]rentalPause // kinds of which the cloud had too few
-	returning   bool                        // a return is under way
-	nextReturn  monotime.Deadline
+	rentalCount  int                         // rentals requested in all terms as leader; part of their names
+	rentals      map[string]rental           // requests without a final answer, by name
+	rentalPauses map[machineKind]rentalPause // kinds of which the cloud had too few machines
+	returning    bool                        // a return has been requested
+	nextReturn   monotime.Deadline
 
-	// What the leader decides.
+	// Decisions of the leader.
 
 	nextDecision monotime.Deadline
 	reserved     map[string]bool   // kept for jobs that need a whole machine
-	evicting     map[string]bool   // of the reserved: to be emptied of other work now
+	evicting     map[string]bool   // reserved machines whose other tasks are to be evicted now
 	resting      map[string]bool   // no new tasks, since the cheaper machines suffice
-	nextLog      monotime.Deadline // for the debug line about all machines
+	nextLog      monotime.Deadline // for the debug message about all machines
 
-	// What the decisions rest on.
+	// Observations on which the decisions are based.
 
-	ranGangAt     map[string]time.Duration // when a task of a job that reserves machines was last seen there
-	idleSince     map[string]time.Duration // heard and without tasks
-	unheardSince  map[string]time.Duration // running, though no controller hears it
-	zoneDownSince map[string]time.Duration // most of the zone's machines are unheard, by zone
-	gangClasses   map[string]gangClass     // classes of jobs that reserve machines, by name
-	gangTaskRate  map[string]float64       // their tasks that came lately, per second, by class
+	gangTaskSeenAt map[string]time.Duration // when a task of a job that reserves machines was last seen there
+	idleSince      map[string]time.Duration // sends heartbeats and has no tasks
+	silentSince    map[string]time.Duration // running, but no controller receives its heartbeats
+	zoneDownSince  map[string]time.Duration // most of the zone's machines are silent, by zone
+	gangClasses    map[string]gangClass     // classes of jobs that reserve machines, by name
+	gangTaskRate   map[string]float64       // their recently submitted tasks per second, by class
 }
 
 // gangClass is a class of jobs that reserve machines.
 type gangClass struct {
-	spec   *domain.JobSpec // of its job seen last
-	seenAt time.Duration   // when one was last open
+	spec   *domain.JobSpec // of the most recently seen job of the class
+	seenAt time.Duration   // when a job of the class was last open
 }
 
-// newScaling is the state of a leader that has just begun, after the given count of rentals in
-// earlier terms, since the names of rentals must stay unique.
+// newScaling returns the state of a new leader. rentalCount is the number of rentals that this
+// controller requested in earlier terms, since the names of rentals must be unique.
 func newScaling(rentalCount int) scaling {
 	return scaling{
 		rentalCount: rentalCount,
 		instances:   map[string]domain.Instance{}, unlisted: map[string]domain.Instance{}, knownSince: map[string]time.Duration{},
-		rentals: map[string]rental{}, pauses: map[machineKind]rentalPause{},
+		rentals: map[string]rental{}, rentalPauses: map[machineKind]rentalPause{},
 		reserved: map[string]bool{}, evicting: map[string]bool{}, resting: map[string]bool{},
-		ranGangAt: map[string]time.Duration{}, idleSince: map[string]time.Duration{},
-		unheardSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{},
+		gangTaskSeenAt: map[string]time.Duration{}, idleSince: map[string]time.Duration{},
+		silentSince: map[string]time.Duration{}, zoneDownSince: map[string]time.Duration{},
 		gangClasses: map[string]gangClass{},
 	}
 }
 
-// scale does the leader's care for machines: it keeps the cloud's lists fresh and decides
-// once a while what to return, to drain, to reserve, to let rest and to rent, in this order,
-// in which each decision uses those before.
+// scale refreshes the cloud's lists and decides at intervals which machines to return, drain,
+// reserve, let rest and rent. It does so in this order, since each decision uses the earlier
+// ones. It does nothing on controllers other than the leader.
 func (c *Controller) scale() {
 	scaling := &c.scaling
 	if !c.mayAct() || !c.isLeader() {
 		return
 	}
-	if !scaling.listingTypes && c.now >= scaling.nextTypesAt {
-		scaling.listingTypes = true
+	if !scaling.listingMachineTypes && c.now >= scaling.nextMachineTypesAt {
+		scaling.listingMachineTypes = true
 		c.emit(ListMachineTypes{})
 	}
 	if len(c.cache.machineTypes) == 0 {
 		return
 	}
-	if !scaling.listing && scaling.nextList.HasPassed(c.now) {
-		scaling.listing = true
+	if !scaling.listingInstances && scaling.nextInstanceList.HasPassed(c.now) {
+		scaling.listingInstances = true
 		c.emit(ListInstances{})
 	}
 	if !scaling.nextDecision.HasPassed(c.now) {
 		return
 	}
 	scaling.nextDecision.Set(c.now + max(tuning.ScalingInterval, 2*c.planInterval()))
-	c.planScaleIn()
-	if !scaling.listed {
+	c.planReturns()
+	if !scaling.hasInstanceList {
 		return
 	}
 	machines := c.machines()
@@ -108,15 +108,15 @@
 	c.planScaleOut(machines, pending)
 }
 
-// onInstancesListed takes the cloud's list of this deployment's instances.
+// onInstancesListed stores the cloud's list of this deployment's instances.
 func (c *Controller) onInstancesListed(answer InstancesListed) {
 	scaling := &c.scaling
-	scaling.listing = false
-	scaling.nextList.Set(c.now + tuning.InstanceListInterval)
+	scaling.listingInstances = false
+	scaling.nextInstanceList.Set(c.now + tuning.InstanceListInterval)
 	if !answer.OK {
 		return
 	}
-	scaling.listed = true
+	scaling.hasInstanceList = true
 	scaling.instances = map[string]domain.Instance{}
 	for _, instance := range answer.Instances {
 		scaling.instances[instance.Name] = instance
@@ -128,7 +128,8 @@
 	scaling.forgetInstances(c.now)
 }
 
-// forgetInstances forgets what is in no list any more and was known long ago.
+// forgetInstances removes instances that are in no list any more and became known more than
+// tuning.ForgetInstanceAfter ago.
 func (s *scaling) forgetInstances(now time.Duration) {
 	for name, since := range s.knownSince {
 		_, listed := s.instances[name]
@@ -140,24 +141,26 @@
 	}
 }
 
-// machineState is a machine that the leader counts on or has to care for.
+// machineState describes a machine whose room the leader may use, or which it must drain or
+// return.
 type machineState struct {
 	domain.Instance
-	heard  bool             // by its owner, lately
-	cordon domain.Cordon    // the committed one
-	free   domain.Resources // as committed
-	tasks  int              // booked there
+	isReporting bool             // a controller has received its heartbeat lately
+	cordon      domain.Cordon    // committed cordon; zero: none
+	free        domain.Resources // committed free resources
+	tasks       int              // number of booked tasks
 }
 
-// machines joins the cloud's list, own rentals and what the controllers hear, ordered by
-// name. Those that are gone, or of a type not known, are left out.
+// machines combines the cloud's list, the machines rented here and those whose heartbeats any
+// controller receives, sorted by name. Machines that are gone or whose type is unknown are left
+// out.
 func (c *Controller) machines() []machineState {
 	all := map[string]*machineState{}
 	for name, instance := range c.scaling.instances {
 		all[name] = &machineState{Instance: instance}
 	}
 	c.addUnlisted(all)
-	c.addHeard(all)
+	c.addReporting(all)
 	var machines []machineState
 	for name, m := range all {
 		if c.cache.isReturned(name) {
@@ -176,14 +179,14 @@
 	return machines
 }
 
-// addUnlisted adds the rented instances that no list has yet, and forgets those that no list
-// ever had: they are gone again.
+// addUnlisted adds the rented instances that are in no list yet, and forgets those that never
+// appeared in a list within the allowed time, since they no longer exist.
 func (c *Controller) addUnlisted(all map[string]*machineState) {
 	scaling := &c.scaling
 	for name, instance := range scaling.unlisted {
 		switch {
 		case all[name] != nil:
-		case c.now-scaling.knownSince[name] > tuning.UnlistedPatience+2*c.cfg.InstanceListLag:
+		case c.now-scaling.knownSince[name] > tuning.UnlistedTimeout+2*c.cfg.InstanceListLag:
 			delete(scaling.unlisted, name)
 		default:
 			all[name] = &machineState{Instance: instance}
@@ -191,27 +194,28 @@
 	}
 }
 
-// addHeard adds the machines that any controller hears, and notes which these are.
-func (c *Controller) addHeard(all map[string]*machineState) {
-	for _, heard := range c.inventory() {
-		m := all[heard.name]
+// addReporting adds the machines whose heartbeats any controller receives, and marks them as
+// reporting.
+func (c *Controller) addReporting(all map[string]*machineState) {
+	for _, reporting := range c.inventory() {
+		m := all[reporting.name]
 		if m == nil {
 			m = &machineState{Instance: domain.Instance{
-				Name: heard.name, Addr: heard.addr, Type: heard.machineType, Zone: heard.zone, Spot: heard.spot,
+				Name: reporting.name, Addr: reporting.addr, Type: reporting.machineType, Zone: reporting.zone, Spot: reporting.spot,
 				Status: domain.InstanceRunning,
 			}}
-			all[heard.name] = m
+			all[reporting.name] = m
 		}
-		m.heard = true
-		if _, known := c.scaling.knownSince[heard.name]; !known {
-			c.scaling.knownSince[heard.name] = c.now
+		m.isReporting = true
+		if _, known := c.scaling.knownSince[reporting.name]; !known {
+			c.scaling.knownSince[reporting.name] = c.now
 		}
 	}
 }
 
-// planScaleIn returns drained machines to the cloud. Only after the cloud's 200 is a machine
-// cordoned as gone, which proves its tasks off.
-func (c *Controller) planScaleIn() {
+// planReturns returns drained machines to the cloud. A machine is cordoned as gone only after the
+// cloud answered 200, which proves that its tasks have stopped.
+func (c *Controller) planReturns() {
 	scaling := &c.scaling
 	if scaling.returning || !scaling.nextReturn.HasPassed(c.now) {
 		return
@@ -231,15 +235,15 @@
 	}
 }
 
-// mayReturn tells whether a machine may be returned now: it drains, by a cordon that the cache
-// has in full, and isn't returned already. Where nothing is wrong with it but that it was idle
-// or its tasks failed, those still booked there end first.
+// mayReturn reports whether a machine may be returned now: it drains under a committed cordon
+// that the cache contains, and it isn't returned already. If it was drained for being idle or
+// because its tasks failed, the tasks still booked there end first.
 func (c *Controller) mayReturn(name string) bool {
 	cordon := c.cache.cordons[name]
 	if cordon.State != domain.CordonDrain {
 		return false
 	}
-	if _, changes := c.cordons.wanted[name]; changes {
+	if _, changes := c.cordons.requested[name]; changes {
 		return false
 	}
 	if c.cache.revision < c.cache.modRevisions[codec.PrefixCordons+c.cordonPageOf(name)] {
@@ -249,7 +253,7 @@
 	return !waitsForTasks || len(c.cache.bookedOn[name]) == 0
 }
 
-// onReturnAnswered cordons as gone what the cloud took back.
+// onReturnAnswered cordons as gone the machines that the cloud took back.
 func (c *Controller) onReturnAnswered(answer ReturnAnswered) {
 	scaling := &c.scaling
 	scaling.returning = false
@@ -258,58 +262,61 @@
 		return
 	}
 	for _, name := range answer.Names {
-		c.cordon(name, domain.Cordon{State: domain.CordonGone})
+		c.requestCordon(name, domain.Cordon{State: domain.CordonGone})
 	}
 	c.info("machines returned", "machines", answer.Names)
 }
 
-// unheardReview is what tells whether a machine that nobody hears is at fault itself.
-type unheardReview struct {
-	peersFresh bool            // every controller is heard, so that one of them should hear it
+// silenceContext holds other possible causes of a machine's silence, to determine whether the
+// machine itself is at fault.
+type silenceContext struct {
+	peersFresh bool            // all controllers exchange messages
 	leaving    map[string]bool // machines that the cloud takes back soon
 	cutOff     map[string]bool // zones that are cut off
 }
 
-// planCordons drains machines that failed, are stuck or were idle for long.
+// planCordons drains machines that failed, are stuck or were idle for too long.
 func (c *Controller) planCordons(machines []machineState, pending []pendingWork) {
-	review := unheardReview{c.hasRecentMessageFromAllPeers(), c.leaving(), c.zonesCutOff(machines)}
+	silence := silenceContext{c.hasRecentMessageFromAllPeers(), c.leavingMachines(), c.cutOffZones(machines)}
 	for i := range machines {
 		m := &machines[i]
 		if m.cordon.State != "" {
 			continue
 		}
-		noteSince(c.scaling.idleSince, m.Name, m.heard && m.tasks == 0, c.now)
-		noteSince(c.scaling.unheardSince, m.Name, review.isUnheard(m), c.now)
-		if reason := c.whyDrain(m, pending); reason != "" {
-			c.cordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
+		trackSince(c.scaling.idleSince, m.Name, m.isReporting && m.tasks == 0, c.now)
+		trackSince(c.scaling.silentSince, m.Name, silence.isSilent(m), c.now)
+		if reason := c.drainReason(m, pending); reason != "" {
+			c.requestCordon(m.Name, domain.Cordon{State: domain.CordonDrain, Reason: reason})
 		}
 	}
 }
 
-// zonesCutOff are the zones of which most machines are unheard: each is cut off for now, and
-// its machines get their time anew when they can be heard again.
-func (c *Controller) zonesCutOff(machines []machineState) map[string]bool {
-	heard, unheard, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
+// cutOffZones returns the zones most of whose machines are silent. Such a zone counts as cut off
+// for a limited time, and the silence of its machines is measured anew once it is reachable
+// again.
+func (c *Controller) cutOffZones(machines []machineState) map[string]bool {
+	reporting, silent, cutOff := map[string]int{}, map[string]int{}, map[string]bool{}
 	for i := range machines {
 		m := &machines[i]
 		switch {
-		case m.heard:
-			heard[m.Zone]++
+		case m.isReporting:
+			reporting[m.Zone]++
 		case m.Status == domain.InstanceRunning:
-			unheard[m.Zone]++
+			silent[m.Zone]++
 		}
 	}
 	downSince := c.scaling.zoneDownSince
 	for _, zone := range c.cfg.Zones {
-		isDown := unheard[zone] > heard[zone] && unheard[zone] > tuning.SilentFew
-		noteSince(downSince, zone, isDown, c.now)
-		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.UnheardCut
+		isDown := silent[zone] > reporting[zone] && silent[zone] > tuning.FewZoneMachines
+		trackSince(downSince, zone, isDown, c.now)
+		cutOff[zone] = isDown && c.now-downSince[zone] < tuning.ZoneOutageTimeout
 	}
 	return cutOff
 }
 
-// noteSince keeps since when something has held for a machine or zone without a break.
-func noteSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
+// trackSince records since when a condition has held without interruption for a machine or zone,
+// and removes the entry when the condition doesn't hold.
+func trackSince(since map[string]time.Duration, name string, holds bool, now time.Duration) {
 	if !holds {
 		delete(since, name)
 	} else if _, known := since[name]; !known {
@@ -317,62 +324,63 @@
 	}
 }
 
-// isUnheard tells whether nobody hears a running machine, though every controller is heard and
-// nothing else explains it.
-func (r *unheardReview) isUnheard(m *machineState) bool {
-	return r.peersFresh && m.Status == domain.InstanceRunning && !m.heard && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
+// isSilent reports whether a running machine without tasks is silent for no known other cause: no
+// controller receives its heartbeats although all controllers exchange messages, the cloud isn't
+// taking it back, and its zone isn't cut off.
+func (r *silenceContext) isSilent(m *machineState) bool {
+	return r.peersFresh && m.Status == domain.InstanceRunning && !m.isReporting && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
 
-// whyDrain is the reason to drain a machine; "": none.
-func (c *Controller) whyDrain(m *machineState, pending []pendingWork) string {
+// drainReason returns the reason to drain a machine, or "" if there is none.
+func (c *Controller) drainReason(m *machineState, pending []pendingWork) string {
 	switch {
 	case m.Status == domain.InstanceFailed:
 		return domain.DrainFailed
 	case c.isStuck(m):
 		return domain.DrainStuck
-	case c.isIdleTooLong(m) && (c.scaling.resting[m.Name] || !c.isWanted(m, pending)):
+	case c.isIdleTooLong(m) && (c.scaling.resting[m.Name] || !c.isNeeded(m, pending)):
 		return domain.DrainIdle
 	}
 	return ""
 }
 
-// isStuck tells whether a machine boots for too long, or is unheard for too long.
+// isStuck reports whether a machine has been booting or silent for too long.
 func (c *Controller) isStuck(m *machineState) bool {
 	scaling := &c.scaling
-	bootPatience := time.Duration(tuning.BootPatience * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
-	if m.Status == domain.InstanceBooting && !m.heard && c.now-scaling.knownSince[m.Name] > bootPatience {
+	bootTimeout := time.Duration(tuning.BootTimeoutFactor * c.cache.machineType(m.Type).BootSeconds * float64(time.Second))
+	if m.Status == domain.InstanceBooting && !m.isReporting && c.now-scaling.knownSince[m.Name] > bootTimeout {
 		return true
 	}
-	since, unheard := scaling.unheardSince[m.Name]
-	return unheard && c.now-since > tuning.UnheardPatience
+	since, isSilent := scaling.silentSince[m.Name]
+	return isSilent && c.now-since > tuning.NoHeartbeatTimeout
 }
 
-// isIdleTooLong tells whether a machine is idle for longer than it is worth its price. What is
-// held for less than the least time that is charged isn't.
+// isIdleTooLong reports whether a machine has been idle for longer than it is kept. A machine
+// held for no longer than the shortest time that is charged never counts.
 func (c *Controller) isIdleTooLong(m *machineState) bool {
 	scaling := &c.scaling
-	if !m.heard || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinHeld {
+	if !m.isReporting || m.tasks > 0 || c.now-scaling.knownSince[m.Name] <= tuning.MinChargedTime {
 		return false
 	}
 	since, idle := scaling.idleSince[m.Name]
-	return idle && c.now-since > c.idleKeep(m)
+	return idle && c.now-since > c.idleTimeout(m)
 }
 
-// idleKeep is how long an idle machine is kept.
-func (c *Controller) idleKeep(m *machineState) time.Duration {
+// idleTimeout returns how long an idle machine is kept.
+func (c *Controller) idleTimeout(m *machineState) time.Duration {
 	switch {
 	case c.scaling.reserved[m.Name]:
-		return tuning.IdleKeepReserved
+		return tuning.ReservedIdleTimeout
 	case c.scaling.resting[m.Name] && c.isLargeFleet():
-		return tuning.IdleKeepResting // beyond the headroom, which grows with the fleet
+		return tuning.RestingIdleTimeout // exceeds the headroom, which grows with the fleet
 	case m.Spot:
-		return tuning.IdleKeepSpot
+		return tuning.SpotIdleTimeout
 	}
-	return tuning.IdleKeep
+	return tuning.IdleTimeout
 }
 
-// isWanted tells whether waiting work could run on a machine.
-func (c *Controller) isWanted(m *machineState, pending []pendingWork) bool {
+// isNeeded reports whether some pending work could run on a machine.
+func (c *Controller) isNeeded(m *machineState, pending []pendingWork) bool {
 	for i := range pending {
 		work := &pending[i]
 		hasZone := work.zones.left(m.Zone, int64(work.tasks)) > 0
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -110,7 +110,7 @@
 		return false
 	}
 	spec := j.Header.Spec
-	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.failedHere(j) &&
+	return free.Fits(spec.Request) && allowsMachine(spec, m.Type, m.Zone, m.Spot) && !m.hasOnlyFailuresOf(j) &&
 		quota.Within(c.teamUsed(spec.Team, nil).Plus(spec.Request, 1), c.cfg.Teams[spec.Team].Limit)
 }
 
@@ -171,7 +171,7 @@
 // as it has room and at most MaxHandovers of them. Each draw is among the queues, of which each
 // offers the first task that must wait there but can start on the idle machine.
 func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
-	for n := 0; n < tuning.MaxHandovers; n++ {
+	for n := 0; n < tuning.MaxStolenTasks; n++ {
 		var offers []policy.Choice
 		var tasks []domain.TaskID // by Ref of the offer
 		for _, other := range from {
@@ -254,10 +254,10 @@
 			continue
 		}
 		sent++
-		maxTasks := tuning.MaxHandovers
+		maxTasks := tuning.MaxStolenTasks
 		if large {
 			count := idle[machineKind{m.Type, m.Zone, m.Spot}]
-			free, maxTasks = domain.Resources{}.Plus(free, count), tuning.MaxHandovers*int(count)
+			free, maxTasks = domain.Resources{}.Plus(free, count), tuning.MaxStolenTasks*int(count)
 			sent = tuning.MaxStealRequests // one request for all machines of this kind
 		}
 		c.emit(SendPeerMessage{To: offers[chosen].Name, Message: PeerMessage{Epoch: c.cache.view.Epoch, Steal: &StealRequest{
@@ -280,7 +280,7 @@
 		if shards := c.otherShardsOf(j); len(shards) > 0 {
 			work = append(work, stealableWork{j.Header.Spec, shards})
 		}
-		if len(work) >= tuning.StealLots {
+		if len(work) >= tuning.MaxStealJobs {
 			break
 		}
 	}
@@ -292,7 +292,7 @@
 // in a shard that has no machine.
 func (c *Controller) otherShardsOf(j *Job) map[string]bool {
 	shards := map[string]bool{}
-	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.StealLook; i++ {
+	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.MaxStealScan; i++ {
 		if task := j.task(i); task.State == domain.Queued {
 			seen++
 			shards[c.cache.taskShard(j, task)] = true
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -124,7 +124,7 @@
 	c.Work.Targets += len(roomy)
 	for _, i := range roomy {
 		target := &p.targets[i]
-		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.failedHere(j) {
+		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.hasOnlyFailuresOf(j) {
 			continue
 		}
 		if cached && !target.hasImage(spec.Image) && !slices.Contains(target.pendingImages, spec.Image) {
@@ -163,7 +163,7 @@
 	if slices.Contains(t.pendingImages, spec.Image) {
 		return fetch * others / 2
 	}
-	return fetch * (1 + tuning.FetchShare*others)
+	return fetch * (1 + tuning.ConcurrentFetchCost*others)
 }
 
 // packCost returns a cost in seconds by which draws prefer fuller and cheaper machines among those
@@ -183,8 +183,8 @@
 	if t.machine.Spot {
 		price = t.machineType.SpotPrice
 	}
-	relativePrice := min(price/float64(slots)/cheapest, tuning.MaxDearness)
-	return q.runTime(spec) * (tuning.PackRuns*float64(room)/float64(slots) + tuning.DearRuns*(relativePrice-1))
+	relativePrice := min(price/float64(slots)/cheapest, tuning.MaxPriceRatio)
+	return q.runTime(spec) * (tuning.EmptyMachineRuns*float64(room)/float64(slots) + tuning.DoublePriceRuns*(relativePrice-1))
 }
 
 // leastPrice returns the lowest price per task, over all machine types that can run the job's
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -102,13 +102,15 @@
 // hasOnlyFailures reports whether no task of the job is done and at least DoubtAfter attempts have
 // failed. Such a job runs one task at a time, since a faulty job would otherwise take machines and
 // write capacity from other jobs.
-func (j *Job) hasOnlyFailures() bool { return j.counts.done == 0 && j.failures >= tuning.DoubtAfter }
+func (j *Job) hasOnlyFailures() bool {
+	return j.counts.done == 0 && j.failures >= tuning.ProbeAfterFailures
+}
 
 // isStarving reports whether a job has been ready to start for longer than StarveAfter and has no
 // task that is booked or done. A job whose bookings all ended without a result starves like one
 // that was never booked.
 func (c *Controller) isStarving(j *Job, placed placement) bool {
-	return placed.booked == 0 && placed.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarveAfter
+	return placed.booked == 0 && placed.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarvationAge
 }
 
 // goesBefore reports whether the job comes before another one in the order of the pending jobs.
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -21,7 +21,7 @@
 	nextReview         monotime.Deadline        // no check whether a view is needed before then
 	adoptedAt          time.Duration            // when the present view came with the watch
 	redirects          map[string][]redirect    // heartbeats redirected to their owners, by machine
-	lastRedirect       map[string]redirectMark  // latest redirected heartbeat, by machine
+	lastRedirect       map[string]heartbeatID   // latest redirected heartbeat, by machine
 	notServingSince    map[string]time.Duration // by controller; while it is a member but not serving
 	allPeersFreshSince monotime.Instant         // since when messages of all serving peers arrive
 	zoneSilentAt       map[string]time.Duration // by zone; when most of its machines were last silent
@@ -33,7 +33,7 @@
 
 func newViews() views {
 	return views{
-		redirects: map[string][]redirect{}, lastRedirect: map[string]redirectMark{},
+		redirects: map[string][]redirect{}, lastRedirect: map[string]heartbeatID{},
 		notServingSince: map[string]time.Duration{}, zoneSilentAt: map[string]time.Duration{},
 		overrideChanges: map[string]overrideChange{}, overrideSeenAt: map[string]time.Duration{},
 	}
@@ -46,9 +46,9 @@
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = view, c.now
 	c.membership.ViewChanged()
-	c.settleOwnership(old)
+	c.updateOwnership(old)
 	c.clearQueues()
-	c.views.noteOverrides(old, view, c.now)
+	c.views.recordOverrides(old, view, c.now)
 	c.planner.pendingReleases = map[attemptID]bool{} // their transactions are conditional on the old view
 	c.commits.inDoubt = inDoubtCommit{}
 	c.reportShareOverruns()
@@ -190,8 +190,8 @@
 // chooseZoned decides whether machines belong to controllers of their own zone only. This is
 // needed while zones are cut off from each other: overrides have room for only some of the
 // machines that can't reach their owners, and each override would be a change of the view.
-func (c *Controller) chooseZoned(proposal *viewProposal, lost *lostOwners) {
-	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
+func (c *Controller) chooseZoned(proposal *viewProposal, lost *unreachableResult) {
+	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.otherZone) >= tuning.MinMachinesCutOff
 	if proposal.next.Zoned != proposal.present.Zoned {
 		proposal.changed = true
 	}
@@ -199,7 +199,7 @@
 		clear(lost.machines)
 		return
 	}
-	for _, machine := range lost.apart {
+	for _, machine := range lost.otherZone {
 		lost.machines[machine] = true
 	}
 }
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -56,7 +56,7 @@
 		}
 		for name, m := range c.heartbeats.machines { // every 5 s, at a different time for each machine
 			if at := time.Duration(ownership.Hash(name)%10) * 500 * time.Millisecond; heard(name) && c.owns(name) && c.now%(5*time.Second) == at {
-				m.heardAt, m.heartbeatAt = c.now, c.now
+				m.lastReportAt, m.lastHeartbeatAt = c.now, c.now
 			}
 		}
 		c.reviewMachines()
@@ -78,7 +78,7 @@
 	for i := 0; i < 2000; i++ { // machines of controllers that left are taken over because of their bookings
 		if name := fmt.Sprintf("n-%06d", i); c.owns(name) && c.heartbeats.machines[name] == nil {
 			c.takeOwnership(name)
-			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].heardOnce = []string{"a", "b"}[i%2], true
+			c.heartbeats.machines[name].Zone, c.heartbeats.machines[name].hasReported = []string{"a", "b"}[i%2], true
 		}
 	}
 	c.advance(90*time.Second, func(name string) bool { return !inB(name) })
@@ -86,12 +86,12 @@
 		c.advance(500*time.Millisecond, func(name string) bool { return !inB(name) || ownership.Hash(name, "back")%16 < uint64(i) })
 	}
 	c.advance(30*time.Second, func(string) bool { return true })
-	if len(c.cordons.wanted) > 0 {
-		t.Errorf("%d machines of the unreachable zone were drained", len(c.cordons.wanted))
+	if len(c.cordons.requested) > 0 {
+		t.Errorf("%d machines of the unreachable zone were drained", len(c.cordons.requested))
 	}
 	// A tenth of the machines hang: these are to be drained as lost.
 	c.advance(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
-	if n := len(c.cordons.wanted); n < 50 || n > 150 {
+	if n := len(c.cordons.requested); n < 50 || n > 150 {
 		t.Errorf("%d of about 100 machines without heartbeats were drained", n)
 	}
 }
@@ -192,20 +192,20 @@
 	m.answeredAt, m.sentToken = c.now, 3
 	for i := uint64(2); i < 8; i++ {
 		heartbeat := &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: m.Zone, AgentEpoch: 1, Sequence: i, FencingToken: 2, PreemptionNotice: -1}
-		c.checkRepliesHeeded(m, heartbeat)
+		c.detectLostReplies(m, heartbeat)
 		c.recordHeartbeat(m, heartbeat, true)
 		m.answeredAt = c.now
 		c.now += time.Millisecond
 	}
-	if m.unheededReplies != 0 {
-		t.Errorf("%d delayed heartbeats count as ignoring an answer, want 0", m.unheededReplies)
+	if m.lostReplies != 0 {
+		t.Errorf("%d delayed heartbeats count as ignoring an answer, want 0", m.lostReplies)
 	}
 	for i := uint64(8); i < 10; i++ {
 		c.now += 5 * time.Second
-		c.checkRepliesHeeded(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
+		c.detectLostReplies(m, &domain.Heartbeat{AgentEpoch: 1, Sequence: i, FencingToken: 2})
 	}
-	if m.unheededReplies != 2 {
-		t.Errorf("%d heartbeats, each 5 s after an answer, count as ignoring it, want 2", m.unheededReplies)
+	if m.lostReplies != 2 {
+		t.Errorf("%d heartbeats, each 5 s after an answer, count as ignoring it, want 2", m.lostReplies)
 	}
 }
 
