--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -34,11 +34,11 @@
 	listLane
 )
 
-// noCapacity is the error text of a rental that the cloud has no machine for; other
+// noCapacityError is the error text of a rental that the cloud has no machine for; other
 // answers of status 503 are failures of the cloud itself.
-const noCapacity = "no capacity"
+const noCapacityError = "no capacity"
 
-type machineTypesAnswer struct {
+type machineTypesResponse struct {
 	MachineTypes []machineType `json:"Builds"`
 }
 
@@ -55,7 +55,7 @@
 	Zones        []string `json:"Yards"`
 }
 
-type instancesAnswer struct {
+type instancesResponse struct {
 	Instances []instance `json:"Brackets"`
 	Truncated bool       `json:"Truncated"` // another page follows
 }
@@ -78,7 +78,7 @@
 	Count       int    `json:"Count"`
 }
 
-type rentAnswer struct {
+type rentResponse struct {
 	Names []string `json:"Brackets"`
 	Error string   `json:"error"`
 }
@@ -95,30 +95,30 @@
 // Client sends requests to the cloud. Its methods may be called by several goroutines;
 // each waits until the budget lets the request go, and then up to tuning.CloudTimeout.
 type Client struct {
-	http   *httpclient.Client
-	budget *httpclient.Budget
+	http    *httpclient.Client
+	limiter *httpclient.RateLimiter
 }
 
 // New returns a client of an address, "host:port", that sends so many requests a second.
 func New(address string, requestRate float64) *Client {
-	return &Client{http: httpclient.New(address), budget: httpclient.NewBudget(requestRate, 1)}
+	return &Client{http: httpclient.New(address), limiter: httpclient.NewRateLimiter(requestRate, 1)}
 }
 
 // MachineTypes fetches the machine types that can be rented.
 func (c *Client) MachineTypes() scheduler.MachineTypesListed {
-	var answer machineTypesAnswer
+	var answer machineTypesResponse
 	err := c.get(urgentLane, machineTypesPath, &answer)
 	if err != nil || len(answer.MachineTypes) == 0 {
 		return scheduler.MachineTypesListed{}
 	}
 	listed := scheduler.MachineTypesListed{OK: true}
 	for _, t := range answer.MachineTypes {
-		listed.Types = append(listed.Types, t.domain())
+		listed.Types = append(listed.Types, t.toDomain())
 	}
 	return listed
 }
 
-func (t machineType) domain() domain.MachineType {
+func (t machineType) toDomain() domain.MachineType {
 	return domain.MachineType{
 		Name: t.Name,
 		Capacity: domain.Resources{
@@ -141,7 +141,7 @@
 	after := ""
 	for {
 		path := fmt.Sprintf("%s?Since=%s&Page=%d", instancesPath, url.QueryEscape(after), instancesPerPage)
-		var page instancesAnswer
+		var page instancesResponse
 		if err := c.get(listLane, path, &page); err != nil {
 			return scheduler.InstancesListed{}
 		}
@@ -169,7 +169,7 @@
 	if err != nil {
 		return answered
 	}
-	var answer rentAnswer
+	var answer rentResponse
 	if json.Unmarshal(response.Body, &answer) != nil {
 		return answered
 	}
@@ -179,7 +179,7 @@
 	case http.StatusBadRequest:
 		answered.NoCapacity = true
 	case http.StatusServiceUnavailable:
-		answered.NoCapacity = answer.Error == noCapacity
+		answered.NoCapacity = answer.Error == noCapacityError
 	}
 	return answered
 }
@@ -192,7 +192,7 @@
 
 // get fetches a path and decodes its answer.
 func (c *Client) get(lane int, path string, answer any) error {
-	c.budget.Wait(lane, 0)
+	c.limiter.Wait(lane, 0)
 	response, err := c.http.Do(http.MethodGet, path, nil, tuning.CloudTimeout)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
@@ -208,7 +208,7 @@
 
 // post sends a request that changes something; the answer may have any status.
 func (c *Client) post(path string, request any) (httpclient.Response, error) {
-	c.budget.Wait(urgentLane, 0)
+	c.limiter.Wait(urgentLane, 0)
 	body, err := json.Marshal(request)
 	if err != nil {
 		return httpclient.Response{}, fmt.Errorf("cloud: %w", err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -118,9 +118,9 @@
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("settings: %w", withFaultName(err))
+		return nil, fmt.Errorf("settings: %w", withReportedName(err))
 	}
-	if err := checkRules(s); err != nil {
+	if err := validate(s); err != nil {
 		return nil, err
 	}
 	if fence := s.fenceAge(); fence < tuning.MinFenceAge {
@@ -141,7 +141,7 @@
 	if err := yaml.UnmarshalWithOptions(text, o, yaml.DisallowUnknownField()); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := checkRules(o); err != nil {
+	if err := validate(o); err != nil {
 		return nil, err
 	}
 	return o, nil
@@ -151,11 +151,11 @@
 // cancelled task has ended in time even if its controller was cut off just then.
 func (s *Settings) fenceAge() time.Duration {
 	w := s.Params.Workers
-	left := seconds(w.CancelWithin - w.Lease*leaseDrift)
+	left := seconds(w.CancelWithin - w.Lease*leaseDriftFactor)
 	return min(tuning.FenceAge, left-tuning.DriftMargin-tuning.FenceMargin)
 }
 
-// leaseDrift is how much longer a worker's lease may last by a clock that runs slow.
-const leaseDrift = 1.001
+// leaseDriftFactor is how much longer a worker's lease may last by a clock that runs slow.
+const leaseDriftFactor = 1.001
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"brassglade/internal/tuning"
 )
 
-const good = `{"member":"c-0","domain":"a","serve_on":"10.0.0.1:8080","back":"10.0.0.1:8081",
+const validSettings = `{"member":"c-0","domain":"a","serve_on":"10.0.0.1:8080","back":"10.0.0.1:8081",
 "members":[{"member":"c-1","domain":"b","address":"10.0.0.2:8081"}],"external":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
 "params":{"zones":["a","b"],"teams":[{"name":"t","cpus":0,"cpus_max":0,"gpus":4,"gpus_max":8}],"new":1,
 "objectives":[{"kind":"wait","class":"x","within_s":20,"share":0.8},{"kind":"deadline","class":"y","share":0.9,"times":1.5}],
@@ -18,8 +18,8 @@
 "state":{"rps":100,"write_rps":25,"value_kb":8,"txn_ops":20},"cloud":{"rps":4,"list_lag_s":6},
 "machine_limits":{"cpu":0.12,"ram_mb":234,"max_connections":3000},"skew_ms":25}}`
 
-func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(good))
+func TestSchedulerSettings(t *testing.T) {
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestFaultsAreNamed: every fault is told by its field, all at once.
-func TestFaultsAreNamed(t *testing.T) {
-	bad := strings.NewReplacer(`"member":"c-0",`, ``, `"10.0.0.1:8081"`, `"nowhere"`, `"lease_s":31`, `"lease_s":-1`, `"txn_ops":20`, `"txn_ops":1`).Replace(good)
+// TestAllInvalidFieldsAreReported: every fault is told by its field, all at once.
+func TestAllInvalidFieldsAreReported(t *testing.T) {
+	bad := strings.NewReplacer(`"member":"c-0",`, ``, `"10.0.0.1:8081"`, `"nowhere"`, `"lease_s":31`, `"lease_s":-1`, `"txn_ops":20`, `"txn_ops":1`).Replace(validSettings)
 	_, err := Parse([]byte(bad))
 	if err == nil {
 		t.Fatal("taken")
@@ -45,14 +45,14 @@
 		}
 	}
 	// A cancellation must fit fence and lease.
-	if _, err := Parse([]byte(strings.Replace(good, `"cancel_s":56`, `"cancel_s":32`, 1))); err == nil || !strings.Contains(err.Error(), "cancel_s") {
+	if _, err := Parse([]byte(strings.Replace(validSettings, `"cancel_s":56`, `"cancel_s":32`, 1))); err == nil || !strings.Contains(err.Error(), "cancel_s") {
 		t.Errorf("short cancel_s: %v", err)
 	}
 }
 
-// TestFaultTexts: what the check command prints is known to operators; the Go names behind
+// TestValidationMessages: what the check command prints is known to operators; the Go names behind
 // it may change.
-func TestFaultTexts(t *testing.T) {
+func TestValidationMessages(t *testing.T) {
 	for name, x := range map[string]struct{ from, to, want string }{
 		"rule":               {`"lease_s":31`, `"lease_s":-1`, `Params.Workers.LeaseS: "-1" breaks rule gt 0`},
 		"rule in a list":     {`"gpus_max":8`, `"gpus_max":-8`, `Params.Teams[0].GpusMax: "-8" breaks rule gte 0`},
@@ -64,8 +64,8 @@
 		"cancel_s too short": {`"cancel_s":56`, `"cancel_s":32`, `params.workers.cancel_s: 32 s leaves -0.0 s besides lease_s (31 s) and margins; at least 2.0 s are needed`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			text := strings.Replace(good, x.from, x.to, 1)
-			if text == good {
+			text := strings.Replace(validSettings, x.from, x.to, 1)
+			if text == validSettings {
 				t.Fatal("nothing changed")
 			}
 			if _, err := Parse([]byte(text)); err == nil || err.Error() != x.want {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestOperator(t *testing.T) {
+func TestLoadOperator(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "o.yaml")
 	for name, x := range map[string]struct {
 		text string
@@ -100,12 +100,12 @@
 }
 
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{}`))
 	for _, s := range []string{`"cancel_s":36`, `"cancel_s":34.1`, `"cancel_s":40.5`, `"cancel_s":1e300`} {
-		f.Add([]byte(strings.Replace(good, `"cancel_s":56`, s, 1)))
+		f.Add([]byte(strings.Replace(validSettings, `"cancel_s":56`, s, 1)))
 	}
-	f.Add([]byte(strings.NewReplacer(`"lease_s":31`, `"lease_s":1e12`, `"cancel_s":56`, `"cancel_s":1e13`).Replace(good)))
+	f.Add([]byte(strings.NewReplacer(`"lease_s":31`, `"lease_s":1e12`, `"cancel_s":56`, `"cancel_s":1e13`).Replace(validSettings)))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := Parse(b)
 		if err != nil {
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -19,7 +19,7 @@
 		Node:              s.Member,
 		Zone:              s.Zone,
 		Nodes:             []string{s.Member},
-		Teams:             quotas(p.Teams),
+		Teams:             quotasByTeam(p.Teams),
 		Zones:             p.Zones,
 		ZoneOf:            map[string]string{s.Member: s.Zone},
 		HeartbeatInterval: seconds(p.Workers.HeartbeatInterval),
@@ -46,12 +46,12 @@
 	}
 	slices.Sort(c.Nodes)
 	setObjectives(&c, p.Objectives)
-	operator.override(&c)
+	operator.applyTo(&c)
 	return c
 }
 
-// quotas are the teams' quotas by name.
-func quotas(teams []Team) map[string]domain.Quota {
+// quotasByTeam are the teams' quotasByTeam by name.
+func quotasByTeam(teams []Team) map[string]domain.Quota {
 	byTeam := map[string]domain.Quota{}
 	for _, t := range teams {
 		byTeam[t.Name] = domain.Quota{
@@ -83,8 +83,8 @@
 	}
 }
 
-// override puts the operators' choices in the place of the defaults.
-func (o *Operator) override(c *scheduler.Settings) {
+// applyTo puts the operators' choices in the place of the defaults.
+func (o *Operator) applyTo(c *scheduler.Settings) {
 	if o == nil {
 		return
 	}
--- a/internal/config/faults.go
+++ b/internal/config/validation.go
@@ -10,21 +10,21 @@
 	json "github.com/goccy/go-json"
 )
 
-// FaultsError lists every field that breaks a rule, one a line.
-type FaultsError []string
+// ValidationError lists every field that breaks a rule, one a line.
+type ValidationError []string
 
-func (e FaultsError) Error() string { return strings.Join(e, "\n") }
+func (e ValidationError) Error() string { return strings.Join(e, "\n") }
 
-// checkRules checks the rules in the fields' tags; its error is a FaultsError.
-func checkRules(settings any) error {
+// validate checks the rules in the fields' tags; its error is a FaultsError.
+func validate(settings any) error {
 	v := validator.New()
-	v.RegisterTagNameFunc(faultName)
+	v.RegisterTagNameFunc(reportedName)
 	err := v.Struct(settings)
 	var broken validator.ValidationErrors
 	if !errors.As(err, &broken) {
 		return err
 	}
-	var faults FaultsError
+	var faults ValidationError
 	for _, b := range broken {
 		name := strings.TrimPrefix(b.Namespace(), "Settings.")
 		faults = append(faults, fmt.Sprintf("%s: %q breaks rule %s %s", name, fmt.Sprint(b.Value()), b.Tag(), b.Param()))
@@ -32,17 +32,17 @@
 	return faults
 }
 
-// faultName is the name that messages use for a field; "": its Go name.
-func faultName(field reflect.StructField) string { return field.Tag.Get("fault") }
+// reportedName is the name that messages use for a field; "": its Go name.
+func reportedName(field reflect.StructField) string { return field.Tag.Get("fault") }
 
-// withFaultName puts the field's name for messages into the JSON package's error about a
+// withReportedName puts the field's name for messages into the JSON package's error about a
 // value of the wrong type, which has the Go name.
-func withFaultName(err error) error {
+func withReportedName(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) {
 		return err
 	}
-	if name := faultNames(reflect.TypeFor[Settings]())[goField{wrongType.Struct, wrongType.Field}]; name != "" {
+	if name := reportedNames(reflect.TypeFor[Settings]())[goField{wrongType.Struct, wrongType.Field}]; name != "" {
 		wrongType.Field = name
 	}
 	return err
@@ -51,8 +51,8 @@
 // goField is a field of a struct type; the struct's name may be empty.
 type goField struct{ structName, name string }
 
-// faultNames collects the names for messages of a struct's fields and of all structs in it.
-func faultNames(t reflect.Type) map[goField]string {
+// reportedNames collects the names for messages of a struct's fields and of all structs in it.
+func reportedNames(t reflect.Type) map[goField]string {
 	names := map[goField]string{}
 	var collect func(t reflect.Type)
 	collect = func(t reflect.Type) {
@@ -62,7 +62,7 @@
 		case reflect.Struct:
 			for i := range t.NumField() {
 				field := t.Field(i)
-				if name := faultName(field); name != "" {
+				if name := reportedName(field); name != "" {
 					names[goField{t.Name(), field.Name}] = name
 				}
 				collect(field.Type)
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	readBufferBytes = 8 << 10 // read buffer of a connection
-	headBytes       = 160     // room for a request's head, which has two to four short lines
+	readBufferBytes  = 8 << 10 // read buffer of a connection
+	requestHeadBytes = 160     // room for a request's head, which has two to four short lines
 )
 
 // Response is an answer whatever its status.
@@ -64,13 +64,13 @@
 		return Response{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	_ = k.SetDeadline(deadline)
-	response, reusable, err := k.exchange(c.request(method, path, body))
+	response, reusable, err := k.roundTrip(c.formatRequest(method, path, body))
 	if err != nil {
 		_ = k.Close()
 		return Response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	if reusable {
-		c.keep(k)
+		c.putIdle(k)
 	} else {
 		_ = k.Close()
 	}
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// keep puts a connection into the pool, or closes it if the pool is full.
-func (c *Client) keep(k *connection) {
+// putIdle puts a connection into the pool, or closes it if the pool is full.
+func (c *Client) putIdle(k *connection) {
 	k.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,10 +119,10 @@
 	c.idle = append(c.idle, k)
 }
 
-// request returns the bytes of a request.
-func (c *Client) request(method, path string, body []byte) []byte {
+// formatRequest returns the bytes of a formatRequest.
+func (c *Client) formatRequest(method, path string, body []byte) []byte {
 	var b bytes.Buffer
-	b.Grow(len(body) + headBytes)
+	b.Grow(len(body) + requestHeadBytes)
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, c.address)
 	if body != nil || method == http.MethodPost {
 		fmt.Fprintf(&b, "Content-Type: application/json\r\nContent-Length: %d\r\n", len(body))
@@ -132,9 +132,9 @@
 	return b.Bytes()
 }
 
-// exchange sends a request's bytes and reads the answer; reusable tells whether the other
+// roundTrip sends a request's bytes and reads the answer; reusable tells whether the other
 // side keeps the connection open.
-func (k *connection) exchange(request []byte) (response Response, reusable bool, err error) {
+func (k *connection) roundTrip(request []byte) (response Response, reusable bool, err error) {
 	if _, err := k.Write(request); err != nil {
 		return Response{}, false, err
 	}
--- a/internal/httpclient/budget_test.go
+++ b/internal/httpclient/rate_limiter_test.go
@@ -4,7 +4,7 @@
 
 // TestRefund: a refused request gives its changes back, never more than a burst.
 func TestRefund(t *testing.T) {
-	b := NewBudget(1e6, 10)
+	b := NewRateLimiter(1e6, 10)
 	b.Wait(0, 30)
 	if b.changeCredit > -15 {
 		t.Fatalf("%g changes left after 30 of 10", b.changeCredit)
@@ -15,8 +15,8 @@
 	}
 }
 
-// TestCredit: what a request needs, by its lane and size, at ten changes a second.
-func TestCredit(t *testing.T) {
+// TestHasCredit: what a request needs, by its lane and size, at ten changes a second.
+func TestHasCredit(t *testing.T) {
 	const view, task = 0, 2
 	for name, x := range map[string]struct {
 		requestCredit, changeCredit float64
@@ -33,7 +33,7 @@
 		"view, debt as large as may": {1, -30.1, view, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBudget(5, 10)
+			b := NewRateLimiter(5, 10)
 			b.requestCredit, b.changeCredit = x.requestCredit, x.changeCredit
 			if got := b.hasCredit(x.lane, x.changes); got != x.want {
 				t.Errorf("may go: %v", got)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -69,10 +69,10 @@
 // goroutines; each waits until the budget lets the request go, and then up to
 // tuning.StateTimeout.
 type Client struct {
-	http     *httpclient.Client
-	watching *httpclient.Client // connections of its own, since a watch holds one for seconds
-	budget   *httpclient.Budget
-	watchGap time.Duration // pause between watches, which count as requests
+	http       *httpclient.Client
+	watchHTTP  *httpclient.Client // connections of its own, since a watch holds one for seconds
+	limiter    *httpclient.RateLimiter
+	watchPause time.Duration // pause between watches, which count as requests
 }
 
 // New returns a client of an address, "host:port", that sends so many requests and makes
@@ -80,10 +80,10 @@
 func New(address string, requestRate, changeRate float64) *Client {
 	spacing := time.Duration(float64(time.Second) / (tuning.WatchShare * requestRate))
 	return &Client{
-		http:     httpclient.New(address),
-		watching: httpclient.New(address),
-		budget:   httpclient.NewBudget(requestRate, changeRate),
-		watchGap: max(tuning.WatchGap, spacing),
+		http:       httpclient.New(address),
+		watchHTTP:  httpclient.New(address),
+		limiter:    httpclient.NewRateLimiter(requestRate, changeRate),
+		watchPause: max(tuning.WatchGap, spacing),
 	}
 }
 
@@ -91,16 +91,16 @@
 // the answer's status means.
 func (c *Client) post(path string, body []byte) ([]byte, error) {
 	response, err := c.http.Do(http.MethodPost, path, body, tuning.StateTimeout)
-	return answerOf(response, err)
+	return bodyOrError(response, err)
 }
 
 // get fetches a path with the given client, which a watch and the others have each.
 func get(client *httpclient.Client, path string, timeout time.Duration) ([]byte, error) {
 	response, err := client.Do(http.MethodGet, path, nil, timeout)
-	return answerOf(response, err)
+	return bodyOrError(response, err)
 }
 
-func answerOf(response httpclient.Response, err error) ([]byte, error) {
+func bodyOrError(response httpclient.Response, err error) ([]byte, error) {
 	if err != nil {
 		return nil, fmt.Errorf("state service: %w", err)
 	}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// serve answers every request with what f says.
-func serve(t *testing.T, f func(method, path, body string) (int, string)) *Client {
+// newTestClient answers every request with what f says.
+func newTestClient(t *testing.T, f func(method, path, body string) (int, string)) *Client {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -13,13 +13,13 @@
 	TTLMilliseconds int64 `json:"LifeMs,omitempty"`
 }
 
-type leaseAnswer struct {
+type leaseResponse struct {
 	LeaseID uint64 `json:"Permit"`
 }
 
 // Grant asks for a lease.
 func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseGranted {
-	c.budget.Wait(scheduler.LaneView, 0)
+	c.limiter.Wait(scheduler.LaneView, 0)
 	lease, err := c.grant(leaseRequest{TTLMilliseconds: e.TTL.Milliseconds()})
 	if err != nil {
 		return scheduler.LeaseGranted{}
@@ -27,25 +27,25 @@
 	return scheduler.LeaseGranted{OK: true, LeaseID: lease.LeaseID}
 }
 
-func (c *Client) grant(request leaseRequest) (leaseAnswer, error) {
+func (c *Client) grant(request leaseRequest) (leaseResponse, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return leaseAnswer{}, err
+		return leaseResponse{}, err
 	}
 	out, err := c.post(leasesPath, body)
 	if err != nil {
-		return leaseAnswer{}, err
+		return leaseResponse{}, err
 	}
-	var lease leaseAnswer
+	var lease leaseResponse
 	if err := decode(out, &lease); err != nil {
-		return leaseAnswer{}, err
+		return leaseResponse{}, err
 	}
 	return lease, nil
 }
 
 // Renew renews a lease. Gone: it ran out, and a new one is needed.
 func (c *Client) Renew(e scheduler.RenewLease) scheduler.LeaseRenewalAnswered {
-	c.budget.Wait(scheduler.LaneView, 0)
+	c.limiter.Wait(scheduler.LaneView, 0)
 	_, err := c.post(fmt.Sprintf("%s/%d/renew", leasesPath, e.LeaseID), []byte("{}"))
 	return scheduler.LeaseRenewalAnswered{OK: err == nil, Gone: errors.Is(err, errNotFound)}
 }
--- a/internal/kvstore/leases_test.go
+++ b/internal/kvstore/leases_test.go
@@ -7,10 +7,10 @@
 	"brassglade/internal/scheduler"
 )
 
-func TestLease(t *testing.T) {
+func TestGrantAndRenewLease(t *testing.T) {
 	var sent string
 	status, answer := 200, `{"Permit":12,"LifeMs":5000}`
-	c := serve(t, func(method, path, body string) (int, string) {
+	c := newTestClient(t, func(method, path, body string) (int, string) {
 		sent = method + " " + path + " " + body
 		return status, answer
 	})
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -32,11 +32,11 @@
 	LeaseID uint64          `json:"Permit,omitempty"`
 }
 
-type transactionAnswer struct {
+type transactionResponse struct {
 	Revision   uint64   `json:"Ledger"`
 	FailedKeys []string `json:"failed"` // of the conditions that don't hold
 
-	refusal []byte // the body of an answer that refuses the transaction, for the log
+	errorBody []byte // the body of an answer that refuses the transaction, for the log
 }
 
 // item is a key as reads and snapshots give it.
@@ -46,19 +46,19 @@
 	ModRevision uint64          `json:"Stamp"`
 }
 
-// keyValue copies the value out of the answer's buffer.
-func (i item) keyValue(key string) domain.KeyValue {
+// toKeyValue copies the value out of the answer's buffer.
+func (i item) toKeyValue(key string) domain.KeyValue {
 	return domain.KeyValue{Key: key, Value: bytes.Clone(i.Value), ModRevision: i.ModRevision}
 }
 
 // Confirm compares the view's revision by a transaction without changes.
 func (c *Client) Confirm(e scheduler.ConfirmView) scheduler.ConfirmationAnswered {
-	c.budget.Wait(scheduler.LaneView, 0)
+	c.limiter.Wait(scheduler.LaneView, 0)
 	body, err := json.Marshal(transactionRequest{Conditions: []condition{{Key: e.Key, ModRevision: e.ModRevision}}})
 	if err != nil {
 		return scheduler.ConfirmationAnswered{}
 	}
-	answer, err := c.transact(body)
+	answer, err := c.sendTransaction(body)
 	if err != nil && !errors.Is(err, errConflict) {
 		return scheduler.ConfirmationAnswered{}
 	}
@@ -69,19 +69,19 @@
 // go back into the budget.
 func (c *Client) Commit(e scheduler.Commit) scheduler.CommitAnswered {
 	changes := len(e.Transaction.Puts)
-	c.budget.Wait(e.Lane, changes)
+	c.limiter.Wait(e.Lane, changes)
 	body, err := json.Marshal(newTransactionRequest(e.Transaction))
 	if err != nil {
 		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
-	answer, err := c.transact(body)
+	answer, err := c.sendTransaction(body)
 	for n := 0; n < tuning.ThrottledRetries && e.Lane == scheduler.LaneUser && errors.Is(err, errThrottled); n++ {
 		time.Sleep(tuning.ThrottledPause)
-		c.budget.Wait(e.Lane, 0)
-		answer, err = c.transact(body)
+		c.limiter.Wait(e.Lane, 0)
+		answer, err = c.sendTransaction(body)
 	}
 	if errors.Is(err, errMalformed) {
-		slog.Error("state service refuses a transaction", "answer", string(answer.refusal))
+		slog.Error("state service refuses a transaction", "answer", string(answer.errorBody))
 	}
 	answered := scheduler.CommitAnswered{
 		ID:        e.ID,
@@ -91,7 +91,7 @@
 		Failed:    answer.FailedKeys,
 	}
 	if answered.Result == domain.Refused {
-		c.budget.Refund(changes)
+		c.limiter.Refund(changes)
 	}
 	return answered
 }
@@ -125,16 +125,16 @@
 	return r
 }
 
-// transact sends a transaction. The answer is that of an executed one or beside errConflict;
+// sendTransaction sends a transaction. The answer is that of an executed one or beside errConflict;
 // an answer that can't be read leaves the outcome unknown.
-func (c *Client) transact(body []byte) (transactionAnswer, error) {
+func (c *Client) sendTransaction(body []byte) (transactionResponse, error) {
 	out, outcome := c.post(transactionPath, body)
 	if outcome != nil && !errors.Is(outcome, errConflict) {
-		return transactionAnswer{refusal: out}, outcome
+		return transactionResponse{errorBody: out}, outcome
 	}
-	var answer transactionAnswer
+	var answer transactionResponse
 	if err := decode(out, &answer); err != nil {
-		return transactionAnswer{}, err
+		return transactionResponse{}, err
 	}
 	return answer, outcome
 }
@@ -143,7 +143,7 @@
 func (c *Client) Read(e scheduler.ReadKeys) scheduler.KeysRead {
 	read := scheduler.KeysRead{ID: e.ID, OK: true}
 	for _, key := range e.Keys {
-		c.budget.Wait(scheduler.LaneUser, 0)
+		c.limiter.Wait(scheduler.LaneUser, 0)
 		i, err := c.readKey(key)
 		if errors.Is(err, errNotFound) {
 			continue
@@ -151,7 +151,7 @@
 		if err != nil {
 			return scheduler.KeysRead{ID: e.ID}
 		}
-		read.Items = append(read.Items, i.keyValue(key))
+		read.Items = append(read.Items, i.toKeyValue(key))
 	}
 	return read
 }
--- a/internal/kvstore/transactions_test.go
+++ b/internal/kvstore/transactions_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var path, body string
-			c := serve(t, func(_, p, b string) (int, string) {
+			c := newTestClient(t, func(_, p, b string) (int, string) {
 				path, body = p, b
 				return x.status, x.body
 			})
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestThrottledUserChangeIsRepeated: a user's change is sent again after 429, up to
+// TestThrottledUserCommitIsRetried: a user's change is sent again after 429, up to
 // twice; other lanes wait for the scheduler's own pause.
-func TestThrottledUserChangeIsRepeated(t *testing.T) {
+func TestThrottledUserCommitIsRetried(t *testing.T) {
 	for name, x := range map[string]struct {
 		lane, throttled, requests int
 		want                      domain.CommitResult
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := 0
-			c := serve(t, func(_, _, _ string) (int, string) {
+			c := newTestClient(t, func(_, _, _ string) (int, string) {
 				requests++
 				if requests <= x.throttled {
 					return 429, ``
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestRefusedConnectionIsNotSent: such a transaction certainly did not run.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// TestRefusedConnectionRefusesCommit: such a transaction certainly did not run.
+func TestRefusedConnectionRefusesCommit(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
@@ -100,7 +100,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent string
-			c := serve(t, func(method, path, body string) (int, string) {
+			c := newTestClient(t, func(method, path, body string) (int, string) {
 				sent = method + " " + path + " " + body
 				return x.status, x.body
 			})
@@ -128,7 +128,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent string
-			c := serve(t, func(method, path, body string) (int, string) {
+			c := newTestClient(t, func(method, path, body string) (int, string) {
 				sent = method + " " + path + " " + body
 				return x.status, x.body
 			})
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -24,7 +24,7 @@
 	Revision  uint64 `json:"Ledger"`
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Revision uint64       `json:"Ledger"`
 	Events   []watchEvent `json:"Events"`
 }
@@ -42,19 +42,19 @@
 // time.
 func (c *Client) Watch(ctx context.Context, clock func() time.Duration, emit func(scheduler.Event)) {
 	for ctx.Err() == nil {
-		since, err := c.snapshot(emit)
+		since, err := c.loadSnapshot(emit)
 		if err != nil {
 			time.Sleep(tuning.ConfirmationRetry)
 			continue
 		}
-		c.follow(ctx, since, clock, emit)
+		c.watchFrom(ctx, since, clock, emit)
 	}
 }
 
-// follow emits changes after a revision until a new snapshot is needed.
-func (c *Client) follow(ctx context.Context, since uint64, clock func() time.Duration, emit func(scheduler.Event)) {
+// watchFrom emits changes after a revision until a new snapshot is needed.
+func (c *Client) watchFrom(ctx context.Context, since uint64, clock func() time.Duration, emit func(scheduler.Event)) {
 	for ctx.Err() == nil {
-		next, again := c.changes(since, clock, emit)
+		next, again := c.fetchChanges(since, clock, emit)
 		if again {
 			return
 		}
@@ -62,13 +62,13 @@
 	}
 }
 
-// snapshot reads all keys and emits them as one event. Its revision is that of the first
+// loadSnapshot reads all keys and emits them as one event. Its revision is that of the first
 // page: what changes while the others are read comes again with the watch.
-func (c *Client) snapshot(emit func(scheduler.Event)) (revision uint64, err error) {
+func (c *Client) loadSnapshot(emit func(scheduler.Event)) (revision uint64, err error) {
 	loaded := scheduler.SnapshotLoaded{}
 	after := ""
 	for first := true; ; first = false {
-		page, err := c.snapshotPage(after)
+		page, err := c.fetchSnapshotPage(after)
 		if err != nil {
 			return 0, err
 		}
@@ -76,7 +76,7 @@
 			loaded.Revision = page.Revision
 		}
 		for _, i := range page.Items {
-			loaded.Items = append(loaded.Items, i.keyValue(i.Key))
+			loaded.Items = append(loaded.Items, i.toKeyValue(i.Key))
 			after = i.Key
 		}
 		if !page.Truncated || len(page.Items) == 0 {
@@ -87,14 +87,14 @@
 	return loaded.Revision, nil
 }
 
-// snapshotPage reads the keys that follow one; "" reads the first.
-func (c *Client) snapshotPage(after string) (snapshotPage, error) {
-	c.budget.Wait(scheduler.LaneView, 0)
+// fetchSnapshotPage reads the keys that follow one; "" reads the first.
+func (c *Client) fetchSnapshotPage(after string) (snapshotPage, error) {
+	c.limiter.Wait(scheduler.LaneView, 0)
 	path := fmt.Sprintf("%s?Starts=%s&Page=%d", keysPath, codec.Root, keysPerPage)
 	if after != "" {
 		path += "&Since=" + url.QueryEscape(after)
 	}
-	out, err := get(c.watching, path, 2*tuning.StateTimeout)
+	out, err := get(c.watchHTTP, path, 2*tuning.StateTimeout)
 	if err != nil {
 		return snapshotPage{}, err
 	}
@@ -105,13 +105,13 @@
 	return page, nil
 }
 
-// changes waits for the changes after a revision and emits them; again: a new snapshot is
+// fetchChanges waits for the fetchChanges after a revision and emits them; again: a new snapshot is
 // needed.
-func (c *Client) changes(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, again bool) {
-	c.budget.Wait(scheduler.LaneView, 0)
+func (c *Client) fetchChanges(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, again bool) {
+	c.limiter.Wait(scheduler.LaneView, 0)
 	sent := clock()
 	path := fmt.Sprintf("%s?Starts=%s&Since=%d&WaitMs=%d", watchPath, codec.Root, since, tuning.WatchWait.Milliseconds())
-	out, err := get(c.watching, path, tuning.WatchWait+tuning.StateTimeout)
+	out, err := get(c.watchHTTP, path, tuning.WatchWait+tuning.StateTimeout)
 	if errors.Is(err, errCompacted) {
 		return 0, true
 	}
@@ -119,22 +119,22 @@
 		time.Sleep(tuning.ConfirmationRetry)
 		return since, false
 	}
-	var answer watchAnswer
+	var answer watchResponse
 	if err := decode(out, &answer); err != nil {
 		slog.Error("watch answer", "error", err)
 		return 0, true
 	}
-	emit(answer.advanced(sent))
-	time.Sleep(c.watchGap)
+	emit(answer.toEvent(sent))
+	time.Sleep(c.watchPause)
 	return max(since, answer.Revision), false
 }
 
-// advanced is the scheduler's form of the changes, in the order of their revisions. Within
+// toEvent is the scheduler's form of the changes, in the order of their revisions. Within
 // one revision the order stays, in which headers come before their chunks.
-func (w watchAnswer) advanced(sent time.Duration) scheduler.WatchAdvanced {
+func (w watchResponse) toEvent(sent time.Duration) scheduler.WatchAdvanced {
 	advanced := scheduler.WatchAdvanced{Sent: sent, Revision: w.Revision}
 	for _, e := range w.Events {
-		advanced.Items = append(advanced.Items, e.keyValue())
+		advanced.Items = append(advanced.Items, e.toKeyValue())
 	}
 	sort.SliceStable(advanced.Items, func(a, b int) bool {
 		return advanced.Items[a].ModRevision < advanced.Items[b].ModRevision
@@ -142,8 +142,8 @@
 	return advanced
 }
 
-// keyValue copies the value out of the answer's buffer; a deleted key has none.
-func (e watchEvent) keyValue() domain.KeyValue {
+// toKeyValue copies the value out of the answer's buffer; a deleted key has none.
+func (e watchEvent) toKeyValue() domain.KeyValue {
 	if e.Set == "" {
 		return domain.KeyValue{Key: e.Delete, ModRevision: e.ModRevision}
 	}
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -8,10 +8,10 @@
 	"brassglade/internal/scheduler"
 )
 
-// TestSnapshotPages: a snapshot reads all pages and keeps the first's revision,
+// TestSnapshotAndWatch: a snapshot reads all pages and keeps the first's revision,
 // from which the watch repairs what changed meanwhile; 410 asks for a new one.
-func TestSnapshotPages(t *testing.T) {
-	c := serve(t, func(_, p, _ string) (int, string) {
+func TestSnapshotAndWatch(t *testing.T) {
+	c := newTestClient(t, func(_, p, _ string) (int, string) {
 		switch {
 		case strings.HasPrefix(p, "/watch"):
 			if strings.Contains(p, "Since=5&") {
@@ -24,17 +24,17 @@
 		return 200, `{"Items":[{"Path":"b/a","V":1,"Stamp":4}],"Truncated":true,"Ledger":5}`
 	})
 	var got []scheduler.Event
-	since, err := c.snapshot(func(e scheduler.Event) { got = append(got, e) })
+	since, err := c.loadSnapshot(func(e scheduler.Event) { got = append(got, e) })
 	if err != nil || since != 5 || len(got) != 1 || len(got[0].(scheduler.SnapshotLoaded).Items) != 2 {
 		t.Fatalf("since %d, %v, %+v", since, err, got)
 	}
 	clock := func() time.Duration { return 3 * time.Second }
-	next, again := c.changes(since, clock, func(e scheduler.Event) { got = append(got, e) })
+	next, again := c.fetchChanges(since, clock, func(e scheduler.Event) { got = append(got, e) })
 	w := got[1].(scheduler.WatchAdvanced)
 	if next != 8 || again || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
 		t.Errorf("next %d, %v, %+v", next, again, w)
 	}
-	if _, again := c.changes(next, clock, func(scheduler.Event) {}); !again {
+	if _, again := c.fetchChanges(next, clock, func(scheduler.Event) {}); !again {
 		t.Error("410 asks for no snapshot")
 	}
 }
