--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,7 +1,7 @@
-// Package cloud is the client of the cloud that rents out machines: it lists machine types
-// and rented machines, rents and returns, within this controller's part of the cloud's
-// request rate. The structs here have the protocol's names; everything else uses the
-// types of packages domain and scheduler.
+// Package cloud is the client of the cloud from which machines are rented. It lists machine
+// types and rented machines, rents machines and returns them, within a rate of requests. JSON
+// tags hold the names of the protocol; everything else uses the types of packages domain and
+// scheduler.
 package cloud
 
 import (
@@ -17,7 +17,7 @@
 	"brassglade/internal/tuning"
 )
 
-// Paths of the cloud's interface.
+// Paths of the cloud's HTTP interface.
 const (
 	machineTypesPath = "/flavors"
 	instancesPath    = "/rentals"
@@ -25,17 +25,18 @@
 	returnPath       = "/rentals/return"
 )
 
-// instancesPerPage is how many machines one page of the list holds.
+// instancesPerPage is the largest number of machines that one page of the list holds.
 const instancesPerPage = 500
 
-// The budget's lanes: what the scheduler waits for goes before the pages of a list.
+// Lanes of the rate limiter: requests that the scheduler waits for go before the pages of the
+// list of machines.
 const (
 	urgentLane = iota
 	listLane
 )
 
-// noCapacityError is the error text of a rental that the cloud has no machine for; other
-// answers of status 503 are failures of the cloud itself.
+// noCapacityError is the error text with which the cloud responds, with status 503, to a rental
+// that it has no machines for. With any other text, status 503 is a failure of the cloud itself.
 const noCapacityError = "no capacity"
 
 type machineTypesResponse struct {
@@ -87,37 +88,42 @@
 	Names []string `json:"Brackets"`
 }
 
-// statusError is an answer of another status than 200.
+// statusError is the status of a response that isn't 200.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", int(e)) }
 
-// Client sends requests to the cloud. Its methods may be called by several goroutines;
-// each waits until the budget lets the request go, and then up to tuning.CloudTimeout.
+// Client sends requests to the cloud. Its methods may be called by several goroutines at once.
+// Each waits until the rate limiter admits the request and then up to tuning.CloudTimeout for
+// each response.
 type Client struct {
 	http    *httpclient.Client
 	limiter *httpclient.RateLimiter
 }
 
-// New returns a client of an address, "host:port", that sends so many requests a second.
+// New returns a client of the cloud at an address, "host:port". On average it sends at most
+// requestRate requests a second.
 func New(address string, requestRate float64) *Client {
 	return &Client{http: httpclient.New(address), limiter: httpclient.NewRateLimiter(requestRate, 1)}
 }
 
-// MachineTypes fetches the machine types that can be rented.
+// MachineTypes fetches the machine types that can be rented. The result isn't OK if the request
+// failed or the list is empty.
 func (c *Client) MachineTypes() scheduler.MachineTypesListed {
-	var answer machineTypesResponse
-	err := c.get(urgentLane, machineTypesPath, &answer)
-	if err != nil || len(answer.MachineTypes) == 0 {
+	var response machineTypesResponse
+	err := c.get(urgentLane, machineTypesPath, &response)
+	if err != nil || len(response.MachineTypes) == 0 {
 		return scheduler.MachineTypesListed{}
 	}
 	listed := scheduler.MachineTypesListed{OK: true}
-	for _, t := range answer.MachineTypes {
+	for _, t := range response.MachineTypes {
 		listed.Types = append(listed.Types, t.toDomain())
 	}
 	return listed
 }
 
+// toDomain converts a machine type to the scheduler's units, thousandths of processors, GPUs
+// and gigabytes of memory.
 func (t machineType) toDomain() domain.MachineType {
 	return domain.MachineType{
 		Name: t.Name,
@@ -135,7 +141,8 @@
 	}
 }
 
-// Instances fetches the list of rented machines: all pages, or OK is false.
+// Instances fetches the whole list of rented machines. If any page fails, the result has no
+// machines and isn't OK.
 func (c *Client) Instances() scheduler.InstancesListed {
 	listed := scheduler.InstancesListed{OK: true}
 	after := ""
@@ -158,64 +165,65 @@
 	}
 }
 
-// Rent asks for machines. A request whose outcome is unknown is neither OK nor without
-// capacity; the scheduler repeats it under the same rental id, which the cloud carries
-// out once.
+// Rent rents machines. If neither OK nor NoCapacity is set in the result, the outcome is
+// unknown or the cloud failed; the scheduler then repeats the request with the same rental ID,
+// under which the cloud rents out machines only once. A rejected request (status 400) counts as
+// a lack of capacity.
 func (c *Client) Rent(e scheduler.RentMachines) scheduler.RentalAnswered {
-	answered := scheduler.RentalAnswered{RentalID: e.RentalID}
+	result := scheduler.RentalAnswered{RentalID: e.RentalID}
 	response, err := c.post(rentPath, rentRequest{
 		RentalID: e.RentalID, MachineType: e.Type, Zone: e.Zone, Spot: e.Spot, Count: e.Count,
 	})
 	if err != nil {
-		return answered
+		return result
 	}
-	var answer rentResponse
-	if json.Unmarshal(response.Body, &answer) != nil {
-		return answered
+	var rental rentResponse
+	if json.Unmarshal(response.Body, &rental) != nil {
+		return result
 	}
 	switch response.Status {
 	case http.StatusOK:
-		answered.OK, answered.Names = true, answer.Names
+		result.OK, result.Names = true, rental.Names
 	case http.StatusBadRequest:
-		answered.NoCapacity = true
+		result.NoCapacity = true
 	case http.StatusServiceUnavailable:
-		answered.NoCapacity = answer.Error == noCapacityError
+		result.NoCapacity = rental.Error == noCapacityError
 	}
-	return answered
+	return result
 }
 
-// Return gives machines back.
+// Return returns rented machines to the cloud.
 func (c *Client) Return(e scheduler.ReturnMachines) scheduler.ReturnAnswered {
 	response, err := c.post(returnPath, returnRequest{Names: e.Names})
 	return scheduler.ReturnAnswered{Names: e.Names, OK: err == nil && response.Status == http.StatusOK}
 }
 
-// get fetches a path and decodes its answer.
-func (c *Client) get(lane int, path string, answer any) error {
+// get fetches a path and decodes the response into response, a pointer.
+func (c *Client) get(lane int, path string, response any) error {
 	c.limiter.Wait(lane, 0)
-	response, err := c.http.Do(http.MethodGet, path, nil, tuning.CloudTimeout)
+	reply, err := c.http.Do(http.MethodGet, path, nil, tuning.CloudTimeout)
 	if err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("request to the cloud: %w", err)
 	}
-	if response.Status != http.StatusOK {
-		return fmt.Errorf("cloud: %w", statusError(response.Status))
+	if reply.Status != http.StatusOK {
+		return fmt.Errorf("response of the cloud: %w", statusError(reply.Status))
 	}
-	if err := json.Unmarshal(response.Body, answer); err != nil {
-		return fmt.Errorf("cloud: %w", err)
+	if err := json.Unmarshal(reply.Body, response); err != nil {
+		return fmt.Errorf("cannot decode the cloud's response: %w", err)
 	}
 	return nil
 }
 
-// post sends a request that changes something; the answer may have any status.
+// post sends a request that rents or returns machines. The response may have any status.
 func (c *Client) post(path string, request any) (httpclient.Response, error) {
 	c.limiter.Wait(urgentLane, 0)
 	body, err := json.Marshal(request)
 	if err != nil {
-		return httpclient.Response{}, fmt.Errorf("cloud: %w", err)
+		return httpclient.Response{}, fmt.Errorf("cannot encode a request to the cloud: %w", err)
 	}
 	response, err := c.http.Do(http.MethodPost, path, body, tuning.CloudTimeout)
 	if err != nil {
-		return httpclient.Response{}, fmt.Errorf("cloud: %w", err)
+		return httpclient.Response{}, fmt.Errorf("request to the cloud: %w", err)
 	}
 	return response, nil
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -12,14 +12,14 @@
 	"brassglade/internal/scheduler"
 )
 
-// reply is one canned answer of the cloud.
+// reply is a response of the test server.
 type reply struct {
 	status int
 	body   string
 }
 
-// newTestClient returns a client of a cloud that gives the replies in order, and
-// the requests it got: method, target and body of each.
+// newTestClient returns a client of a test server that sends the replies in order and repeats
+// the last, and the requests that the server received: method, target and body of each.
 func newTestClient(t *testing.T, replies ...reply) (*Client, *[]string) {
 	t.Helper()
 	requests := &[]string{}
@@ -37,6 +37,8 @@
 	return New(strings.TrimPrefix(s.URL, "http://"), 1000), requests
 }
 
+// TestMachineTypes checks the conversion of a listed machine type, and that an empty, malformed
+// or failed list isn't OK.
 func TestMachineTypes(t *testing.T) {
 	const listed = `{"Builds":[{"Name":"g8","Cores":64,"Cards":8,"MemGb":512.5,"CacheGb":200,"PullGbPerS":1.5,` +
 		`"Hourly":12,"SpotPrice":4,"BootS":90,"Yards":["a","b"]}]}`
@@ -48,9 +50,9 @@
 			Name: "g8", Capacity: domain.Resources{CPU: 64000, GPU: 8000, Memory: 512500}, ImageCacheGB: 200, FetchGBPerS: 1.5,
 			Price: 12, SpotPrice: 4, BootSeconds: 90, Zones: []string{"a", "b"},
 		}}}},
-		"none":      {reply{200, `{"Builds":[]}`}, scheduler.MachineTypesListed{}},
-		"malformed": {reply{200, `{"Bui`}, scheduler.MachineTypesListed{}},
-		"refused":   {reply{503, listed}, scheduler.MachineTypesListed{}},
+		"empty":       {reply{200, `{"Builds":[]}`}, scheduler.MachineTypesListed{}},
+		"malformed":   {reply{200, `{"Bui`}, scheduler.MachineTypesListed{}},
+		"unavailable": {reply{503, listed}, scheduler.MachineTypesListed{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, requests := newTestClient(t, x.reply)
@@ -64,7 +66,8 @@
 	}
 }
 
-// TestInstances: all pages or nothing.
+// TestInstances checks that the list has the machines of all pages, and that it isn't OK if a
+// page fails. An empty page ends the list.
 func TestInstances(t *testing.T) {
 	first := reply{200, `{"Brackets":[{"NameId":"n 1","Address":"10.0.0.1:9","Build":"g8","Yard":"a","Loaners":true,"Status":"running","HeldS":7.5}],"Truncated":true}`}
 	last := reply{200, `{"Brackets":[{"NameId":"n-2","Status":"booting"}],"Truncated":false}`}
@@ -76,9 +79,9 @@
 			{Name: "n 1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Status: "running", HeldSeconds: 7.5},
 			{Name: "n-2", Status: "booting"},
 		}}},
-		"second fails":  {[]reply{first, {500, ``}}, scheduler.InstancesListed{}},
-		"second is cut": {[]reply{first, {200, `{"Brack`}}, scheduler.InstancesListed{}},
-		"empty page":    {[]reply{first, {200, `{"Brackets":[],"Truncated":true}`}}, scheduler.InstancesListed{OK: true, Instances: []domain.Instance{{Name: "n 1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Status: "running", HeldSeconds: 7.5}}}},
+		"second page fails":     {[]reply{first, {500, ``}}, scheduler.InstancesListed{}},
+		"second page truncated": {[]reply{first, {200, `{"Brack`}}, scheduler.InstancesListed{}},
+		"second page empty":     {[]reply{first, {200, `{"Brackets":[],"Truncated":true}`}}, scheduler.InstancesListed{OK: true, Instances: []domain.Instance{{Name: "n 1", Addr: "10.0.0.1:9", Type: "g8", Zone: "a", Spot: true, Status: "running", HeldSeconds: 7.5}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, requests := newTestClient(t, x.replies...)
@@ -92,19 +95,19 @@
 	}
 }
 
-// TestRent: only a certain lack of capacity is told as one; all else is tried again
-// under the same name.
+// TestRent checks that a lack of capacity is reported only where the cloud states it or rejects
+// the request; after any other failure the scheduler repeats the request with the same rental ID.
 func TestRent(t *testing.T) {
 	for name, x := range map[string]struct {
 		reply reply
 		want  scheduler.RentalAnswered
 	}{
-		"rented":           {reply{200, `{"Brackets":["n-1","n-2"]}`}, scheduler.RentalAnswered{RentalID: "r-1", OK: true, Names: []string{"n-1", "n-2"}}},
-		"bad request":      {reply{400, `{"error":"no such type"}`}, scheduler.RentalAnswered{RentalID: "r-1", NoCapacity: true}},
-		"no capacity":      {reply{503, `{"error":"no capacity"}`}, scheduler.RentalAnswered{RentalID: "r-1", NoCapacity: true}},
-		"not available":    {reply{503, `{"error":"busy"}`}, scheduler.RentalAnswered{RentalID: "r-1"}},
-		"malformed answer": {reply{200, `{"Brack`}, scheduler.RentalAnswered{RentalID: "r-1"}},
-		"throttled":        {reply{429, `{}`}, scheduler.RentalAnswered{RentalID: "r-1"}},
+		"rented":             {reply{200, `{"Brackets":["n-1","n-2"]}`}, scheduler.RentalAnswered{RentalID: "r-1", OK: true, Names: []string{"n-1", "n-2"}}},
+		"bad request":        {reply{400, `{"error":"no such type"}`}, scheduler.RentalAnswered{RentalID: "r-1", NoCapacity: true}},
+		"no capacity":        {reply{503, `{"error":"no capacity"}`}, scheduler.RentalAnswered{RentalID: "r-1", NoCapacity: true}},
+		"unavailable":        {reply{503, `{"error":"busy"}`}, scheduler.RentalAnswered{RentalID: "r-1"}},
+		"truncated response": {reply{200, `{"Brack`}, scheduler.RentalAnswered{RentalID: "r-1"}},
+		"throttled":          {reply{429, `{}`}, scheduler.RentalAnswered{RentalID: "r-1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, requests := newTestClient(t, x.reply)
@@ -119,6 +122,7 @@
 	}
 }
 
+// TestReturn checks the request to return machines, and that only status 200 counts as OK.
 func TestReturn(t *testing.T) {
 	for name, x := range map[string]struct {
 		reply reply
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,55 +18,57 @@
 "state":{"rps":100,"write_rps":25,"value_kb":8,"txn_ops":20},"cloud":{"rps":4,"list_lag_s":6},
 "machine_limits":{"cpu":0.12,"ram_mb":234,"max_connections":3000},"skew_ms":25}}`
 
+// TestSchedulerSettings checks that valid settings are accepted, and some of the values derived
+// from them.
 func TestSchedulerSettings(t *testing.T) {
 	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.SchedulerSettings(nil, 1)
-	if len(c.Nodes) != 2 || c.Teams["t"].Limit.GPU != 8000 || c.StartWithin["x"] != 20 || len(c.DeadlineMultiples) != 1 || c.ValueLimit != 8192 {
-		t.Errorf("scheduler settings %+v", c)
+	settings := s.SchedulerSettings(nil, 1)
+	if len(settings.Nodes) != 2 || settings.Teams["t"].Limit.GPU != 8000 || settings.StartWithin["x"] != 20 || len(settings.DeadlineMultiples) != 1 || settings.ValueLimit != 8192 {
+		t.Errorf("scheduler settings %+v", settings)
 	}
-	if c.FenceAge.Seconds()+c.WorkerLease.Seconds() >= c.CancelWithin.Seconds() {
-		t.Errorf("fence %v and lease %v don't fit into %v", c.FenceAge, c.WorkerLease, c.CancelWithin)
+	if settings.FenceAge.Seconds()+settings.WorkerLease.Seconds() >= settings.CancelWithin.Seconds() {
+		t.Errorf("FenceAge %v and WorkerLease %v don't fit into CancelWithin %v", settings.FenceAge, settings.WorkerLease, settings.CancelWithin)
 	}
 }
 
-// TestAllInvalidFieldsAreReported: every fault is told by its field, all at once.
+// TestAllInvalidFieldsAreReported checks that one error names all fields that break a rule.
 func TestAllInvalidFieldsAreReported(t *testing.T) {
 	bad := strings.NewReplacer(`"member":"c-0",`, ``, `"10.0.0.1:8081"`, `"nowhere"`, `"lease_s":31`, `"lease_s":-1`, `"txn_ops":20`, `"txn_ops":1`).Replace(validSettings)
 	_, err := Parse([]byte(bad))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid settings accepted")
 	}
 	for _, f := range []string{"Member", "Back", "LeaseS", "TxnOps"} {
 		if !strings.Contains(err.Error(), f) {
-			t.Errorf("%s is not named in %q", f, err)
+			t.Errorf("field %s is not named in %q", f, err)
 		}
 	}
-	// A cancellation must fit fence and lease.
+	// cancel_s must be longer than the fence age, the lease and the margins together.
 	if _, err := Parse([]byte(strings.Replace(validSettings, `"cancel_s":56`, `"cancel_s":32`, 1))); err == nil || !strings.Contains(err.Error(), "cancel_s") {
-		t.Errorf("short cancel_s: %v", err)
+		t.Errorf("cancel_s too short: error %v", err)
 	}
 }
 
-// TestValidationMessages: what the check command prints is known to operators; the Go names behind
-// it may change.
+// TestValidationMessages checks the exact messages. Operators see them in the output of the check
+// command, so they stay the same when Go names change.
 func TestValidationMessages(t *testing.T) {
 	for name, x := range map[string]struct{ from, to, want string }{
-		"rule":               {`"lease_s":31`, `"lease_s":-1`, `Params.Workers.LeaseS: "-1" breaks rule gt 0`},
-		"rule in a list":     {`"gpus_max":8`, `"gpus_max":-8`, `Params.Teams[0].GpusMax: "-8" breaks rule gte 0`},
-		"missing":            {`"member":"c-1",`, ``, `Members[0].Member: "" breaks rule required `},
-		"type":               {`"domain":"a"`, `"domain":7`, `settings: json: cannot unmarshal number into Go struct field Settings.Domain of type string`},
-		"type in a list":     {`"member":"c-1"`, `"member":7`, `settings: json: cannot unmarshal number into Go struct field Member.Member of type string`},
-		"type without name":  {`"txn_ops":20`, `"txn_ops":[]`, `settings: json: cannot unmarshal number [ into Go struct field .TxnOps of type int`},
-		"type, name as is":   {`"name":"t"`, `"name":7`, `settings: json: cannot unmarshal number into Go struct field Team.Name of type string`},
-		"cancel_s too short": {`"cancel_s":56`, `"cancel_s":32`, `params.workers.cancel_s: 32 s leaves -0.0 s besides lease_s (31 s) and margins; at least 2.0 s are needed`},
+		"broken rule":                         {`"lease_s":31`, `"lease_s":-1`, `Params.Workers.LeaseS: "-1" breaks rule gt 0`},
+		"broken rule in a list":               {`"gpus_max":8`, `"gpus_max":-8`, `Params.Teams[0].GpusMax: "-8" breaks rule gte 0`},
+		"missing field":                       {`"member":"c-1",`, ``, `Members[0].Member: "" breaks rule required `},
+		"wrong type":                          {`"domain":"a"`, `"domain":7`, `settings: json: cannot unmarshal number into Go struct field Settings.Domain of type string`},
+		"wrong type in a list":                {`"member":"c-1"`, `"member":7`, `settings: json: cannot unmarshal number into Go struct field Member.Member of type string`},
+		"wrong type in an anonymous struct":   {`"txn_ops":20`, `"txn_ops":[]`, `settings: json: cannot unmarshal number [ into Go struct field .TxnOps of type int`},
+		"wrong type, field without fault tag": {`"name":"t"`, `"name":7`, `settings: json: cannot unmarshal number into Go struct field Team.Name of type string`},
+		"cancel_s too short":                  {`"cancel_s":56`, `"cancel_s":32`, `params.workers.cancel_s: 32 s leaves -0.0 s besides lease_s (31 s) and margins; at least 2.0 s are needed`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(validSettings, x.from, x.to, 1)
 			if text == validSettings {
-				t.Fatal("nothing changed")
+				t.Fatal("the replacement did not change the settings")
 			}
 			if _, err := Parse([]byte(text)); err == nil || err.Error() != x.want {
 				t.Errorf("error %q, want %q", err, x.want)
@@ -75,13 +77,15 @@
 	}
 }
 
+// TestLoadOperator checks that valid operators' settings, among them the example in deploy/,
+// are accepted, and that unknown keys and values out of range are rejected.
 func TestLoadOperator(t *testing.T) {
 	f := filepath.Join(t.TempDir(), "o.yaml")
 	for name, x := range map[string]struct {
 		text string
 		ok   bool
 	}{
-		"taken":        {"learn: false\nspare: 2\n", true},
+		"valid":        {"learn: false\nspare: 2\n", true},
 		"unknown key":  {"spares: 2\n", false},
 		"out of range": {"spare: -1\n", false},
 	} {
@@ -95,10 +99,12 @@
 		})
 	}
 	if _, err := LoadOperator("../../deploy/operator.example.yaml"); err != nil {
-		t.Errorf("the example: %v", err)
+		t.Errorf("deploy/operator.example.yaml: %v", err)
 	}
 }
 
+// FuzzSettings checks that no settings that are accepted let a cancelled task run past
+// cancel_s.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Add([]byte(`{}`))
@@ -111,10 +117,11 @@
 		if err != nil {
 			return
 		}
-		// What a node last allowed is dead before a cancellation has to be carried out.
+		// A task that a controller allowed at the last moment must have ended by the time
+		// that a cancellation has to be complete.
 		c := s.SchedulerSettings(nil, 1)
 		if last := c.FenceAge + c.WorkerLease + c.WorkerLease/1000 + tuning.DriftMargin + tuning.FenceMargin; c.FenceAge < tuning.MinFenceAge || last > c.CancelWithin+time.Microsecond {
-			t.Errorf("fence %v, a cancelled task may last %v of %v", c.FenceAge, last, c.CancelWithin)
+			t.Errorf("FenceAge %v; a cancelled task may run for %v, CancelWithin is %v", c.FenceAge, last, c.CancelWithin)
 		}
 	})
 }
--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -10,8 +10,8 @@
 
 const bytesPerKB = 1024
 
-// SchedulerSettings gives what the scheduler needs of both files; operator may be nil. The
-// seed is that of random draws.
+// SchedulerSettings returns the scheduler's settings. operator is the operators' settings file,
+// nil if there is none; seed is the seed of the scheduler's random numbers.
 func (s *Settings) SchedulerSettings(operator *Operator, seed uint64) scheduler.Settings {
 	p := s.Params
 	lowest := s.lowestLimits()
@@ -50,7 +50,7 @@
 	return c
 }
 
-// quotasByTeam are the teams' quotasByTeam by name.
+// quotasByTeam returns the quotas by the names of the teams.
 func quotasByTeam(teams []Team) map[string]domain.Quota {
 	byTeam := map[string]domain.Quota{}
 	for _, t := range teams {
@@ -62,6 +62,7 @@
 	return byTeam
 }
 
+// setObjectives puts the objectives into the settings, with bounds and multiples sorted.
 func setObjectives(c *scheduler.Settings, objectives []Objective) {
 	for _, o := range objectives {
 		switch o.Kind {
@@ -83,7 +84,8 @@
 	}
 }
 
-// applyTo puts the operators' choices in the place of the defaults.
+// applyTo replaces defaults in the scheduler's settings by the values that the operators set. A
+// nil Operator changes nothing.
 func (o *Operator) applyTo(c *scheduler.Settings) {
 	if o == nil {
 		return
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -10,12 +10,13 @@
 	json "github.com/goccy/go-json"
 )
 
-// ValidationError lists every field that breaks a rule, one a line.
+// ValidationError has one message for each field that breaks a rule. Error joins them by newlines.
 type ValidationError []string
 
 func (e ValidationError) Error() string { return strings.Join(e, "\n") }
 
-// validate checks the rules in the fields' tags; its error is a FaultsError.
+// validate checks the rules in the validate tags of a struct's fields. It returns a
+// ValidationError if any is broken.
 func validate(settings any) error {
 	v := validator.New()
 	v.RegisterTagNameFunc(reportedName)
@@ -32,11 +33,11 @@
 	return faults
 }
 
-// reportedName is the name that messages use for a field; "": its Go name.
+// reportedName returns the name of a field in error messages, its tag fault; "": its Go name.
 func reportedName(field reflect.StructField) string { return field.Tag.Get("fault") }
 
-// withReportedName puts the field's name for messages into the JSON package's error about a
-// value of the wrong type, which has the Go name.
+// withReportedName replaces the Go name of the field by its reported name if err is the JSON
+// package's error about a value of the wrong type. Other errors are returned as they are.
 func withReportedName(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if !errors.As(err, &wrongType) {
@@ -48,10 +49,12 @@
 	return err
 }
 
-// goField is a field of a struct type; the struct's name may be empty.
+// goField identifies a field by the name of its struct type, "" for an anonymous one, and its Go
+// name.
 type goField struct{ structName, name string }
 
-// reportedNames collects the names for messages of a struct's fields and of all structs in it.
+// reportedNames returns the names in fault tags of the fields of a struct type and of all struct
+// types nested in it. Fields without the tag are left out.
 func reportedNames(t reflect.Type) map[goField]string {
 	names := map[goField]string{}
 	var collect func(t reflect.Type)
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,7 +1,7 @@
-// Package httpclient is a small HTTP/1.1 client on package net for requests between the
-// service's processes: a pool of kept connections for each address, one connection for
-// each request under way and a deadline for each request. It also holds Budget, which
-// spaces requests so that they stay within published rates.
+// Package httpclient is a small HTTP/1.1 client on top of package net, for requests to the
+// state service, the cloud and the workers. It keeps a pool of idle connections for each
+// address, sends one request at a time over a connection and sets a deadline for each request.
+// It also provides RateLimiter, which keeps requests within published rates.
 package httpclient
 
 import (
@@ -18,26 +18,26 @@
 	"brassglade/internal/tuning"
 )
 
-// The two ways in which a request can fail. Each error of Do matches one of them.
+// The two ways in which a request can fail. Each error that Do returns matches exactly one.
 var (
-	// ErrNotSent means that the request was certainly not executed.
-	ErrNotSent = errors.New("not sent")
+	// ErrNotSent means that the request was not sent, and so certainly not executed.
+	ErrNotSent = errors.New("request not sent")
 	// ErrOutcomeUnknown means that the request may or may not have been executed.
-	ErrOutcomeUnknown = errors.New("outcome unknown")
+	ErrOutcomeUnknown = errors.New("outcome of the request unknown")
 )
 
 const (
-	readBufferBytes  = 8 << 10 // read buffer of a connection
-	requestHeadBytes = 160     // room for a request's head, which has two to four short lines
+	readBufferBytes  = 8 << 10 // size of a connection's read buffer
+	requestHeadBytes = 160     // buffer space for a request's head, which has two to four short lines
 )
 
-// Response is an answer whatever its status.
+// Response is the response to a request, with any status.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// connection is a connection that carries one request at a time.
+// connection is a TCP connection that carries one request at a time.
 type connection struct {
 	net.Conn
 	reader   *bufio.Reader
@@ -49,14 +49,15 @@
 	address string
 
 	mu   sync.Mutex
-	idle []*connection // the one used last is at the end
+	idle []*connection // the most recently used is the last
 }
 
-// New returns a client of an address, "host:port". It connects with the first request.
+// New returns a client of a server's address, "host:port". It connects on the first request.
 func New(address string) *Client { return &Client{address: address} }
 
-// Do carries out one request; a nil body sends none. The timeout covers connecting,
-// sending and the whole answer. Its errors match ErrNotSent or ErrOutcomeUnknown.
+// Do sends a request, with no body if body is nil, and returns the response. The timeout
+// covers connecting, sending and reading the whole response. An error matches ErrNotSent or
+// ErrOutcomeUnknown.
 func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (Response, error) {
 	deadline := time.Now().Add(timeout)
 	k, err := c.connect(timeout)
@@ -77,8 +78,8 @@
 	return response, nil
 }
 
-// connect returns the idle connection that was used last, if it is fresh enough to be
-// trusted, and else a new one.
+// connect returns the most recently used idle connection if its last use is less than
+// tuning.IdleConnectionLifetime ago, and otherwise a new one.
 func (c *Client) connect(timeout time.Duration) (*connection, error) {
 	if k := c.takeIdle(); k != nil {
 		return k, nil
@@ -90,8 +91,9 @@
 	return &connection{Conn: n, reader: bufio.NewReaderSize(n, readBufferBytes)}, nil
 }
 
-// takeIdle takes a fresh connection out of the pool and closes stale ones on the way;
-// nil if there is none.
+// takeIdle removes the most recently used connection from the pool and returns it. It closes
+// connections that were idle for tuning.IdleConnectionLifetime, and returns nil if no other is
+// left.
 func (c *Client) takeIdle() *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// putIdle puts a connection into the pool, or closes it if the pool is full.
+// putIdle returns a connection to the pool, or closes it if the pool is full.
 func (c *Client) putIdle(k *connection) {
 	k.lastUsed = time.Now()
 	c.mu.Lock()
@@ -119,7 +121,7 @@
 	c.idle = append(c.idle, k)
 }
 
-// formatRequest returns the bytes of a formatRequest.
+// formatRequest returns the bytes of a request. A POST without a body has Content-Length 0.
 func (c *Client) formatRequest(method, path string, body []byte) []byte {
 	var b bytes.Buffer
 	b.Grow(len(body) + requestHeadBytes)
@@ -132,8 +134,8 @@
 	return b.Bytes()
 }
 
-// roundTrip sends a request's bytes and reads the answer; reusable tells whether the other
-// side keeps the connection open.
+// roundTrip sends the bytes of a request and reads the response. reusable reports whether the
+// server keeps the connection open.
 func (k *connection) roundTrip(request []byte) (response Response, reusable bool, err error) {
 	if _, err := k.Write(request); err != nil {
 		return Response{}, false, err
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// serveOnce answers the first request on a fresh listener with the given bytes, closes
-// the connection, and returns the address and, later, the request's bytes.
-func serveOnce(t *testing.T, answer string) (addr string, request <-chan string) {
+// serveOnce starts a server that sends the given bytes in response to the first request and
+// closes the connection. It returns the server's address and a channel that receives the bytes
+// of the request.
+func serveOnce(t *testing.T, response string) (addr string, request <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,12 +42,12 @@
 			head += string(body)
 		}
 		got <- head
-		_, _ = io.WriteString(c, answer)
+		_, _ = io.WriteString(c, response)
 	}()
 	return ln.Addr().String(), got
 }
 
-// TestRequestBytes holds what goes over the wire to the byte.
+// TestRequestBytes checks the exact bytes that Do sends.
 func TestRequestBytes(t *testing.T) {
 	for name, x := range map[string]struct {
 		method, path string
@@ -61,7 +62,7 @@
 			addr, request := serveOnce(t, "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}")
 			response, err := New(addr).Do(x.method, x.path, x.body, 5*time.Second)
 			if err != nil || response.Status != 409 || string(response.Body) != "{}" {
-				t.Errorf("answer %d %q, %v", response.Status, response.Body, err)
+				t.Errorf("response %d %q, error %v", response.Status, response.Body, err)
 			}
 			if got, want := <-request, strings.ReplaceAll(x.want, "ADDR", addr); got != want {
 				t.Errorf("sent %q, want %q", got, want)
@@ -70,7 +71,8 @@
 	}
 }
 
-// TestErrNotSent: only a failed connect is certain not to have been executed.
+// TestErrNotSent checks that ErrNotSent is returned only if no connection could be made; after
+// that, the outcome of a failed request is unknown.
 func TestErrNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -80,16 +82,16 @@
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	silent, _ := serveOnce(t, "")
-	cut, _ := serveOnce(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}")
+	noResponse, _ := serveOnce(t, "")
+	truncated, _ := serveOnce(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}")
 	for name, x := range map[string]struct {
 		addr    string
 		notSent bool
-	}{"refused connection": {closed, true}, "closed without an answer": {silent, false}, "answer cut off": {cut, false}} {
+	}{"refused connection": {closed, true}, "closed without a response": {noResponse, false}, "truncated response": {truncated, false}} {
 		t.Run(name, func(t *testing.T) {
 			_, err := New(x.addr).Do("GET", "/", nil, 5*time.Second)
 			if err == nil || errors.Is(err, ErrNotSent) != x.notSent || errors.Is(err, ErrOutcomeUnknown) == x.notSent {
-				t.Errorf("error %v, not sent wanted: %v", err, x.notSent)
+				t.Errorf("error %v, want ErrNotSent: %v", err, x.notSent)
 			}
 		})
 	}
--- a/internal/httpclient/rate_limiter.go
+++ b/internal/httpclient/rate_limiter.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	laneCount = 4 // as many as the scheduler's lanes of commits
-	// retryInterval is how often requests that wait for credit are looked at again.
+	laneCount = 4 // the number of the scheduler's lanes of commits
+	// retryInterval is the time after which requests that lack credit are checked again.
 	retryInterval = 20 * time.Millisecond
 )
 
-// RateLimiter is one controller's part of a published rate of requests and of changes (keys
-// written), as two token buckets that hold one second's worth each. Requests wait in
-// lanes: one of a lower lane goes only when none waits in a more urgent one.
+// RateLimiter keeps one controller within its share of a published rate of requests and of
+// changes (keys written), with two token buckets that hold up to one second's worth each.
+// Requests wait in lanes; those of more urgent lanes are considered first.
 type RateLimiter struct {
 	mu             sync.Mutex
 	requestRate    float64 // requests a second
 	changeRate     float64 // changes a second
-	requestCredit  float64 // requests that may go now
-	changeCredit   float64 // changes that may go now; below 0: debt
+	requestCredit  float64 // requests that may be sent now
+	changeCredit   float64 // changes that may be sent now; below 0: debt
 	updatedAt      time.Time
-	queues         [laneCount][]*waitingRequest // 0 is the most urgent
-	retryScheduled bool                         // a timer will look at the waiting requests again
+	queues         [laneCount][]*waitingRequest // by lane; 0 is the most urgent
+	retryScheduled bool                         // a timer that calls retry is running
 }
 
 // waitingRequest is a request that waits for credit.
 type waitingRequest struct {
 	changes  int
-	admitted chan struct{} // closed when the request may go
+	admitted chan struct{} // closed when the request may be sent
 }
 
-// NewRateLimiter returns a budget of the given rates, each a second, with a burst of one
-// second's worth.
+// NewRateLimiter returns a rate limiter for the given numbers of requests and changes a second,
+// with bursts of up to one second's worth.
 func NewRateLimiter(requestRate, changeRate float64) *RateLimiter {
 	return &RateLimiter{
 		requestRate: requestRate, requestCredit: requestRate,
@@ -43,7 +43,8 @@
 	}
 }
 
-// Wait returns when a request with so many changes may go out; lane 0 is the most urgent.
+// Wait blocks until a request with the given number of changes may be sent; lane 0 is the most
+// urgent.
 func (b *RateLimiter) Wait(lane, changes int) {
 	t := &waitingRequest{changes: changes, admitted: make(chan struct{})}
 	b.mu.Lock()
@@ -53,14 +54,16 @@
 	<-t.admitted
 }
 
-// Refund takes back the changes of a request that was refused unexecuted.
+// Refund credits the changes of a request that was refused without being executed, up to one
+// second's worth in total.
 func (b *RateLimiter) Refund(changes int) {
 	b.mu.Lock()
 	b.changeCredit = min(b.changeRate, b.changeCredit+float64(changes))
 	b.mu.Unlock()
 }
 
-// admitWaiting lets requests go as far as the credit reaches; mu is held.
+// admitWaiting admits waiting requests as far as the credit allows, urgent lanes first. A request
+// that lacks credit holds back the later ones of its lane only. mu must be held.
 func (b *RateLimiter) admitWaiting() {
 	b.refill()
 	starved := false
@@ -83,7 +86,7 @@
 	}
 }
 
-// refill adds what the time since the last call is worth; mu is held.
+// refill adds the credit for the time since the last call; mu must be held.
 func (b *RateLimiter) refill() {
 	now := time.Now()
 	elapsed := now.Sub(b.updatedAt).Seconds()
@@ -92,7 +95,8 @@
 	b.changeCredit = min(b.changeRate, b.changeCredit+elapsed*b.changeRate)
 }
 
-// hasCredit tells whether a request of the lane may go now; mu is held.
+// hasCredit reports whether a request of the lane with that many changes may be sent now; mu
+// must be held.
 func (b *RateLimiter) hasCredit(lane, changes int) bool {
 	if b.requestCredit < 1 {
 		return false
@@ -100,10 +104,12 @@
 	return changes <= 0 || b.changeCredit >= b.requiredCredit(lane, changes)
 }
 
-// requiredCredit is the credit in changes from which a request may go. A transaction may
-// be larger than a second's worth: it goes when there is some credit, and its size is
-// paid off afterwards. Views and users go ahead of that credit: others' transactions
-// must not keep them waiting, and pay for it afterwards.
+// requiredCredit returns the change credit that a request with changes needs. A request in a
+// lane that isn't urgent needs credit for all its changes, but at most tuning.TaskCredit
+// seconds' worth, because a transaction may have more changes than the bucket holds; the rest
+// becomes debt, which is paid off afterwards. Requests in the urgent lanes (views and users)
+// are sent down to a debt of tuning.UrgentDebtSeconds' worth, so that they don't wait for the
+// transactions of other lanes, which wait until the debt is paid off.
 func (b *RateLimiter) requiredCredit(lane, changes int) float64 {
 	if lane < tuning.UrgentLanes {
 		return -tuning.UrgentDebtSeconds * b.changeRate
@@ -111,7 +117,7 @@
 	return min(float64(changes), tuning.TaskCredit*b.changeRate)
 }
 
-// retry looks at the waiting requests again when a timer fires.
+// retry checks the waiting requests again; a timer calls it.
 func (b *RateLimiter) retry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,11 +1,12 @@
 // Package kvstore is the client of the state service, a consensus-backed key-value store
-// with revisions, leases, transactions on conditions and watches. It carries out the
-// scheduler's requests within this controller's part of the service's rates, and keeps the
-// scheduler's cache up to date with a snapshot and a watch.
+// with revisions, leases, conditional transactions and watches. It sends the scheduler's
+// requests within this controller's share of the service's request and change rates, and
+// keeps the scheduler's cache up to date with a snapshot followed by watches.
 //
-// The structs with JSON tags have the protocol's names; all else has the types of packages
-// domain and scheduler. No method returns an error: the scheduler gets an event that says
-// what is known of the outcome. The errors inside tell the cases apart.
+// JSON tags hold the names of the protocol; everything else uses the types of packages
+// domain and scheduler. No exported method returns an error: each gives the scheduler events
+// that state what is known of the outcome. The errors within the package distinguish the
+// possible outcomes.
 package kvstore
 
 import (
@@ -20,7 +21,7 @@
 	"brassglade/internal/tuning"
 )
 
-// Paths of the state service's interface.
+// Paths of the state service's HTTP interface.
 const (
 	transactionPath = "/commit"
 	keysPath        = "/kv"
@@ -28,22 +29,22 @@
 	leasesPath      = "/grants"
 )
 
-// keysPerPage is how many keys one page of a snapshot holds.
+// keysPerPage is the largest number of keys that one page of a snapshot holds.
 const keysPerPage = 1000
 
-// What a request's failure means for its outcome. An error that matches none of these and
-// isn't httpclient.ErrNotSent leaves the outcome unknown.
+// Errors for responses whose status isn't 200. The outcome of a request is unknown if its
+// error matches errUnexpected, or neither one of these nor httpclient.ErrNotSent.
 var (
-	errConflict    = errors.New("a condition doesn't hold")
-	errMalformed   = errors.New("refused as malformed")
-	errNotFound    = errors.New("not found")
-	errCompacted   = errors.New("the revision is too old for a watch")
-	errThrottled   = errors.New("over the rate")
-	errUnavailable = errors.New("not available")
-	errUnexpected  = errors.New("unexpected status")
+	errConflict    = errors.New("a condition of the transaction does not hold")
+	errMalformed   = errors.New("request rejected as malformed")
+	errNotFound    = errors.New("key or lease not found")
+	errCompacted   = errors.New("the revision to watch from is no longer available")
+	errThrottled   = errors.New("request rate exceeded")
+	errUnavailable = errors.New("service unavailable")
+	errUnexpected  = errors.New("unexpected HTTP status")
 )
 
-// statusErrors maps the statuses that the protocol gives a meaning.
+// statusErrors maps the HTTP statuses that the protocol defines to errors.
 var statusErrors = map[int]error{
 	http.StatusBadRequest:         errMalformed,
 	http.StatusNotFound:           errNotFound,
@@ -53,7 +54,7 @@
 	http.StatusServiceUnavailable: errUnavailable,
 }
 
-// statusError returns nil for status 200 and else what the status means.
+// statusError returns nil for status 200 and otherwise the error that the status stands for.
 func statusError(status int) error {
 	if status == http.StatusOK {
 		return nil
@@ -62,21 +63,21 @@
 	if !known {
 		meaning = errUnexpected
 	}
-	return fmt.Errorf("state service, status %d: %w", status, meaning)
+	return fmt.Errorf("state service responded with status %d: %w", status, meaning)
 }
 
 // Client sends requests to the state service. Its methods may be called by several
-// goroutines; each waits until the budget lets the request go, and then up to
-// tuning.StateTimeout.
+// goroutines at once. Each waits until the rate limiter admits the request and then, except
+// for Watch, up to tuning.StateTimeout for each response.
 type Client struct {
 	http       *httpclient.Client
-	watchHTTP  *httpclient.Client // connections of its own, since a watch holds one for seconds
+	watchHTTP  *httpclient.Client // separate connections, since a watch occupies one for seconds
 	limiter    *httpclient.RateLimiter
-	watchPause time.Duration // pause between watches, which count as requests
+	watchPause time.Duration // pause between two watches, since each counts as a request
 }
 
-// New returns a client of an address, "host:port", that sends so many requests and makes
-// so many changes a second.
+// New returns a client of the state service at an address, "host:port". On average it sends at
+// most requestRate requests and writes at most changeRate keys a second.
 func New(address string, requestRate, changeRate float64) *Client {
 	spacing := time.Duration(float64(time.Second) / (tuning.WatchShare * requestRate))
 	return &Client{
@@ -87,19 +88,22 @@
 	}
 }
 
-// post sends a request and returns the body of its answer, also beside an error that
-// the answer's status means.
+// post sends a request and returns the body of its response. If the status isn't 200, it
+// returns the body together with the error that the status stands for.
 func (c *Client) post(path string, body []byte) ([]byte, error) {
 	response, err := c.http.Do(http.MethodPost, path, body, tuning.StateTimeout)
 	return bodyOrError(response, err)
 }
 
-// get fetches a path with the given client, which a watch and the others have each.
+// get fetches a path with the given client: watchHTTP for snapshots and watches, http for
+// single keys.
 func get(client *httpclient.Client, path string, timeout time.Duration) ([]byte, error) {
 	response, err := client.Do(http.MethodGet, path, nil, timeout)
 	return bodyOrError(response, err)
 }
 
+// bodyOrError returns the body of a response and the error that its status stands for, or
+// the error of the request itself.
 func bodyOrError(response httpclient.Response, err error) ([]byte, error) {
 	if err != nil {
 		return nil, fmt.Errorf("state service: %w", err)
@@ -107,10 +111,10 @@
 	return response.Body, statusError(response.Status)
 }
 
-// decode reads an answer's body.
-func decode(body []byte, answer any) error {
-	if err := json.Unmarshal(body, answer); err != nil {
-		return fmt.Errorf("state service, answer of %d bytes: %w", len(body), err)
+// decode parses the JSON body of a response into response, a pointer.
+func decode(body []byte, response any) error {
+	if err := json.Unmarshal(body, response); err != nil {
+		return fmt.Errorf("cannot decode the state service's response of %d bytes: %w", len(body), err)
 	}
 	return nil
 }
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -17,7 +17,8 @@
 	LeaseID uint64 `json:"Permit"`
 }
 
-// Grant asks for a lease.
+// Grant requests a lease with the given TTL. The result isn't OK if the request failed or its
+// outcome is unknown; a lease that was granted all the same then expires unused.
 func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseGranted {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	lease, err := c.grant(leaseRequest{TTLMilliseconds: e.TTL.Milliseconds()})
@@ -43,7 +44,8 @@
 	return lease, nil
 }
 
-// Renew renews a lease. Gone: it ran out, and a new one is needed.
+// Renew renews a lease. Gone in the result means that the lease has expired and that a new
+// one is needed; if neither OK nor Gone is set, the outcome is unknown.
 func (c *Client) Renew(e scheduler.RenewLease) scheduler.LeaseRenewalAnswered {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	_, err := c.post(fmt.Sprintf("%s/%d/renew", leasesPath, e.LeaseID), []byte("{}"))
--- a/internal/kvstore/leases_test.go
+++ b/internal/kvstore/leases_test.go
@@ -7,12 +7,14 @@
 	"brassglade/internal/scheduler"
 )
 
+// TestGrantAndRenewLease checks the requests sent, and the result for each status; only a
+// response of status 404 means that the lease has expired.
 func TestGrantAndRenewLease(t *testing.T) {
 	var sent string
-	status, answer := 200, `{"Permit":12,"LifeMs":5000}`
+	status, response := 200, `{"Permit":12,"LifeMs":5000}`
 	c := newTestClient(t, func(method, path, body string) (int, string) {
 		sent = method + " " + path + " " + body
-		return status, answer
+		return status, response
 	})
 	if got, want := c.Grant(scheduler.GrantLease{TTL: 5 * time.Second}), (scheduler.LeaseGranted{OK: true, LeaseID: 12}); got != want {
 		t.Errorf("granted %+v, want %+v", got, want)
@@ -40,6 +42,6 @@
 	}
 	status = 503
 	if got := c.Grant(scheduler.GrantLease{TTL: time.Second}); got != (scheduler.LeaseGranted{}) {
-		t.Errorf("granted %+v", got)
+		t.Errorf("status 503: granted %+v, want none", got)
 	}
 }
--- a/internal/kvstore/transactions.go
+++ b/internal/kvstore/transactions.go
@@ -34,39 +34,43 @@
 
 type transactionResponse struct {
 	Revision   uint64   `json:"Ledger"`
-	FailedKeys []string `json:"failed"` // of the conditions that don't hold
+	FailedKeys []string `json:"failed"` // keys of the conditions that do not hold
 
-	errorBody []byte // the body of an answer that refuses the transaction, for the log
+	errorBody []byte // body of a response whose status isn't 200 or 409, for the log
 }
 
-// item is a key as reads and snapshots give it.
+// item is a key with its value, as reads and snapshots return it.
 type item struct {
 	Key         string          `json:"Path"`
 	Value       json.RawMessage `json:"V"`
 	ModRevision uint64          `json:"Stamp"`
 }
 
-// toKeyValue copies the value out of the answer's buffer.
+// toKeyValue converts an item, under the given key; the value is copied out of the response's
+// buffer.
 func (i item) toKeyValue(key string) domain.KeyValue {
 	return domain.KeyValue{Key: key, Value: bytes.Clone(i.Value), ModRevision: i.ModRevision}
 }
 
-// Confirm compares the view's revision by a transaction without changes.
+// Confirm checks that the view still has the given revision, by a transaction that has this
+// condition and no changes. Same in the result reports whether it has; if the result isn't OK,
+// that is unknown.
 func (c *Client) Confirm(e scheduler.ConfirmView) scheduler.ConfirmationAnswered {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	body, err := json.Marshal(transactionRequest{Conditions: []condition{{Key: e.Key, ModRevision: e.ModRevision}}})
 	if err != nil {
 		return scheduler.ConfirmationAnswered{}
 	}
-	answer, err := c.sendTransaction(body)
+	response, err := c.sendTransaction(body)
 	if err != nil && !errors.Is(err, errConflict) {
 		return scheduler.ConfirmationAnswered{}
 	}
-	return scheduler.ConfirmationAnswered{OK: true, Same: err == nil, Revision: answer.Revision}
+	return scheduler.ConfirmationAnswered{OK: true, Same: err == nil, Revision: response.Revision}
 }
 
-// Commit carries out a transaction. The changes of one that was certainly not executed
-// go back into the budget.
+// Commit sends a transaction. A user's change that the state service throttles is retried up
+// to tuning.ThrottledRetries times. The changes of a transaction that the service refused or
+// that could not be sent are refunded to the rate limiter.
 func (c *Client) Commit(e scheduler.Commit) scheduler.CommitAnswered {
 	changes := len(e.Transaction.Puts)
 	c.limiter.Wait(e.Lane, changes)
@@ -74,29 +78,29 @@
 	if err != nil {
 		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
-	answer, err := c.sendTransaction(body)
+	response, err := c.sendTransaction(body)
 	for n := 0; n < tuning.ThrottledRetries && e.Lane == scheduler.LaneUser && errors.Is(err, errThrottled); n++ {
 		time.Sleep(tuning.ThrottledPause)
 		c.limiter.Wait(e.Lane, 0)
-		answer, err = c.sendTransaction(body)
+		response, err = c.sendTransaction(body)
 	}
 	if errors.Is(err, errMalformed) {
-		slog.Error("state service refuses a transaction", "answer", string(answer.errorBody))
+		slog.Error("state service rejected a transaction as malformed", "response", string(response.errorBody))
 	}
-	answered := scheduler.CommitAnswered{
+	result := scheduler.CommitAnswered{
 		ID:        e.ID,
 		Result:    commitResult(err),
 		Malformed: errors.Is(err, errMalformed),
-		Revision:  answer.Revision,
-		Failed:    answer.FailedKeys,
+		Revision:  response.Revision,
+		Failed:    response.FailedKeys,
 	}
-	if answered.Result == domain.Refused {
+	if result.Result == domain.Refused {
 		c.limiter.Refund(changes)
 	}
-	return answered
+	return result
 }
 
-// commitResult says what a transaction's error means for its fate.
+// commitResult returns the result of a transaction from the error of its request.
 func commitResult(err error) domain.CommitResult {
 	switch {
 	case err == nil:
@@ -125,21 +129,23 @@
 	return r
 }
 
-// sendTransaction sends a transaction. The answer is that of an executed one or beside errConflict;
-// an answer that can't be read leaves the outcome unknown.
+// sendTransaction sends an encoded transaction. The response is decoded if the transaction was
+// executed (nil error) or a condition doesn't hold (errConflict); otherwise it has at most
+// errorBody. An error in decoding the response leaves the outcome unknown.
 func (c *Client) sendTransaction(body []byte) (transactionResponse, error) {
 	out, outcome := c.post(transactionPath, body)
 	if outcome != nil && !errors.Is(outcome, errConflict) {
 		return transactionResponse{errorBody: out}, outcome
 	}
-	var answer transactionResponse
-	if err := decode(out, &answer); err != nil {
+	var response transactionResponse
+	if err := decode(out, &response); err != nil {
 		return transactionResponse{}, err
 	}
-	return answer, outcome
+	return response, outcome
 }
 
-// Read reads keys one by one; those that don't exist are left out. One failure fails all.
+// Read reads keys one at a time; keys that don't exist are left out of the result. If any read
+// fails, the result has no keys and isn't OK.
 func (c *Client) Read(e scheduler.ReadKeys) scheduler.KeysRead {
 	read := scheduler.KeysRead{ID: e.ID, OK: true}
 	for _, key := range e.Keys {
--- a/internal/kvstore/transactions_test.go
+++ b/internal/kvstore/transactions_test.go
@@ -11,22 +11,23 @@
 	"brassglade/internal/scheduler"
 )
 
-// TestCommitResults: what each answer means for a transaction's fate.
+// TestCommitResults checks the request that Commit sends, and the result that it returns for
+// each status and body of the response.
 func TestCommitResults(t *testing.T) {
 	for name, x := range map[string]struct {
 		status int
 		body   string
 		want   scheduler.CommitAnswered
 	}{
-		"committed":        {200, `{"Ledger":432}`, scheduler.CommitAnswered{ID: 9, Result: domain.Committed, Revision: 432}},
-		"conflict":         {409, `{"failed":["b/x"],"Ledger":431}`, scheduler.CommitAnswered{ID: 9, Result: domain.Conflict, Revision: 431, Failed: []string{"b/x"}}},
-		"malformed":        {400, `{"error":"no such lease"}`, scheduler.CommitAnswered{ID: 9, Result: domain.Refused, Malformed: true}},
-		"throttled":        {429, ``, scheduler.CommitAnswered{ID: 9, Result: domain.Refused}},
-		"not available":    {503, ``, scheduler.CommitAnswered{ID: 9, Result: domain.Refused}},
-		"answer cut off":   {200, `{"Led`, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
-		"conflict cut off": {409, `{"Led`, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
-		"internal error":   {500, ``, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
-		"not found":        {404, ``, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
+		"committed":          {200, `{"Ledger":432}`, scheduler.CommitAnswered{ID: 9, Result: domain.Committed, Revision: 432}},
+		"conflict":           {409, `{"failed":["b/x"],"Ledger":431}`, scheduler.CommitAnswered{ID: 9, Result: domain.Conflict, Revision: 431, Failed: []string{"b/x"}}},
+		"malformed":          {400, `{"error":"no such lease"}`, scheduler.CommitAnswered{ID: 9, Result: domain.Refused, Malformed: true}},
+		"throttled":          {429, ``, scheduler.CommitAnswered{ID: 9, Result: domain.Refused}},
+		"unavailable":        {503, ``, scheduler.CommitAnswered{ID: 9, Result: domain.Refused}},
+		"truncated response": {200, `{"Led`, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
+		"truncated conflict": {409, `{"Led`, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
+		"internal error":     {500, ``, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
+		"not found":          {404, ``, scheduler.CommitAnswered{ID: 9, Result: domain.InDoubt}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var path, body string
@@ -48,16 +49,17 @@
 	}
 }
 
-// TestThrottledUserCommitIsRetried: a user's change is sent again after 429, up to
-// twice; other lanes wait for the scheduler's own pause.
+// TestThrottledUserCommitIsRetried checks that a commit in the user lane is sent again after
+// status 429, up to twice. Commits in other lanes aren't: the scheduler retries them itself
+// after a pause.
 func TestThrottledUserCommitIsRetried(t *testing.T) {
 	for name, x := range map[string]struct {
 		lane, throttled, requests int
 		want                      domain.CommitResult
 	}{
-		"user, once":  {scheduler.LaneUser, 1, 2, domain.Committed},
-		"user, ever":  {scheduler.LaneUser, 9, 3, domain.Refused},
-		"other lanes": {scheduler.LaneTask, 1, 1, domain.Refused},
+		"user lane, throttled once":   {scheduler.LaneUser, 1, 2, domain.Committed},
+		"user lane, always throttled": {scheduler.LaneUser, 9, 3, domain.Refused},
+		"task lane, throttled once":   {scheduler.LaneTask, 1, 1, domain.Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requests := 0
@@ -69,34 +71,36 @@
 				return 200, `{"Ledger":1}`
 			})
 			if got := c.Commit(scheduler.Commit{Lane: x.lane}); got.Result != x.want || requests != x.requests {
-				t.Errorf("%+v after %d requests", got, requests)
+				t.Errorf("got %+v after %d requests", got, requests)
 			}
 		})
 	}
 }
 
-// TestRefusedConnectionRefusesCommit: such a transaction certainly did not run.
+// TestRefusedConnectionRefusesCommit checks that a commit is refused, not in doubt, if no
+// connection could be made: the transaction was certainly not executed.
 func TestRefusedConnectionRefusesCommit(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	addr := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
-	if ev := New(addr, 1000, 1000).Commit(scheduler.Commit{ID: 1}); ev.Result != domain.Refused {
-		t.Errorf("%+v", ev)
+	if got := New(addr, 1000, 1000).Commit(scheduler.Commit{ID: 1}); got.Result != domain.Refused {
+		t.Errorf("got %+v, want it refused", got)
 	}
 }
 
-// TestConfirm: a transaction on the view's revision alone, which also tells the newest.
+// TestConfirm checks that Confirm sends a transaction whose only content is the condition on
+// the view's revision, and that the result holds the state service's revision.
 func TestConfirm(t *testing.T) {
 	for name, x := range map[string]struct {
 		status int
 		body   string
 		want   scheduler.ConfirmationAnswered
 	}{
-		"same":           {200, `{"Ledger":7}`, scheduler.ConfirmationAnswered{OK: true, Same: true, Revision: 7}},
-		"another":        {409, `{"failed":["b/view"],"Ledger":8}`, scheduler.ConfirmationAnswered{OK: true, Revision: 8}},
-		"answer cut off": {200, `{"Led`, scheduler.ConfirmationAnswered{}},
-		"not available":  {503, ``, scheduler.ConfirmationAnswered{}},
-		"malformed":      {400, `{}`, scheduler.ConfirmationAnswered{}},
+		"same revision":      {200, `{"Ledger":7}`, scheduler.ConfirmationAnswered{OK: true, Same: true, Revision: 7}},
+		"different revision": {409, `{"failed":["b/view"],"Ledger":8}`, scheduler.ConfirmationAnswered{OK: true, Revision: 8}},
+		"truncated response": {200, `{"Led`, scheduler.ConfirmationAnswered{}},
+		"unavailable":        {503, ``, scheduler.ConfirmationAnswered{}},
+		"malformed":          {400, `{}`, scheduler.ConfirmationAnswered{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent string
@@ -114,17 +118,18 @@
 	}
 }
 
-// TestRead: a key that doesn't exist is left out, and one failure fails all.
+// TestRead checks that a key that doesn't exist is left out, and that the result isn't OK if a
+// read fails.
 func TestRead(t *testing.T) {
 	for name, x := range map[string]struct {
 		status int
 		body   string
 		want   scheduler.KeysRead
 	}{
-		"found":         {200, `{"Path":"b/a","V":{"z":1},"Stamp":3}`, scheduler.KeysRead{ID: 4, OK: true, Items: []domain.KeyValue{{Key: "b/a", Value: []byte(`{"z":1}`), ModRevision: 3}}}},
-		"not found":     {404, ``, scheduler.KeysRead{ID: 4, OK: true}},
-		"cut off":       {200, `{"Pa`, scheduler.KeysRead{ID: 4}},
-		"not available": {503, ``, scheduler.KeysRead{ID: 4}},
+		"found":              {200, `{"Path":"b/a","V":{"z":1},"Stamp":3}`, scheduler.KeysRead{ID: 4, OK: true, Items: []domain.KeyValue{{Key: "b/a", Value: []byte(`{"z":1}`), ModRevision: 3}}}},
+		"not found":          {404, ``, scheduler.KeysRead{ID: 4, OK: true}},
+		"truncated response": {200, `{"Pa`, scheduler.KeysRead{ID: 4}},
+		"unavailable":        {503, ``, scheduler.KeysRead{ID: 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent string
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -29,7 +29,8 @@
 	Events   []watchEvent `json:"Events"`
 }
 
-// watchEvent tells of one key that was set or deleted.
+// watchEvent is the change of one key: Set names a key that was set, Delete one that was
+// deleted; the other is empty.
 type watchEvent struct {
 	Set         string          `json:"Set"`
 	Delete      string          `json:"Delete"`
@@ -37,9 +38,9 @@
 	ModRevision uint64          `json:"Stamp"`
 }
 
-// Watch feeds the scheduler's cache until the context ends: a snapshot, then changes in
-// order, and a new snapshot where changes were missed. clock is the scheduler's steady
-// time.
+// Watch keeps the scheduler's cache up to date until the context ends: it emits a snapshot,
+// then the changes in the order of their revisions, and a new snapshot whenever changes were
+// missed. clock is the scheduler's monotonic clock.
 func (c *Client) Watch(ctx context.Context, clock func() time.Duration, emit func(scheduler.Event)) {
 	for ctx.Err() == nil {
 		since, err := c.loadSnapshot(emit)
@@ -51,19 +52,20 @@
 	}
 }
 
-// watchFrom emits changes after a revision until a new snapshot is needed.
+// watchFrom emits the changes after a revision until a new snapshot is needed or the context
+// ends.
 func (c *Client) watchFrom(ctx context.Context, since uint64, clock func() time.Duration, emit func(scheduler.Event)) {
 	for ctx.Err() == nil {
-		next, again := c.fetchChanges(since, clock, emit)
-		if again {
+		next, stale := c.fetchChanges(since, clock, emit)
+		if stale {
 			return
 		}
 		since = next
 	}
 }
 
-// loadSnapshot reads all keys and emits them as one event. Its revision is that of the first
-// page: what changes while the others are read comes again with the watch.
+// loadSnapshot reads all keys and emits them as one event. It returns the revision of the
+// first page: a watch from there also reports what changed while later pages were read.
 func (c *Client) loadSnapshot(emit func(scheduler.Event)) (revision uint64, err error) {
 	loaded := scheduler.SnapshotLoaded{}
 	after := ""
@@ -87,7 +89,8 @@
 	return loaded.Revision, nil
 }
 
-// fetchSnapshotPage reads the keys that follow one; "" reads the first.
+// fetchSnapshotPage reads the page of keys that follows the key after; "" reads the first
+// page.
 func (c *Client) fetchSnapshotPage(after string) (snapshotPage, error) {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	path := fmt.Sprintf("%s?Starts=%s&Page=%d", keysPath, codec.Root, keysPerPage)
@@ -105,9 +108,10 @@
 	return page, nil
 }
 
-// fetchChanges waits for the fetchChanges after a revision and emits them; again: a new snapshot is
-// needed.
-func (c *Client) fetchChanges(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, again bool) {
+// fetchChanges waits up to tuning.WatchWait for changes after the revision since and emits
+// them. next is the revision to continue from; stale reports that changes were or may have
+// been missed, so that a new snapshot is needed.
+func (c *Client) fetchChanges(since uint64, clock func() time.Duration, emit func(scheduler.Event)) (next uint64, stale bool) {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	sent := clock()
 	path := fmt.Sprintf("%s?Starts=%s&Since=%d&WaitMs=%d", watchPath, codec.Root, since, tuning.WatchWait.Milliseconds())
@@ -119,18 +123,19 @@
 		time.Sleep(tuning.ConfirmationRetry)
 		return since, false
 	}
-	var answer watchResponse
-	if err := decode(out, &answer); err != nil {
-		slog.Error("watch answer", "error", err)
+	var response watchResponse
+	if err := decode(out, &response); err != nil {
+		slog.Error("cannot decode the response to a watch; loading a new snapshot", "error", err)
 		return 0, true
 	}
-	emit(answer.toEvent(sent))
+	emit(response.toEvent(sent))
 	time.Sleep(c.watchPause)
-	return max(since, answer.Revision), false
+	return max(since, response.Revision), false
 }
 
-// toEvent is the scheduler's form of the changes, in the order of their revisions. Within
-// one revision the order stays, in which headers come before their chunks.
+// toEvent converts the response to the scheduler's event, with the changes sorted by revision.
+// Changes of the same revision keep their order, in which headers come before their chunks.
+// sent is when the watch was sent, by the scheduler's clock.
 func (w watchResponse) toEvent(sent time.Duration) scheduler.WatchAdvanced {
 	advanced := scheduler.WatchAdvanced{Sent: sent, Revision: w.Revision}
 	for _, e := range w.Events {
@@ -142,7 +147,8 @@
 	return advanced
 }
 
-// toKeyValue copies the value out of the answer's buffer; a deleted key has none.
+// toKeyValue converts a change; the value is copied out of the response's buffer and nil for a
+// deleted key.
 func (e watchEvent) toKeyValue() domain.KeyValue {
 	if e.Set == "" {
 		return domain.KeyValue{Key: e.Delete, ModRevision: e.ModRevision}
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -8,8 +8,9 @@
 	"brassglade/internal/scheduler"
 )
 
-// TestSnapshotAndWatch: a snapshot reads all pages and keeps the first's revision,
-// from which the watch repairs what changed meanwhile; 410 asks for a new one.
+// TestSnapshotAndWatch checks that a snapshot reads all pages and returns the revision of the
+// first, so that a watch from there also reports what changed while later pages were read.
+// Status 410 of a watch requires a new snapshot.
 func TestSnapshotAndWatch(t *testing.T) {
 	c := newTestClient(t, func(_, p, _ string) (int, string) {
 		switch {
@@ -29,12 +30,12 @@
 		t.Fatalf("since %d, %v, %+v", since, err, got)
 	}
 	clock := func() time.Duration { return 3 * time.Second }
-	next, again := c.fetchChanges(since, clock, func(e scheduler.Event) { got = append(got, e) })
+	next, stale := c.fetchChanges(since, clock, func(e scheduler.Event) { got = append(got, e) })
 	w := got[1].(scheduler.WatchAdvanced)
-	if next != 8 || again || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
-		t.Errorf("next %d, %v, %+v", next, again, w)
+	if next != 8 || stale || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
+		t.Errorf("next %d, stale %v, %+v", next, stale, w)
 	}
-	if _, again := c.fetchChanges(next, clock, func(scheduler.Event) {}); !again {
-		t.Error("410 asks for no snapshot")
+	if _, stale := c.fetchChanges(next, clock, func(scheduler.Event) {}); !stale {
+		t.Error("status 410 of a watch did not require a new snapshot")
 	}
 }
