--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -149,16 +149,16 @@
 	return o, nil
 }
 
-// fenceAge returns the longest time for which a controller may act on one confirmation. With
-// it, a cancelled task has ended within cancel_s even if its controller was cut off right after
-// the confirmation.
+// fenceAge returns the longest time for which a controller may act on one confirmation. It is
+// short enough that a cancelled task has ended within cancel_s even if its controller was cut
+// off right after the confirmation.
 func (s *Settings) fenceAge() time.Duration {
 	w := s.Params.Workers
 	left := seconds(w.CancelWithin - w.Lease*leaseDriftFactor)
 	return min(tuning.FenceAge, left-tuning.DriftMargin-tuning.FenceMargin)
 }
 
-// leaseDriftFactor is the factor by which a worker's lease may last longer because its clock is slow.
+// leaseDriftFactor is the factor by which a worker's lease may last longer on a slow clock.
 const leaseDriftFactor = 1.001
 
 // seconds converts a number of seconds to a duration.
--- a/internal/httpclient/rate_limiter.go
+++ b/internal/httpclient/rate_limiter.go
@@ -45,63 +45,63 @@
 
 // Wait blocks until a request with the given number of changes may be sent; lane 0 is the most
 // urgent.
-func (b *RateLimiter) Wait(lane, changes int) {
-	t := &waitingRequest{changes: changes, admitted: make(chan struct{})}
-	b.mu.Lock()
-	b.queues[lane] = append(b.queues[lane], t)
-	b.admitWaiting()
-	b.mu.Unlock()
-	<-t.admitted
+func (l *RateLimiter) Wait(lane, changes int) {
+	w := &waitingRequest{changes: changes, admitted: make(chan struct{})}
+	l.mu.Lock()
+	l.queues[lane] = append(l.queues[lane], w)
+	l.admitWaiting()
+	l.mu.Unlock()
+	<-w.admitted
 }
 
 // Refund credits the changes of a request that was refused without being executed, up to one
 // second's worth in total.
-func (b *RateLimiter) Refund(changes int) {
-	b.mu.Lock()
-	b.changeCredit = min(b.changeRate, b.changeCredit+float64(changes))
-	b.mu.Unlock()
+func (l *RateLimiter) Refund(changes int) {
+	l.mu.Lock()
+	l.changeCredit = min(l.changeRate, l.changeCredit+float64(changes))
+	l.mu.Unlock()
 }
 
 // admitWaiting admits waiting requests as far as the credit allows, urgent lanes first. A request
 // that lacks credit holds back the later ones of its lane only. mu must be held.
-func (b *RateLimiter) admitWaiting() {
-	b.refill()
+func (l *RateLimiter) admitWaiting() {
+	l.refill()
 	starved := false
-	for lane := range b.queues {
-		for len(b.queues[lane]) > 0 {
-			t := b.queues[lane][0]
-			if !b.hasCredit(lane, t.changes) {
+	for lane := range l.queues {
+		for len(l.queues[lane]) > 0 {
+			w := l.queues[lane][0]
+			if !l.hasCredit(lane, w.changes) {
 				starved = true
 				break
 			}
-			b.requestCredit--
-			b.changeCredit -= float64(t.changes)
-			b.queues[lane] = b.queues[lane][1:]
-			close(t.admitted)
+			l.requestCredit--
+			l.changeCredit -= float64(w.changes)
+			l.queues[lane] = l.queues[lane][1:]
+			close(w.admitted)
 		}
 	}
-	if starved && !b.retryScheduled {
-		b.retryScheduled = true
-		time.AfterFunc(retryInterval, b.retry)
+	if starved && !l.retryScheduled {
+		l.retryScheduled = true
+		time.AfterFunc(retryInterval, l.retry)
 	}
 }
 
 // refill adds the credit for the time since the last call; mu must be held.
-func (b *RateLimiter) refill() {
+func (l *RateLimiter) refill() {
 	now := time.Now()
-	elapsed := now.Sub(b.updatedAt).Seconds()
-	b.updatedAt = now
-	b.requestCredit = min(b.requestRate, b.requestCredit+elapsed*b.requestRate)
-	b.changeCredit = min(b.changeRate, b.changeCredit+elapsed*b.changeRate)
+	elapsed := now.Sub(l.updatedAt).Seconds()
+	l.updatedAt = now
+	l.requestCredit = min(l.requestRate, l.requestCredit+elapsed*l.requestRate)
+	l.changeCredit = min(l.changeRate, l.changeCredit+elapsed*l.changeRate)
 }
 
 // hasCredit reports whether a request of the lane with that many changes may be sent now; mu
 // must be held.
-func (b *RateLimiter) hasCredit(lane, changes int) bool {
-	if b.requestCredit < 1 {
+func (l *RateLimiter) hasCredit(lane, changes int) bool {
+	if l.requestCredit < 1 {
 		return false
 	}
-	return changes <= 0 || b.changeCredit >= b.requiredCredit(lane, changes)
+	return changes <= 0 || l.changeCredit >= l.requiredCredit(lane, changes)
 }
 
 // requiredCredit returns the change credit that a request with changes needs. A request in a
@@ -110,17 +110,17 @@
 // becomes debt, which is paid off afterwards. Requests in the urgent lanes (views and users)
 // are sent down to a debt of tuning.UrgentDebtSeconds' worth, so that they don't wait for the
 // transactions of other lanes, which wait until the debt is paid off.
-func (b *RateLimiter) requiredCredit(lane, changes int) float64 {
+func (l *RateLimiter) requiredCredit(lane, changes int) float64 {
 	if lane < tuning.UrgentLanes {
-		return -tuning.UrgentDebtSeconds * b.changeRate
+		return -tuning.UrgentDebtSeconds * l.changeRate
 	}
-	return min(float64(changes), tuning.TaskCredit*b.changeRate)
+	return min(float64(changes), tuning.TaskCredit*l.changeRate)
 }
 
 // retry checks the waiting requests again; a timer calls it.
-func (b *RateLimiter) retry() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.retryScheduled = false
-	b.admitWaiting()
+func (l *RateLimiter) retry() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.retryScheduled = false
+	l.admitWaiting()
 }
--- a/internal/httpclient/rate_limiter_test.go
+++ b/internal/httpclient/rate_limiter_test.go
@@ -5,14 +5,14 @@
 // TestRefund checks that the changes of a refused request are credited again, up to one second's
 // worth in total.
 func TestRefund(t *testing.T) {
-	b := NewRateLimiter(1e6, 10)
-	b.Wait(0, 30)
-	if b.changeCredit > -15 {
-		t.Fatalf("credit of %g changes after a request with 30, at 10 a second", b.changeCredit)
+	limiter := NewRateLimiter(1e6, 10)
+	limiter.Wait(0, 30)
+	if limiter.changeCredit > -15 {
+		t.Fatalf("credit of %g changes after a request with 30, at 10 a second", limiter.changeCredit)
 	}
-	b.Refund(30)
-	if b.changeCredit < 9 || b.changeCredit > 10 {
-		t.Errorf("credit of %g changes after the refund", b.changeCredit)
+	limiter.Refund(30)
+	if limiter.changeCredit < 9 || limiter.changeCredit > 10 {
+		t.Errorf("credit of %g changes after the refund", limiter.changeCredit)
 	}
 }
 
@@ -35,9 +35,9 @@
 		"view, debt over the limit":     {1, -30.1, view, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewRateLimiter(5, 10)
-			b.requestCredit, b.changeCredit = x.requestCredit, x.changeCredit
-			if got := b.hasCredit(x.lane, x.changes); got != x.want {
+			limiter := NewRateLimiter(5, 10)
+			limiter.requestCredit, limiter.changeCredit = x.requestCredit, x.changeCredit
+			if got := limiter.hasCredit(x.lane, x.changes); got != x.want {
 				t.Errorf("may be sent: %v", got)
 			}
 		})
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -32,8 +32,9 @@
 // keysPerPage is the largest number of keys that one page of a snapshot holds.
 const keysPerPage = 1000
 
-// Errors for responses whose status isn't 200. The outcome of a request is unknown if its
-// error matches errUnexpected, or neither one of these nor httpclient.ErrNotSent.
+// Errors for responses whose status isn't 200; commitResult states what they mean for the
+// outcome of a transaction. An error that matches none of them and isn't httpclient.ErrNotSent
+// leaves the outcome unknown.
 var (
 	errConflict    = errors.New("a condition of the transaction does not hold")
 	errMalformed   = errors.New("request rejected as malformed")
