--- a/internal/config/scheduler.go
+++ b/internal/config/scheduler.go
@@ -10,8 +10,8 @@
 
 const bytesPerKB = 1024
 
-// SchedulerSettings gives what the scheduler needs of both files; operator may be nil. The
-// seed is that of random draws.
+// SchedulerSettings returns the scheduler's settings. operator is the operators' settings file,
+// nil if there is none; seed is the seed of the scheduler's random numbers.
 func (s *Settings) SchedulerSettings(operator *Operator, seed uint64) scheduler.Settings {
 	p := s.Params
 	lowest := s.lowestLimits()
@@ -19,7 +19,7 @@
 		Controller:        s.Member,
 		Zone:              s.Zone,
 		Controllers:       []string{s.Member},
-		Teams:             quotas(p.Teams),
+		Teams:             quotasByTeam(p.Teams),
 		Zones:             p.Zones,
 		ZoneOf:            map[string]string{s.Member: s.Zone},
 		HeartbeatInterval: seconds(p.Workers.HeartbeatInterval),
@@ -46,12 +46,12 @@
 	}
 	slices.Sort(c.Controllers)
 	setObjectives(&c, p.Objectives)
-	operator.override(&c)
+	operator.applyTo(&c)
 	return c
 }
 
-// quotas are the teams' quotas by name.
-func quotas(teams []Team) map[string]domain.Quota {
+// quotasByTeam returns the quotas by the names of the teams.
+func quotasByTeam(teams []Team) map[string]domain.Quota {
 	byTeam := map[string]domain.Quota{}
 	for _, t := range teams {
 		byTeam[t.Name] = domain.Quota{
@@ -62,6 +62,7 @@
 	return byTeam
 }
 
+// setObjectives puts the objectives into the settings, with bounds and multiples sorted.
 func setObjectives(c *scheduler.Settings, objectives []Objective) {
 	for _, o := range objectives {
 		switch o.Kind {
@@ -83,8 +84,9 @@
 	}
 }
 
-// override puts the operators' choices in the place of the defaults.
-func (o *Operator) override(c *scheduler.Settings) {
+// applyTo replaces defaults in the scheduler's settings by the values that the operators set. A
+// nil Operator changes nothing.
+func (o *Operator) applyTo(c *scheduler.Settings) {
 	if o == nil {
 		return
 	}
