--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkHeartbeat is what one heartbeat with eight tasks costs the HTTP side.
 func BenchmarkHeartbeat(b *testing.B) {
-	f := &fake{answer: scheduler.HeartbeatReply{Status: 200, FencingToken: 7}}
+	f := &fakeBackend{reply: scheduler.HeartbeatReply{Status: 200, FencingToken: 7}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -12,43 +12,43 @@
 	"brassglade/internal/tuning"
 )
 
-// errBody means that a request's body can't be read or is longer than tuning.BodyLimit.
-var errBody = errors.New("body unreadable or over 64 KiB")
+// errUnreadableBody means that a request's body can't be read or is longer than tuning.BodyLimit.
+var errUnreadableBody = errors.New("body unreadable or over 64 KiB")
 
-// errorAnswer is an answer that tells of an error. Handlers return it as their error, and
+// errorResponse is an answer that tells of an error. Handlers return it as their error, and
 // answerError sends it.
-type errorAnswer struct {
+type errorResponse struct {
 	status int
 	reason string // told to the client
 }
 
 // Error gives status and reason.
-func (e *errorAnswer) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.reason) }
+func (e *errorResponse) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.reason) }
 
 // unavailable asks the client to come again.
 func unavailable(reason string) error {
-	return &errorAnswer{status: http.StatusServiceUnavailable, reason: reason}
+	return &errorResponse{status: http.StatusServiceUnavailable, reason: reason}
 }
 
 func badRequest(reason string) error {
-	return &errorAnswer{status: http.StatusBadRequest, reason: reason}
+	return &errorResponse{status: http.StatusBadRequest, reason: reason}
 }
 
 func notFound(reason string) error {
-	return &errorAnswer{status: http.StatusNotFound, reason: reason}
+	return &errorResponse{status: http.StatusNotFound, reason: reason}
 }
 
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// answerError answers a request whose handler returned an error, whether one of this
+// writeError answers a request whose handler returned an error, whether one of this
 // package, of echo (no such path or method) or of writing the answer.
-func answerError(err error, c echo.Context) {
+func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	var own *errorAnswer
+	var own *errorResponse
 	if !errors.As(err, &own) {
 		status := http.StatusInternalServerError
 		var routing *echo.HTTPError
@@ -68,10 +68,10 @@
 func readBody(c echo.Context) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, tuning.BodyLimit+1))
 	if err != nil {
-		return body, fmt.Errorf("%w: %w", errBody, err)
+		return body, fmt.Errorf("%w: %w", errUnreadableBody, err)
 	}
 	if len(body) > tuning.BodyLimit {
-		return body, errBody
+		return body, errUnreadableBody
 	}
 	return body, nil
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -43,15 +43,15 @@
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.JSONSerializer = jsonSerializer{}
-	e.HTTPErrorHandler = answerError
-	e.GET(readyPath, h.reportReady)
+	e.HTTPErrorHandler = writeError
+	e.GET(readyPath, h.handleReady)
 	if metrics != nil {
 		e.GET(metricsPath, echo.WrapHandler(metrics))
 	}
 	e.POST(jobsPath, h.submitJob)
 	e.GET(jobPath, h.queryJob)
 	e.POST(cancelPath, h.cancelJob)
-	e.POST(heartbeatPath, h.takeHeartbeat)
+	e.POST(heartbeatPath, h.handleHeartbeat)
 	return &http.Server{
 		Handler:           e,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
@@ -77,12 +77,12 @@
 	}
 }
 
-// connectionsOver tells whether more than a percentage of the sockets is taken.
-func (h *handler) connectionsOver(percent int64) bool {
+// connectionsExceed tells whether more than a percentage of the sockets is taken.
+func (h *handler) connectionsExceed(percent int64) bool {
 	return h.maxConnections > 0 && 100*h.openConnections.Load() > percent*int64(h.maxConnections)
 }
 
-func (h *handler) reportReady(c echo.Context) error {
+func (h *handler) handleReady(c echo.Context) error {
 	if !h.backend.Ready() {
 		return unavailable("not ready")
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -12,31 +12,31 @@
 	"brassglade/internal/scheduler"
 )
 
-// fake is a backend that gives one reply; none stands for a full queue.
-type fake struct {
-	answer scheduler.Effect
-	asked  scheduler.Event
+// fakeBackend is a backend that gives one reply; none stands for a full queue.
+type fakeBackend struct {
+	reply scheduler.Effect
+	event scheduler.Event
 }
 
-func (f *fake) Ready() bool { return f.answer != nil }
+func (f *fakeBackend) Ready() bool { return f.reply != nil }
 
-func (f *fake) Request(_ bool, newEvent func(uint64) scheduler.Event) (scheduler.Effect, bool) {
-	f.asked = newEvent(1)
-	return f.answer, f.answer != nil
+func (f *fakeBackend) Request(_ bool, newEvent func(uint64) scheduler.Event) (scheduler.Effect, bool) {
+	f.event = newEvent(1)
+	return f.reply, f.reply != nil
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for name, x := range map[string]struct {
 		method, path, body string
 		answer             scheduler.Effect
 		code               int
 		want, retry        string
 	}{
-		"accepted":     {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 201, ID: "job-000412", State: "pending"}, 201, `{"NameId":"job-000412","Status":"pending","done":0,"running":0}`, ""},
-		"full stage":   {"POST", "/v1/jobs", good, nil, 503, `{"error":"busy"}`, "1"},
-		"not ready":    {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 503, Reason: "not ready"}, 503, `{"error":"not ready"}`, "1"},
-		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + good, scheduler.UserReply{Status: 201}, 400, `{"error":"body unreadable or over 64 KiB"}`, ""},
-		"refused":      {"POST", "/v1/jobs", good, scheduler.UserReply{Status: 409, Reason: "taken"}, 409, `{"error":"taken"}`, ""},
+		"accepted":     {"POST", "/v1/jobs", validSubmission, scheduler.UserReply{Status: 201, ID: "job-000412", State: "pending"}, 201, `{"NameId":"job-000412","Status":"pending","done":0,"running":0}`, ""},
+		"full stage":   {"POST", "/v1/jobs", validSubmission, nil, 503, `{"error":"busy"}`, "1"},
+		"not ready":    {"POST", "/v1/jobs", validSubmission, scheduler.UserReply{Status: 503, Reason: "not ready"}, 503, `{"error":"not ready"}`, "1"},
+		"too large":    {"POST", "/v1/jobs", strings.Repeat(" ", 64<<10) + validSubmission, scheduler.UserReply{Status: 201}, 400, `{"error":"body unreadable or over 64 KiB"}`, ""},
+		"refused":      {"POST", "/v1/jobs", validSubmission, scheduler.UserReply{Status: 409, Reason: "taken"}, 409, `{"error":"taken"}`, ""},
 		"odd id":       {"GET", "/v1/jobs/x", "", scheduler.UserReply{Status: 200}, 404, `{"error":"no such job"}`, ""},
 		"abort odd id": {"POST", "/v1/jobs/x/abort", "", scheduler.UserReply{Status: 200}, 404, `{"error":"no such job"}`, ""},
 		"no such path": {"GET", "/v2/jobs", "", scheduler.UserReply{Status: 200}, 404, `{"error":"Not Found"}`, ""},
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			New(&fake{answer: x.answer}, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(x.method, x.path, strings.NewReader(x.body)))
+			New(&fakeBackend{reply: x.answer}, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(x.method, x.path, strings.NewReader(x.body)))
 			if w.Code != x.code || w.Body.String() != x.want || w.Header().Get("Retry-After") != x.retry {
 				t.Errorf("%d %s, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
 			}
@@ -69,21 +69,21 @@
 	}
 }
 
-// TestMalformedSubmissionReachesTheSchedulerWithItsID: an accepted job's repeat must get 200
+// TestMalformedSubmissionKeepsJobID: an accepted job's repeat must get 200
 // even if it is malformed, which only the scheduler can know.
-func TestMalformedSubmissionReachesTheSchedulerWithItsID(t *testing.T) {
-	f := &fake{answer: scheduler.UserReply{Status: 200, ID: "job-000412", State: "done"}}
+func TestMalformedSubmissionKeepsJobID(t *testing.T) {
+	f := &fakeBackend{reply: scheduler.UserReply{Status: 200, ID: "job-000412", State: "done"}}
 	w := httptest.NewRecorder()
 	New(f, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", strings.NewReader(`{"NameId":"job-000412"}`)))
-	if e, ok := f.asked.(scheduler.JobSubmitted); !ok || e.ID != "job-000412" || e.Spec != nil || w.Code != 200 {
-		t.Errorf("asked %+v, answered %d", f.asked, w.Code)
+	if e, ok := f.event.(scheduler.JobSubmitted); !ok || e.ID != "job-000412" || e.Spec != nil || w.Code != 200 {
+		t.Errorf("asked %+v, answered %d", f.event, w.Code)
 	}
 }
 
-// TestUsersMakeRoomForWorkers: sockets are few, and workers keep theirs. When all
+// TestConnectionLimitAppliesToUsersOnly: sockets are few, and workers keep theirs. When all
 // other controllers end, their workers come here.
-func TestUsersMakeRoomForWorkers(t *testing.T) {
-	f := &fake{answer: scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}}
+func TestConnectionLimitAppliesToUsersOnly(t *testing.T) {
+	f := &fakeBackend{reply: scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}}
 	s := New(f, 100, nil)
 	do := func(method, path, body string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
@@ -103,37 +103,37 @@
 			t.Fatalf("%d connections: closes %v", open, closes)
 		}
 	}
-	f.answer = scheduler.HeartbeatReply{Status: 200, FencingToken: 7}
+	f.reply = scheduler.HeartbeatReply{Status: 200, FencingToken: 7}
 	if w := do(http.MethodPost, "/checkin", `{"Bracket":"n-1","Shift":1}`); w.Code != 200 {
 		t.Errorf("a worker got %d", w.Code)
 	}
 	for i := 0; i < 40; i++ {
 		s.ConnState(nil, http.StateClosed)
 	}
-	f.answer = scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}
+	f.reply = scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}
 	if w := do(http.MethodGet, "/v1/jobs/job-000412", ""); w.Code != 200 {
 		t.Errorf("after others closed: %d", w.Code)
 	}
 }
 
-// TestMalformedHeartbeatChangesNothing: it is refused, counted, and never reaches the scheduler.
-func TestMalformedHeartbeatChangesNothing(t *testing.T) {
-	f := &fake{}
+// TestMalformedHeartbeatIsRejected: it is refused, counted, and never reaches the scheduler.
+func TestMalformedHeartbeatIsRejected(t *testing.T) {
+	f := &fakeBackend{}
 	h := &handler{backend: f}
 	e := echo.New()
-	e.HTTPErrorHandler = answerError
-	e.POST(heartbeatPath, h.takeHeartbeat)
+	e.HTTPErrorHandler = writeError
+	e.POST(heartbeatPath, h.handleHeartbeat)
 	for i, body := range []string{"{}", "[", `{"Bracket":"n-1","Shift":1,"Pieces":[{"Piece":"job-000001/x","Try":1,"Status":"running"}]}`} {
 		w := httptest.NewRecorder()
 		e.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/checkin", strings.NewReader(body)))
-		if w.Code != 400 || f.asked != nil || h.malformedHeartbeats.Load() != int64(i+1) {
-			t.Errorf("%s: answered %d, asked %v, counted %d", body, w.Code, f.asked, h.malformedHeartbeats.Load())
+		if w.Code != 400 || f.event != nil || h.malformedHeartbeats.Load() != int64(i+1) {
+			t.Errorf("%s: answered %d, asked %v, counted %d", body, w.Code, f.event, h.malformedHeartbeats.Load())
 		}
 	}
 }
 
-// TestMetricsOnlyWhenOn: the path exists only where the operators asked for it.
-func TestMetricsOnlyWhenOn(t *testing.T) {
+// TestMetricsServedOnlyIfEnabled: the path exists only where the operators asked for it.
+func TestMetricsServedOnlyIfEnabled(t *testing.T) {
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	for name, x := range map[string]struct {
 		metrics http.Handler
@@ -141,7 +141,7 @@
 	}{"off": {nil, http.StatusNotFound}, "on": {served, http.StatusOK}} {
 		t.Run(name, func(t *testing.T) {
 			w := httptest.NewRecorder()
-			New(&fake{}, 0, x.metrics).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+			New(&fakeBackend{}, 0, x.metrics).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			if w.Code != x.code {
 				t.Errorf("status %d", w.Code)
 			}
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -41,7 +41,7 @@
 	Dependencies       *[]string `json:"Awaits" validate:"omitempty,dive,jobid"`
 }
 
-type jobAnswer struct {
+type jobResponse struct {
 	ID      string `json:"NameId"`
 	State   string `json:"Status"`
 	Done    int    `json:"done"`
@@ -56,14 +56,14 @@
 const noMachineType = "-"
 
 var (
-	jobIDForm        = regexp.MustCompile(`^job-[0-9]{6,20}$`)
-	submissionChecks = newSubmissionChecks()
-	shapesByName     = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
-	prioritiesByName = map[string]domain.Priority{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
+	jobIDPattern        = regexp.MustCompile(`^job-[0-9]{6,20}$`)
+	submissionValidator = newSubmissionValidator()
+	shapesByName        = map[string]domain.Shape{"batch": domain.Array, "group": domain.Gang, "daemon": domain.Service}
+	prioritiesByName    = map[string]domain.Priority{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
 )
 
-// newSubmissionChecks returns the rules that the tags of submission name.
-func newSubmissionChecks() *validator.Validate {
+// newSubmissionValidator returns the rules that the tags of submission name.
+func newSubmissionValidator() *validator.Validate {
 	v := validator.New()
 	for tag, check := range map[string]validator.Func{"amount": isAmount, "jobid": isJobID} {
 		if err := v.RegisterValidation(tag, check); err != nil {
@@ -79,7 +79,7 @@
 }
 
 func isJobID(field validator.FieldLevel) bool {
-	return jobIDForm.MatchString(field.Field().String())
+	return jobIDPattern.MatchString(field.Field().String())
 }
 
 // ParseSubmission reads a submission. A malformed one gives no spec, and its id if that
@@ -89,11 +89,11 @@
 	if json.Unmarshal(body, &fields) != nil || fields == nil {
 		return "", nil
 	}
-	if json.Unmarshal(fields["NameId"], &id) != nil || !jobIDForm.MatchString(id) {
+	if json.Unmarshal(fields["NameId"], &id) != nil || !jobIDPattern.MatchString(id) {
 		return "", nil
 	}
 	var s submission
-	if json.Unmarshal(body, &s) != nil || submissionChecks.Struct(&s) != nil {
+	if json.Unmarshal(body, &s) != nil || submissionValidator.Struct(&s) != nil {
 		return id, nil
 	}
 	return id, s.jobSpec(id)
@@ -147,51 +147,51 @@
 func (h *handler) submitJob(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return badRequest(errBody.Error())
+		return badRequest(errUnreadableBody.Error())
 	}
 	id, spec := ParseSubmission(body)
-	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+	return h.handleUserRequest(c, func(requestID uint64) scheduler.Event {
 		return scheduler.JobSubmitted{RequestID: requestID, ID: id, Spec: spec}
 	})
 }
 
 func (h *handler) queryJob(c echo.Context) error {
-	id, err := jobIDOf(c)
+	id, err := jobIDFromPath(c)
 	if err != nil {
 		return err
 	}
-	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+	return h.handleUserRequest(c, func(requestID uint64) scheduler.Event {
 		return scheduler.JobQueried{RequestID: requestID, ID: id}
 	})
 }
 
 func (h *handler) cancelJob(c echo.Context) error {
-	id, err := jobIDOf(c)
+	id, err := jobIDFromPath(c)
 	if err != nil {
 		return err
 	}
-	return h.answerUser(c, func(requestID uint64) scheduler.Event {
+	return h.handleUserRequest(c, func(requestID uint64) scheduler.Event {
 		return scheduler.JobCancelled{RequestID: requestID, ID: id}
 	})
 }
 
-// jobIDOf is the id in a request's path. An id of another form belongs to no job.
-func jobIDOf(c echo.Context) (string, error) {
+// jobIDFromPath is the id in a request's path. An id of another form belongs to no job.
+func jobIDFromPath(c echo.Context) (string, error) {
 	id := c.Param("id")
-	if !jobIDForm.MatchString(id) {
+	if !jobIDPattern.MatchString(id) {
 		return "", notFound("no such job")
 	}
 	return id, nil
 }
 
-// answerUser takes a user's request through the loop and answers it.
-func (h *handler) answerUser(c echo.Context, newEvent func(requestID uint64) scheduler.Event) error {
+// handleUserRequest takes a user's request through the loop and answers it.
+func (h *handler) handleUserRequest(c echo.Context, newEvent func(requestID uint64) scheduler.Event) error {
 	// Workers hold on to their connections, hundreds of them, and come all to one
 	// controller when the others end: users make room for them.
-	if h.connectionsOver(tuning.CloseConnectionsPercent) {
+	if h.connectionsExceed(tuning.CloseConnectionsPercent) {
 		c.Response().Header().Set("Connection", "close")
 	}
-	if h.connectionsOver(tuning.RefuseUsersPercent) {
+	if h.connectionsExceed(tuning.RefuseUsersPercent) {
 		return unavailable("too many connections")
 	}
 	effect, ok := h.backend.Request(false, newEvent)
@@ -201,7 +201,7 @@
 	}
 	switch reply.Status {
 	case http.StatusOK, http.StatusCreated:
-		return c.JSON(reply.Status, jobAnswer{ID: reply.ID, State: reply.State, Done: reply.Done, Running: reply.Running})
+		return c.JSON(reply.Status, jobResponse{ID: reply.ID, State: reply.State, Done: reply.Done, Running: reply.Running})
 	}
-	return &errorAnswer{status: reply.Status, reason: reply.Reason}
+	return &errorResponse{status: reply.Status, reason: reply.Reason}
 }
--- a/internal/api/user_test.go
+++ b/internal/api/user_test.go
@@ -7,12 +7,12 @@
 	"brassglade/internal/domain"
 )
 
-const good = `{"NameId":"job-000412","Docket":"train","Crew":"vision","Shape":"group","Urgency":"urgent","Pieces":16,
+const validSubmission = `{"NameId":"job-000412","Docket":"train","Crew":"vision","Shape":"group","Urgency":"urgent","Pieces":16,
  "Cores":8.0,"Cards":1.0,"MemGb":64.0,"Kit":"img-07","PullGb":6.2,"Builds":["g8"],"Yard":null,"SamePlace":true,
  "Apart":false,"Loaners":true,"ExpectS":240.0,"SnapshotS":30.0,"StowS":4.0,"DueS":900.0,"New":{"x":1}}`
 
-func TestSubmission(t *testing.T) {
-	id, s := ParseSubmission([]byte(good))
+func TestParseSubmission(t *testing.T) {
+	id, s := ParseSubmission([]byte(validSubmission))
 	if id != "job-000412" || s == nil {
 		t.Fatalf("id %q, spec %v", id, s)
 	}
@@ -34,7 +34,7 @@
 		"null flag":       {`"Loaners":true`, `"Loaners":null`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			id, s := ParseSubmission([]byte(strings.Replace(good, change[0], change[1], 1)))
+			id, s := ParseSubmission([]byte(strings.Replace(validSubmission, change[0], change[1], 1)))
 			if s != nil || id != "job-000412" {
 				t.Errorf("id %q, accepted %v", id, s != nil)
 			}
@@ -48,7 +48,7 @@
 }
 
 func FuzzSubmission(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"NameId":"job-000001","Pieces":1e3}`))
 	f.Add([]byte(`[{}]`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -47,13 +47,13 @@
 	GraceSeconds *float64 `json:"LeewayS,omitempty"` // of stops only
 }
 
-type heartbeatAnswer struct {
+type heartbeatResponse struct {
 	FencingToken uint64    `json:"Baton"`
 	Commands     []command `json:"Orders"`
 }
 
-// ownerAnswer sends a worker to its machine's owner.
-type ownerAnswer struct {
+// ownerResponse sends a worker to its machine's owner.
+type ownerResponse struct {
 	Owner string `json:"Foreman,omitempty"`
 }
 
@@ -151,10 +151,10 @@
 	return domain.TaskID{Job: s[:slash], Index: index}, nil
 }
 
-// takeHeartbeat takes a worker's heartbeat through the loop and answers with commands, with
+// handleHeartbeat takes a worker's heartbeat through the loop and answers with commands, with
 // the machine's owner if that is another controller, or with 503 while this controller
 // may not give commands.
-func (h *handler) takeHeartbeat(c echo.Context) error {
+func (h *handler) handleHeartbeat(c echo.Context) error {
 	body, err := readBody(c)
 	var beat domain.Heartbeat
 	if err == nil {
@@ -174,9 +174,9 @@
 	}
 	switch reply.Status {
 	case http.StatusOK:
-		return c.JSON(reply.Status, heartbeatAnswer{FencingToken: reply.FencingToken, Commands: newCommands(reply.Commands)})
+		return c.JSON(reply.Status, heartbeatResponse{FencingToken: reply.FencingToken, Commands: newCommands(reply.Commands)})
 	case http.StatusMisdirectedRequest:
-		return c.JSON(reply.Status, ownerAnswer{Owner: reply.Owner})
+		return c.JSON(reply.Status, ownerResponse{Owner: reply.Owner})
 	}
 	return unavailable("not entitled")
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -18,61 +18,61 @@
 // namespace is what all names begin with.
 const namespace = "brassglade"
 
-// Controller counts for one controller. Its methods but Handler are called by the one
+// Recorder counts for one controller. Its methods but Handler are called by the one
 // goroutine that drives the scheduler.
-type Controller struct {
+type Recorder struct {
 	registry         *prometheus.Registry
 	status           statusCollector
 	commands         *prometheus.CounterVec
 	heartbeatReplies *prometheus.CounterVec
 	userReplies      *prometheus.CounterVec
 	commits          *prometheus.CounterVec
-	laneOfCommit     map[uint64]int // by id, of the commits under way
+	commitLanes      map[uint64]int // by id, of the commits under way
 }
 
 // New returns counters that start at zero, labelled with the controller's name.
-func New(member string) *Controller {
+func New(member string) *Recorder {
 	labels := prometheus.Labels{"member": member}
 	counter := func(name, help string, by ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help, ConstLabels: labels}, by)
 	}
-	m := &Controller{
+	m := &Recorder{
 		registry:         prometheus.NewRegistry(),
 		commands:         counter("orders_total", "Commands given to workers, by verb and the reason that allowed them.", "verb", "reason"),
 		heartbeatReplies: counter("checkin_answers_total", "Answers to workers' reports, by HTTP status.", "status"),
 		userReplies:      counter("user_answers_total", "Answers to users, by HTTP status and the job state told.", "status", "state"),
 		commits:          counter("commits_total", "Commits to the state service that were answered or given up, by lane and result.", "lane", "result"),
-		laneOfCommit:     map[uint64]int{},
+		commitLanes:      map[uint64]int{},
 	}
-	m.status.describe(labels)
+	m.status.defineMetrics(labels)
 	m.registry.MustRegister(&m.status, m.commands, m.heartbeatReplies, m.userReplies, m.commits)
 	return m
 }
 
 // Handler serves the counts in Prometheus' text format.
-func (m *Controller) Handler() http.Handler {
+func (m *Recorder) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Event counts an event that the scheduler is about to take.
-func (m *Controller) Event(event scheduler.Event) {
+// ObserveEvent counts an event that the scheduler is about to take.
+func (m *Recorder) ObserveEvent(event scheduler.Event) {
 	commit, is := event.(scheduler.CommitAnswered)
 	if !is {
 		return
 	}
-	lane, underWay := m.laneOfCommit[commit.ID]
+	lane, underWay := m.commitLanes[commit.ID]
 	if !underWay {
 		return
 	}
-	delete(m.laneOfCommit, commit.ID)
-	m.commits.WithLabelValues(laneName(lane), resultName(commit.Result)).Inc()
+	delete(m.commitLanes, commit.ID)
+	m.commits.WithLabelValues(laneLabel(lane), resultLabel(commit.Result)).Inc()
 }
 
-// Effect counts an effect of the scheduler.
-func (m *Controller) Effect(effect scheduler.Effect) {
+// ObserveEffect counts an effect of the scheduler.
+func (m *Recorder) ObserveEffect(effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Commit:
-		m.laneOfCommit[e.ID] = e.Lane
+		m.commitLanes[e.ID] = e.Lane
 	case scheduler.HeartbeatReply:
 		m.heartbeatReplies.WithLabelValues(strconv.Itoa(e.Status)).Inc()
 		m.countCommands(e.Commands)
@@ -83,17 +83,17 @@
 	}
 }
 
-// Status takes the scheduler's status after a step.
-func (m *Controller) Status(status scheduler.Status) { m.status.latest.Store(&status) }
+// SetStatus takes the scheduler's status after a step.
+func (m *Recorder) SetStatus(status scheduler.Status) { m.status.latest.Store(&status) }
 
-func (m *Controller) countCommands(commands []domain.Command) {
+func (m *Recorder) countCommands(commands []domain.Command) {
 	for _, k := range commands {
 		m.commands.WithLabelValues(string(k.Kind), string(k.Reason)).Inc()
 	}
 }
 
-// laneName is the label of a commit's lane.
-func laneName(lane int) string {
+// laneLabel is the label of a commit's lane.
+func laneLabel(lane int) string {
 	switch lane {
 	case scheduler.LaneView:
 		return "view"
@@ -105,8 +105,8 @@
 	return "idle"
 }
 
-// resultName is the label of a commit's result.
-func resultName(result domain.CommitResult) string {
+// resultLabel is the label of a commit's result.
+func resultLabel(result domain.CommitResult) string {
 	switch result {
 	case domain.Committed:
 		return "committed"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,7 +11,7 @@
 )
 
 // scrape returns what Prometheus would read.
-func scrape(t *testing.T, m *Controller) string {
+func scrape(t *testing.T, m *Recorder) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
@@ -26,19 +26,19 @@
 	}
 	run := domain.Command{Kind: domain.StartTask, Reason: domain.ReasonBooked}
 	halt := domain.Command{Kind: domain.StopTask, Reason: domain.ReasonPreemptionNotice}
-	m.Effect(scheduler.HeartbeatReply{Status: 200, Commands: []domain.Command{run, run, halt}})
-	m.Effect(scheduler.HeartbeatReply{Status: 421})
-	m.Effect(scheduler.SendCommands{Commands: []domain.Command{halt}})
-	m.Effect(scheduler.UserReply{Status: 201, State: "pending"})
-	m.Effect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
-	m.Effect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeat is no second commit
-	m.Event(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
+	m.ObserveEffect(scheduler.HeartbeatReply{Status: 200, Commands: []domain.Command{run, run, halt}})
+	m.ObserveEffect(scheduler.HeartbeatReply{Status: 421})
+	m.ObserveEffect(scheduler.SendCommands{Commands: []domain.Command{halt}})
+	m.ObserveEffect(scheduler.UserReply{Status: 201, State: "pending"})
+	m.ObserveEffect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
+	m.ObserveEffect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeat is no second commit
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
 	status.Waiting = map[scheduler.WaitingTasks]int{{Team: "red", Reason: scheduler.WaitsForGangs}: 12}
-	m.Status(status)
+	m.SetStatus(status)
 	got := scrape(t, m)
 	for _, want := range []string{
 		`brassglade_orders_total{member="c-0",reason="booked",verb="run"} 2`,
--- a/internal/metrics/status.go
+++ b/internal/metrics/status.go
@@ -23,8 +23,8 @@
 	value func(*scheduler.Status) float64
 }
 
-// describe sets up what is exposed, before the first scrape.
-func (s *statusCollector) describe(labels prometheus.Labels) {
+// defineMetrics sets up what is exposed, before the first scrape.
+func (s *statusCollector) defineMetrics(labels prometheus.Labels) {
 	desc := func(name, help string, by ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, by, labels)
 	}
@@ -35,9 +35,9 @@
 		{desc("epoch", "Epoch of the view, and the fencing token of all commands; 0 before the first view."),
 			func(s *scheduler.Status) float64 { return float64(s.Epoch) }},
 		{desc("leads", "1 while this controller is the view's leader."),
-			func(s *scheduler.Status) float64 { return flag(s.Leads) }},
+			func(s *scheduler.Status) float64 { return boolValue(s.Leads) }},
 		{desc("acts", "1 while view, lease and cache are confirmed, so that workers may be answered."),
-			func(s *scheduler.Status) float64 { return flag(s.Acts) }},
+			func(s *scheduler.Status) float64 { return boolValue(s.Acts) }},
 		{desc("state_revision", "Revision of the state service up to which the cache has every change."),
 			func(s *scheduler.Status) float64 { return float64(s.Revision) }},
 		{desc("confirmed_age_seconds", "Age of the newest confirmation of view and cache; -1 before the first."),
@@ -49,7 +49,7 @@
 	}
 }
 
-func flag(on bool) float64 {
+func boolValue(on bool) float64 {
 	if on {
 		return 1
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// emit puts an event into the loop and waits until there is room.
-func (n *Node) emit(event scheduler.Event) {
+// enqueueEvent puts an event into the loop and waits until there is room.
+func (n *Node) enqueueEvent(event scheduler.Event) {
 	select {
 	case n.events <- event:
 	case <-n.done:
@@ -62,9 +62,9 @@
 		case event := <-n.events:
 			n.step(event)
 		case r := <-n.workerRequests:
-			n.take(r)
+			n.handleRequest(r)
 		case r := <-n.userRequests:
-			n.take(r)
+			n.handleRequest(r)
 		case <-tick.C:
 			n.step(scheduler.Tick{})
 		case <-n.done:
@@ -73,8 +73,8 @@
 	}
 }
 
-// take gives a request a number and its event to the scheduler.
-func (n *Node) take(r request) {
+// handleRequest gives a request a number and its event to the scheduler.
+func (n *Node) handleRequest(r request) {
 	n.lastRequestID++
 	n.pendingReplies[n.lastRequestID] = r.reply
 	n.step(r.newEvent(n.lastRequestID))
@@ -83,13 +83,13 @@
 // step takes one event through the scheduler and starts to carry out the effects.
 func (n *Node) step(event scheduler.Event) {
 	if n.metrics != nil {
-		n.metrics.Event(event)
-		defer func() { n.metrics.Status(n.controller.Status()) }()
+		n.metrics.ObserveEvent(event)
+		defer func() { n.metrics.SetStatus(n.controller.Status()) }()
 	}
 	var frame []byte // a message to all peers is encoded once
 	for _, effect := range n.controller.Step(n.now(), event) {
 		if n.metrics != nil {
-			n.metrics.Effect(effect)
+			n.metrics.ObserveEffect(effect)
 		}
 		if e, is := effect.(scheduler.SendPeerMessage); is && isBroadcast(e) {
 			if frame == nil {
@@ -98,7 +98,7 @@
 			n.sendFrame(e.To, frame)
 			continue
 		}
-		n.carryOut(effect)
+		n.execute(effect)
 	}
 	n.ready.Store(n.controller.Ready())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 	member     string    // this controller's name
 	start      time.Time // when the scheduler's steady time was 0
 	controller *scheduler.Controller
-	metrics    *metrics.Controller // nil unless the operators switched them on
+	metrics    *metrics.Recorder // nil unless the operators switched them on
 	ready      atomic.Bool
 
 	// The loop's inputs. Events wait for room in their queue; requests that find theirs
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	limitMemory(settings.Params.MachineLimits.MemoryMB)
+	configureGC(settings.Params.MachineLimits.MemoryMB)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	n := newNode(settings, operator, incarnation, ctx.Done())
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	go n.store.Watch(ctx, n.now, n.emit)
+	go n.store.Watch(ctx, n.now, n.enqueueEvent)
 	go n.loop()
 	select {
 	case err := <-failed:
@@ -91,8 +91,8 @@
 	return hex.EncodeToString(id[:]), nil
 }
 
-// limitMemory sets the garbage collector to the machine's memory; 0 MB: not known.
-func limitMemory(memoryMB float64) {
+// configureGC sets the garbage collector to the machine's memory; 0 MB: not known.
+func configureGC(memoryMB float64) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * bytesPerMB))
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,5 +15,5 @@
 
 // receivePeerMessage puts a peer's message into the loop.
 func (n *Node) receivePeerMessage(from string, m scheduler.PeerMessage) {
-	n.emit(scheduler.PeerMessageReceived{From: from, Message: m})
+	n.enqueueEvent(scheduler.PeerMessageReceived{From: from, Message: m})
 }
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -18,7 +18,7 @@
 // workerClients holds the HTTP clients of workers that were sent commands, and bounds
 // how many commands are under way at a time.
 type workerClients struct {
-	slots chan struct{} // one element for each request under way
+	inFlight chan struct{} // one element for each request under way
 
 	mu        sync.Mutex
 	byAddress map[string]*httpclient.Client
@@ -26,7 +26,7 @@
 
 func newWorkerClients() *workerClients {
 	return &workerClients{
-		slots:     make(chan struct{}, tuning.MaxDirectCommands),
+		inFlight:  make(chan struct{}, tuning.MaxDirectCommands),
 		byAddress: map[string]*httpclient.Client{},
 	}
 }
@@ -51,9 +51,9 @@
 // nothing: the answer to the worker's next heartbeat carries them.
 func (n *Node) sendCommands(e scheduler.SendCommands) {
 	select {
-	case n.workers.slots <- struct{}{}:
-		n.background(func() scheduler.Event {
-			defer func() { <-n.workers.slots }()
+	case n.workers.inFlight <- struct{}{}:
+		n.runAsync(func() scheduler.Event {
+			defer func() { <-n.workers.inFlight }()
 			return n.workers.send(e)
 		})
 	default:
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -149,8 +149,8 @@
 	m := scheduler.PeerMachine{
 		Name:       string(x.Name()),
 		Addr:       string(x.Addr()),
-		Type:       d.shared(x.Type()),
-		Zone:       d.shared(x.Zone()),
+		Type:       d.intern(x.Type()),
+		Zone:       d.intern(x.Zone()),
 		Spot:       x.Spot(),
 		Leaving:    x.Recall(),
 		AgentEpoch: x.Shift(),
@@ -161,13 +161,13 @@
 		m.Images = make([]string, 0, images)
 	}
 	for i := range images {
-		m.Images = append(m.Images, d.shared(x.Images(i)))
+		m.Images = append(m.Images, d.intern(x.Images(i)))
 	}
 	return m
 }
 
-// shared returns one string for all equal ones of the message.
-func (d decoder) shared(b []byte) string {
+// intern returns one string for all equal ones of the message.
+func (d decoder) intern(b []byte) string {
 	s, known := d.strings[string(b)]
 	if !known {
 		s = string(b)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -48,14 +48,14 @@
 
 // sender holds a link's connection; its methods are called by one goroutine.
 type sender struct {
-	conn     *sendingConn // nil: not connected
-	failedAt time.Time    // when connecting or sending last failed
+	conn     *ackedConn // nil: not connected
+	failedAt time.Time  // when connecting or sending last failed
 }
 
 // send sends one frame, and connects before where needed.
 func (s *sender) send(address string, frame []byte) {
 	now := time.Now()
-	if s.conn != nil && s.conn.isSilent(now) {
+	if s.conn != nil && s.conn.isAckOverdue(now) {
 		s.disconnect()
 	}
 	if s.conn == nil {
@@ -82,36 +82,36 @@
 	}
 }
 
-// sendingConn is a connection whose other side acknowledges each frame with a byte: after
+// ackedConn is a connection whose other side acknowledges each frame with a byte: after
 // a cut a connection can stay open and silent for good, and writes into it succeed.
-type sendingConn struct {
+type ackedConn struct {
 	net.Conn
-	acknowledgedAt   atomic.Int64 // time of the last acknowledgement, ns since 1970
-	unacknowledgedAt time.Time    // when the oldest frame that may lack its byte was sent
+	lastAckAt       atomic.Int64 // time of the last acknowledgement, ns since 1970
+	oldestUnackedAt time.Time    // when the oldest frame that may lack its byte was sent
 }
 
-func connect(address string) (*sendingConn, error) {
+func connect(address string) (*ackedConn, error) {
 	n, err := net.DialTimeout("tcp4", address, tuning.PeerTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &sendingConn{Conn: n, unacknowledgedAt: time.Now()}
-	go c.readAcknowledgements()
+	c := &ackedConn{Conn: n, oldestUnackedAt: time.Now()}
+	go c.readAcks()
 	return c, nil
 }
 
-// isSilent tells whether a frame has lacked its acknowledgement for too long. It must be
+// isAckOverdue tells whether a frame has lacked its acknowledgement for too long. It must be
 // asked before each frame, since it notes what was acknowledged: one acknowledgement since
 // the last frames clears all of them.
-func (c *sendingConn) isSilent(now time.Time) bool {
-	if c.acknowledgedAt.Load() >= c.unacknowledgedAt.UnixNano() {
-		c.unacknowledgedAt = now
+func (c *ackedConn) isAckOverdue(now time.Time) bool {
+	if c.lastAckAt.Load() >= c.oldestUnackedAt.UnixNano() {
+		c.oldestUnackedAt = now
 	}
-	return now.Sub(c.unacknowledgedAt) > tuning.PeerAckTimeout
+	return now.Sub(c.oldestUnackedAt) > tuning.PeerAckTimeout
 }
 
 // send writes a frame behind its length.
-func (c *sendingConn) send(frame []byte) error {
+func (c *ackedConn) send(frame []byte) error {
 	b := make([]byte, 0, lengthBytes+len(frame))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(frame)))
 	_ = c.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout))
@@ -119,14 +119,14 @@
 	return err
 }
 
-// readAcknowledgements notes when the other side acknowledges, until the connection ends.
-func (c *sendingConn) readAcknowledgements() {
+// readAcks notes when the other side acknowledges, until the connection ends.
+func (c *ackedConn) readAcks() {
 	var b [16]byte
 	for {
 		if _, err := c.Read(b[:]); err != nil {
 			_ = c.Close()
 			return
 		}
-		c.acknowledgedAt.Store(time.Now().UnixNano())
+		c.lastAckAt.Store(time.Now().UnixNano())
 	}
 }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestLink: frames arrive in order, whole and named.
-func TestLink(t *testing.T) {
+// TestLinkDeliversInOrder: frames arrive in order, whole and named.
+func TestLinkDeliversInOrder(t *testing.T) {
 	ln := listen(t)
 	epochs := make(chan uint64, 3)
 	ended := make(chan error, 1)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestFrameBytes holds the frame and its acknowledgement to the byte.
-func TestFrameBytes(t *testing.T) {
+// TestFrameWireFormat holds the frame and its acknowledgement to the byte.
+func TestFrameWireFormat(t *testing.T) {
 	ln := listen(t)
 	go func() { _ = Serve(ln, func(string, scheduler.PeerMessage) {}) }()
 	c, err := net.Dial("tcp4", ln.Addr().String())
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestFullLinkDrops: the sender never waits for a peer.
-func TestFullLinkDrops(t *testing.T) {
+// TestFullQueueDropsFrames: the sender never waits for a peer.
+func TestFullQueueDropsFrames(t *testing.T) {
 	l := &Link{frames: make(chan []byte, 1)}
 	l.Send([]byte{1})
 	l.Send([]byte{2})
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -22,8 +22,8 @@
 	maxFrameBytes = 1 << 20 // at least twice what a message of 2,000 machines takes
 )
 
-// acknowledgement is what a receiver writes for each frame.
-var acknowledgement = []byte{1}
+// ackBytes is what a receiver writes for each frame.
+var ackBytes = []byte{1}
 
 // Handler takes a message of another controller.
 type Handler func(from string, m scheduler.PeerMessage)
@@ -65,7 +65,7 @@
 		}
 		s.handle(from, m)
 		_ = c.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout))
-		if _, err := c.Write(acknowledgement); err != nil {
+		if _, err := c.Write(ackBytes); err != nil {
 			return
 		}
 	}
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -7,8 +7,8 @@
 	"brassglade/internal/scheduler"
 )
 
-// messageOf is what a controller that owns n machines tells the others.
-func messageOf(n int) scheduler.PeerMessage {
+// newLoadMessage is what a controller that owns n machines tells the others.
+func newLoadMessage(n int) scheduler.PeerMessage {
 	m := scheduler.PeerMessage{Epoch: 7, Load: 30, Usable: true}
 	for i := 0; i < n; i++ {
 		x := scheduler.PeerMachine{Name: fmt.Sprintf("n-%06d", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250), Type: "zasuwa", Zone: "wola-hall", AgentEpoch: 1, Load: 40}
@@ -20,9 +20,9 @@
 	return m
 }
 
-// TestFleetFitsAFrame: one controller may own all of 2,000 machines.
-func TestFleetFitsAFrame(t *testing.T) {
-	p := Encode("bracket-1", messageOf(2000))
+// TestLargestMessageFitsFrame: one controller may own all of 2,000 machines.
+func TestLargestMessageFitsFrame(t *testing.T) {
+	p := Encode("bracket-1", newLoadMessage(2000))
 	if len(p) > maxFrameBytes/2 {
 		t.Errorf("a message of 2,000 machines takes %d bytes", len(p))
 	}
@@ -33,14 +33,14 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	m := messageOf(190)
+	m := newLoadMessage(190)
 	for i := 0; i < b.N; i++ {
 		b.SetBytes(int64(len(Encode("bracket-1", m))))
 	}
 }
 
 func BenchmarkDecode(b *testing.B) {
-	p := Encode("bracket-1", messageOf(190))
+	p := Encode("bracket-1", newLoadMessage(190))
 	b.SetBytes(int64(len(p)))
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
