--- a/cmd/brassglade/main.go
+++ b/cmd/brassglade/main.go
@@ -1,4 +1,4 @@
-// Command brassglade is a cluster scheduler: one controller of a group.
+// Command brassglade runs one controller of a cluster scheduler, or checks its settings files.
 package main
 
 import (
@@ -51,7 +51,7 @@
 	var files settingsFiles
 	c := &cobra.Command{
 		Use:   "check",
-		Short: "Check the settings files and say what is wrong",
+		Short: "Check the settings files and report errors",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if _, _, err := files.load(); err != nil {
@@ -81,21 +81,22 @@
 	}
 }
 
-// settingsFiles are the paths of the files that a controller starts with.
+// settingsFiles holds the paths of a controller's settings files.
 type settingsFiles struct {
 	platform string
-	operator string // "": none
+	operator string // "" if there is none
 }
 
 func (f *settingsFiles) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&f.platform, "config", "", "settings file of the platform (JSON)")
-	c.Flags().StringVar(&f.operator, "operator", "", "the operators' own settings (YAML)")
+	c.Flags().StringVar(&f.operator, "operator", "", "settings file of the operators (YAML), optional")
 	if err := c.MarkFlagRequired("config"); err != nil {
-		panic("flag --config isn't defined: " + err.Error())
+		panic("cannot mark flag --config as required: " + err.Error())
 	}
 }
 
-// load reads and checks the files; the operators' settings are nil where they have none.
+// load reads and checks the settings files. The operators' settings are nil if there is no
+// such file.
 func (f *settingsFiles) load() (*config.Settings, *config.Operator, error) {
 	settings, err := config.Load(f.platform)
 	if err != nil {
@@ -111,7 +112,8 @@
 	return settings, operator, nil
 }
 
-// setUpLogging sends log lines to standard error, from the level that LOG_LEVEL names.
+// setUpLogging makes slog write to standard error at the level in the environment variable
+// LOG_LEVEL, by default info. Another value than error, info or debug gives an error.
 func setUpLogging() error {
 	var level slog.Level
 	switch name := os.Getenv("LOG_LEVEL"); name {
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -12,20 +12,20 @@
 	"brassglade/internal/tuning"
 )
 
-// errUnreadableBody means that a request's body can't be read or is longer than tuning.BodyLimit.
-var errUnreadableBody = errors.New("body unreadable or over 64 KiB")
+// errUnreadableBody means that a request's body can't be read or exceeds tuning.BodyLimit.
+var errUnreadableBody = errors.New("request body is unreadable or longer than 64 KiB")
 
-// errorResponse is an answer that tells of an error. Handlers return it as their error, and
-// answerError sends it.
+// errorResponse is an HTTP response that reports an error. Handlers return it as their error,
+// and writeError sends it.
 type errorResponse struct {
 	status int
-	reason string // told to the client
+	reason string // sent to the client
 }
 
-// Error gives status and reason.
+// Error returns the status and the reason.
 func (e *errorResponse) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.reason) }
 
-// unavailable asks the client to come again.
+// unavailable returns a response with status 503, which asks the client to retry later.
 func unavailable(reason string) error {
 	return &errorResponse{status: http.StatusServiceUnavailable, reason: reason}
 }
@@ -42,29 +42,30 @@
 	Error string `json:"error"`
 }
 
-// writeError answers a request whose handler returned an error, whether one of this
-// package, of echo (no such path or method) or of writing the answer.
+// writeError sends the response to a request whose handler returned an error: one of this
+// package, one of echo (unknown path or method) or one of writing the response.
 func writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	var own *errorResponse
-	if !errors.As(err, &own) {
+	var response *errorResponse
+	if !errors.As(err, &response) {
 		status := http.StatusInternalServerError
-		var routing *echo.HTTPError
-		if errors.As(err, &routing) {
-			status = routing.Code
+		var echoErr *echo.HTTPError
+		if errors.As(err, &echoErr) {
+			status = echoErr.Code
 		}
 		_ = c.JSON(status, errorBody{http.StatusText(status)})
 		return
 	}
-	if own.status == http.StatusServiceUnavailable {
+	if response.status == http.StatusServiceUnavailable {
 		c.Response().Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	}
-	_ = c.JSON(own.status, errorBody{own.reason})
+	_ = c.JSON(response.status, errorBody{response.reason})
 }
 
-// readBody reads a request's body, up to the bound. Beside an error it gives what it read.
+// readBody reads a request's body of at most tuning.BodyLimit bytes. Together with an error,
+// which matches errUnreadableBody, it returns the bytes read so far.
 func readBody(c echo.Context) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, tuning.BodyLimit+1))
 	if err != nil {
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,7 +1,7 @@
-// Package api is the HTTP side of a controller: users submit, query and cancel jobs, and
-// workers send heartbeats that are answered with commands. The structs with JSON tags have
-// the protocol's names; everything else uses the types of packages domain and scheduler,
-// and each name is mapped once, here.
+// Package api is the HTTP interface of a controller: users submit, query and cancel jobs, and
+// workers send heartbeats and receive commands in the responses. The JSON tags in this package
+// are the protocol's names. The rest of the program uses the types of packages domain and
+// scheduler; this package is the only place that maps the protocol's names to them.
 package api
 
 import (
@@ -16,7 +16,7 @@
 	"brassglade/internal/tuning"
 )
 
-// The paths that are served.
+// The paths of the HTTP server.
 const (
 	readyPath     = "/up"
 	metricsPath   = "/metrics"
@@ -26,18 +26,19 @@
 	heartbeatPath = "/checkin"
 )
 
-// Backend is the event loop that the requests go through.
+// Backend passes requests to the scheduler's event loop.
 type Backend interface {
-	// Request makes an event for a request number, puts it into the loop and waits for
-	// the scheduler's reply. ok is false if the loop's queue is full or no reply came in time.
+	// Request queues a request for the event loop, which assigns the request's number and
+	// creates the event with newEvent, and waits for the scheduler's reply. ok is false if
+	// the queue is full or no reply came in time.
 	Request(fromWorker bool, newEvent func(requestID uint64) scheduler.Event) (reply scheduler.Effect, ok bool)
-	// Ready tells whether a load balancer should send users here.
+	// Ready reports whether a load balancer should send users to this controller.
 	Ready() bool
 }
 
-// New returns the HTTP server of users and workers. maxConnections is how many sockets
-// the process may have; 0: no limit is known. metrics answers GET /metrics, which is not
-// found if metrics is nil.
+// New returns the HTTP server for users and workers. maxConnections is how many sockets the
+// process may have open; 0 means that the limit is unknown. metrics handles GET /metrics; if
+// it is nil, the path is not found.
 func New(backend Backend, maxConnections int, metrics http.Handler) *http.Server {
 	h := &handler{backend: backend, maxConnections: maxConnections}
 	e := echo.New()
@@ -60,12 +61,13 @@
 	}
 }
 
-// handler answers requests; its methods are called by one goroutine for each.
+// handler handles the HTTP requests. Its methods may be called concurrently: the server runs
+// one goroutine for each connection.
 type handler struct {
 	backend             Backend
-	maxConnections      int          // sockets that the process may have; 0: not known
+	maxConnections      int          // sockets that the process may have open; 0: unknown
 	openConnections     atomic.Int64 // of users and workers
-	malformedHeartbeats atomic.Int64 // since the start
+	malformedHeartbeats atomic.Int64 // count since the start
 }
 
 func (h *handler) countConnections(_ net.Conn, state http.ConnState) {
@@ -77,7 +79,8 @@
 	}
 }
 
-// connectionsExceed tells whether more than a percentage of the sockets is taken.
+// connectionsExceed reports whether the open connections take more than a percentage of the
+// sockets that the process may have open; false if that limit is unknown.
 func (h *handler) connectionsExceed(percent int64) bool {
 	return h.maxConnections > 0 && 100*h.openConnections.Load() > percent*int64(h.maxConnections)
 }
@@ -89,12 +92,12 @@
 	return c.JSON(http.StatusOK, struct{}{})
 }
 
-// jsonSerializer makes echo use the JSON package of the other boundaries.
+// jsonSerializer makes echo use the JSON package that the program's other interfaces use.
 type jsonSerializer struct{}
 
-// Serialize writes an answer's body.
-func (jsonSerializer) Serialize(c echo.Context, answer any, _ string) error {
-	body, err := json.Marshal(answer)
+// Serialize writes the body of a response.
+func (jsonSerializer) Serialize(c echo.Context, response any, _ string) error {
+	body, err := json.Marshal(response)
 	if err != nil {
 		return err
 	}
@@ -102,7 +105,7 @@
 	return err
 }
 
-// Deserialize reads a request's body.
+// Deserialize reads the body of a request.
 func (jsonSerializer) Deserialize(c echo.Context, request any) error {
 	return json.NewDecoder(c.Request().Body).Decode(request)
 }
--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -14,9 +14,9 @@
 	"brassglade/internal/tuning"
 )
 
-// submission is the body of POST /v1/jobs. Pointers tell a missing field from a zero;
-// machine types, zone, deadline and dependencies may be null or missing. Names that are
-// written with every change of a job's header have a bound.
+// submission is the body of POST /v1/jobs. Pointers distinguish a missing field from a zero
+// value; machine types, zone, deadline and dependencies may be null or missing. Class and image
+// have a maximum length because they are written again with each change of a job's header.
 type submission struct {
 	ID                 *string   `json:"NameId" validate:"required"`
 	Class              *string   `json:"Docket" validate:"required,min=1,max=200"`
@@ -48,11 +48,11 @@
 	Running int    `json:"running"`
 }
 
-// maxAmount bounds amounts so that sums in thousandths can't overflow.
+// maxAmount is the largest amount accepted, so that sums in thousandths can't overflow.
 const maxAmount = 1e9
 
-// noMachineType stands for an empty list of machine types, which allows none, while a
-// missing list allows all.
+// noMachineType is a name that no machine type has. It replaces an empty list of machine
+// types, which allows no type, because a job spec without a list allows all types.
 const noMachineType = "-"
 
 var (
@@ -62,12 +62,13 @@
 	prioritiesByName    = map[string]domain.Priority{"production": 3, "urgent": 2, "standard": 1, "idle": 0}
 )
 
-// newSubmissionValidator returns the rules that the tags of submission name.
+// newSubmissionValidator returns a validator that knows the rules named in the tags of
+// submission.
 func newSubmissionValidator() *validator.Validate {
 	v := validator.New()
 	for tag, check := range map[string]validator.Func{"amount": isAmount, "jobid": isJobID} {
 		if err := v.RegisterValidation(tag, check); err != nil {
-			panic("submission rule " + tag + " can't be registered: " + err.Error())
+			panic("cannot register submission rule " + tag + ": " + err.Error())
 		}
 	}
 	return v
@@ -82,8 +83,9 @@
 	return jobIDPattern.MatchString(field.Field().String())
 }
 
-// ParseSubmission reads a submission. A malformed one gives no spec, and its id if that
-// much is legible: the repetition of an accepted job is answered as one even if malformed.
+// ParseSubmission parses the body of a submission. If the body is malformed, spec is nil, and
+// id is the job's ID if it can be read, else "". The ID is needed because a repeated submission
+// of an accepted job is answered with the job's state even if the repetition is malformed.
 func ParseSubmission(body []byte) (id string, spec *domain.JobSpec) {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(body, &fields) != nil || fields == nil {
@@ -99,7 +101,7 @@
 	return id, s.jobSpec(id)
 }
 
-// jobSpec is the scheduler's form of a submission that keeps all rules.
+// jobSpec converts a valid submission to the scheduler's job spec.
 func (s *submission) jobSpec(id string) *domain.JobSpec {
 	spec := &domain.JobSpec{
 		ID:        id,
@@ -140,8 +142,9 @@
 	return spec
 }
 
-// roundedThousandths rounds to the nearest, whereas domain.Thousandths adds a half and cuts
-// off: they differ where that sum isn't exact.
+// roundedThousandths converts an amount to thousandths, rounded to the nearest integer.
+// domain.Thousandths adds 0.5 and truncates instead; the results differ where that sum isn't
+// exact in floating point.
 func roundedThousandths(amount float64) int64 { return int64(math.Round(amount * 1000)) }
 
 func (h *handler) submitJob(c echo.Context) error {
@@ -175,7 +178,8 @@
 	})
 }
 
-// jobIDFromPath is the id in a request's path. An id of another form belongs to no job.
+// jobIDFromPath returns the job ID in a request's path. An ID that does not match jobIDPattern
+// belongs to no job and gives an error with status 404.
 func jobIDFromPath(c echo.Context) (string, error) {
 	id := c.Param("id")
 	if !jobIDPattern.MatchString(id) {
@@ -184,10 +188,11 @@
 	return id, nil
 }
 
-// handleUserRequest takes a user's request through the loop and answers it.
+// handleUserRequest passes a user's request to the event loop and sends the response.
 func (h *handler) handleUserRequest(c echo.Context, newEvent func(requestID uint64) scheduler.Event) error {
-	// Workers hold on to their connections, hundreds of them, and come all to one
-	// controller when the others end: users make room for them.
+	// Workers keep their connections open, and hundreds of them connect to one controller
+	// when the others fail. To leave them enough sockets, users' connections are closed after
+	// the response when many sockets are taken, and users are refused when almost all are.
 	if h.connectionsExceed(tuning.CloseConnectionsPercent) {
 		c.Response().Header().Set("Connection", "close")
 	}
@@ -195,8 +200,8 @@
 		return unavailable("too many connections")
 	}
 	effect, ok := h.backend.Request(false, newEvent)
-	reply, is := effect.(scheduler.UserReply)
-	if !ok || !is {
+	reply, isUserReply := effect.(scheduler.UserReply)
+	if !ok || !isUserReply {
 		return unavailable("busy")
 	}
 	switch reply.Status {
--- a/internal/api/user_test.go
+++ b/internal/api/user_test.go
@@ -21,17 +21,17 @@
 		t.Errorf("spec %+v", s)
 	}
 	for name, change := range map[string][2]string{
-		"missing field":   {`"Docket":"train",`, ``},
-		"wrong type":      {`"Pieces":16`, `"Pieces":"16"`},
-		"no tasks":        {`"Pieces":16`, `"Pieces":0`},
-		"too many tasks":  {`"Pieces":16`, `"Pieces":100001`},
-		"part of a task":  {`"Pieces":16`, `"Pieces":1.5`},
-		"negative amount": {`"Cores":8.0`, `"Cores":-8.0`},
-		"not finite":      {`"MemGb":64.0`, `"MemGb":1e999`},
-		"unknown shape":   {`"group"`, `"ring"`},
-		"unknown urgency": {`"urgent"`, `"soon"`},
-		"null amount":     {`"ExpectS":240.0`, `"ExpectS":null`},
-		"null flag":       {`"Loaners":true`, `"Loaners":null`},
+		"missing field":    {`"Docket":"train",`, ``},
+		"wrong type":       {`"Pieces":16`, `"Pieces":"16"`},
+		"zero tasks":       {`"Pieces":16`, `"Pieces":0`},
+		"too many tasks":   {`"Pieces":16`, `"Pieces":100001`},
+		"fractional count": {`"Pieces":16`, `"Pieces":1.5`},
+		"negative amount":  {`"Cores":8.0`, `"Cores":-8.0`},
+		"not finite":       {`"MemGb":64.0`, `"MemGb":1e999`},
+		"unknown shape":    {`"group"`, `"ring"`},
+		"unknown priority": {`"urgent"`, `"soon"`},
+		"null amount":      {`"ExpectS":240.0`, `"ExpectS":null`},
+		"null flag":        {`"Loaners":true`, `"Loaners":null`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			id, s := ParseSubmission([]byte(strings.Replace(validSubmission, change[0], change[1], 1)))
--- a/internal/api/worker.go
+++ b/internal/api/worker.go
@@ -15,10 +15,11 @@
 	"brassglade/internal/scheduler"
 )
 
-// errMalformedHeartbeat means that a heartbeat can't be read; nothing of it is used.
+// errMalformedHeartbeat means that a heartbeat can't be parsed; none of its content is used.
 var errMalformedHeartbeat = errors.New("malformed heartbeat")
 
-// heartbeat is the body of POST /checkin, and of a worker's answer to direct commands.
+// heartbeat is the body of POST /checkin, and of a worker's response to commands that were sent
+// to it directly.
 type heartbeat struct {
 	Machine          string       `json:"Bracket"`
 	Address          string       `json:"Address"`
@@ -28,7 +29,7 @@
 	AgentEpoch       uint64       `json:"Shift"`
 	Sequence         uint64       `json:"Tally"`
 	FencingToken     uint64       `json:"Baton"`
-	PreemptionNotice *float64     `json:"RecallS"` // seconds until the machine is taken away
+	PreemptionNotice *float64     `json:"RecallS"` // seconds until the machine is preempted; nil: no notice
 	Tasks            []taskReport `json:"Pieces"`
 }
 
@@ -44,7 +45,7 @@
 	Kind         string   `json:"Verb"`
 	Task         string   `json:"Piece"` // JOB/INDEX
 	Attempt      uint64   `json:"Try"`
-	GraceSeconds *float64 `json:"LeewayS,omitempty"` // of stops only
+	GraceSeconds *float64 `json:"LeewayS,omitempty"` // seconds; for stop commands only
 }
 
 type heartbeatResponse struct {
@@ -52,19 +53,20 @@
 	Commands     []command `json:"Orders"`
 }
 
-// ownerResponse sends a worker to its machine's owner.
+// ownerResponse names the controller that owns the worker's machine; "" if unknown.
 type ownerResponse struct {
 	Owner string `json:"Foreman,omitempty"`
 }
 
-// Commands is the body of POST /commands, by which a worker gets commands at once.
+// Commands is the body of POST /commands, which a controller sends to a worker to give it
+// commands without waiting for its next heartbeat.
 type Commands struct {
 	FencingToken uint64    `json:"Baton"`
 	AgentEpoch   uint64    `json:"Shift"`
 	Commands     []command `json:"Orders"`
 }
 
-// NewCommands makes the body of commands that are sent straight to a worker.
+// NewCommands returns the body of a request that sends commands directly to a worker.
 func NewCommands(e scheduler.SendCommands) Commands {
 	return Commands{FencingToken: e.FencingToken, AgentEpoch: e.AgentEpoch, Commands: newCommands(e.Commands)}
 }
@@ -89,7 +91,8 @@
 	"ended":     domain.ReportedEnded,
 }
 
-// reportedCause maps the one cause that the protocol calls otherwise.
+// reportedCause converts a cause of the protocol to one of package domain. Only "no_such" has
+// another name there.
 func reportedCause(cause string) string {
 	if cause == "no_such" {
 		return domain.CauseUnknown
@@ -97,14 +100,14 @@
 	return cause
 }
 
-// ParseHeartbeat reads a worker's heartbeat. Its errors match errMalformedHeartbeat.
+// ParseHeartbeat parses the body of a worker's heartbeat. Its errors match errMalformedHeartbeat.
 func ParseHeartbeat(body []byte) (domain.Heartbeat, error) {
 	var h heartbeat
 	if err := json.Unmarshal(body, &h); err != nil {
 		return domain.Heartbeat{}, fmt.Errorf("%w: %w", errMalformedHeartbeat, err)
 	}
 	if h.Machine == "" || h.AgentEpoch == 0 {
-		return domain.Heartbeat{}, fmt.Errorf("%w: no machine or agent epoch", errMalformedHeartbeat)
+		return domain.Heartbeat{}, fmt.Errorf("%w: machine or agent epoch is missing", errMalformedHeartbeat)
 	}
 	parsed := domain.Heartbeat{
 		Machine: h.Machine, Addr: h.Address, Type: h.MachineType, Zone: h.Zone, Spot: h.Spot,
@@ -130,15 +133,15 @@
 	}
 	state, known := reportedStates[t.State]
 	if !known {
-		return domain.TaskReport{}, fmt.Errorf("unknown state %q of %s", t.State, t.Task)
+		return domain.TaskReport{}, fmt.Errorf("unknown state %q of task %s", t.State, t.Task)
 	}
 	return domain.TaskReport{Task: id, Attempt: t.Attempt, State: state, Cause: reportedCause(t.Cause), Saved: t.Saved}, nil
 }
 
-// formatTaskID writes JOB/INDEX.
+// formatTaskID returns a task ID in the form JOB/INDEX.
 func formatTaskID(id domain.TaskID) string { return id.Job + "/" + strconv.Itoa(id.Index) }
 
-// parseTaskID reads JOB/INDEX.
+// parseTaskID parses a task ID of the form JOB/INDEX.
 func parseTaskID(s string) (domain.TaskID, error) {
 	slash := strings.LastIndexByte(s, '/')
 	if slash < 0 {
@@ -146,14 +149,14 @@
 	}
 	index, err := strconv.Atoi(s[slash+1:])
 	if err != nil {
-		return domain.TaskID{}, fmt.Errorf("index of task %q: %w", s, err)
+		return domain.TaskID{}, fmt.Errorf("invalid index of task %q: %w", s, err)
 	}
 	return domain.TaskID{Job: s[:slash], Index: index}, nil
 }
 
-// handleHeartbeat takes a worker's heartbeat through the loop and answers with commands, with
-// the machine's owner if that is another controller, or with 503 while this controller
-// may not give commands.
+// handleHeartbeat passes a worker's heartbeat to the event loop. The response contains commands,
+// or the machine's owner if that is another controller (421), or has status 503 while this
+// controller may not give commands.
 func (h *handler) handleHeartbeat(c echo.Context) error {
 	body, err := readBody(c)
 	var beat domain.Heartbeat
@@ -168,8 +171,8 @@
 	effect, ok := h.backend.Request(true, func(requestID uint64) scheduler.Event {
 		return scheduler.HeartbeatReceived{RequestID: requestID, Heartbeat: beat}
 	})
-	reply, is := effect.(scheduler.HeartbeatReply)
-	if !ok || !is {
+	reply, isHeartbeatReply := effect.(scheduler.HeartbeatReply)
+	if !ok || !isHeartbeatReply {
 		return unavailable("busy")
 	}
 	switch reply.Status {
@@ -178,5 +181,5 @@
 	case http.StatusMisdirectedRequest:
 		return c.JSON(reply.Status, ownerResponse{Owner: reply.Owner})
 	}
-	return unavailable("not entitled")
+	return unavailable("controller may not give commands now")
 }
--- a/internal/api/worker_test.go
+++ b/internal/api/worker_test.go
@@ -13,7 +13,7 @@
               {"Piece":"job-000398/0","Try":1,"Status":"ended","Cause":"no_such"}]}`))
 	if err != nil || r.Machine != "n-000231" || r.PreemptionNotice >= 0 || r.FencingToken != 41 || len(r.Tasks) != 2 ||
 		r.Tasks[0].Task != (domain.TaskID{Job: "job-000412", Index: 3}) || r.Tasks[1].Cause != domain.CauseUnknown {
-		t.Errorf("report %+v", r)
+		t.Errorf("heartbeat %+v", r)
 	}
 	for _, b := range []string{"", "{}", `{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job","Try":1,"Status":"running"}]}`,
 		`{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job-1/0","Try":1,"Status":"dancing"}]}`} {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
-// Package metrics counts what a controller does and serves the counts to Prometheus. It
-// has a registry of its own, so that nothing but what is listed here is exposed, and it
-// sees the scheduler's events and effects only: the scheduler knows nothing of it. Names,
-// labels and help texts keep the protocol's words, which dashboards and alerts use.
+// Package metrics records a controller's metrics and exposes them to Prometheus. It has its
+// own registry, so that only the metrics defined here are exposed. It observes the scheduler's
+// events, effects and status; the scheduler does not depend on it. The names and labels of
+// metrics use the protocol's words, because dashboards and alerts refer to them.
 package metrics
 
 import (
@@ -15,11 +15,11 @@
 	"brassglade/internal/scheduler"
 )
 
-// namespace is what all names begin with.
+// namespace is the prefix of all metric names.
 const namespace = "brassglade"
 
-// Recorder counts for one controller. Its methods but Handler are called by the one
-// goroutine that drives the scheduler.
+// Recorder records the metrics of one controller. Handler may be called by any goroutine, the
+// other methods only by the one that drives the scheduler.
 type Recorder struct {
 	registry         *prometheus.Registry
 	status           statusCollector
@@ -27,21 +27,22 @@
 	heartbeatReplies *prometheus.CounterVec
 	userReplies      *prometheus.CounterVec
 	commits          *prometheus.CounterVec
-	commitLanes      map[uint64]int // by id, of the commits under way
+	commitLanes      map[uint64]int // lanes of the commits in flight, by commit ID
 }
 
-// New returns counters that start at zero, labelled with the controller's name.
+// New returns a recorder whose counters are zero and whose metrics are labelled with the
+// controller's name.
 func New(member string) *Recorder {
 	labels := prometheus.Labels{"member": member}
-	counter := func(name, help string, by ...string) *prometheus.CounterVec {
-		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help, ConstLabels: labels}, by)
+	counter := func(name, help string, labelNames ...string) *prometheus.CounterVec {
+		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help, ConstLabels: labels}, labelNames)
 	}
 	m := &Recorder{
 		registry:         prometheus.NewRegistry(),
 		commands:         counter("orders_total", "Commands given to workers, by verb and the reason that allowed them.", "verb", "reason"),
-		heartbeatReplies: counter("checkin_answers_total", "Answers to workers' reports, by HTTP status.", "status"),
-		userReplies:      counter("user_answers_total", "Answers to users, by HTTP status and the job state told.", "status", "state"),
-		commits:          counter("commits_total", "Commits to the state service that were answered or given up, by lane and result.", "lane", "result"),
+		heartbeatReplies: counter("checkin_answers_total", "Responses to workers' heartbeats, by HTTP status.", "status"),
+		userReplies:      counter("user_answers_total", "Responses to users, by HTTP status and the job state in the response.", "status", "state"),
+		commits:          counter("commits_total", "Commits to the state service that got a response or were given up, by lane and result.", "lane", "result"),
 		commitLanes:      map[uint64]int{},
 	}
 	m.status.defineMetrics(labels)
@@ -49,26 +50,26 @@
 	return m
 }
 
-// Handler serves the counts in Prometheus' text format.
+// Handler returns the handler that serves the metrics in Prometheus' text format.
 func (m *Recorder) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// ObserveEvent counts an event that the scheduler is about to take.
+// ObserveEvent updates the counters for an event that the scheduler is about to process.
 func (m *Recorder) ObserveEvent(event scheduler.Event) {
-	commit, is := event.(scheduler.CommitAnswered)
-	if !is {
+	commit, ok := event.(scheduler.CommitAnswered)
+	if !ok {
 		return
 	}
-	lane, underWay := m.commitLanes[commit.ID]
-	if !underWay {
+	lane, inFlight := m.commitLanes[commit.ID]
+	if !inFlight {
 		return
 	}
 	delete(m.commitLanes, commit.ID)
 	m.commits.WithLabelValues(laneLabel(lane), resultLabel(commit.Result)).Inc()
 }
 
-// ObserveEffect counts an effect of the scheduler.
+// ObserveEffect updates the counters for an effect of the scheduler.
 func (m *Recorder) ObserveEffect(effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.Commit:
@@ -83,7 +84,7 @@
 	}
 }
 
-// SetStatus takes the scheduler's status after a step.
+// SetStatus sets the status that is exposed, which is the scheduler's after its last step.
 func (m *Recorder) SetStatus(status scheduler.Status) { m.status.latest.Store(&status) }
 
 func (m *Recorder) countCommands(commands []domain.Command) {
@@ -92,7 +93,7 @@
 	}
 }
 
-// laneLabel is the label of a commit's lane.
+// laneLabel returns the label value for a commit's lane.
 func laneLabel(lane int) string {
 	switch lane {
 	case scheduler.LaneView:
@@ -105,7 +106,7 @@
 	return "idle"
 }
 
-// resultLabel is the label of a commit's result.
+// resultLabel returns the label value for a commit's result.
 func resultLabel(result domain.CommitResult) string {
 	switch result {
 	case domain.Committed:
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	"brassglade/internal/scheduler"
 )
 
-// scrape returns what Prometheus would read.
+// scrape returns the metrics in the text format that Prometheus reads.
 func scrape(t *testing.T, m *Recorder) string {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -18,11 +18,13 @@
 	return w.Body.String()
 }
 
-// TestScrape: every count tells what was done and why it was allowed.
+// TestScrape checks the exposed metrics after a few events and effects: commands are counted
+// by verb and reason, commits by lane and result, and no status is exposed before the first
+// step.
 func TestScrape(t *testing.T) {
 	m := New("c-0")
 	if s := scrape(t, m); strings.Contains(s, "brassglade_epoch") {
-		t.Errorf("a status before the first step: %s", s)
+		t.Errorf("a status is exposed before the first step: %s", s)
 	}
 	run := domain.Command{Kind: domain.StartTask, Reason: domain.ReasonBooked}
 	halt := domain.Command{Kind: domain.StopTask, Reason: domain.ReasonPreemptionNotice}
@@ -33,7 +35,7 @@
 	m.ObserveEffect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
 	m.ObserveEffect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
 	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
-	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeat is no second commit
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeated response must not be counted again
 	m.ObserveEvent(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", Leads: true, Acts: true, Revision: 431, Confirmed: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -8,8 +8,8 @@
 	"brassglade/internal/scheduler"
 )
 
-// execute carries out one effect. What takes time runs on a goroutine of its own, and its
-// answer comes back as an event.
+// execute executes one effect. Requests to other processes run on goroutines of their own, and
+// their results come back as events.
 func (n *Node) execute(effect scheduler.Effect) {
 	switch e := effect.(type) {
 	case scheduler.HeartbeatReply:
@@ -43,16 +43,17 @@
 	}
 }
 
-// runAsync does something that takes time and puts the answer into the loop.
+// runAsync runs a function on a new goroutine and puts the event that it returns into the loop.
 func (n *Node) runAsync(do func() scheduler.Event) {
 	go func() { n.enqueueEvent(do()) }()
 }
 
-// deliverReply hands a deliverReply to the request that waits for it. A request that gave up waiting
-// stays among the pending ones until its deliverReply comes, which nobody reads then.
+// deliverReply passes a reply to the request that waits for it. A request that timed out stays in
+// pendingReplies until its reply comes; that reply goes into the request's channel unread. Only
+// the loop's goroutine may call it.
 func (n *Node) deliverReply(requestID uint64, effect scheduler.Effect) {
-	if waiting, ok := n.pendingReplies[requestID]; ok {
+	if channel, ok := n.pendingReplies[requestID]; ok {
 		delete(n.pendingReplies, requestID)
-		waiting <- effect
+		channel <- effect
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -8,15 +8,15 @@
 	"brassglade/internal/tuning"
 )
 
-// request is a user's or worker's request on its way through the loop.
+// request is a request of a user or worker that waits for the scheduler's reply.
 type request struct {
 	newEvent func(requestID uint64) scheduler.Event
-	reply    chan scheduler.Effect // has room for the one reply
+	reply    chan scheduler.Effect // has room for the reply, so that sending it never blocks
 }
 
-// Request puts a request into the loop's queue of workers or users and waits for the
-// scheduler's reply. ok is false if the queue is full, which is known at once, or if no
-// reply came in time.
+// Request puts a request into the loop's queue for workers or for users and waits for the
+// scheduler's reply. ok is false if the queue is full, without waiting, or if no reply came
+// within tuning.RequestTimeout.
 func (n *Node) Request(fromWorker bool, newEvent func(requestID uint64) scheduler.Event) (reply scheduler.Effect, ok bool) {
 	r := request{newEvent: newEvent, reply: make(chan scheduler.Effect, 1)}
 	queue := n.userRequests
@@ -38,7 +38,8 @@
 	}
 }
 
-// enqueueEvent puts an event into the loop and waits until there is room.
+// enqueueEvent puts an event into the loop's queue. It waits while the queue is full, and drops
+// the event if the loop has ended.
 func (n *Node) enqueueEvent(event scheduler.Event) {
 	select {
 	case n.events <- event:
@@ -46,12 +47,15 @@
 	}
 }
 
-// loop drives the scheduler: it alone calls it, and it alone touches pending replies.
+// loop drives the scheduler until done is closed. Only its goroutine calls the scheduler and uses
+// pendingReplies.
 func (n *Node) loop() {
 	tick := time.NewTicker(tuning.Tick)
 	defer tick.Stop()
 	for {
-		// Answers to own requests first: they carry view, fence and outcomes.
+		// Handle events before requests: among them are the responses to this controller's own
+		// requests, which carry the view, the confirmations that the self-fence depends on, and
+		// the outcomes of commits.
 		select {
 		case event := <-n.events:
 			n.step(event)
@@ -73,25 +77,25 @@
 	}
 }
 
-// handleRequest gives a request a number and its event to the scheduler.
+// handleRequest assigns a number to a request and passes its event to the scheduler.
 func (n *Node) handleRequest(r request) {
 	n.lastRequestID++
 	n.pendingReplies[n.lastRequestID] = r.reply
 	n.step(r.newEvent(n.lastRequestID))
 }
 
-// step takes one event through the scheduler and starts to carry out the effects.
+// step passes one event to the scheduler and starts executing the resulting effects.
 func (n *Node) step(event scheduler.Event) {
 	if n.metrics != nil {
 		n.metrics.ObserveEvent(event)
 		defer func() { n.metrics.SetStatus(n.controller.Status()) }()
 	}
-	var frame []byte // a message to all peers is encoded once
+	var frame []byte // the message to all peers, which is encoded once; nil: not yet encoded
 	for _, effect := range n.controller.Step(n.now(), event) {
 		if n.metrics != nil {
 			n.metrics.ObserveEffect(effect)
 		}
-		if e, is := effect.(scheduler.SendPeerMessage); is && isBroadcast(e) {
+		if e, ok := effect.(scheduler.SendPeerMessage); ok && isBroadcast(e) {
 			if frame == nil {
 				frame = peer.Encode(n.member, e.Message)
 			}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -6,7 +6,9 @@
 	"brassglade/internal/scheduler"
 )
 
-// TestFullQueueRefusesRequest: at once, and each queue for itself.
+// TestFullQueueRefusesRequest checks that a request to a full queue is refused without
+// waiting, while the other queue still takes requests, and that a reply nobody waits for is
+// ignored.
 func TestFullQueueRefusesRequest(t *testing.T) {
 	n := &Node{userRequests: make(chan request), workerRequests: make(chan request, 1), pendingReplies: map[uint64]chan scheduler.Effect{}}
 	newEvent := func(requestID uint64) scheduler.Event { return scheduler.JobQueried{RequestID: requestID} }
@@ -16,11 +18,11 @@
 	go func() {
 		r := <-n.workerRequests
 		n.pendingReplies[7] = r.reply
-		n.execute(scheduler.HeartbeatReply{RequestID: 8, Status: 503}) // nobody waits for it
+		n.execute(scheduler.HeartbeatReply{RequestID: 8, Status: 503}) // no request waits for this reply
 		n.execute(scheduler.HeartbeatReply{RequestID: 7, Status: 200})
 	}()
 	reply, ok := n.Request(true, newEvent)
-	if beat, is := reply.(scheduler.HeartbeatReply); !ok || !is || beat.Status != 200 {
+	if heartbeatReply, isHeartbeatReply := reply.(scheduler.HeartbeatReply); !ok || !isHeartbeatReply || heartbeatReply.Status != 200 {
 		t.Errorf("reply %+v, ok %v", reply, ok)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one controller as a process. It puts listeners, clients and a timer
-// round the scheduler: what arrives becomes an event, one goroutine takes the events one
-// after the other through the scheduler, and the effects that come out are carried out.
+// Package node runs one controller as a process. It connects the scheduler to listeners, clients
+// and a timer: requests, responses and ticks become events, a single goroutine passes the events
+// to the scheduler one at a time, and the effects that the scheduler returns are executed.
 package node
 
 import (
@@ -27,26 +27,27 @@
 )
 
 const (
-	incarnationBytes = 6 // enough that no two starts of a controller share one
+	incarnationBytes = 6 // large enough that no two starts of a controller get the same incarnation
 	bytesPerMB       = 1 << 20
 )
 
-// Node is one running controller.
+// Node is one running controller. Its exported methods may be called concurrently.
 type Node struct {
 	member     string    // this controller's name
-	start      time.Time // when the scheduler's steady time was 0
+	start      time.Time // when the scheduler's monotonic clock was 0
 	controller *scheduler.Controller
-	metrics    *metrics.Recorder // nil unless the operators switched them on
+	metrics    *metrics.Recorder // nil unless the operators enabled metrics
 	ready      atomic.Bool
 
-	// The loop's inputs. Events wait for room in their queue; requests that find theirs
-	// full are refused.
+	// The inputs of the loop. Senders of events wait while the queue is full; requests are
+	// refused if their queue is full.
 	events         chan scheduler.Event
 	userRequests   chan request
 	workerRequests chan request
-	done           <-chan struct{} // closed when the loop ends
+	done           <-chan struct{} // closed to end the loop
 
-	// The loop's own state: requests that wait for their reply.
+	// The state of the loop, used by its goroutine only: the requests that wait for a reply,
+	// by request number.
 	pendingReplies map[uint64]chan scheduler.Effect
 	lastRequestID  uint64
 
@@ -56,7 +57,9 @@
 	workers *workerClients
 }
 
-// Run serves until the context ends or a listener fails.
+// Run runs a controller until the context ends or a listener fails. operator may be nil. It
+// returns an error if the controller can't start or a listener fails, and nil if the context
+// ends.
 func Run(ctx context.Context, settings *config.Settings, operator *config.Operator) error {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -66,7 +69,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	n := newNode(settings, operator, incarnation, ctx.Done())
-	slog.Info("starting", "member", settings.Member, "incarnation", incarnation,
+	slog.Info("controller starting", "member", settings.Member, "incarnation", incarnation,
 		"serve_on", settings.ServeOn, "back", settings.Back)
 	failed, err := n.listen(ctx, settings)
 	if err != nil {
@@ -82,16 +85,18 @@
 	}
 }
 
-// newIncarnation returns the random name of this start of the controller.
+// newIncarnation returns a random name for this start of the controller.
 func newIncarnation() (string, error) {
 	var id [incarnationBytes]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return "", fmt.Errorf("incarnation: %w", err)
+		return "", fmt.Errorf("generate incarnation: %w", err)
 	}
 	return hex.EncodeToString(id[:]), nil
 }
 
-// configureGC sets the garbage collector to the machine's memory; 0 MB: not known.
+// configureGC sets the garbage collector's target percentage, and its soft memory limit to a
+// share of the machine's memory. memoryMB is that memory in MB; 0 means unknown, and sets no
+// limit.
 func configureGC(memoryMB float64) {
 	if memoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * bytesPerMB))
@@ -124,8 +129,8 @@
 	return n
 }
 
-// listen opens both listeners, serves on them and starts the links to the peers. The
-// channel gets the error of a listener that fails later.
+// listen opens the listeners for users and workers and for peers, serves on them and starts the
+// links to the peers. A listener that fails later sends its error to the channel.
 func (n *Node) listen(ctx context.Context, settings *config.Settings) (failed <-chan error, err error) {
 	public, err := net.Listen("tcp4", settings.ServeOn)
 	if err != nil {
@@ -150,7 +155,7 @@
 	return errs, nil
 }
 
-// metricsHandler answers scrapes; nil where metrics are off.
+// metricsHandler returns the handler of GET /metrics; nil if metrics are disabled.
 func (n *Node) metricsHandler() http.Handler {
 	if n.metrics == nil {
 		return nil
@@ -158,8 +163,8 @@
 	return n.metrics.Handler()
 }
 
-// now is the scheduler's steady time.
+// now returns the time on the scheduler's monotonic clock, which is 0 at the controller's start.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// Ready tells whether a load balancer should send users here.
+// Ready reports whether a load balancer should send users to this controller.
 func (n *Node) Ready() bool { return n.ready.Load() }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -2,11 +2,11 @@
 
 import "brassglade/internal/scheduler"
 
-// isBroadcast tells whether a step sends the same message to all peers; requests for
-// tasks are the only ones meant for one peer.
+// isBroadcast reports whether a step sends the same message to all peers. Only messages with a
+// steal request are meant for one peer.
 func isBroadcast(e scheduler.SendPeerMessage) bool { return e.Message.Steal == nil }
 
-// sendFrame queues a frame for a peer; one that the settings don't name gets none.
+// sendFrame queues a frame for a peer. It does nothing if the settings don't name that peer.
 func (n *Node) sendFrame(to string, frame []byte) {
 	if link := n.peers[to]; link != nil {
 		link.Send(frame)
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -12,13 +12,14 @@
 	"brassglade/internal/tuning"
 )
 
-// commandsPath is where a worker takes commands that don't wait for its next heartbeat.
+// commandsPath is the path at which workers accept commands that don't wait for the next
+// heartbeat.
 const commandsPath = "/commands"
 
-// workerClients holds the HTTP clients of workers that were sent commands, and bounds
-// how many commands are under way at a time.
+// workerClients holds HTTP clients for the workers that were sent commands directly, and limits
+// the number of such requests in flight.
 type workerClients struct {
-	inFlight chan struct{} // one element for each request under way
+	inFlight chan struct{} // one element for each request in flight
 
 	mu        sync.Mutex
 	byAddress map[string]*httpclient.Client
@@ -31,8 +32,8 @@
 	}
 }
 
-// client returns the client of a worker's address. Machines come and go: a full set of
-// clients is forgotten and fills up again with those in use.
+// client returns the client for a worker's address. Since machines come and go, all clients are
+// dropped when there are more than tuning.MaxWorkerClients; those in use are then created again.
 func (w *workerClients) client(address string) *httpclient.Client {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -47,8 +48,8 @@
 	return c
 }
 
-// sendCommands sends commands straight to a worker. Where too many are under way it does
-// nothing: the answer to the worker's next heartbeat carries them.
+// sendCommands sends commands directly to a worker. If too many such requests are in flight it
+// does nothing: the response to the worker's next heartbeat contains the commands.
 func (n *Node) sendCommands(e scheduler.SendCommands) {
 	select {
 	case n.workers.inFlight <- struct{}{}:
@@ -60,25 +61,27 @@
 	}
 }
 
-// send carries commands to a worker and reads the heartbeat in its answer. A worker that
-// knows a newer fencing token or another agent epoch answers 409, with a heartbeat as well.
+// send sends commands to a worker and parses the heartbeat in its response. A worker that
+// knows a newer fencing token or has another agent epoch responds with status 409 and a
+// heartbeat as well. OK is true in the result only for status 200; the heartbeat is nil unless
+// it is well-formed and from the machine that the commands are for.
 func (w *workerClients) send(e scheduler.SendCommands) scheduler.CommandsAnswered {
-	answered := scheduler.CommandsAnswered{Machine: e.Machine}
+	result := scheduler.CommandsAnswered{Machine: e.Machine}
 	body, err := json.Marshal(api.NewCommands(e))
 	if err != nil {
-		return answered
+		return result
 	}
 	response, err := w.client(e.Addr).Do(http.MethodPost, commandsPath, body, tuning.DirectCommandTimeout)
 	if err != nil {
-		return answered
+		return result
 	}
 	if response.Status != http.StatusOK && response.Status != http.StatusConflict {
-		return answered
+		return result
 	}
-	answered.OK = response.Status == http.StatusOK
+	result.OK = response.Status == http.StatusOK
 	heartbeat, err := api.ParseHeartbeat(response.Body)
 	if err == nil && heartbeat.Machine == e.Machine {
-		answered.Heartbeat = &heartbeat
+		result.Heartbeat = &heartbeat
 	}
-	return answered
+	return result
 }
--- a/internal/node/workers_test.go
+++ b/internal/node/workers_test.go
@@ -12,19 +12,19 @@
 	"brassglade/internal/tuning"
 )
 
-// TestSendCommands holds the request to the byte, and what each answer means.
+// TestSendCommands checks the bytes of the request and the result of each kind of response.
 func TestSendCommands(t *testing.T) {
-	const beat = `{"Bracket":"n-1","Shift":3,"Tally":9}`
+	const heartbeatJSON = `{"Bracket":"n-1","Shift":3,"Tally":9}`
 	for name, x := range map[string]struct {
 		status        int
 		body          string
 		ok, heartbeat bool
 	}{
-		"taken":                 {200, beat, true, true},
-		"another epoch":         {409, beat, false, true},
-		"malformed heartbeat":   {200, `{"Bracket":"n-1"}`, true, false},
-		"another machine there": {200, `{"Bracket":"n-2","Shift":3}`, true, false},
-		"internal error":        {500, beat, false, false},
+		"accepted":                       {200, heartbeatJSON, true, true},
+		"another agent epoch":            {409, heartbeatJSON, false, true},
+		"malformed heartbeat":            {200, `{"Bracket":"n-1"}`, true, false},
+		"another machine at the address": {200, `{"Bracket":"n-2","Shift":3}`, true, false},
+		"internal error":                 {500, heartbeatJSON, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sent string
@@ -56,12 +56,13 @@
 	}
 }
 
-// TestWorkerClientsAreBounded: machines come and go for as long as the process lives.
+// TestWorkerClientsAreBounded checks that the number of clients has a limit and that a client is
+// reused. Machines come and go while the process runs, so clients would otherwise accumulate.
 func TestWorkerClientsAreBounded(t *testing.T) {
 	w := newWorkerClients()
 	first := w.client("a")
 	if w.client("a") != first {
-		t.Error("a worker's client is not kept")
+		t.Error("a worker's client is not reused")
 	}
 	for i := range 3 * tuning.MaxWorkerClients {
 		w.client(strings.Repeat("x", i+1))
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -10,17 +10,17 @@
 	"brassglade/internal/scheduler"
 )
 
-// ErrMalformed means that bytes are no message.
+// ErrMalformed means that bytes received from a peer are not a valid message.
 var ErrMalformed = errors.New("malformed peer message")
 
 const (
-	initialBufferBytes = 1024 // the buffer grows from there
+	initialBufferBytes = 1024 // initial size; the buffer grows as needed
 	minMessageBytes    = 8    // root offset and table offset
 	offsetBytes        = 4    // size of an offset in a vector
 )
 
-// Encode writes a message as a FlatBuffer. The order in which its parts are written is
-// part of the bytes.
+// Encode returns a message as a FlatBuffer; from is the sending controller's name. The encoded
+// bytes depend on the order in which the parts of the message are written.
 func Encode(from string, m scheduler.PeerMessage) []byte {
 	e := encoder{flatbuffers.NewBuilder(initialBufferBytes)}
 	machines := make([]flatbuffers.UOffsetT, len(m.Machines))
@@ -83,7 +83,8 @@
 	return fb.StealEnd(e.Builder)
 }
 
-// sharedStrings writes each different string once: the same images are on most machines.
+// sharedStrings writes each distinct string once per message, because most machines have the same
+// images.
 func (e encoder) sharedStrings(list []string) []flatbuffers.UOffsetT {
 	offsets := make([]flatbuffers.UOffsetT, len(list))
 	for i, s := range list {
@@ -94,15 +95,16 @@
 
 func (e encoder) vector(offsets []flatbuffers.UOffsetT) flatbuffers.UOffsetT {
 	e.StartVector(offsetBytes, len(offsets), offsetBytes)
-	for i := len(offsets) - 1; i >= 0; i-- { // a FlatBuffer is written from its end
+	for i := len(offsets) - 1; i >= 0; i-- { // a FlatBuffer is written back to front
 		e.PrependUOffsetT(offsets[i])
 	}
 	return e.EndVector(len(offsets))
 }
 
-// Decode reads a message. Malformed bytes give ErrMalformed, never a panic.
+// Decode parses a message and returns it with the sending controller's name. Malformed bytes give
+// ErrMalformed, never a panic.
 func Decode(frame []byte) (from string, m scheduler.PeerMessage, err error) {
-	// The generated readers index without checks, so that damaged offsets panic.
+	// The generated code does not check offsets, so damaged ones make it panic.
 	defer func() {
 		if recover() != nil {
 			err = ErrMalformed
@@ -138,11 +140,11 @@
 // decoder reads the parts of one message.
 type decoder struct {
 	frameBytes int
-	strings    map[string]string // types, zones and images, which hundreds of machines repeat
+	strings    map[string]string // types, zones and images, which are the same for hundreds of machines
 }
 
-// capacity bounds a vector's announced length by what the frame can hold: damaged bytes
-// must not make the process run out of memory.
+// capacity limits a vector's announced length to what the frame can hold, so that damaged bytes
+// can't make the process run out of memory.
 func (d decoder) capacity(announced int) int { return min(announced, d.frameBytes/offsetBytes) }
 
 func (d decoder) machine(x *fb.Machine) scheduler.PeerMachine {
@@ -166,7 +168,7 @@
 	return m
 }
 
-// intern returns one string for all equal ones of the message.
+// intern returns the same string for all equal byte slices of the message, to allocate it once.
 func (d decoder) intern(b []byte) string {
 	s, known := d.strings[string(b)]
 	if !known {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,21 +10,22 @@
 	"brassglade/internal/tuning"
 )
 
-// Link sends frames to one other controller.
+// Link sends frames to one other controller. Frames may be lost.
 type Link struct {
 	address string
 	frames  chan []byte
 }
 
-// Dial starts a link to an address, "host:port", which lasts until the context ends. It
-// connects when there is a frame to send.
+// Dial starts a link to an address of the form "host:port". The link connects when there is a
+// frame to send, and is closed when the context ends.
 func Dial(ctx context.Context, address string) *Link {
 	l := &Link{address: address, frames: make(chan []byte, tuning.PeerQueue)}
 	go l.run(ctx)
 	return l
 }
 
-// Send queues a frame, or drops it when the queue is full. The frame must not change later.
+// Send queues a frame, or drops it if the queue is full; it never blocks. The caller must not
+// modify the frame afterwards.
 func (l *Link) Send(frame []byte) {
 	select {
 	case l.frames <- frame:
@@ -32,7 +33,8 @@
 	}
 }
 
-// run sends the queued frames. While no connection can be had they are dropped.
+// run sends the queued frames until the context ends. Frames are dropped while the peer can't be
+// reached.
 func (l *Link) run(ctx context.Context) {
 	var s sender
 	defer s.disconnect()
@@ -46,13 +48,14 @@
 	}
 }
 
-// sender holds a link's connection; its methods are called by one goroutine.
+// sender holds a link's connection. Only the goroutine that runs the link may call its methods.
 type sender struct {
 	conn     *ackedConn // nil: not connected
 	failedAt time.Time  // when connecting or sending last failed
 }
 
-// send sends one frame, and connects before where needed.
+// send sends one frame and connects first if necessary. It drops the frame if it can't connect
+// or if the last failure is less than tuning.PeerRetryPause ago.
 func (s *sender) send(address string, frame []byte) {
 	now := time.Now()
 	if s.conn != nil && s.conn.isAckOverdue(now) {
@@ -82,27 +85,28 @@
 	}
 }
 
-// ackedConn is a connection whose other side acknowledges each frame with a byte: after
-// a cut a connection can stay open and silent for good, and writes into it succeed.
+// ackedConn is a connection whose other side acknowledges each frame with one byte. The
+// acknowledgements are needed to detect a network partition: after one, a connection can stay
+// open indefinitely without delivering anything, while writes to it still succeed.
 type ackedConn struct {
 	net.Conn
-	lastAckAt       atomic.Int64 // time of the last acknowledgement, ns since 1970
-	oldestUnackedAt time.Time    // when the oldest frame that may lack its byte was sent
+	lastAckAt       atomic.Int64 // when the last acknowledgement came, Unix time in ns; 0: none yet
+	oldestUnackedAt time.Time    // when the oldest frame that may lack its acknowledgement was sent
 }
 
 func connect(address string) (*ackedConn, error) {
-	n, err := net.DialTimeout("tcp4", address, tuning.PeerTimeout)
+	conn, err := net.DialTimeout("tcp4", address, tuning.PeerTimeout)
 	if err != nil {
 		return nil, err
 	}
-	c := &ackedConn{Conn: n, oldestUnackedAt: time.Now()}
+	c := &ackedConn{Conn: conn, oldestUnackedAt: time.Now()}
 	go c.readAcks()
 	return c, nil
 }
 
-// isAckOverdue tells whether a frame has lacked its acknowledgement for too long. It must be
-// asked before each frame, since it notes what was acknowledged: one acknowledgement since
-// the last frames clears all of them.
+// isAckOverdue reports whether a frame has lacked its acknowledgement for longer than
+// tuning.PeerAckTimeout. It must be called before each frame is sent, since it updates
+// oldestUnackedAt: one acknowledgement since that time counts for all frames sent so far.
 func (c *ackedConn) isAckOverdue(now time.Time) bool {
 	if c.lastAckAt.Load() >= c.oldestUnackedAt.UnixNano() {
 		c.oldestUnackedAt = now
@@ -110,7 +114,7 @@
 	return now.Sub(c.oldestUnackedAt) > tuning.PeerAckTimeout
 }
 
-// send writes a frame behind its length.
+// send writes a frame's length and the frame.
 func (c *ackedConn) send(frame []byte) error {
 	b := make([]byte, 0, lengthBytes+len(frame))
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(frame)))
@@ -119,7 +123,7 @@
 	return err
 }
 
-// readAcks notes when the other side acknowledges, until the connection ends.
+// readAcks records when acknowledgements arrive until reading fails, then closes the connection.
 func (c *ackedConn) readAcks() {
 	var b [16]byte
 	for {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -11,7 +11,7 @@
 	"brassglade/internal/scheduler"
 )
 
-// listen returns a listener that is closed at the test's end.
+// listen returns a listener on a free local port, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -22,19 +22,20 @@
 	return ln
 }
 
-// receive waits for a value of a channel.
+// receive returns the next value of a channel, and fails the test if none comes within 5 s.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case x := <-c:
 		return x
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no value received within 5 s")
 		panic("unreachable")
 	}
 }
 
-// TestLinkDeliversInOrder: frames arrive in order, whole and named.
+// TestLinkDeliversInOrder checks that frames arrive complete, in order and with the sender's
+// name.
 func TestLinkDeliversInOrder(t *testing.T) {
 	ln := listen(t)
 	epochs := make(chan uint64, 3)
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestFrameWireFormat holds the frame and its acknowledgement to the byte.
+// TestFrameWireFormat checks the bytes of a frame and of its acknowledgement, and that a frame
+// that is too long ends the connection.
 func TestFrameWireFormat(t *testing.T) {
 	ln := listen(t)
 	go func() { _ = Serve(ln, func(string, scheduler.PeerMessage) {}) }()
@@ -76,25 +78,26 @@
 	if _, err := c.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(frame))), frame...)); err != nil {
 		t.Fatal(err)
 	}
-	var answer [2]byte
-	if n, err := c.Read(answer[:]); err != nil || n != 1 || answer[0] != 1 {
-		t.Errorf("acknowledged by % x, %v", answer[:n], err)
+	var ack [2]byte
+	if n, err := c.Read(ack[:]); err != nil || n != 1 || ack[0] != 1 {
+		t.Errorf("acknowledgement % x, error %v", ack[:n], err)
 	}
-	// What is no frame ends the connection.
+	// The length of a frame that is too long ends the connection.
 	if _, err := c.Write(binary.LittleEndian.AppendUint32(nil, maxFrameBytes+1)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(answer[:]); n != 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("a frame too long: %d bytes, %v", n, err)
+	if n, err := c.Read(ack[:]); n != 0 || !errors.Is(err, io.EOF) {
+		t.Errorf("after a frame that is too long: read %d bytes, error %v", n, err)
 	}
 }
 
-// TestFullQueueDropsFrames: the sender never waits for a peer.
+// TestFullQueueDropsFrames checks that Send drops a frame instead of blocking when the queue
+// is full.
 func TestFullQueueDropsFrames(t *testing.T) {
 	l := &Link{frames: make(chan []byte, 1)}
 	l.Send([]byte{1})
 	l.Send([]byte{2})
 	if got := receive(t, l.frames); got[0] != 1 || len(l.frames) != 0 {
-		t.Errorf("frame %v, %d more", got, len(l.frames))
+		t.Errorf("first frame %v, %d more queued", got, len(l.frames))
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,6 +1,7 @@
-// Package peer carries hints between controllers as FlatBuffers in frames over TCP: a
-// length of four bytes (little endian), then the message, which the receiver acknowledges
-// with one byte. Messages may be lost; one that finds its queue full is dropped.
+// Package peer exchanges advisory messages between controllers over TCP. A frame is a length
+// of four bytes (little endian) and a message encoded as a FlatBuffer; the receiver
+// acknowledges each frame with one byte. Messages may be lost: one is dropped if the sender's
+// queue is full.
 package peer
 
 import (
@@ -19,17 +20,18 @@
 
 const (
 	lengthBytes   = 4
-	maxFrameBytes = 1 << 20 // at least twice what a message of 2,000 machines takes
+	maxFrameBytes = 1 << 20 // at least twice the size of a message with 2,000 machines
 )
 
-// ackBytes is what a receiver writes for each frame.
+// ackBytes is what the receiver of a frame writes to acknowledge it.
 var ackBytes = []byte{1}
 
-// Handler takes a message of another controller.
+// Handler handles a message from another controller, whose name is from. It is called
+// concurrently for messages of different connections.
 type Handler func(from string, m scheduler.PeerMessage)
 
-// Serve accepts links and hands each message to the handler, until the listener fails or is
-// closed. Messages of one link are handled one after the other.
+// Serve accepts connections and passes each message to the handler until the listener fails or is
+// closed; it returns that error. Messages of one connection are handled one after the other.
 func Serve(ln net.Listener, handle Handler) error {
 	s := &server{handle: handle}
 	for {
@@ -43,11 +45,11 @@
 
 type server struct {
 	handle    Handler
-	malformed atomic.Int64 // messages since the start
+	malformed atomic.Int64 // number of malformed messages since the start
 }
 
-// receive reads frames until the connection ends, says nothing for too long, or sends
-// something that is no frame.
+// receive reads and acknowledges frames until the connection ends, is idle for longer than
+// tuning.PeerIdleTimeout, or delivers a malformed frame.
 func (s *server) receive(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
@@ -71,7 +73,8 @@
 	}
 }
 
-// readFrame reads a length and as many bytes.
+// readFrame reads a frame's length and then its message. A length above maxFrameBytes gives an
+// error that matches ErrMalformed.
 func readFrame(r io.Reader) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -79,7 +82,7 @@
 	}
 	length := binary.LittleEndian.Uint32(head[:])
 	if length > maxFrameBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, length)
+		return nil, fmt.Errorf("%w: a frame of %d bytes is too long", ErrMalformed, length)
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(r, frame); err != nil {
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -7,7 +7,7 @@
 	"brassglade/internal/scheduler"
 )
 
-// newLoadMessage is what a controller that owns n machines tells the others.
+// newLoadMessage returns the message that a controller that owns n machines sends to the others.
 func newLoadMessage(n int) scheduler.PeerMessage {
 	m := scheduler.PeerMessage{Epoch: 7, Load: 30, Usable: true}
 	for i := 0; i < n; i++ {
@@ -20,7 +20,8 @@
 	return m
 }
 
-// TestLargestMessageFitsFrame: one controller may own all of 2,000 machines.
+// TestLargestMessageFitsFrame checks that a message with 2,000 machines takes at most half of the
+// largest frame, since one controller may own all of them.
 func TestLargestMessageFitsFrame(t *testing.T) {
 	p := Encode("bracket-1", newLoadMessage(2000))
 	if len(p) > maxFrameBytes/2 {
