--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,35 +10,37 @@
 	"brassglade/internal/scheduler"
 )
 
-// scrape returns what Prometheus would read.
-func scrape(t *testing.T, m *Controller) string {
+// scrape returns the metrics in the text format that Prometheus reads.
+func scrape(t *testing.T, m *Recorder) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
 }
 
-// TestScrape: every count tells what was done and why it was allowed.
+// TestScrape checks the exposed metrics after a few events and effects: commands are counted
+// by verb and reason, commits by lane and result, and no status is exposed before the first
+// step.
 func TestScrape(t *testing.T) {
 	m := New("c-0")
 	if s := scrape(t, m); strings.Contains(s, "brassglade_epoch") {
-		t.Errorf("a status before the first step: %s", s)
+		t.Errorf("a status is exposed before the first step: %s", s)
 	}
 	run := domain.Command{Kind: domain.StartTask, Reason: domain.ReasonBooked}
 	halt := domain.Command{Kind: domain.StopTask, Reason: domain.ReasonPreemptionNotice}
-	m.Effect(scheduler.HeartbeatReply{Status: 200, Commands: []domain.Command{run, run, halt}})
-	m.Effect(scheduler.HeartbeatReply{Status: 421})
-	m.Effect(scheduler.SendCommands{Commands: []domain.Command{halt}})
-	m.Effect(scheduler.UserReply{Status: 201, State: "pending"})
-	m.Effect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
-	m.Effect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
-	m.Event(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeat is no second commit
-	m.Event(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
+	m.ObserveEffect(scheduler.HeartbeatReply{Status: 200, Commands: []domain.Command{run, run, halt}})
+	m.ObserveEffect(scheduler.HeartbeatReply{Status: 421})
+	m.ObserveEffect(scheduler.SendCommands{Commands: []domain.Command{halt}})
+	m.ObserveEffect(scheduler.UserReply{Status: 201, State: "pending"})
+	m.ObserveEffect(scheduler.Commit{ID: 7, Lane: scheduler.LaneTask})
+	m.ObserveEffect(scheduler.Commit{ID: 8, Lane: scheduler.LaneUser})
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict})
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 7, Result: domain.Conflict}) // a repeated response must not be counted again
+	m.ObserveEvent(scheduler.CommitAnswered{ID: 8, Result: domain.InDoubt})
 	status := scheduler.Status{Epoch: 4, Leader: "c-0", IsLeader: true, MayAct: true, Revision: 431, ConfirmationAge: 250 * time.Millisecond, Machines: 3}
 	status.Work.Bookings[scheduler.PassCached], status.Work.Events = 5, 99
 	status.Waiting = map[scheduler.WaitingTasksKey]int{{Team: "red", Reason: scheduler.WaitsForGangs}: 12}
-	m.Status(status)
+	m.SetStatus(status)
 	got := scrape(t, m)
 	for _, want := range []string{
 		`brassglade_orders_total{member="c-0",reason="booked",verb="run"} 2`,
