--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -8,31 +8,31 @@
 	"brassglade/internal/domain"
 )
 
-// shortForm is the version of the shorter form of texts; values of the first form have none.
-const shortForm = 2
+// compactVersion is the version of the shorter form of texts; values of the first form have none.
+const compactVersion = 2
 
 // Characters of a text that both forms share. A name of a machine, which stands in the text
 // as it is, has none of these.
 const (
-	markQueued       = '?' // begins a run of queued tasks
-	markBooked       = '*' // begins a run of booked tasks
-	markDone         = '!' // begins a run of done tasks
-	separatorField   = "," // between the fields of a run or booking
-	separatorTasks   = ":" // before the numbers of the tasks booked on a machine
-	separatorNumbers = "." // between numbers of tasks
-	numberRange      = "-" // between the first and the last number of a range
+	markQueued      = '?' // begins a run of queued tasks
+	markBooked      = '*' // begins a run of booked tasks
+	markDone        = '!' // begins a run of done tasks
+	fieldSeparator  = "," // between the fields of a run or booking
+	tasksSeparator  = ":" // before the numbers of the tasks booked on a machine
+	numberSeparator = "." // between numbers of tasks
+	rangeSeparator  = "-" // between the first and the last number of a range
 )
 
 // Separators of the first form.
 const (
-	firstFormItem     = ";" // between runs, and between groups of bookings
-	firstFormBookings = "|" // between the runs and the bookings
+	verboseItemSeparator     = ";" // between runs, and between groups of bookings
+	verboseBookingsSeparator = "|" // between the runs and the bookings
 )
 
 // Separators of the shorter form.
 const (
-	shortFormGroup   = "/" // before a group of bookings
-	shortFormMachine = "|" // before a machine of a group
+	compactGroupSeparator   = "/" // before a group of bookings
+	compactMachineSeparator = "|" // before a machine of a group
 )
 
 // runMarks are the marks by state of task.
@@ -71,17 +71,17 @@
 func NewChunkValue(tasksByJob map[string][]domain.Task, short bool) *ChunkValue {
 	v := &ChunkValue{Texts: map[string]string{}}
 	if short {
-		v.Version, v.MachinePrefix = shortForm, machinePrefix(tasksByJob)
+		v.Version, v.MachinePrefix = compactVersion, commonMachinePrefix(tasksByJob)
 	}
 	for _, id := range slices.Sorted(maps.Keys(tasksByJob)) {
-		v.Put(id, tasksByJob[id])
+		v.SetTasks(id, tasksByJob[id])
 	}
 	return v
 }
 
-// machinePrefix is what the names of all machines with bookings begin with, without digits
+// commonMachinePrefix is what the names of all machines with bookings begin with, without digits
 // from 1 to 9 and never a whole name: it seldom gets shorter as machines come and go.
-func machinePrefix(tasksByJob map[string][]domain.Task) string {
+func commonMachinePrefix(tasksByJob map[string][]domain.Task) string {
 	prefix, isFirst := "", true
 	for _, tasks := range tasksByJob {
 		for i := range tasks {
@@ -90,7 +90,7 @@
 			}
 			machine := tasks[i].Machine
 			if isFirst {
-				prefix, isFirst = beforeDigits(machine), false
+				prefix, isFirst = prefixBeforeDigits(machine), false
 			}
 			for !strings.HasPrefix(machine, prefix) || machine == prefix {
 				prefix = prefix[:len(prefix)-1]
@@ -100,8 +100,8 @@
 	return prefix
 }
 
-// beforeDigits is what stands before the first digit from 1 to 9.
-func beforeDigits(machine string) string {
+// prefixBeforeDigits is what stands before the first digit from 1 to 9.
+func prefixBeforeDigits(machine string) string {
 	if i := strings.IndexAny(machine, "123456789"); i >= 0 {
 		return machine[:i]
 	}
--- a/internal/codec/chunk_decode.go
+++ b/internal/codec/chunk_decode.go
@@ -14,33 +14,33 @@
 // maxTasksPerText bounds the tasks that one text may claim, against nonsense in the store.
 const maxTasksPerText = 200000
 
-// Tasks reads a job's tasks back and hands each to take, with its number in the chunk or cell.
+// ForEachTask reads a job's tasks back and hands each to take, with its number in the chunk or cell.
 // What was read before an error has been handed over. The error is ErrMalformedChunk.
-func (v *ChunkValue) Tasks(text string, take func(int, domain.Task)) error {
-	d := &chunkDecoder{value: v, take: take}
-	if v.Version == shortForm {
-		return d.readShortForm(text)
+func (v *ChunkValue) ForEachTask(text string, take func(int, domain.Task)) error {
+	d := &chunkDecoder{value: v, yield: take}
+	if v.Version == compactVersion {
+		return d.readCompact(text)
 	}
-	return d.readFirstForm(text)
+	return d.readVerbose(text)
 }
 
 // chunkDecoder reads one text.
 type chunkDecoder struct {
 	value     *ChunkValue
-	take      func(int, domain.Task)
+	yield     func(int, domain.Task)
 	next      int  // number of the next task of the runs
 	malformed bool // a number or name couldn't be read
 }
 
-// number reads a decimal number.
-func (d *chunkDecoder) number(text string) uint64 {
+// readNumber reads a decimal readNumber.
+func (d *chunkDecoder) readNumber(text string) uint64 {
 	n, err := strconv.ParseUint(text, 10, 64)
 	d.malformed = d.malformed || err != nil
 	return n
 }
 
-// name reads a place in the value's list of names.
-func (d *chunkDecoder) name(text string) string {
+// readName reads a place in the value's list of names.
+func (d *chunkDecoder) readName(text string) string {
 	place, err := strconv.Atoi(text)
 	if err != nil || place < 0 || place >= len(d.value.Names) {
 		d.malformed = true
@@ -49,33 +49,33 @@
 	return d.value.Names[place]
 }
 
-// takeNumbered hands over a task for each number of a text: 8-10.12.
-func (d *chunkDecoder) takeNumbered(numbers string, t domain.Task) error {
-	for _, stretch := range strings.Split(numbers, separatorNumbers) {
-		first, last, isRange := strings.Cut(stretch, numberRange)
-		from := d.number(first)
+// readTaskNumbers hands over a task for each number of a text: 8-10.12.
+func (d *chunkDecoder) readTaskNumbers(numbers string, t domain.Task) error {
+	for _, stretch := range strings.Split(numbers, numberSeparator) {
+		first, last, isRange := strings.Cut(stretch, rangeSeparator)
+		from := d.readNumber(first)
 		to := from
 		if isRange {
-			to = d.number(last)
+			to = d.readNumber(last)
 		}
 		if d.malformed || to < from || to > maxTasksPerText {
 			return ErrMalformedChunk
 		}
 		for i := from; i <= to; i++ {
-			d.take(int(i), t)
+			d.yield(int(i), t)
 		}
 	}
 	return nil
 }
 
-// takeRun hands over count tasks of one state, which fields describe: a count, and for queued
+// readRun hands over count tasks of one state, which fields describe: a count, and for queued
 // ones maybe the attempts so far and the shard. Booked ones are only counted here.
-func (d *chunkDecoder) takeRun(mark byte, count uint64, fields []string) error {
+func (d *chunkDecoder) readRun(mark byte, count uint64, fields []string) error {
 	var t domain.Task
 	switch mark {
 	case markQueued:
 		if len(fields) == 3 {
-			t.Attempt, t.Shard = d.number(fields[1]), d.name(fields[2])
+			t.Attempt, t.Shard = d.readNumber(fields[1]), d.readName(fields[2])
 		}
 	case markDone:
 		t.State = domain.Done
@@ -89,36 +89,36 @@
 	}
 	for ; count > 0; count-- {
 		if t.State != domain.Booked {
-			d.take(d.next, t)
+			d.yield(d.next, t)
 		}
 		d.next++
 	}
 	return nil
 }
 
-// booking reads what bookings share but for the machine: zone and controller, and agent epoch
+// readBooking reads what bookings share but for the machine: zone and controller, and agent epoch
 // and attempt where these aren't both 1.
-func (d *chunkDecoder) booking(fields []string) (domain.Task, error) {
+func (d *chunkDecoder) readBooking(fields []string) (domain.Task, error) {
 	t := domain.Task{State: domain.Booked, AgentEpoch: 1, Attempt: 1}
 	if len(fields) != 2 && len(fields) != 4 {
 		return t, ErrMalformedChunk
 	}
-	t.Zone, t.Shard = d.name(fields[0]), d.name(fields[1])
+	t.Zone, t.Shard = d.readName(fields[0]), d.readName(fields[1])
 	if len(fields) == 4 {
-		t.AgentEpoch, t.Attempt = d.number(fields[2]), d.number(fields[3])
+		t.AgentEpoch, t.Attempt = d.readNumber(fields[2]), d.readNumber(fields[3])
 	}
 	return t, nil
 }
 
-// readShortForm reads a text of the shorter form.
-func (d *chunkDecoder) readShortForm(text string) error {
-	runs, groups, hasBookings := strings.Cut(text, shortFormGroup)
+// readCompact reads a text of the shorter form.
+func (d *chunkDecoder) readCompact(text string) error {
+	runs, groups, hasBookings := strings.Cut(text, compactGroupSeparator)
 	for len(runs) > 0 {
 		end := strings.IndexAny(runs[1:], runMarks) + 1
 		if end == 0 {
 			end = len(runs)
 		}
-		if err := d.readShortRun(runs[0], strings.Split(runs[1:end], separatorField)); err != nil {
+		if err := d.readCompactRun(runs[0], strings.Split(runs[1:end], fieldSeparator)); err != nil {
 			return err
 		}
 		runs = runs[end:]
@@ -129,77 +129,77 @@
 	if !hasBookings {
 		return nil
 	}
-	for _, group := range strings.Split(groups, shortFormGroup) {
-		if err := d.readShortGroup(strings.Split(group, shortFormMachine)); err != nil {
+	for _, group := range strings.Split(groups, compactGroupSeparator) {
+		if err := d.readCompactGroup(strings.Split(group, compactMachineSeparator)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readShortRun reads a run; a count of one is left out.
-func (d *chunkDecoder) readShortRun(mark byte, fields []string) error {
+// readCompactRun reads a run; a count of one is left out.
+func (d *chunkDecoder) readCompactRun(mark byte, fields []string) error {
 	if len(fields) != 1 && (len(fields) != 3 || mark != markQueued) {
 		return ErrMalformedChunk
 	}
 	count := uint64(1)
 	if fields[0] != "" {
-		count = d.number(fields[0])
+		count = d.readNumber(fields[0])
 	}
-	return d.takeRun(mark, count, fields)
+	return d.readRun(mark, count, fields)
 }
 
-// readShortGroup reads the bookings that share all but machine and number: what they share,
+// readCompactGroup reads the bookings that share all but machine and number: what they share,
 // then the machines.
-func (d *chunkDecoder) readShortGroup(parts []string) error {
-	t, err := d.booking(strings.Split(parts[0], separatorField))
+func (d *chunkDecoder) readCompactGroup(parts []string) error {
+	t, err := d.readBooking(strings.Split(parts[0], fieldSeparator))
 	if err != nil {
 		return err
 	}
 	for _, part := range parts[1:] {
-		name, numbers, _ := strings.Cut(part, separatorTasks)
+		name, numbers, _ := strings.Cut(part, tasksSeparator)
 		if d.malformed {
 			return ErrMalformedChunk
 		}
 		t.Machine = d.value.MachinePrefix + name
-		if err := d.takeNumbered(numbers, t); err != nil {
+		if err := d.readTaskNumbers(numbers, t); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readFirstForm reads a text of the first form.
-func (d *chunkDecoder) readFirstForm(text string) error {
-	runs, groups, hasBookings := strings.Cut(text, firstFormBookings)
-	for _, run := range strings.Split(runs, firstFormItem) {
-		fields := strings.Split(run, separatorField)
+// readVerbose reads a text of the first form.
+func (d *chunkDecoder) readVerbose(text string) error {
+	runs, groups, hasBookings := strings.Cut(text, verboseBookingsSeparator)
+	for _, run := range strings.Split(runs, verboseItemSeparator) {
+		fields := strings.Split(run, fieldSeparator)
 		if len(fields[0]) < 2 || len(fields) != 1 && len(fields) != 3 {
 			return ErrMalformedChunk
 		}
-		if err := d.takeRun(fields[0][0], d.number(fields[0][1:]), fields); err != nil {
+		if err := d.readRun(fields[0][0], d.readNumber(fields[0][1:]), fields); err != nil {
 			return err
 		}
 	}
 	if !hasBookings {
 		return nil
 	}
-	for _, group := range strings.Split(groups, firstFormItem) {
-		if err := d.readFirstGroup(group); err != nil {
+	for _, group := range strings.Split(groups, verboseItemSeparator) {
+		if err := d.readVerboseGroup(group); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readFirstGroup reads the bookings that share all but the number.
-func (d *chunkDecoder) readFirstGroup(group string) error {
-	head, numbers, _ := strings.Cut(group, separatorTasks)
-	machine, rest, _ := strings.Cut(head, separatorField)
-	t, err := d.booking(strings.Split(rest, separatorField))
+// readVerboseGroup reads the bookings that share all but the number.
+func (d *chunkDecoder) readVerboseGroup(group string) error {
+	head, numbers, _ := strings.Cut(group, tasksSeparator)
+	machine, rest, _ := strings.Cut(head, fieldSeparator)
+	t, err := d.readBooking(strings.Split(rest, fieldSeparator))
 	if err != nil {
 		return err
 	}
 	t.Machine = machine
-	return d.takeNumbered(numbers, t)
+	return d.readTaskNumbers(numbers, t)
 }
--- a/internal/codec/chunk_encode.go
+++ b/internal/codec/chunk_encode.go
@@ -9,14 +9,14 @@
 	"brassglade/internal/domain"
 )
 
-// Put adds a job's tasks, in the form of the value.
-func (v *ChunkValue) Put(id string, tasks []domain.Task) {
+// SetTasks adds a job's tasks, in the form of the value.
+func (v *ChunkValue) SetTasks(id string, tasks []domain.Task) {
 	e := chunkEncoder{value: v, tasks: tasks}
 	e.writeRuns()
-	if v.Version == shortForm {
-		e.writeShortBookings()
+	if v.Version == compactVersion {
+		e.writeCompactBookings()
 	} else {
-		e.writeFirstBookings()
+		e.writeVerboseBookings()
 	}
 	v.Texts[id] = e.text.String()
 }
@@ -28,7 +28,7 @@
 	text  strings.Builder
 }
 
-func (e *chunkEncoder) isShort() bool { return e.value.Version == shortForm }
+func (e *chunkEncoder) isCompact() bool { return e.value.Version == compactVersion }
 
 // writeName writes the place of a name in the value's list, which gets it if it lacks it.
 func (e *chunkEncoder) writeName(name string) {
@@ -46,33 +46,33 @@
 func (e *chunkEncoder) writeRuns() {
 	for from := 0; from < len(e.tasks); {
 		to := from + 1
-		for to < len(e.tasks) && belongToOneRun(e.tasks[from], e.tasks[to]) {
+		for to < len(e.tasks) && inSameRun(e.tasks[from], e.tasks[to]) {
 			to++
 		}
-		if from > 0 && !e.isShort() {
-			e.text.WriteString(firstFormItem)
+		if from > 0 && !e.isCompact() {
+			e.text.WriteString(verboseItemSeparator)
 		}
 		e.writeRun(e.tasks[from], to-from)
 		from = to
 	}
 }
 
-// belongToOneRun: a run says all of its queued and done tasks, and only the number of booked
+// inSameRun: a run says all of its queued and done tasks, and only the number of booked
 // ones.
-func belongToOneRun(a, b domain.Task) bool {
+func inSameRun(a, b domain.Task) bool {
 	return a == b || a.State == domain.Booked && b.State == domain.Booked
 }
 
 // writeRun writes a run of tasks that are like the given one.
 func (e *chunkEncoder) writeRun(t domain.Task, count int) {
 	e.text.WriteByte(runMarks[t.State])
-	if count > 1 || !e.isShort() {
+	if count > 1 || !e.isCompact() {
 		e.text.WriteString(strconv.Itoa(count))
 	}
 	if t.State == domain.Queued && (t.Attempt > 0 || t.Shard != "") {
-		e.text.WriteString(separatorField)
+		e.text.WriteString(fieldSeparator)
 		e.writeNumber(t.Attempt)
-		e.text.WriteString(separatorField)
+		e.text.WriteString(fieldSeparator)
 		e.writeName(t.Shard)
 	}
 }
@@ -81,39 +81,39 @@
 // epoch and attempt where these aren't both 1.
 func (e *chunkEncoder) writeBooking(zone, controller string, agentEpoch, attempt uint64) {
 	e.writeName(zone)
-	e.text.WriteString(separatorField)
+	e.text.WriteString(fieldSeparator)
 	e.writeName(controller)
 	if agentEpoch != 1 || attempt != 1 {
-		e.text.WriteString(separatorField)
+		e.text.WriteString(fieldSeparator)
 		e.writeNumber(agentEpoch)
-		e.text.WriteString(separatorField)
+		e.text.WriteString(fieldSeparator)
 		e.writeNumber(attempt)
 	}
 }
 
 // writeTaskNumbers writes numbers of tasks, which ascend: 8-10.12.
 func (e *chunkEncoder) writeTaskNumbers(numbers []int) {
-	e.text.WriteString(separatorTasks)
+	e.text.WriteString(tasksSeparator)
 	for first := 0; first < len(numbers); {
 		last := first
 		for last+1 < len(numbers) && numbers[last+1] == numbers[last]+1 {
 			last++
 		}
 		if first > 0 {
-			e.text.WriteString(separatorNumbers)
+			e.text.WriteString(numberSeparator)
 		}
 		e.text.WriteString(strconv.Itoa(numbers[first]))
 		if last > first {
-			e.text.WriteString(numberRange)
+			e.text.WriteString(rangeSeparator)
 			e.text.WriteString(strconv.Itoa(numbers[last]))
 		}
 		first = last + 1
 	}
 }
 
-// writeFirstBookings writes the bookings of the first form: a group for each machine, agent
+// writeVerboseBookings writes the bookings of the first form: a group for each machine, agent
 // epoch, attempt and controller.
-func (e *chunkEncoder) writeFirstBookings() {
+func (e *chunkEncoder) writeVerboseBookings() {
 	var booked []int
 	for i := range e.tasks {
 		if e.tasks[i].State == domain.Booked {
@@ -125,7 +125,7 @@
 		return cmp.Or(cmp.Compare(x.Machine, y.Machine), cmp.Compare(x.AgentEpoch, y.AgentEpoch),
 			cmp.Compare(x.Attempt, y.Attempt), cmp.Compare(x.Shard, y.Shard), cmp.Compare(a, b))
 	})
-	separator := firstFormBookings
+	separator := verboseBookingsSeparator
 	for from := 0; from < len(booked); {
 		t, to := &e.tasks[booked[from]], from+1
 		for to < len(booked) && e.tasks[booked[to]] == *t {
@@ -133,10 +133,10 @@
 		}
 		e.text.WriteString(separator)
 		e.text.WriteString(t.Machine)
-		e.text.WriteString(separatorField)
+		e.text.WriteString(fieldSeparator)
 		e.writeBooking(t.Zone, t.Shard, t.AgentEpoch, t.Attempt)
 		e.writeTaskNumbers(booked[from:to])
-		separator, from = firstFormItem, to
+		separator, from = verboseItemSeparator, to
 	}
 }
 
@@ -153,8 +153,8 @@
 	tasks    map[string][]int
 }
 
-// writeShortBookings writes the bookings of the shorter form, grouped by all but the machine.
-func (e *chunkEncoder) writeShortBookings() {
+// writeCompactBookings writes the bookings of the shorter form, grouped by all but the machine.
+func (e *chunkEncoder) writeCompactBookings() {
 	var groups []bookingGroup
 	bookings := map[bookingGroup]*bookingsByMachine{}
 	for i := range e.tasks {
@@ -173,7 +173,7 @@
 			cmp.Compare(a.agentEpoch, b.agentEpoch), cmp.Compare(a.attempt, b.attempt))
 	})
 	for _, group := range groups {
-		e.text.WriteString(shortFormGroup)
+		e.text.WriteString(compactGroupSeparator)
 		e.writeBooking(group.zone, group.controller, group.agentEpoch, group.attempt)
 		e.writeMachines(bookings[group])
 	}
@@ -190,7 +190,7 @@
 func (e *chunkEncoder) writeMachines(b *bookingsByMachine) {
 	slices.Sort(b.machines)
 	for _, machine := range b.machines {
-		e.text.WriteString(shortFormMachine)
+		e.text.WriteString(compactMachineSeparator)
 		e.text.WriteString(strings.TrimPrefix(machine, e.value.MachinePrefix))
 		e.writeTaskNumbers(b.tasks[machine])
 	}
--- a/internal/codec/chunk_test.go
+++ b/internal/codec/chunk_test.go
@@ -8,8 +8,8 @@
 	"brassglade/internal/domain"
 )
 
-// TestChunkText: what is written is read back, for any mix of states, in both forms.
-func TestChunkText(t *testing.T) {
+// TestChunkRoundTrip: what is written is read back, for any mix of states, in both forms.
+func TestChunkRoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 300; round++ {
 		ts := make([]domain.Task, 1+r.IntN(60))
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		got := make([]domain.Task, len(ts))
-		if err := back.Tasks(back.Texts["job-000001"], func(i int, x domain.Task) { got[i] = x }); err != nil {
+		if err := back.ForEachTask(back.Texts["job-000001"], func(i int, x domain.Task) { got[i] = x }); err != nil {
 			t.Fatalf("%q: %v", v.Texts, err)
 		}
 		if !reflect.DeepEqual(got, ts) {
@@ -40,13 +40,13 @@
 	}
 	for _, bad := range []string{"", "x", "5", "?,1", "?1,a,0", "?*!1,2,0", "*/", "*/0", "*/0,9|1:0", "*/0,0|1:", "*/0,0|1:5-3", "!99999999999"} {
 		v := ChunkValue{Version: 2, Names: []string{"a"}}
-		if v.Tasks(bad, func(int, domain.Task) {}) == nil {
+		if v.ForEachTask(bad, func(int, domain.Task) {}) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
 	for _, bad := range []string{"", "x", "?", "?1,2", "?1,a,0", "*1|n", "*1|n,0,9:0", "!99999999999", "?1;;!2"} {
 		v := ChunkValue{Names: []string{"a"}}
-		if v.Tasks(bad, func(int, domain.Task) {}) == nil {
+		if v.ForEachTask(bad, func(int, domain.Task) {}) == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
--- a/internal/codec/golden_test.go
+++ b/internal/codec/golden_test.go
@@ -49,9 +49,9 @@
 	}{
 		{"view", &domain.View{Epoch: 7, Leader: "c-0", Members: map[string]string{"c-1": "c-1.4", "c-0": "c-0.1"}, Serving: []string{"c-0", "c-1"}}, `{"e":7,"l":"c-0","m":{"c-0":"c-0.1","c-1":"c-1.4"},"s":["c-0","c-1"]}`},
 		{"view with overrides and zones apart", &domain.View{Epoch: 8, Leader: "c-1", Members: map[string]string{"c-1": "c-1.4"}, Serving: []string{"c-1"},
-			OwnerOverrides: map[string]string{"n-000002": "c-1", "n-000001": "c-0"}, Zoned: true}, `{"e":8,"l":"c-1","m":{"c-1":"c-1.4"},"s":["c-1"],"o":{"n-000001":"c-0","n-000002":"c-1"},"z":true}`},
+			OwnerOverrides: map[string]string{"n-000002": "c-1", "n-000001": "c-0"}, OwnedByZone: true}, `{"e":8,"l":"c-1","m":{"c-1":"c-1.4"},"s":["c-1"],"o":{"n-000001":"c-0","n-000002":"c-1"},"z":true}`},
 		{"member", ptr("c-0.1"), `"c-0.1"`},
-		{"job header", &JobHeader{State: domain.StateOpen, Spec: &goldenSpec, TaskCount: 12, Shard: "c-0", AcceptOrder: 7, ChunkSize: 12, Handovers: 2, Pack: "c-0/0", StopThrough: 5,
+		{"job header", &JobHeader{State: domain.StateOpen, Spec: &goldenSpec, TaskCount: 12, Shard: "c-0", AcceptOrder: 7, ChunkSize: 12, Handovers: 2, Pack: "c-0/0", StopUpTo: 5,
 			AcceptedAtMS: 1700000000123}, `{"st":"open","s":{"cl":"train","tm":"blue","sh":"gang","pr":2,"n":12,"r":{"c":2000,"g":1000,"m":4500},"ty":["box","big-box"],"z":"north","oz":true,"sp":true,"s":true,"im":"img","ig":1.5,"es":60,"ck":10,"sv":0.25,"du":900,"aw":"000001 000002","at":"c-0.1-7","an":3},"n":12,"p":"c-0","q":7,"ch":12,"hp":2,"k":"c-0/0","h":5,"bo":1700000000123}`},
 		{"job header, smallest spec", &JobHeader{State: domain.StateOpen, Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 1}, TaskCount: 1}, `{"st":"open","s":{"cl":"c","tm":"red","sh":"array","pr":0,"n":1,"r":{}},"n":1}`},
 		{"job header, done", &JobHeader{State: domain.StateDone, TaskCount: 400, Shard: "c-0", AcceptOrder: 7, ChunkSize: 66, DoneChunks: 7, AcceptedAtMS: 1700000000123, DoneAtMS: 1700000100456}, `{"st":"done","n":400,"p":"c-0","q":7,"ch":66,"dc":7,"bo":1700000000123,"en":1700000100456}`},
@@ -65,7 +65,7 @@
 		{"pack, first form", NewChunkValue(pack, false), `{"d":["c-2","c-1","","b","c-0","a"],"j":{"job-000001":"?2;?1,0,0;?2,3,1;?1,1,2;!3;*4;!1;*3;?1|n-000007,3,4:11;n-000231,5,4:9-10.14;n-000231,5,4,2,4:12;n-000232,5,4:15;n-000232,5,1:16","job-000002":"?2;?1,0,0","job-000003":"!1"}}`},
 		{"pack, empty", NewChunkValue(nil, true), `{"v":2,"j":{}}`},
 		{"pack, empty, first form", NewChunkValue(nil, false), `{"j":{}}`},
-		{"team shares", &TeamShares{ByNode: map[string]domain.Resources{"c-1": {}, "c-0": {CPU: 16000, GPU: 4000, Memory: 64000}, "c-2": {GPU: 500}}}, `{"r":{"c-0":{"c":16000,"g":4000,"m":64000},"c-1":{},"c-2":{"g":500}}}`},
+		{"team shares", &TeamShares{ByController: map[string]domain.Resources{"c-1": {}, "c-0": {CPU: 16000, GPU: 4000, Memory: 64000}, "c-2": {GPU: 500}}}, `{"r":{"c-0":{"c":16000,"g":4000,"m":64000},"c-1":{},"c-2":{"g":500}}}`},
 		{"cordon page", &CordonPage{Draining: map[string]string{"n-000003": domain.DrainIdle, "n-000001": domain.DrainFaulty}, Gone: []string{"n-000009", "n-000002"}}, `{"d":{"n-000001":"sick","n-000003":"idle"},"g":["n-000009","n-000002"]}`},
 		{"cordon page, empty", &CordonPage{}, `{}`},
 		{"machine type page", &MachineTypePage{More: 2, Types: []domain.MachineType{
@@ -75,7 +75,7 @@
 		{"window record, empty", &WindowRecord{}, `{"q":0,"x":null,"p":0,"t":null}`},
 		{"format", &Format{Version: 2}, `{"v":2}`},
 		{"format announced by a controller", &Format{Version: 2, Incarnation: "c-0.1"}, `{"v":2,"i":"c-0.1"}`},
-		{"dependency piece", ptr(JoinNames([]string{"job-000001", "job-000012", "other"}, 100)[0]), `"000001 000012 other"`},
+		{"dependency piece", ptr(JoinJobNames([]string{"job-000001", "job-000012", "other"}, 100)[0]), `"000001 000012 other"`},
 	} {
 		got := Encode(g.value)
 		if string(got) != g.want {
@@ -92,7 +92,7 @@
 		v := NewChunkValue(pack, short)
 		for id, want := range pack {
 			got := make([]domain.Task, len(want))
-			if err := v.Tasks(v.Texts[id], func(i int, x domain.Task) { got[i] = x }); err != nil || !reflect.DeepEqual(got, want) {
+			if err := v.ForEachTask(v.Texts[id], func(i int, x domain.Task) { got[i] = x }); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("%q: %v\n got %v\nwant %v", v.Texts[id], err, got, want)
 			}
 		}
--- a/internal/codec/job_header.go
+++ b/internal/codec/job_header.go
@@ -26,7 +26,7 @@
 	InlineTasks  *ChunkValue     `json:"t,omitempty"`  // nil: all queued
 	Pack         string          `json:"k,omitempty"`  // the pack that holds all its tasks (PackName), if they have no chunks of their own
 	DoneChunks   int             `json:"dc,omitempty"` // chunks with every task done, while none is split
-	StopThrough  uint64          `json:"h,omitempty"`  // gangs: attempts up to it are to stop, all tasks together
+	StopUpTo     uint64          `json:"h,omitempty"`  // gangs: attempts up to it are to stop, all tasks together
 	Released     bool            `json:"cl,omitempty"` // cancelled and every booking released
 	AcceptedAtMS int64           `json:"bo,omitempty"` // time of day when it was accepted, ms
 	DoneAtMS     int64           `json:"en,omitempty"` // time of day when it was done, ms
@@ -40,8 +40,8 @@
 	return chunk/8 < len(h.SplitChunks) && h.SplitChunks[chunk/8]&(1<<(chunk%8)) != 0
 }
 
-// WithSplit returns the split chunks with one more; the header's own stay as they are.
-func (h *JobHeader) WithSplit(chunk int) []byte {
+// WithSplitChunk returns the split chunks with one more; the header's own stay as they are.
+func (h *JobHeader) WithSplitChunk(chunk int) []byte {
 	bits := slices.Clone(h.SplitChunks)
 	for len(bits) <= chunk/8 {
 		bits = append(bits, 0)
@@ -50,9 +50,9 @@
 	return bits
 }
 
-// KeyOf is the key of the value that holds a task of the job with this header and the given
+// ValueKey is the key of the value that holds a task of the job with this header and the given
 // name.
-func (h *JobHeader) KeyOf(id string, task int) string {
+func (h *JobHeader) ValueKey(id string, task int) string {
 	if h.Inline {
 		return KeyJob(id)
 	}
@@ -66,16 +66,16 @@
 	return KeyChunk(id, chunk)
 }
 
-// Chunk is the stretch of tasks, from included and to excluded, of the chunk with a task.
-func (h *JobHeader) Chunk(task int) (from, to int) {
+// ChunkRange is the stretch of tasks, from included and to excluded, of the chunk with a task.
+func (h *JobHeader) ChunkRange(task int) (from, to int) {
 	chunk := task / h.ChunkSize
 	return chunk * h.ChunkSize, min((chunk+1)*h.ChunkSize, h.TaskCount)
 }
 
-// Cell is the stretch of tasks, from included and to excluded, that share a value with a task.
+// CellRange is the stretch of tasks, from included and to excluded, that share a value with a task.
 // (A pack or an inline header has one chunk, and it is that.)
-func (h *JobHeader) Cell(task int) (from, to int) {
-	from, to = h.Chunk(task)
+func (h *JobHeader) CellRange(task int) (from, to int) {
+	from, to = h.ChunkRange(task)
 	if h.IsSplit(task / h.ChunkSize) {
 		from += (task - from) / h.CellSize * h.CellSize
 		to = min(from+h.CellSize, to)
@@ -85,7 +85,7 @@
 
 // CellEnd is the first task of the cell after that of a task.
 func (h *JobHeader) CellEnd(task int) int {
-	_, to := h.Cell(task)
+	_, to := h.CellRange(task)
 	return to
 }
 
--- a/internal/codec/job_header_test.go
+++ b/internal/codec/job_header_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestCells: the cells of a job are stretches one after the other that cover all its tasks, each
+// TestCellRanges: the cells of a job are stretches one after the other that cover all its tasks, each
 // task has the key of its cell, and each key names the first task of its cell.
-func TestCells(t *testing.T) {
+func TestCellRanges(t *testing.T) {
 	split := JobHeader{TaskCount: 50, ChunkSize: 20, CellSize: 8}
-	split.SplitChunks = split.WithSplit(1)
+	split.SplitChunks = split.WithSplitChunk(1)
 	far := JobHeader{TaskCount: 200, ChunkSize: 10, CellSize: 10}
-	far.SplitChunks = far.WithSplit(17)
+	far.SplitChunks = far.WithSplitChunk(17)
 	for _, want := range []struct {
 		header JobHeader
 		keys   []string
@@ -48,16 +48,16 @@
 func walkCells(t *testing.T, h *JobHeader) (keys []string, firsts []int) {
 	t.Helper()
 	for task := 0; task < h.TaskCount; task = h.CellEnd(task) {
-		from, to := h.Cell(task)
+		from, to := h.CellRange(task)
 		if from != task || to <= from {
 			t.Fatalf("%+v: task %d begins cell %d to %d", h, task, from, to)
 		}
 		for i := from; i < to; i++ {
-			if f, e := h.Cell(i); f != from || e != to || h.KeyOf("job-1", i) != h.KeyOf("job-1", from) {
-				t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.KeyOf("job-1", i))
+			if f, e := h.CellRange(i); f != from || e != to || h.ValueKey("job-1", i) != h.ValueKey("job-1", from) {
+				t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.ValueKey("job-1", i))
 			}
 		}
-		keys, firsts = append(keys, h.KeyOf("job-1", task)), append(firsts, from)
+		keys, firsts = append(keys, h.ValueKey("job-1", task)), append(firsts, from)
 	}
 	return keys, firsts
 }
--- a/internal/codec/names.go
+++ b/internal/codec/job_names.go
@@ -5,8 +5,8 @@
 // jobNamePrefix is what the names of jobs begin with; lists of names leave it out.
 const jobNamePrefix = "job-"
 
-// ParseNames reads the names of jobs from a text by JoinNames.
-func ParseNames(text string) []string {
+// ParseJobNames reads the names of jobs from a text by JoinNames.
+func ParseJobNames(text string) []string {
 	names := strings.Fields(text)
 	for i := range names {
 		names[i] = jobNamePrefix + names[i]
@@ -14,9 +14,9 @@
 	return names
 }
 
-// JoinNames joins the names of jobs to texts of at most maxBytes each, but for a single name
+// JoinJobNames joins the names of jobs to texts of at most maxBytes each, but for a single name
 // that is longer.
-func JoinNames(ids []string, maxBytes int) []string {
+func JoinJobNames(ids []string, maxBytes int) []string {
 	var texts []string
 	for _, id := range ids {
 		name := strings.TrimPrefix(id, jobNamePrefix)
--- a/internal/codec/pages.go
+++ b/internal/codec/records.go
@@ -6,7 +6,7 @@
 // limit for the bookings it made or is about to make. The sum stays within the limit, and a
 // controller's bookings stay within its share.
 type TeamShares struct {
-	ByNode map[string]domain.Resources `json:"r"`
+	ByController map[string]domain.Resources `json:"r"`
 }
 
 // CordonPage is the value of b/mach/NODE: the cordons of the machines that rendezvous hashing
--- a/internal/domain/command.go
+++ b/internal/domain/command.go
@@ -26,7 +26,7 @@
 // the agent epoch.
 const (
 	ReasonBooked           CommandReason = "booked"
-	ReasonSettled          CommandReason = "settled"     // forget: the outcome is committed
+	ReasonOutcomeCommitted CommandReason = "settled"     // forget: the outcome is committed
 	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer wanted on that machine
 	ReasonGangBroken       CommandReason = "gang_broken" // not all tasks of the attempt are booked any more
 	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves its progress together
--- a/internal/domain/machine.go
+++ b/internal/domain/machine.go
@@ -43,10 +43,10 @@
 
 // Reasons for a drain, as they are stored.
 const (
-	DrainIdle      = "idle"
-	DrainLost      = "lost"   // no heartbeat for long
-	DrainFaulty    = "sick"   // several jobs fail there
-	DrainFailed    = "failed" // the cloud says so
-	DrainStuck     = "stuck"  // never booted
-	DrainUnheeding = "deaf"   // sends heartbeats, but answers have no effect
+	DrainIdle         = "idle"
+	DrainLost         = "lost"   // no heartbeat for long
+	DrainFaulty       = "sick"   // several jobs fail there
+	DrainFailed       = "failed" // the cloud says so
+	DrainStuck        = "stuck"  // never booted
+	DrainUnresponsive = "deaf"   // sends heartbeats, but answers have no effect
 )
--- a/internal/domain/view.go
+++ b/internal/domain/view.go
@@ -8,5 +8,5 @@
 	Members        map[string]string `json:"m"`           // controller -> incarnation
 	Serving        []string          `json:"s"`           // controllers that own machines, sorted
 	OwnerOverrides map[string]string `json:"o,omitempty"` // machine -> controller, where it isn't the one by hash
-	Zoned          bool              `json:"z,omitempty"` // zones are apart: machines belong to the serving controllers of their own
+	OwnedByZone    bool              `json:"z,omitempty"` // zones are apart: machines belong to the serving controllers of their own
 }
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -21,7 +21,7 @@
 	if owner := view.OwnerOverrides[machine]; owner != "" && slices.Contains(view.Serving, owner) {
 		return owner
 	}
-	if !view.Zoned {
+	if !view.OwnedByZone {
 		return Rendezvous(machine, view.Serving)
 	}
 	if zone == "" {
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -41,13 +41,13 @@
 		"by hash":                            {&domain.View{Serving: serving}, "a", Rendezvous("n-1", serving)},
 		"by hash, of an unknown zone":        {&domain.View{Serving: serving}, "", Rendezvous("n-1", serving)},
 		"by override":                        {&domain.View{Serving: serving, OwnerOverrides: override}, "a", "c-3"},
-		"by override, though zoned":          {&domain.View{Serving: serving, OwnerOverrides: override, Zoned: true}, "a", "c-3"},
+		"by override, though zoned":          {&domain.View{Serving: serving, OwnerOverrides: override, OwnedByZone: true}, "a", "c-3"},
 		"override to one that doesn't serve": {&domain.View{Serving: serving[:2], OwnerOverrides: override}, "a", Rendezvous("n-1", serving[:2])},
 		"of another machine's override":      {&domain.View{Serving: serving[:3], OwnerOverrides: map[string]string{"n-2": "c-2"}}, "a", Rendezvous("n-1", serving[:3])},
-		"zoned, in a":                        {&domain.View{Serving: serving, Zoned: true}, "a", Rendezvous("n-1", serving[:2])},
-		"zoned, in b":                        {&domain.View{Serving: serving, Zoned: true}, "b", Rendezvous("n-1", serving[2:])},
-		"zoned, none serves in its zone":     {&domain.View{Serving: serving[:2], Zoned: true}, "b", Rendezvous("n-1", serving[:2])},
-		"zoned, of an unknown zone":          {&domain.View{Serving: serving, Zoned: true}, "", ""},
+		"zoned, in a":                        {&domain.View{Serving: serving, OwnedByZone: true}, "a", Rendezvous("n-1", serving[:2])},
+		"zoned, in b":                        {&domain.View{Serving: serving, OwnedByZone: true}, "b", Rendezvous("n-1", serving[2:])},
+		"zoned, none serves in its zone":     {&domain.View{Serving: serving[:2], OwnedByZone: true}, "b", Rendezvous("n-1", serving[:2])},
+		"zoned, of an unknown zone":          {&domain.View{Serving: serving, OwnedByZone: true}, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := OfMachine(x.view, zoneOf, "n-1", x.zone); got != x.want {
--- a/internal/policy/actor.go
+++ b/internal/policy/actor.go
@@ -27,7 +27,7 @@
 // names and a bias for each name, with the starting values for names not met yet. It gathers
 // the policy gradient of its draws until the next Step.
 type Actor struct {
-	sign            float64 // of the starting weight on a choice's own load
+	initialSign     float64 // of the starting weight on a choice's own load
 	weights         map[string]map[string]float64
 	biases          map[string]float64
 	weightGradients map[string]map[string]float64 // summed since the last step
@@ -35,15 +35,15 @@
 	draws           int // since the last step, of those with something to choose
 }
 
-// TowardsLeast is an actor that at first prefers choices of least load.
-func TowardsLeast() Actor { return newActor(1) }
+// NewLeastLoadedActor is an actor that at first prefers choices of least load.
+func NewLeastLoadedActor() Actor { return newActor(1) }
 
-// TowardsMost is an actor that at first prefers choices of most load.
-func TowardsMost() Actor { return newActor(-1) }
+// NewMostLoadedActor is an actor that at first prefers choices of most load.
+func NewMostLoadedActor() Actor { return newActor(-1) }
 
 func newActor(sign float64) Actor {
 	return Actor{
-		sign: sign, weights: map[string]map[string]float64{}, biases: map[string]float64{},
+		initialSign: sign, weights: map[string]map[string]float64{}, biases: map[string]float64{},
 		weightGradients: map[string]map[string]float64{}, biasGradients: map[string]float64{},
 	}
 }
@@ -56,7 +56,7 @@
 		}
 	}
 	if name == other {
-		return a.sign * tuning.LoadWeight
+		return a.initialSign * tuning.LoadWeight
 	}
 	return 0
 }
@@ -95,9 +95,9 @@
 	return k
 }
 
-// Gather adds the gradient of log pi, the logarithm of the probability of what was chosen.
+// AccumulateGradient adds the gradient of log pi, the logarithm of the probability of what was chosen.
 // With one choice there is nothing to learn.
-func (a *Actor) Gather(choices []Choice, probabilities []float64, chosen int) {
+func (a *Actor) AccumulateGradient(choices []Choice, probabilities []float64, chosen int) {
 	if len(choices) < 2 {
 		return
 	}
@@ -124,19 +124,19 @@
 // their start; it returns how many did.
 func (a *Actor) Step(delta float64, alive map[string]bool) (reset int) {
 	if a.draws > 0 && isBounded(delta/1e6) {
-		reset = a.follow(tuning.ActorRate * delta / float64(a.draws))
+		reset = a.applyGradients(tuning.ActorRate * delta / float64(a.draws))
 	}
 	clear(a.weightGradients)
 	clear(a.biasGradients)
 	a.draws = 0
 	if alive != nil {
-		a.forget(alive)
+		a.prune(alive)
 	}
 	return reset
 }
 
-// follow adds the gathered gradients, so many times, to weights and biases.
-func (a *Actor) follow(rate float64) (reset int) {
+// applyGradients adds the gathered gradients, so many times, to weights and biases.
+func (a *Actor) applyGradients(rate float64) (reset int) {
 	for _, name := range slices.Sorted(maps.Keys(a.weightGradients)) {
 		if bias := a.biases[name] + rate*a.biasGradients[name]; isBounded(bias) {
 			a.biases[name] = bias
@@ -159,8 +159,8 @@
 	return reset
 }
 
-// forget drops the weights of names that are not alive.
-func (a *Actor) forget(alive map[string]bool) {
+// prune drops the weights of names that are not alive.
+func (a *Actor) prune(alive map[string]bool) {
 	for name, row := range a.weights {
 		if !alive[name] {
 			delete(a.weights, name)
--- a/internal/policy/critic.go
+++ b/internal/policy/critic.go
@@ -12,8 +12,8 @@
 // Critic is a linear estimate of the discounted payoff to come from the loads of all
 // machines as they are.
 type Critic struct {
-	weights []float64 // by feature
-	last    []float64 // features at the window's start; nil before the first window's end
+	weights     []float64 // by feature
+	windowStart []float64 // features at the window's start; nil before the first window's end
 }
 
 // NewCritic is a critic that expects nothing yet.
@@ -24,10 +24,10 @@
 func (c *Critic) Weights() []float64 { return c.weights }
 
 // HasWindow tells whether a window has begun, so that its end has an error.
-func (c *Critic) HasWindow() bool { return c.last != nil }
+func (c *Critic) HasWindow() bool { return c.windowStart != nil }
 
-// Begin notes the features at the start of a window.
-func (c *Critic) Begin(features []float64) { c.last = features }
+// BeginWindow notes the features at the start of a window.
+func (c *Critic) BeginWindow(features []float64) { c.windowStart = features }
 
 // value is the critic's estimate where the features are such.
 func (c *Critic) value(features []float64) float64 {
@@ -41,14 +41,14 @@
 // TemporalDifference is the error of the critic over the window that ends: the payoff and
 // the discounted (gamma) estimate at its end, less the estimate at its start.
 func (c *Critic) TemporalDifference(payoff float64, features []float64) float64 {
-	return payoff + tuning.Gamma*c.value(features) - c.value(c.last)
+	return payoff + tuning.Gamma*c.value(features) - c.value(c.windowStart)
 }
 
 // Step moves the weights by the temporal-difference error along the features at the window's
 // start. It returns the indices of weights that ran away and went back to zero.
 func (c *Critic) Step(delta float64) (reset []int) {
 	for i := range c.weights {
-		c.weights[i] += tuning.CriticRate * delta * c.last[i]
+		c.weights[i] += tuning.CriticRate * delta * c.windowStart[i]
 		if !isBounded(c.weights[i]) {
 			c.weights[i] = 0
 			reset = append(reset, i)
@@ -57,9 +57,9 @@
 	return reset
 }
 
-// Average is the consensus step: the critic takes the mean of its own weights and the
+// AverageWith is the consensus step: the critic takes the mean of its own weights and the
 // others'. Those of another length, as another version may have them, don't count.
-func (c *Critic) Average(others [][]float64) {
+func (c *Critic) AverageWith(others [][]float64) {
 	sum := slices.Clone(c.weights)
 	n := 1.0
 	for _, weights := range others {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -13,21 +13,21 @@
 // differences, for weights and biases, over choices left by a mask.
 func TestPolicyGradient(t *testing.T) {
 	choices := []Choice{{Name: "a", Load: 3, Cost: 1}, {Name: "b", Load: 5}, {Name: "c", Load: 4}}
-	p := TowardsLeast()
+	p := NewLeastLoadedActor()
 	p.biases["a"] = 0.3
 	k := 1
-	p.Gather(choices, p.Probabilities(choices), k)
+	p.AccumulateGradient(choices, p.Probabilities(choices), k)
 	logp := func(q *Actor) float64 { return math.Log(q.Probabilities(choices)[k]) }
 	const h = 1e-6
 	for _, i := range []string{"a", "b", "c"} {
-		q := TowardsLeast()
+		q := NewLeastLoadedActor()
 		q.biases["a"] = 0.3
 		q.biases[i] += h
 		if fd := (logp(&q) - logp(&p)) / h; math.Abs(fd-p.biasGradients[i]) > 1e-4 {
 			t.Errorf("bias %s: gathered %g, finite difference %g", i, p.biasGradients[i], fd)
 		}
 		for _, j := range []string{"a", "b", "c"} {
-			q := TowardsLeast()
+			q := NewLeastLoadedActor()
 			q.biases["a"] = 0.3
 			q.weights[i] = map[string]float64{j: p.weight(i, j) + h}
 			fd := (logp(&q) - logp(&p)) / h
@@ -41,12 +41,12 @@
 	}
 }
 
-// TestStationaryGame: with two equal loads of which one always costs more, the
+// TestActorLearnsBetterChoice: with two equal loads of which one always costs more, the
 // actor-critic moves its draws to the better one.
-func TestStationaryGame(t *testing.T) {
+func TestActorLearnsBetterChoice(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	choices := []Choice{{Name: "bad", Load: 1}, {Name: "good", Load: 1}}
-	p := TowardsLeast()
+	p := NewLeastLoadedActor()
 	theta := 0.0
 	before := p.Probabilities(choices)[1]
 	for w := 0; w < 20000; w++ {
@@ -55,7 +55,7 @@
 		if r.Float64() > pr[0] {
 			k = 1
 		}
-		p.Gather(choices, pr, k)
+		p.AccumulateGradient(choices, pr, k)
 		phi := -2.0
 		if k == 1 {
 			phi = 0
@@ -69,12 +69,12 @@
 	}
 }
 
-// TestRunawayWeights: non-finite steps leave no non-finite weights behind.
-func TestRunawayWeights(t *testing.T) {
+// TestWeightsStayBounded: non-finite steps leave no non-finite weights behind.
+func TestWeightsStayBounded(t *testing.T) {
 	choices := []Choice{{Name: "a", Load: 1e9}, {Name: "b", Load: 0}}
-	p := TowardsLeast()
+	p := NewLeastLoadedActor()
 	for i := 0; i < 50; i++ {
-		p.Gather(choices, p.Probabilities(choices), i%2)
+		p.AccumulateGradient(choices, p.Probabilities(choices), i%2)
 		p.Step(-1e5, nil)
 		for n, row := range p.weights {
 			for m, v := range row {
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	p.Gather(choices, p.Probabilities(choices), 0)
+	p.AccumulateGradient(choices, p.Probabilities(choices), 0)
 	if n := p.draws; n != 1 {
 		t.Fatalf("gathered %d", n)
 	}
@@ -121,10 +121,10 @@
 	}
 }
 
-// TestStartingWeights: an actor prefers the least load at first, or the most.
-func TestStartingWeights(t *testing.T) {
+// TestInitialPreference: an actor prefers the least load at first, or the most.
+func TestInitialPreference(t *testing.T) {
 	choices := []Choice{{Name: "idle", Load: 0}, {Name: "busy", Load: 5}}
-	least, most := TowardsLeast(), TowardsMost()
+	least, most := NewLeastLoadedActor(), NewMostLoadedActor()
 	if p := least.Probabilities(choices); p[0] <= p[1] {
 		t.Errorf("towards the least load: %v", p)
 	}
@@ -133,11 +133,11 @@
 	}
 }
 
-// TestForgets: names that are gone start anew when they come back.
-func TestForgets(t *testing.T) {
+// TestPruning: names that are gone start anew when they come back.
+func TestPruning(t *testing.T) {
 	choices := []Choice{{Name: "a", Load: 30}, {Name: "b", Load: 20}}
-	p := TowardsLeast()
-	p.Gather(choices, p.Probabilities(choices), 0)
+	p := NewLeastLoadedActor()
+	p.AccumulateGradient(choices, p.Probabilities(choices), 0)
 	p.Step(1, map[string]bool{"a": true})
 	if _, ok := p.biases["a"]; !ok {
 		t.Error("what is alive was forgotten")
@@ -154,7 +154,7 @@
 	if c.HasWindow() {
 		t.Error("a window before the first")
 	}
-	c.Begin([]float64{1, 0.5, 0, 0})
+	c.BeginWindow([]float64{1, 0.5, 0, 0})
 	if !c.HasWindow() {
 		t.Error("no window after the first")
 	}
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestConsensus: the mean over the critics of as many features.
-func TestConsensus(t *testing.T) {
+// TestAverageWith: the mean over the critics of as many features.
+func TestAverageWith(t *testing.T) {
 	c := Critic{weights: []float64{1, 2, 3, 4}}
-	c.Average([][]float64{{3, 2, 1, 0}, {99}, nil})
+	c.AverageWith([][]float64{{3, 2, 1, 0}, {99}, nil})
 	if !slices.Equal(c.Weights(), []float64{2, 2, 2, 2}) {
 		t.Errorf("weights %v", c.Weights())
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -16,8 +16,8 @@
 		(limit.Memory == 0 || use.Memory <= limit.Memory)
 }
 
-// Bounded leaves out of an amount what a limit does not bound.
-func Bounded(amount, limit domain.Resources) domain.Resources {
+// OnlyLimited leaves out of an amount what a limit does not bound.
+func OnlyLimited(amount, limit domain.Resources) domain.Resources {
 	if limit.CPU == 0 {
 		amount.CPU = 0
 	}
@@ -37,14 +37,14 @@
 func Slack(limit, left, request domain.Resources, controllers int) domain.Resources {
 	n := int64(controllers)
 	return domain.Resources{
-		CPU:    slackOf(limit.CPU, left.CPU, request.CPU, n),
-		GPU:    slackOf(limit.GPU, left.GPU, request.GPU, n),
-		Memory: slackOf(limit.Memory, left.Memory, request.Memory, n),
+		CPU:    resourceSlack(limit.CPU, left.CPU, request.CPU, n),
+		GPU:    resourceSlack(limit.GPU, left.GPU, request.GPU, n),
+		Memory: resourceSlack(limit.Memory, left.Memory, request.Memory, n),
 	}
 }
 
-// slackOf is the slack in one kind of resource.
-func slackOf(limit, left, request, controllers int64) int64 {
+// resourceSlack is the slack in one kind of resource.
+func resourceSlack(limit, left, request, controllers int64) int64 {
 	slack := max(0, min(limit/(tuning.SlackShare*controllers), left/(2*controllers)))
 	if slack < tuning.SlackTasks*request {
 		return 0
@@ -58,10 +58,10 @@
 
 // The verdicts.
 const (
-	Admitted           Verdict = iota
-	BeyondLimit                // the limit has no room for the task
-	KeptForStarvingJob         // the room that is left is kept for a job that starves
-	KeptForGangs               // the room that is left is kept for gangs that wait
+	Admitted               Verdict = iota
+	BeyondLimit                    // the limit has no room for the task
+	ReservedForStarvingJob         // the room that is left is kept for a job that starves
+	ReservedForGangs               // the room that is left is kept for gangs that wait
 )
 
 // Claim is what the waiting jobs of one team keep of its limit from other tasks.
@@ -72,8 +72,8 @@
 	FirstGang      string
 	GangRequest    domain.Resources
 	PlacedByLeader domain.Resources
-	// GangStarves: one of the gangs has waited for so long that no small task goes ahead.
-	GangStarves bool
+	// GangStarving: one of the gangs has waited for so long that no small task goes ahead.
+	GangStarving bool
 
 	// A job of which nothing began for long ("": none), and what one of its tasks takes.
 	// Large tasks at a limit would starve otherwise: each small one of the team that ends
@@ -93,25 +93,25 @@
 	PlacedByLeader bool // of a job that the leader places as a whole
 }
 
-// LeavesFirst tells whether a limit keeps room, beside what is used, for a task of the
+// LeavesRoomForStarvingJob tells whether a limit keeps room, beside what is used, for a task of the
 // job that starves; for tasks of that job itself nothing is kept.
-func (c Claim) LeavesFirst(job string, used, limit domain.Resources) bool {
+func (c Claim) LeavesRoomForStarvingJob(job string, used, limit domain.Resources) bool {
 	return c.StarvingJob == "" || c.StarvingJob == job || Within(used.Plus(c.StarvingRequest, 1), limit)
 }
 
-// Judge tells whether one more task stays within the limit and leaves what the waiting jobs
+// Admit tells whether one more task stays within the limit and leaves what the waiting jobs
 // claim of it.
-func (c Claim) Judge(task Task, used, limit domain.Resources) Verdict {
+func (c Claim) Admit(task Task, used, limit domain.Resources) Verdict {
 	withTask := used.Plus(task.Request, 1)
 	switch {
 	case !Within(withTask, limit):
 		return BeyondLimit
 	case c.Allows(task, used, limit):
 		return Admitted
-	case !c.LeavesFirst(task.Job, withTask, limit):
-		return KeptForStarvingJob
+	case !c.LeavesRoomForStarvingJob(task.Job, withTask, limit):
+		return ReservedForStarvingJob
 	}
-	return KeptForGangs
+	return ReservedForGangs
 }
 
 // Allows tells whether one more task leaves room for the starving job and, unless it may
@@ -120,35 +120,35 @@
 // the limit.
 func (c Claim) Allows(task Task, used, limit domain.Resources) bool {
 	withTask := used.Plus(task.Request, 1)
-	if !c.LeavesFirst(task.Job, withTask, limit) {
+	if !c.LeavesRoomForStarvingJob(task.Job, withTask, limit) {
 		return false
 	}
-	if c.WaitingGangs == 0 || c.goesAheadOfGangs(task) {
+	if c.WaitingGangs == 0 || c.bypassesGangs(task) {
 		return true
 	}
-	return c.gangsBeside(withTask.Plus(c.PlacedByLeader, -1), limit) >= c.possibleGangs(limit)
+	return c.gangsThatFit(withTask.Plus(c.PlacedByLeader, -1), limit) >= c.maxConcurrentGangs(limit)
 }
 
-// possibleGangs is how many gangs like the first that waits, running and waiting ones, the
+// maxConcurrentGangs is how many gangs like the first that waits, running and waiting ones, the
 // team could have at once.
-func (c Claim) possibleGangs(limit domain.Resources) int64 {
+func (c Claim) maxConcurrentGangs(limit domain.Resources) int64 {
 	wanted := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
-	return min(wanted, c.gangsBeside(domain.Resources{}, limit))
+	return min(wanted, c.gangsThatFit(domain.Resources{}, limit))
 }
 
-// KeptForGangs is the part of a limit that small tasks leave to gangs, running and waiting ones.
-func (c Claim) KeptForGangs(limit domain.Resources) domain.Resources {
-	return domain.Resources{}.Plus(c.GangRequest, c.possibleGangs(limit))
+// ReservedForGangs is the part of a limit that small tasks leave to gangs, running and waiting ones.
+func (c Claim) ReservedForGangs(limit domain.Resources) domain.Resources {
+	return domain.Resources{}.Plus(c.GangRequest, c.maxConcurrentGangs(limit))
 }
 
-// goesAheadOfGangs tells whether a task needn't leave room for waiting gangs.
-func (c Claim) goesAheadOfGangs(task Task) bool {
-	return task.PlacedByLeader || c.StarvingJob == task.Job || c.LongWaiting[task.Job] && !c.GangStarves
+// bypassesGangs tells whether a task needn't leave room for waiting gangs.
+func (c Claim) bypassesGangs(task Task) bool {
+	return task.PlacedByLeader || c.StarvingJob == task.Job || c.LongWaiting[task.Job] && !c.GangStarving
 }
 
-// gangsBeside is how many gangs like the first that waits a limit has room for beside
+// gangsThatFit is how many gangs like the first that waits a limit has room for beside
 // a use by small tasks. Memory doesn't bound it.
-func (c Claim) gangsBeside(small, limit domain.Resources) int64 {
+func (c Claim) gangsThatFit(small, limit domain.Resources) int64 {
 	room := domain.Resources{CPU: math.MaxInt32, GPU: math.MaxInt32, Memory: math.MaxInt32}
 	if limit.CPU > 0 {
 		room.CPU = limit.CPU - small.CPU
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestBounded(t *testing.T) {
+func TestOnlyLimited(t *testing.T) {
 	all := domain.Resources{CPU: 1, GPU: 2, Memory: 3}
 	for _, x := range []struct {
 		name        string
@@ -42,7 +42,7 @@
 		{"memory alone", domain.Resources{Memory: 9}, domain.Resources{Memory: 3}},
 		{"all, also beyond the limit", domain.Resources{CPU: 1, GPU: 1, Memory: 1}, all},
 	} {
-		if got := Bounded(all, x.limit); got != x.want {
+		if got := OnlyLimited(all, x.limit); got != x.want {
 			t.Errorf("%s: %+v", x.name, got)
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestLeavesFirst(t *testing.T) {
+func TestLeavesRoomForStarvingJob(t *testing.T) {
 	starving := Claim{StarvingJob: "large", StarvingRequest: cpus(4)}
 	for _, x := range []struct {
 		name        string
@@ -89,7 +89,7 @@
 		{"the starving job keeps nothing from itself", starving, "large", cpus(8), cpus(8), true},
 		{"no limit", starving, "small", cpus(99), domain.Resources{}, true},
 	} {
-		if got := x.claim.LeavesFirst(x.job, x.used, x.limit); got != x.want {
+		if got := x.claim.LeavesRoomForStarvingJob(x.job, x.used, x.limit); got != x.want {
 			t.Errorf("%s: %t", x.name, got)
 		}
 	}
@@ -127,12 +127,12 @@
 		{"a job that waited for long", with(func(c *Claim) { c.LongWaiting = map[string]bool{"small": true} }), small, cpus(4), cpus(8), true},
 		{"another job waited for long", with(func(c *Claim) { c.LongWaiting = map[string]bool{"other": true} }), small, cpus(4), cpus(8), false},
 		{"a job that waited for long beside a gang that starves", with(func(c *Claim) {
-			c.LongWaiting, c.GangStarves = map[string]bool{"small": true}, true
+			c.LongWaiting, c.GangStarving = map[string]bool{"small": true}, true
 		}), small, cpus(4), cpus(8), false},
 
 		{"a starving job goes ahead of gangs", with(func(c *Claim) { c.StarvingJob, c.StarvingRequest = "small", cpus(1) }), small, cpus(4), cpus(8), true},
 		{"even of a gang that starves", with(func(c *Claim) {
-			c.StarvingJob, c.StarvingRequest, c.GangStarves = "small", cpus(1), true
+			c.StarvingJob, c.StarvingRequest, c.GangStarving = "small", cpus(1), true
 		}), small, cpus(4), cpus(8), true},
 		{"a starving job keeps its room from others", Claim{StarvingJob: "large", StarvingRequest: cpus(4)}, small, cpus(4), cpus(8), false},
 		{"others beside exactly its room", Claim{StarvingJob: "large", StarvingRequest: cpus(4)}, small, cpus(3), cpus(8), true},
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -163,7 +163,7 @@
 		return false, nil
 	}
 	first, ok := j.Header.FirstTaskOf(parts[1:])
-	if !ok || j.Header.KeyOf(j.ID, first) != key {
+	if !ok || j.Header.ValueKey(j.ID, first) != key {
 		return false, nil // the chunk was split since, or the header doesn't name the cell yet
 	}
 	chunk, err := codec.Decode[codec.ChunkValue](value)
@@ -180,7 +180,7 @@
 // applyText records a job's tasks from their text in a value; first is the index of the first
 // task in it. Tasks beyond the job's task count are ignored.
 func (c *Controller) applyText(j *Job, first int, chunk *codec.ChunkValue, text string) error {
-	return chunk.Tasks(text, func(offset int, task domain.Task) {
+	return chunk.ForEachTask(text, func(offset int, task domain.Task) {
 		if i := first + offset; i >= 0 && i < j.Header.TaskCount {
 			c.setTask(j, i, task)
 		}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		if !c.cache.isBooking(m, report) || !c.isGuardEnabled(GuardForget) {
-			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: report.Attempt, Reason: domain.ReasonSettled})
+			forgets = append(forgets, domain.Command{Kind: domain.ForgetTask, Task: id, Attempt: report.Attempt, Reason: domain.ReasonOutcomeCommitted})
 		}
 	}
 	return stops, forgets
@@ -193,7 +193,7 @@
 
 // isStopped reports whether the job's header stops the attempt that the task is booked for.
 func (j *Job) isStopped(task domain.Task) bool {
-	return j.Header.StopThrough > 0 && j.Header.StopThrough >= task.Attempt
+	return j.Header.StopUpTo > 0 && j.Header.StopUpTo >= task.Attempt
 }
 
 // isEvictedFrom reports whether the job's tasks have to leave the machine, which is being
@@ -219,7 +219,7 @@
 	case isMultiTaskGang(spec):
 		// The progress of a gang is saved only if all its tasks are told to stop together, so
 		// the job's header tells every owner of a machine with such a task (planGangStops).
-		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopThrough >= task.Attempt && !saving
+		return saveAndStop(stop, spec, domain.ReasonGangStop), j.Header.StopUpTo >= task.Attempt && !saving
 	case c.isEvictedFrom(m, spec), c.planner.preempted[attemptID{report.Task, report.Attempt}]:
 		return saveAndStop(stop, spec, domain.ReasonPreempted), !saving
 	case m.preemptionAt >= 0:
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -158,7 +158,7 @@
 	if len(c.commits.avoidUntil) == 0 {
 		return false
 	}
-	if !c.commits.checkAvoided(j.Header.KeyOf(j.ID, i), c.now) {
+	if !c.commits.checkAvoided(j.Header.ValueKey(j.ID, i), c.now) {
 		return false
 	}
 	c.planner.dirty = true
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -133,7 +133,7 @@
 	if j.missingPieces = spec.DependencyListPieces; j.missingPieces > 0 {
 		c.cache.countMissingPieces(j)
 	}
-	spec.Dependencies = codec.ParseNames(spec.DependencyText)
+	spec.Dependencies = codec.ParseJobNames(spec.DependencyText)
 	c.addDependencies(j, spec.Dependencies)
 	if j.missingPieces == 0 {
 		c.resolveDependencyPieces(j)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Pack: "c-0/0", Shard: "c-0", AcceptOrder: order,
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(priority), TaskCount: 2, EstimatedRuntime: 10, Deadline: deadline}}
-	if texts := codec.JoinNames(needs, 1<<20); len(texts) > 0 {
+	if texts := codec.JoinJobNames(needs, 1<<20); len(texts) > 0 {
 		header.Spec.DependencyText = texts[0]
 	}
 	return domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(header), ModRevision: order}
@@ -240,7 +240,7 @@
 	if other.cache.jobs[j.ID].phase != phaseWaiting {
 		t.Fatal("the job may start without its list of dependencies")
 	}
-	for k, text := range codec.JoinNames(needs, c.cfg.ValueLimit-400) {
+	for k, text := range codec.JoinJobNames(needs, c.cfg.ValueLimit-400) {
 		other.apply(domain.KeyValue{Key: codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k), Value: codec.Encode(text), ModRevision: uint64(8000 + k)})
 	}
 	if other.cache.jobs[j.ID].unfinishedDependencies != 4000 {
--- a/internal/scheduler/dependency_lists.go
+++ b/internal/scheduler/dependency_lists.go
@@ -55,7 +55,7 @@
 // the piece from the cache.
 func (c *Controller) resolveDependencyPiece(j *Job, k int) {
 	key := codec.KeyDependencyPiece(j.ID, j.Header.Spec.DependencyListName, k)
-	ids := codec.ParseNames(c.cache.dependencyPieces[key])
+	ids := codec.ParseJobNames(c.cache.dependencyPieces[key])
 	delete(c.cache.dependencyPieces, key)
 	j.Header.Spec.Dependencies = append(j.Header.Spec.Dependencies, ids...)
 	c.addDependencies(j, ids)
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -88,7 +88,7 @@
 	if pack, ok := d.moved[j.ID]; ok {
 		return codec.PrefixPack + pack
 	}
-	return j.Header.KeyOf(j.ID, i)
+	return j.Header.ValueKey(j.ID, i)
 }
 
 // addCondition makes the commit fail if the key's value changes before it.
@@ -121,13 +121,13 @@
 
 // cellRef returns the reference of the cell that has task i.
 func (j *Job) cellRef(i int) cellRef {
-	from, _ := j.Header.Cell(i)
+	from, _ := j.Header.CellRange(i)
 	return cellRef{j.ID, from}
 }
 
 // copyOfCell returns a copy of the records of the cell that has task i.
 func (j *Job) copyOfCell(i int) []domain.Task {
-	from, to := j.Header.Cell(i)
+	from, to := j.Header.CellRange(i)
 	tasks := make([]domain.Task, to-from)
 	if j.Tasks != nil {
 		copy(tasks, j.Tasks[from:to])
@@ -185,14 +185,14 @@
 // hasRoomToGrow reports whether the draft has room for a change of task i that may make its
 // value longer, such as a booking or a handover.
 func (d *draft) hasRoomToGrow(j *Job, i int) bool {
-	key := j.Header.KeyOf(j.ID, i)
+	key := j.Header.ValueKey(j.ID, i)
 	return d.hasRoomFor(taskChange{job: j, source: key, key: key, grows: true})
 }
 
 // hasRoomToEnd reports whether the draft has room for the release or the end of task i. A task
 // that is done may also need a change of the job's header.
 func (d *draft) hasRoomToEnd(j *Job, i int, done bool) bool {
-	key := j.Header.KeyOf(j.ID, i)
+	key := j.Header.ValueKey(j.ID, i)
 	return d.hasRoomFor(taskChange{job: j, source: key, key: key, header: done})
 }
 
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -18,7 +18,7 @@
 
 // openCell copies the cell that has task i into the draft and has its value written.
 func (d *draft) openCell(j *Job, i int) {
-	source := j.Header.KeyOf(j.ID, i)
+	source := j.Header.ValueKey(j.ID, i)
 	if pack, ok := d.leaving[j.ID]; ok {
 		d.move(j, pack)
 	}
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("view %+v", view)
 	}
 	if len(c.cache.machineTypes) != 1 || c.cache.machineTypes[0].Capacity.GPU != 4000 || c.cache.cordons["n-000001"].State != domain.CordonGone ||
-		c.cache.shares["blue"].ByNode["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
+		c.cache.shares["blue"].ByController["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
 		t.Error("machine types, cordons, shares or windows are not as written")
 	}
 	if c.cache.isFormatOn() {
@@ -295,12 +295,12 @@
 		id := jobName(i)
 		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 12, ChunkSize: 12, Pack: "c-0/0", Shard: "c-0", AcceptOrder: uint64(i + 1),
 			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 12}}), ModRevision: uint64(i + 1)})
-		pack.Put(id, bookedTasks(12, 20*i))
+		pack.SetTasks(id, bookedTasks(12, 20*i))
 	}
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(50)), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: 300, ChunkSize: 139, Shard: "c-0", AcceptOrder: 40,
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: 300}}), ModRevision: 40})
 	chunk := codec.ChunkValue{Texts: map[string]string{}}
-	chunk.Put(jobName(50), bookedTasks(139, 1000))
+	chunk.SetTasks(jobName(50), bookedTasks(139, 1000))
 	c.apply(domain.KeyValue{Key: codec.PrefixPack + "c-0/0", Value: codec.Encode(pack), ModRevision: 50})
 	c.apply(domain.KeyValue{Key: codec.PrefixTask + jobName(50) + "/0", Value: codec.Encode(chunk), ModRevision: 51})
 	if len(c.cache.oversized) != 2 || c.cache.jobs[jobName(50)].counts.booked != 139 {
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -236,7 +236,7 @@
 		c.planner.dirty = true
 		return false
 	}
-	attempt := j.Header.StopThrough
+	attempt := j.Header.StopUpTo
 	for i := range j.Tasks {
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -66,7 +66,7 @@
 			c, m := withBookedTask(t, disabled)
 			heartbeatAnswer(c, m, 2, 8)
 			c.now += 2 * time.Second
-			c.cache.jobs[id.Job].Header.StopThrough, m.fencingToken = 0, 1
+			c.cache.jobs[id.Job].Header.StopUpTo, m.fencingToken = 0, 1
 			_, _ = heartbeatAnswer(c, m, 3, 8)
 			pending := c.commits.taskCommit
 			if pending == nil {
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -429,7 +429,7 @@
 	for _, name := range c.heartbeats.machineNames() {
 		m := c.heartbeats.machines[name]
 		if c.ignoresReplies(m) && !isOwnFault && c.ownsUncordoned(m) {
-			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnheeding})
+			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainUnresponsive})
 		}
 		if len(m.failures) > 0 && c.ownsUncordoned(m) && c.isFaulty(m) {
 			c.cordon(name, domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFaulty})
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -161,7 +161,7 @@
 		alreadyReported: func(_ *Controller, m *Machine, _ *Job, attempt attemptID) {
 			m.reported[id] = domain.TaskReport{Task: id, Attempt: attempt.Attempt}
 		},
-		gangStopped:           func(_ *Controller, _ *Machine, j *Job, attempt attemptID) { j.Header.StopThrough = attempt.Attempt },
+		gangStopped:           func(_ *Controller, _ *Machine, j *Job, attempt attemptID) { j.Header.StopUpTo = attempt.Attempt },
 		agentEpochDiffers:     func(_ *Controller, m *Machine, _ *Job, _ attemptID) { m.agentEpoch++ },
 		jobClosed:             func(_ *Controller, _ *Machine, j *Job, _ attemptID) { j.Header.State = domain.StateCancelled },
 		releaseAttempted:      func(c *Controller, _ *Machine, _ *Job, attempt attemptID) { c.planner.pendingReleases[attempt] = true },
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -99,7 +99,7 @@
 	if j == nil || j.Header.Spec == nil {
 		return
 	}
-	if i, ok := j.Header.FirstTaskOf(path[1:]); ok && j.Header.KeyOf(j.ID, i) == key {
+	if i, ok := j.Header.FirstTaskOf(path[1:]); ok && j.Header.ValueKey(j.ID, i) == key {
 		d.copyCell(j, i)
 		d.addValue(key)
 	}
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -175,7 +175,7 @@
 	case !quota.Within(used, limit):
 		c.noteWait(j, WaitsForLimit, claims, used)
 		return false
-	case claim.aheadOfGangs && !claim.LeavesFirst(spec.ID, used, limit):
+	case claim.aheadOfGangs && !claim.LeavesRoomForStarvingJob(spec.ID, used, limit):
 		c.noteWait(j, WaitsForStarvingJob, claims, used)
 		return false
 	}
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -24,8 +24,8 @@
 
 func newLearner() learner {
 	return learner{
-		arrivals: policy.TowardsLeast(),
-		steals:   policy.TowardsMost(),
+		arrivals: policy.NewLeastLoadedActor(),
+		steals:   policy.NewMostLoadedActor(),
 		critic:   policy.NewCritic(),
 	}
 }
@@ -48,7 +48,7 @@
 	if learner.critic.HasWindow() && c.cfg.Learn {
 		c.learn(features, imbalance, passes, len(all))
 	}
-	learner.critic.Begin(features)
+	learner.critic.BeginWindow(features)
 	c.publishWindow(loads)
 	learner.passes, learner.finishes = 0, 0
 }
@@ -111,7 +111,7 @@
 	}
 	c.debug("window", "imbalance", imbalance, "passes", passes, "delta", delta, "finishes", learner.finishes, "theta", learner.critic.Weights())
 	if learner.sequence%tuning.ConsensusEvery == 0 {
-		learner.critic.Average(c.othersCriticWeights())
+		learner.critic.AverageWith(c.othersCriticWeights())
 	}
 }
 
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -93,6 +93,6 @@
 	}
 	probabilities := actor.Probabilities(choices)
 	k := policy.Draw(probabilities, c.rng.Float64())
-	actor.Gather(choices, probabilities, k)
+	actor.AccumulateGradient(choices, probabilities, k)
 	return k
 }
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -225,7 +225,7 @@
 		proposal.changed = true
 	}
 	overrides := proposal.next.OwnerOverrides
-	if !proposal.next.Zoned {
+	if !proposal.next.OwnedByZone {
 		for _, machine := range slices.Sorted(maps.Keys(proposal.present.OwnerOverrides)) {
 			if len(overrides) >= most {
 				break
@@ -245,7 +245,7 @@
 			delete(c.views.redirects, machine)
 		}
 	}
-	if proposal.next.Zoned && !proposal.present.Zoned {
+	if proposal.next.OwnedByZone && !proposal.present.OwnedByZone {
 		clear(c.views.redirects)
 	}
 }
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -28,7 +28,7 @@
 	}
 	owner, ok := c.views.ownerByMachine[machine]
 	if !ok {
-		if view.Zoned && zone == "" {
+		if view.OwnedByZone && zone == "" {
 			zone = c.zoneOf(machine)
 		}
 		if owner = ownership.OfMachine(view, c.cfg.ZoneOf, machine, zone); owner != "" {
--- a/internal/scheduler/plan_gang_stops.go
+++ b/internal/scheduler/plan_gang_stops.go
@@ -14,7 +14,7 @@
 			j := c.cache.jobs[id.Job]
 			task := j.task(id.Index)
 			if needsGangStop(j, task) && d.changes() < c.cfg.TransactionLimit {
-				d.header(j).StopThrough = task.Attempt
+				d.header(j).StopUpTo = task.Attempt
 			}
 		}
 	}
@@ -32,5 +32,5 @@
 func needsGangStop(j *Job, task domain.Task) bool {
 	spec := j.Header.Spec
 	return spec != nil && spec.Shape == domain.Gang && spec.TaskCount > 1 &&
-		j.Header.State == domain.StateOpen && j.Header.StopThrough < task.Attempt
+		j.Header.State == domain.StateOpen && j.Header.StopUpTo < task.Attempt
 }
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -63,7 +63,7 @@
 			if c.isTaskAvoided(j, id.Index) {
 				continue
 			}
-			byValue[j.Header.KeyOf(j.ID, id.Index)]++
+			byValue[j.Header.ValueKey(j.ID, id.Index)]++
 			releases = append(releases, proven)
 		}
 	}
@@ -136,7 +136,7 @@
 
 // valueOf returns the key of the value that holds a task.
 func (c *cache) valueOf(id domain.TaskID) string {
-	return c.jobs[id.Job].Header.KeyOf(id.Job, id.Index)
+	return c.jobs[id.Job].Header.ValueKey(id.Job, id.Index)
 }
 
 // release adds a release to the draft. A task whose job was cancelled in the meantime is not
@@ -179,7 +179,7 @@
 	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
 	}
-	key := j.Header.KeyOf(j.ID, 0)
+	key := j.Header.ValueKey(j.ID, 0)
 	if d.foreignKey != key {
 		d.c.planner.foreignValues[key] = true
 		return false
@@ -201,14 +201,14 @@
 	header := d.header(j)
 	d.finished[j.ID] = true
 	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.Header.CellEnd(i) {
-		key := j.Header.KeyOf(j.ID, i)
+		key := j.Header.ValueKey(j.ID, i)
 		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.isOversizedInPlan(key) {
 			continue
 		}
 		d.addRewrite(key)
 		d.bytes += c.valueLimit()
 	}
-	if key := j.Header.KeyOf(j.ID, 0); c.cache.oversized[key] {
+	if key := j.Header.ValueKey(j.ID, 0); c.cache.oversized[key] {
 		d.addCondition(key)
 	}
 	header.State = domain.StateCancelled
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -196,7 +196,7 @@
 	t.Helper()
 	c := actingController()
 	c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 16000}}}
-	c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByNode: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
+	c.apply(domain.KeyValue{Key: codec.PrefixTeam + "red", ModRevision: 5, Value: codec.Encode(codec.TeamShares{ByController: map[string]domain.Resources{"c-0": {CPU: 4000}, "c-1": {CPU: 12000}}})})
 	c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(2)), ModRevision: 6, Value: codec.Encode(header)})
 	c.apply(openJob(t, 1, 4, 1, 1000))
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -25,7 +25,7 @@
 // judge tells whether one more task of a job stays within the team's limit and leaves what the
 // team's waiting jobs claim of it, or what keeps it from that.
 func (q quotaClaim) judge(spec *domain.JobSpec, used, limit domain.Resources) quota.Verdict {
-	return q.Judge(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
+	return q.Admit(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
 
 // admits tells whether one more task of a job may start, as far as the team's limit goes.
@@ -40,7 +40,7 @@
 	if d != nil {
 		used = used.Plus(d.usageByTeam[team], 1)
 	}
-	for controller, share := range c.cache.shares[team].ByNode {
+	for controller, share := range c.cache.shares[team].ByController {
 		if controller != c.cfg.Controller {
 			used = used.Plus(share, 1)
 		}
@@ -101,7 +101,7 @@
 func (c *Controller) addPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
-		claim.GangStarves = claim.GangStarves || j.blocksOthers(c.now)
+		claim.GangStarving = claim.GangStarving || j.blocksOthers(c.now)
 		if claim.WaitingGangs == 0 {
 			claim.FirstGang = j.ID
 			claim.GangRequest = domain.Resources{}.Plus(spec.Request, int64(spec.TaskCount))
@@ -136,7 +136,7 @@
 // so that the team's key needn't change.
 func (d *draft) ownShareFits(spec *domain.JobSpec) bool {
 	own := d.ownUsage(spec.Team).Plus(spec.Request, 1)
-	return d.c.ownShare(spec.Team).Fits(quota.Bounded(own, d.c.cfg.Teams[spec.Team].Limit))
+	return d.c.ownShare(spec.Team).Fits(quota.OnlyLimited(own, d.c.cfg.Teams[spec.Team].Limit))
 }
 
 // ownUsage is what this controller has booked for a team, with the draft's bookings.
@@ -146,7 +146,7 @@
 
 // ownShare is this controller's share of a team's limit.
 func (c *Controller) ownShare(team string) domain.Resources {
-	return c.cache.shares[team].ByNode[c.cfg.Controller]
+	return c.cache.shares[team].ByController[c.cfg.Controller]
 }
 
 // avoidsShare tells whether a team's key lost a conflict just now, and is only changed for
@@ -159,7 +159,7 @@
 func (c *Controller) shareSlack(team string, request domain.Resources) domain.Resources {
 	limit := c.cfg.Teams[team].Limit
 	left := limit
-	for _, share := range c.cache.shares[team].ByNode {
+	for _, share := range c.cache.shares[team].ByController {
 		left = left.Plus(share, -1)
 	}
 	return quota.Slack(limit, left, request, len(c.cfg.Controllers))
@@ -173,7 +173,7 @@
 		return
 	}
 	limit := c.cfg.Teams[team].Limit
-	use := quota.Bounded(d.ownUsage(team), limit)
+	use := quota.OnlyLimited(d.ownUsage(team), limit)
 	have := c.ownShare(team)
 	slack := c.shareSlack(team, request)
 	fits := have.Fits(use)
@@ -186,10 +186,10 @@
 		want = use
 	}
 	shares := c.cache.cloneShares(team)
-	if shares.ByNode == nil {
-		shares.ByNode = map[string]domain.Resources{}
+	if shares.ByController == nil {
+		shares.ByController = map[string]domain.Resources{}
 	}
-	shares.ByNode[c.cfg.Controller] = want
+	shares.ByController[c.cfg.Controller] = want
 	d.shares[team] = shares
 	d.addCondition(codec.PrefixTeam + team)
 }
@@ -207,7 +207,7 @@
 
 // cloneShares copies the committed shares of a team's limit.
 func (c *cache) cloneShares(team string) codec.TeamShares {
-	return codec.TeamShares{ByNode: maps.Clone(c.shares[team].ByNode)}
+	return codec.TeamShares{ByController: maps.Clone(c.shares[team].ByController)}
 }
 
 // oneGPU is what a task of one GPU asks for.
@@ -234,8 +234,8 @@
 // still booked by them.
 func (d *draft) settleAbsentShares(team string) {
 	c := d.c
-	for controller, share := range c.cache.shares[team].ByNode {
-		use := quota.Bounded(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
+	for controller, share := range c.cache.shares[team].ByController {
+		use := quota.OnlyLimited(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
 		if _, member := c.cache.view.Members[controller]; member || use == share {
 			continue
 		}
@@ -245,9 +245,9 @@
 			d.shares[team] = shares
 			d.addCondition(codec.PrefixTeam + team)
 		}
-		shares.ByNode[controller] = use
+		shares.ByController[controller] = use
 		if use == (domain.Resources{}) {
-			delete(shares.ByNode, controller)
+			delete(shares.ByController, controller)
 		}
 	}
 }
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -73,7 +73,7 @@
 	inUse := false
 	if j != nil && j.Header.Spec != nil {
 		for i := 0; i < j.Header.TaskCount; i = j.Header.CellEnd(i) {
-			if j.Header.KeyOf(j.ID, i) != key {
+			if j.Header.ValueKey(j.ID, i) != key {
 				continue
 			}
 			inUse = true
@@ -297,10 +297,10 @@
 func (c *Controller) newCellSplit(j *Job, i int) *cellSplit {
 	header := j.Header
 	chunk := i / header.ChunkSize
-	from, to := header.Chunk(i)
-	split := &cellSplit{source: j.Header.KeyOf(j.ID, i), header: *header}
+	from, to := header.ChunkRange(i)
+	split := &cellSplit{source: j.Header.ValueKey(j.ID, i), header: *header}
 	split.header.Pack, split.header.CellSize = "", cellSize(header, c.cfg.ValueLimit)
-	split.header.SplitChunks = header.WithSplit(chunk)
+	split.header.SplitChunks = header.WithSplitChunk(chunk)
 	if header.CellSize == 0 { // first split of the job: the header now counts done tasks instead of done chunks
 		split.header.DoneTasks, split.header.DoneChunks = doneTasksOutside(j, from), 0
 	}
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -221,7 +221,7 @@
 // are not over, if the list is short. A longer list is split into pieces beside the header,
 // and the spec refers to them; the changes that write the pieces are returned.
 func (c *Controller) storeDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
-	inHeader := codec.JoinNames(open, tuning.DependenciesInHeader)
+	inHeader := codec.JoinJobNames(open, tuning.DependenciesInHeader)
 	if len(inHeader) == 0 {
 		return nil
 	}
@@ -232,7 +232,7 @@
 	c.requests.dependencyLists++
 	spec.DependencyListName = fmt.Sprintf("%s-%d", c.membership.Incarnation(), c.requests.dependencyLists)
 	var puts []domain.Put
-	for k, text := range codec.JoinNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
+	for k, text := range codec.JoinJobNames(open, c.cfg.ValueLimit-tuning.PackSlack) {
 		puts = append(puts, domain.Put{Key: codec.KeyDependencyPiece(id, spec.DependencyListName, k), Value: codec.Encode(text)})
 	}
 	spec.DependencyListPieces = len(puts)
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -59,8 +59,8 @@
 			withinGuarantee: isOwed,
 			goals:           c.goals(j),
 			timing: tardiness.Job{
-				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
-				Run:  c.queues.runTime(spec) + tuning.StartLag,
+				Work:    float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
+				RunTime: c.queues.runTime(spec) + tuning.StartLag,
 			},
 		})
 	}
@@ -124,7 +124,7 @@
 	if u.tier < len(u.goals) {
 		return u.goals[u.tier]
 	}
-	return -u.timing.Run
+	return -u.timing.RunTime
 }
 
 // assignTiers puts each job down for the first aim that it can meet beside the others, by
@@ -140,7 +140,7 @@
 		var candidates []*tardiness.Job
 		for _, u := range jobs {
 			if u.isDownFor(tier) {
-				u.timing.Left = u.goals[tier]
+				u.timing.TimeLeft = u.goals[tier]
 				candidates = append(candidates, &u.timing)
 			}
 		}
--- a/internal/scheduler/urgency_test.go
+++ b/internal/scheduler/urgency_test.go
@@ -9,7 +9,7 @@
 // TestTheLargestJobGivesWay: when not all can be in time, the largest job gives way.
 func TestTheLargestJobGivesWay(t *testing.T) {
 	newJob := func(work, goal float64) *urgent {
-		return &urgent{timing: tardiness.Job{Run: 10, Work: work}, goals: []float64{goal, 2 * goal}}
+		return &urgent{timing: tardiness.Job{RunTime: 10, Work: work}, goals: []float64{goal, 2 * goal}}
 	}
 	large, small, second, hopeless := newJob(60, 80), newJob(10, 40), newJob(15, 90), newJob(5, 4)
 	assignTiers([]*urgent{large, small, second, hopeless})
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -56,7 +56,7 @@
 		c.scaling = newScaling(c.scaling.rentalCount)
 	}
 	args := []any{"epoch", view.Epoch, "leader", view.Leader, "serving", view.Serving, "overrides", len(view.OwnerOverrides)}
-	if view.Zoned {
+	if view.OwnedByZone {
 		args = append(args, "zoned", true)
 	}
 	c.info("view", args...)
@@ -78,7 +78,7 @@
 func (c *Controller) reportShareOverruns() {
 	for team, byController := range c.cache.usage {
 		for controller, use := range byController {
-			if share := c.cache.shares[team].ByNode[controller]; !share.Fits(quota.Bounded(use, c.cfg.Teams[team].Limit)) {
+			if share := c.cache.shares[team].ByController[controller]; !share.Fits(quota.OnlyLimited(use, c.cfg.Teams[team].Limit)) {
 				c.info("bookings exceed a node's share", "team", team, "controller", controller, "share", share, "bookings", use)
 			}
 		}
@@ -191,11 +191,11 @@
 // needed while zones are cut off from each other: overrides have room for only some of the
 // machines that can't reach their owners, and each override would be a change of the view.
 func (c *Controller) chooseZoned(proposal *viewProposal, lost *lostOwners) {
-	proposal.next.Zoned = proposal.present.Zoned && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
-	if proposal.next.Zoned != proposal.present.Zoned {
+	proposal.next.OwnedByZone = proposal.present.OwnedByZone && !c.zonesReconnected() || len(lost.apart) >= tuning.MinMachinesApart
+	if proposal.next.OwnedByZone != proposal.present.OwnedByZone {
 		proposal.changed = true
 	}
-	if proposal.next.Zoned {
+	if proposal.next.OwnedByZone {
 		clear(lost.machines)
 		return
 	}
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -30,10 +30,10 @@
 
 // waitReasons are the reasons for the verdicts on a team's limit.
 var waitReasons = map[quota.Verdict]WaitReason{
-	quota.Admitted:           WaitsForNothing,
-	quota.BeyondLimit:        WaitsForLimit,
-	quota.KeptForStarvingJob: WaitsForStarvingJob,
-	quota.KeptForGangs:       WaitsForGangs,
+	quota.Admitted:               WaitsForNothing,
+	quota.BeyondLimit:            WaitsForLimit,
+	quota.ReservedForStarvingJob: WaitsForStarvingJob,
+	quota.ReservedForGangs:       WaitsForGangs,
 }
 
 // noteWait records what keeps a job's tasks from starting, given its team's use of the limit,
@@ -49,7 +49,7 @@
 	var kept domain.Resources
 	switch reason {
 	case WaitsForGangs:
-		keptFor, kept = claim.FirstGang, claim.KeptForGangs(limit)
+		keptFor, kept = claim.FirstGang, claim.ReservedForGangs(limit)
 	case WaitsForStarvingJob:
 		keptFor, kept = claim.StarvingJob, claim.StarvingRequest
 	}
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -51,7 +51,7 @@
 		}, WaitsForLimit, ""},
 		{"the team's key lost a conflict", func(c *Controller, _ *Machine) {
 			c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
-			c.cache.shares["red"].ByNode["c-0"] = domain.Resources{CPU: 1000}
+			c.cache.shares["red"].ByController["c-0"] = domain.Resources{CPU: 1000}
 		}, WaitsForShare, ""},
 		{"a gang of the team waits", func(c *Controller, _ *Machine) { applyGang(c, 28) }, WaitsForGangs, jobName(3)},
 		{"a job of the team starves", func(c *Controller, _ *Machine) {
--- a/internal/scheduler/zones_apart_test.go
+++ b/internal/scheduler/zones_apart_test.go
@@ -121,7 +121,7 @@
 	visits(3)
 	c.pass(time.Second, sameZone)
 	view := c.desiredView()
-	if view == nil || !view.Zoned || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
+	if view == nil || !view.OwnedByZone || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
 		t.Fatalf("view %+v", view)
 	}
 	view.Epoch = 4
@@ -137,7 +137,7 @@
 		t.Errorf("a machine of no known zone belongs to %s", owner)
 	}
 	c.pass(20*time.Second, sameZone)
-	if view := c.desiredView(); view != nil && !view.Zoned {
+	if view := c.desiredView(); view != nil && !view.OwnedByZone {
 		t.Error("the zones were joined while apart")
 	}
 	for i := 0; i < 30; i++ {
@@ -146,7 +146,7 @@
 			break
 		}
 	}
-	if view == nil || view.Zoned {
+	if view == nil || view.OwnedByZone {
 		t.Errorf("all heard each other again, view %+v", view)
 	}
 }
@@ -258,7 +258,7 @@
 		put(codec.KeyJob(id), &codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
 			Spec: &domain.JobSpec{Class: "x", Team: "red", Shape: domain.Array, TaskCount: 2, Request: domain.Resources{CPU: 1000}}})
 		chunk := &codec.ChunkValue{Texts: map[string]string{}}
-		chunk.Put(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: own[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(own[i])}, {State: domain.Done}})
+		chunk.SetTasks(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: own[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(own[i])}, {State: domain.Done}})
 		put(codec.PrefixPack+pack, chunk)
 		c.recordHeartbeat(c.heartbeats.machines[own[i]], &domain.Heartbeat{Machine: own[i], Type: "box", Zone: c.zoneOf(own[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
 			Tasks: []domain.TaskReport{{Task: domain.TaskID{Job: id, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}}}, true)
--- a/internal/tardiness/tardiness.go
+++ b/internal/tardiness/tardiness.go
@@ -6,10 +6,10 @@
 
 // Job is what the choice needs to know of a job. Times are in seconds.
 type Job struct {
-	Left float64 // from now until it is due
-	Work float64 // of the one machine that all jobs share
-	Run  float64 // that it needs besides, after its work; the machine is free for others by then
-	Late bool    // the answer of FewestLate
+	TimeLeft float64 // from now until it is due
+	Work     float64 // of the one machine that all jobs share
+	RunTime  float64 // that it needs besides, after its work; the machine is free for others by then
+	Late     bool    // the answer of FewestLate
 }
 
 // FewestLate sets for as few jobs as can be that they are late, such that all others are in
@@ -21,18 +21,18 @@
 // and whenever one job would be late, the one with the most work so far is taken out. Here the
 // one machine is the whole fleet, and a job's last task needs its run time besides.
 func FewestLate(jobs []*Job, begin float64) (end float64) {
-	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].Left < jobs[b].Left })
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].TimeLeft < jobs[b].TimeLeft })
 	end = begin
 	var inTime []*Job
 	for _, job := range jobs {
-		job.Late = job.Run > job.Left // too late even alone
+		job.Late = job.RunTime > job.TimeLeft // too late even alone
 		if job.Late {
 			continue
 		}
 		inTime = append(inTime, job)
 		end += job.Work
-		if end+job.Run > job.Left {
-			k := mostWork(inTime)
+		if end+job.RunTime > job.TimeLeft {
+			k := indexOfMostWork(inTime)
 			end -= inTime[k].Work
 			inTime[k].Late = true
 			inTime = append(inTime[:k], inTime[k+1:]...)
@@ -41,8 +41,8 @@
 	return end
 }
 
-// mostWork is the index of the first job with the most work.
-func mostWork(jobs []*Job) int {
+// indexOfMostWork is the index of the first job with the most work.
+func indexOfMostWork(jobs []*Job) int {
 	most := 0
 	for k := range jobs {
 		if jobs[k].Work > jobs[most].Work {
--- a/internal/tardiness/tardiness_test.go
+++ b/internal/tardiness/tardiness_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// TestNoChoiceHasFewerLate compares the rule with all ways to choose which jobs are late.
-func TestNoChoiceHasFewerLate(t *testing.T) {
+// TestMinimumNumberOfLateJobs compares the rule with all ways to choose which jobs are late.
+func TestMinimumNumberOfLateJobs(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	for round := range 300 {
 		jobs := make([]*Job, 1+r.IntN(8))
 		for i := range jobs {
-			jobs[i] = &Job{Work: float64(1 + r.IntN(20)), Left: float64(1 + r.IntN(60))}
+			jobs[i] = &Job{Work: float64(1 + r.IntN(20)), TimeLeft: float64(1 + r.IntN(60))}
 		}
 		most := 0
 		for chosen := range 1 << len(jobs) {
@@ -42,10 +42,10 @@
 			in = append(in, job)
 		}
 	}
-	slices.SortFunc(in, func(a, b *Job) int { return int(a.Left - b.Left) })
+	slices.SortFunc(in, func(a, b *Job) int { return int(a.TimeLeft - b.TimeLeft) })
 	end := 0.0
 	for _, job := range in {
-		if end += job.Work; end > job.Left {
+		if end += job.Work; end > job.TimeLeft {
 			return len(in), false
 		}
 	}
@@ -60,14 +60,14 @@
 		end   float64
 	}{
 		"none":                         {nil, 3, nil, 3},
-		"just in time":                 {[]Job{{Left: 10, Work: 7, Run: 3}}, 0, []bool{false}, 7},
-		"late by its run time":         {[]Job{{Left: 10, Work: 7, Run: 4}}, 0, []bool{true}, 0},
-		"late even alone":              {[]Job{{Left: 10, Work: 1, Run: 11}}, 5, []bool{true}, 5},
-		"late by a late begin":         {[]Job{{Left: 10, Work: 7, Run: 3}}, 1, []bool{true}, 1},
-		"the most work gives way":      {[]Job{{Left: 20, Work: 15}, {Left: 22, Work: 6}, {Left: 23, Work: 6}}, 0, []bool{true, false, false}, 12},
-		"of equal work the first does": {[]Job{{Left: 12, Work: 8}, {Left: 10, Work: 8}}, 0, []bool{false, true}, 8},
-		"of equals the first does":     {[]Job{{Left: 10, Work: 8}, {Left: 10, Work: 8}}, 0, []bool{true, false}, 8},
-		"an old answer is forgotten":   {[]Job{{Left: 10, Work: 8, Late: true}}, 0, []bool{false}, 8},
+		"just in time":                 {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 0, []bool{false}, 7},
+		"late by its run time":         {[]Job{{TimeLeft: 10, Work: 7, RunTime: 4}}, 0, []bool{true}, 0},
+		"late even alone":              {[]Job{{TimeLeft: 10, Work: 1, RunTime: 11}}, 5, []bool{true}, 5},
+		"late by a late begin":         {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 1, []bool{true}, 1},
+		"the most work gives way":      {[]Job{{TimeLeft: 20, Work: 15}, {TimeLeft: 22, Work: 6}, {TimeLeft: 23, Work: 6}}, 0, []bool{true, false, false}, 12},
+		"of equal work the first does": {[]Job{{TimeLeft: 12, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{false, true}, 8},
+		"of equals the first does":     {[]Job{{TimeLeft: 10, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{true, false}, 8},
+		"an old answer is forgotten":   {[]Job{{TimeLeft: 10, Work: 8, Late: true}}, 0, []bool{false}, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var jobs []*Job
