--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -8,11 +8,12 @@
 	"brassglade/internal/domain"
 )
 
-// compactVersion is the version of the shorter form of texts; values of the first form have none.
+// compactVersion is the version number of the compact form of texts. Values of the older, verbose
+// form have no version.
 const compactVersion = 2
 
-// Characters of a text that both forms share. A name of a machine, which stands in the text
-// as it is, has none of these.
+// Characters of a text that both forms use. Names of machines stand in the text unescaped, so they
+// contain none of these.
 const (
 	markQueued      = '?' // begins a run of queued tasks
 	markBooked      = '*' // begins a run of booked tasks
@@ -23,54 +24,57 @@
 	rangeSeparator  = "-" // between the first and the last number of a range
 )
 
-// Separators of the first form.
+// Separators of the verbose form.
 const (
 	verboseItemSeparator     = ";" // between runs, and between groups of bookings
 	verboseBookingsSeparator = "|" // between the runs and the bookings
 )
 
-// Separators of the shorter form.
+// Separators of the compact form.
 const (
 	compactGroupSeparator   = "/" // before a group of bookings
 	compactMachineSeparator = "|" // before a machine of a group
 )
 
-// runMarks are the marks by state of task.
+// runMarks are the marks of runs, indexed by domain.TaskState.
 const runMarks = string(markQueued) + string(markBooked) + string(markDone)
 
-// ChunkValue is the value of b/task/ID/K (a chunk), b/task/ID/K/S (a cell of one) and
-// b/pack/NODE/K (a pack), and part of the header of jobs that are kept inline: the tasks of one
-// job or of several as short texts, since every change rewrites the whole value and the state
-// service bounds both its size and the changes a second. Tasks are numbered from the first of
-// the chunk or cell. A text has runs of tasks of the same state, then the bookings by machine.
-// In the first form:
+// ChunkValue is the value of b/task/ID/K (a chunk), b/task/ID/K/S (a cell of a chunk) and
+// b/pack/NODE/K (a pack). It is also part of the header of jobs whose tasks are kept inline. It
+// holds the tasks of one or several jobs as one short text for each job. The texts are short
+// because every change rewrites the whole value, and the key-value store limits both the size of a
+// value and the rate of writes. Tasks are numbered from the first one of the chunk or cell. A text
+// lists runs of tasks in the same state, and then the bookings by machine.
+//
+// The verbose form, without a version:
 //
 //	?5        five queued tasks      ?1,a,p   one with a attempts so far, passed to shard p
 //	!3        three done             *4       four booked
 //	|n-000231,z,p,e,a:8-10.12   tasks 8, 9, 10 and 12 are booked on that machine in zone z
 //	                            by controller p, agent epoch e, attempt a
 //
-// Items are separated by semicolons; z and p are places in Names; e and a are left out when both
+// Items are separated by semicolons; z and p are indices into Names; e and a are omitted if both
 // are 1.
 //
-// In the shorter form, version 2, a count of one is left out, nothing stands between runs, and
-// bookings are grouped by what they share:
+// In the compact form, version 2, a count of one is omitted, runs have no separator, and bookings
+// are grouped by zone, controller, agent epoch and attempt:
 //
 //	?5!3*4?            five queued, three done, four booked, one queued
 //	/z,p,e,a|231:8-10.12|232:9   on the machines MachinePrefix+"231" and MachinePrefix+"232"
 //
-// That text is about half as long.
+// A compact text is about half as long as a verbose one.
 type ChunkValue struct {
-	Version       int               `json:"v,omitempty"` // shortForm, or 0 for the first form
-	MachinePrefix string            `json:"p,omitempty"` // shorter form: what the names of all machines begin with
-	Names         []string          `json:"d,omitempty"` // zones, shards and controllers, in the order of their first use
-	Texts         map[string]string `json:"j"`           // by job
+	Version       int               `json:"v,omitempty"` // compactVersion, or 0 for the verbose form
+	MachinePrefix string            `json:"p,omitempty"` // compact form: common prefix of the machine names
+	Names         []string          `json:"d,omitempty"` // zones, shards and controllers, in order of first use
+	Texts         map[string]string `json:"j"`           // by job ID
 }
 
-// NewChunkValue makes the value of some jobs' tasks, by job, in the shorter form or the first.
-func NewChunkValue(tasksByJob map[string][]domain.Task, short bool) *ChunkValue {
+// NewChunkValue returns the value that holds the given tasks, by job, in the compact form or else in
+// the verbose one.
+func NewChunkValue(tasksByJob map[string][]domain.Task, compact bool) *ChunkValue {
 	v := &ChunkValue{Texts: map[string]string{}}
-	if short {
+	if compact {
 		v.Version, v.MachinePrefix = compactVersion, commonMachinePrefix(tasksByJob)
 	}
 	for _, id := range slices.Sorted(maps.Keys(tasksByJob)) {
@@ -79,8 +83,9 @@
 	return v
 }
 
-// commonMachinePrefix is what the names of all machines with bookings begin with, without digits
-// from 1 to 9 and never a whole name: it seldom gets shorter as machines come and go.
+// commonMachinePrefix returns the common prefix of the names of all machines with bookings, up to the
+// first digit from 1 to 9 and always shorter than each of the names. Cut like that, the prefix rarely
+// changes as machines are added and removed.
 func commonMachinePrefix(tasksByJob map[string][]domain.Task) string {
 	prefix, isFirst := "", true
 	for _, tasks := range tasksByJob {
@@ -100,7 +105,7 @@
 	return prefix
 }
 
-// prefixBeforeDigits is what stands before the first digit from 1 to 9.
+// prefixBeforeDigits returns the part of a machine's name before the first digit from 1 to 9.
 func prefixBeforeDigits(machine string) string {
 	if i := strings.IndexAny(machine, "123456789"); i >= 0 {
 		return machine[:i]
--- a/internal/codec/chunk_decode.go
+++ b/internal/codec/chunk_decode.go
@@ -8,51 +8,54 @@
 	"brassglade/internal/domain"
 )
 
-// ErrMalformedChunk is returned for text that no version writes.
-var ErrMalformedChunk = errors.New("malformed text of tasks")
+// ErrMalformedChunk is the error for a text that no version of the program writes.
+var ErrMalformedChunk = errors.New("malformed text of tasks in a stored chunk")
 
-// maxTasksPerText bounds the tasks that one text may claim, against nonsense in the store.
+// maxTasksPerText limits the number of tasks that one text may state, as a guard against corrupt
+// stored values.
 const maxTasksPerText = 200000
 
-// ForEachTask reads a job's tasks back and hands each to take, with its number in the chunk or cell.
-// What was read before an error has been handed over. The error is ErrMalformedChunk.
-func (v *ChunkValue) ForEachTask(text string, take func(int, domain.Task)) error {
-	d := &chunkDecoder{value: v, yield: take}
+// ForEachTask decodes the text of a job's tasks and calls yield for each task with its number in the
+// chunk or cell. It returns ErrMalformedChunk for a malformed text; yield has been called by then
+// for the tasks before the malformed part.
+func (v *ChunkValue) ForEachTask(text string, yield func(int, domain.Task)) error {
+	d := &chunkDecoder{value: v, yield: yield}
 	if v.Version == compactVersion {
 		return d.readCompact(text)
 	}
 	return d.readVerbose(text)
 }
 
-// chunkDecoder reads one text.
+// chunkDecoder decodes the text of one job.
 type chunkDecoder struct {
 	value     *ChunkValue
 	yield     func(int, domain.Task)
-	next      int  // number of the next task of the runs
-	malformed bool // a number or name couldn't be read
+	next      int  // number of the next task in the runs
+	malformed bool // a number, or an index of a name, was invalid
 }
 
-// readNumber reads a decimal readNumber.
+// readNumber parses a decimal number; it sets malformed if the text is not one.
 func (d *chunkDecoder) readNumber(text string) uint64 {
 	n, err := strconv.ParseUint(text, 10, 64)
 	d.malformed = d.malformed || err != nil
 	return n
 }
 
-// readName reads a place in the value's list of names.
+// readName parses an index into Names and returns that name; it sets malformed if the index is
+// invalid.
 func (d *chunkDecoder) readName(text string) string {
-	place, err := strconv.Atoi(text)
-	if err != nil || place < 0 || place >= len(d.value.Names) {
+	index, err := strconv.Atoi(text)
+	if err != nil || index < 0 || index >= len(d.value.Names) {
 		d.malformed = true
 		return ""
 	}
-	return d.value.Names[place]
+	return d.value.Names[index]
 }
 
-// readTaskNumbers hands over a task for each number of a text: 8-10.12.
+// readTaskNumbers yields the task t for each number in a text such as 8-10.12.
 func (d *chunkDecoder) readTaskNumbers(numbers string, t domain.Task) error {
-	for _, stretch := range strings.Split(numbers, numberSeparator) {
-		first, last, isRange := strings.Cut(stretch, rangeSeparator)
+	for _, part := range strings.Split(numbers, numberSeparator) {
+		first, last, isRange := strings.Cut(part, rangeSeparator)
 		from := d.readNumber(first)
 		to := from
 		if isRange {
@@ -68,8 +71,9 @@
 	return nil
 }
 
-// readRun hands over count tasks of one state, which fields describe: a count, and for queued
-// ones maybe the attempts so far and the shard. Booked ones are only counted here.
+// readRun yields count tasks of the state that mark stands for. The fields of the run are its count
+// and, optionally for queued tasks, the number of attempts so far and the shard. Booked tasks are
+// only counted here; readBooking and readTaskNumbers read them.
 func (d *chunkDecoder) readRun(mark byte, count uint64, fields []string) error {
 	var t domain.Task
 	switch mark {
@@ -96,8 +100,8 @@
 	return nil
 }
 
-// readBooking reads what bookings share but for the machine: zone and controller, and agent epoch
-// and attempt where these aren't both 1.
+// readBooking returns a booked task without its machine from the fields of a group: zone and
+// controller, and also agent epoch and attempt unless both are 1.
 func (d *chunkDecoder) readBooking(fields []string) (domain.Task, error) {
 	t := domain.Task{State: domain.Booked, AgentEpoch: 1, Attempt: 1}
 	if len(fields) != 2 && len(fields) != 4 {
@@ -110,7 +114,7 @@
 	return t, nil
 }
 
-// readCompact reads a text of the shorter form.
+// readCompact decodes a text of the compact form.
 func (d *chunkDecoder) readCompact(text string) error {
 	runs, groups, hasBookings := strings.Cut(text, compactGroupSeparator)
 	for len(runs) > 0 {
@@ -137,7 +141,7 @@
 	return nil
 }
 
-// readCompactRun reads a run; a count of one is left out.
+// readCompactRun decodes a run; an omitted count means one.
 func (d *chunkDecoder) readCompactRun(mark byte, fields []string) error {
 	if len(fields) != 1 && (len(fields) != 3 || mark != markQueued) {
 		return ErrMalformedChunk
@@ -149,8 +153,8 @@
 	return d.readRun(mark, count, fields)
 }
 
-// readCompactGroup reads the bookings that share all but machine and number: what they share,
-// then the machines.
+// readCompactGroup decodes a group of bookings that differ only in machine and task number. The first
+// part holds the common fields, and each further part a machine and its tasks.
 func (d *chunkDecoder) readCompactGroup(parts []string) error {
 	t, err := d.readBooking(strings.Split(parts[0], fieldSeparator))
 	if err != nil {
@@ -169,7 +173,7 @@
 	return nil
 }
 
-// readVerbose reads a text of the first form.
+// readVerbose decodes a text of the verbose form.
 func (d *chunkDecoder) readVerbose(text string) error {
 	runs, groups, hasBookings := strings.Cut(text, verboseBookingsSeparator)
 	for _, run := range strings.Split(runs, verboseItemSeparator) {
@@ -192,7 +196,7 @@
 	return nil
 }
 
-// readVerboseGroup reads the bookings that share all but the number.
+// readVerboseGroup decodes a group of bookings that differ only in the task number.
 func (d *chunkDecoder) readVerboseGroup(group string) error {
 	head, numbers, _ := strings.Cut(group, tasksSeparator)
 	machine, rest, _ := strings.Cut(head, fieldSeparator)
--- a/internal/codec/chunk_encode.go
+++ b/internal/codec/chunk_encode.go
@@ -9,7 +9,7 @@
 	"brassglade/internal/domain"
 )
 
-// SetTasks adds a job's tasks, in the form of the value.
+// SetTasks stores a job's tasks, in the form that the value's version says.
 func (v *ChunkValue) SetTasks(id string, tasks []domain.Task) {
 	e := chunkEncoder{value: v, tasks: tasks}
 	e.writeRuns()
@@ -21,7 +21,7 @@
 	v.Texts[id] = e.text.String()
 }
 
-// chunkEncoder writes the text of one job's tasks.
+// chunkEncoder encodes the tasks of one job.
 type chunkEncoder struct {
 	value *ChunkValue
 	tasks []domain.Task
@@ -30,19 +30,19 @@
 
 func (e *chunkEncoder) isCompact() bool { return e.value.Version == compactVersion }
 
-// writeName writes the place of a name in the value's list, which gets it if it lacks it.
+// writeName writes the index of a name in Names, and appends the name there if it is missing.
 func (e *chunkEncoder) writeName(name string) {
-	place := slices.Index(e.value.Names, name)
-	if place < 0 {
-		place = len(e.value.Names)
+	index := slices.Index(e.value.Names, name)
+	if index < 0 {
+		index = len(e.value.Names)
 		e.value.Names = append(e.value.Names, name)
 	}
-	e.text.WriteString(strconv.Itoa(place))
+	e.text.WriteString(strconv.Itoa(index))
 }
 
 func (e *chunkEncoder) writeNumber(n uint64) { e.text.WriteString(strconv.FormatUint(n, 10)) }
 
-// writeRuns writes the runs of tasks of the same state.
+// writeRuns writes the runs of tasks in the same state.
 func (e *chunkEncoder) writeRuns() {
 	for from := 0; from < len(e.tasks); {
 		to := from + 1
@@ -57,13 +57,13 @@
 	}
 }
 
-// inSameRun: a run says all of its queued and done tasks, and only the number of booked
-// ones.
+// inSameRun reports whether two neighbouring tasks belong to one run. A run describes queued and
+// done tasks completely, so these must be equal; of booked tasks it holds only the number.
 func inSameRun(a, b domain.Task) bool {
 	return a == b || a.State == domain.Booked && b.State == domain.Booked
 }
 
-// writeRun writes a run of tasks that are like the given one.
+// writeRun writes a run of count tasks like t.
 func (e *chunkEncoder) writeRun(t domain.Task, count int) {
 	e.text.WriteByte(runMarks[t.State])
 	if count > 1 || !e.isCompact() {
@@ -77,8 +77,8 @@
 	}
 }
 
-// writeBooking writes what bookings share but for the machine: zone and controller, and agent
-// epoch and attempt where these aren't both 1.
+// writeBooking writes the common fields of a group of bookings except the machine: zone and
+// controller, and also agent epoch and attempt unless both are 1.
 func (e *chunkEncoder) writeBooking(zone, controller string, agentEpoch, attempt uint64) {
 	e.writeName(zone)
 	e.text.WriteString(fieldSeparator)
@@ -91,7 +91,7 @@
 	}
 }
 
-// writeTaskNumbers writes numbers of tasks, which ascend: 8-10.12.
+// writeTaskNumbers writes ascending task numbers, with ranges: 8-10.12.
 func (e *chunkEncoder) writeTaskNumbers(numbers []int) {
 	e.text.WriteString(tasksSeparator)
 	for first := 0; first < len(numbers); {
@@ -111,7 +111,7 @@
 	}
 }
 
-// writeVerboseBookings writes the bookings of the first form: a group for each machine, agent
+// writeVerboseBookings writes the bookings in the verbose form, as a group for each machine, agent
 // epoch, attempt and controller.
 func (e *chunkEncoder) writeVerboseBookings() {
 	var booked []int
@@ -140,20 +140,20 @@
 	}
 }
 
-// bookingGroup is what the bookings of one group of the shorter form share.
+// bookingGroup holds the common fields of a group of bookings in the compact form.
 type bookingGroup struct {
 	zone, controller    string
 	agentEpoch, attempt uint64
 }
 
-// bookingsByMachine are the bookings of a group: machines in the order of their first task, and
-// the numbers of the tasks on each.
+// bookingsByMachine holds the bookings of a group: the machines in the order of their first task,
+// and the numbers of the tasks on each.
 type bookingsByMachine struct {
 	machines []string
 	tasks    map[string][]int
 }
 
-// writeCompactBookings writes the bookings of the shorter form, grouped by all but the machine.
+// writeCompactBookings writes the bookings in the compact form, grouped by all fields but the machine.
 func (e *chunkEncoder) writeCompactBookings() {
 	var groups []bookingGroup
 	bookings := map[bookingGroup]*bookingsByMachine{}
@@ -186,7 +186,7 @@
 	b.tasks[machine] = append(b.tasks[machine], task)
 }
 
-// writeMachines writes the machines of a group by name, with the tasks on each.
+// writeMachines writes the machines of a group, sorted by name, with the task numbers on each.
 func (e *chunkEncoder) writeMachines(b *bookingsByMachine) {
 	slices.Sort(b.machines)
 	for _, machine := range b.machines {
--- a/internal/codec/job_header_test.go
+++ b/internal/codec/job_header_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestCellRanges: the cells of a job are stretches one after the other that cover all its tasks, each
-// task has the key of its cell, and each key names the first task of its cell.
+// TestCellRanges checks that the cells of a job are consecutive ranges that cover all its tasks, that
+// each task has the key of its cell, and that FirstTaskOf returns the first task of a key's cell.
 func TestCellRanges(t *testing.T) {
 	split := JobHeader{TaskCount: 50, ChunkSize: 20, CellSize: 8}
 	split.SplitChunks = split.WithSplitChunk(1)
@@ -25,36 +25,36 @@
 		h := &want.header
 		keys, firsts := walkCells(t, h)
 		if !slices.Equal(keys, want.keys) || !slices.Equal(firsts, want.firsts) || h.CellCount() != len(keys) {
-			t.Errorf("%+v: %d cells, %v from %v", h, h.CellCount(), keys, firsts)
+			t.Errorf("%+v: %d cells, keys %v with first tasks %v", h, h.CellCount(), keys, firsts)
 		}
 	}
 	for task, path := range map[int][]string{0: {"0"}, 20: {"1"}, 28: {"1", "1"}, 40: {"2"}} {
 		if got, ok := split.FirstTaskOf(path); !ok || got != task {
-			t.Errorf("%v names task %d, %t", path, got, ok)
+			t.Errorf("FirstTaskOf(%v) = %d, %t", path, got, ok)
 		}
 	}
 	for _, path := range [][]string{nil, {""}, {"x"}, {"3"}, {"-1"}, {"1", "x"}, {"2", "2"}, {"1", "0", "0"}} {
 		if got, ok := split.FirstTaskOf(path); ok {
-			t.Errorf("%v names task %d", path, got)
+			t.Errorf("FirstTaskOf(%v) = %d, want none", path, got)
 		}
 	}
 	if far.IsSplit(16) || !far.IsSplit(17) || far.IsSplit(18) || far.IsSplit(99) || len((&JobHeader{}).SplitChunks) != 0 {
-		t.Errorf("split: %b", far.SplitChunks)
+		t.Errorf("wrong bits of split chunks: %b", far.SplitChunks)
 	}
 }
 
-// walkCells returns the key and the first task of each cell of job-1, and checks that all tasks
-// of a cell agree about it.
+// walkCells returns the key and the first task of each cell of job-1, and checks that CellRange and
+// ValueKey give the same result for all tasks of a cell.
 func walkCells(t *testing.T, h *JobHeader) (keys []string, firsts []int) {
 	t.Helper()
 	for task := 0; task < h.TaskCount; task = h.CellEnd(task) {
 		from, to := h.CellRange(task)
 		if from != task || to <= from {
-			t.Fatalf("%+v: task %d begins cell %d to %d", h, task, from, to)
+			t.Fatalf("%+v: task %d begins a cell with the range %d to %d", h, task, from, to)
 		}
 		for i := from; i < to; i++ {
 			if f, e := h.CellRange(i); f != from || e != to || h.ValueKey("job-1", i) != h.ValueKey("job-1", from) {
-				t.Errorf("%+v: task %d is in cell %d to %d under %s", h, i, f, e, h.ValueKey("job-1", i))
+				t.Errorf("%+v: task %d is in the cell %d to %d with key %s", h, i, f, e, h.ValueKey("job-1", i))
 			}
 		}
 		keys, firsts = append(keys, h.ValueKey("job-1", task)), append(firsts, from)
@@ -62,7 +62,7 @@
 	return keys, firsts
 }
 
-// TestParseKey: each key is of the kind that it was made for.
+// TestParseKey checks the kind and the name of each sort of key.
 func TestParseKey(t *testing.T) {
 	for key, want := range map[string]struct {
 		kind Kind
--- a/internal/codec/job_names.go
+++ b/internal/codec/job_names.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// jobNamePrefix is what the names of jobs begin with; lists of names leave it out.
+// jobNamePrefix is the prefix of job names. It is omitted in lists of names.
 const jobNamePrefix = "job-"
 
-// ParseJobNames reads the names of jobs from a text by JoinNames.
+// ParseJobNames returns the job names in a text that JoinJobNames wrote.
 func ParseJobNames(text string) []string {
 	names := strings.Fields(text)
 	for i := range names {
@@ -14,8 +14,8 @@
 	return names
 }
 
-// JoinJobNames joins the names of jobs to texts of at most maxBytes each, but for a single name
-// that is longer.
+// JoinJobNames joins job names to texts of at most maxBytes bytes each. A single name that is longer
+// gets a text of its own.
 func JoinJobNames(ids []string, maxBytes int) []string {
 	var texts []string
 	for _, id := range ids {
--- a/internal/codec/keys.go
+++ b/internal/codec/keys.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Keys of the state service and what they begin with; package doc says what each holds.
+// Keys and key prefixes in the key-value store. The package comment lists the value of each.
 const (
-	Root               = "b/" // what all keys begin with
+	Root               = "b/" // prefix of all keys
 	KeyView            = "b/view"
 	KeyFormat          = "b/format"
 	KeyMachineTypes    = "b/flavors"
@@ -24,10 +24,10 @@
 	PrefixDependencies = "b/need/"
 )
 
-// Kind is what a key holds.
+// Kind is the kind of value that is stored under a key.
 type Kind int
 
-// The kinds of keys. KindUnknown is a key that this version doesn't know.
+// The kinds of keys. KindUnknown stands for a key that this version doesn't know.
 const (
 	KindUnknown Kind = iota
 	KindView
@@ -43,7 +43,7 @@
 	KindWindow
 )
 
-// kindByPrefix says what the keys below a prefix hold.
+// kindByPrefix lists the kind of the keys with each prefix.
 var kindByPrefix = [...]struct {
 	prefix string
 	kind   Kind
@@ -60,8 +60,8 @@
 	{PrefixMachineTypes, KindMachineTypes},
 }
 
-// ParseKey tells what a key holds and its name among the keys of that kind: the rest after the
-// prefix, "" for a key without one.
+// ParseKey returns the kind of a key and its name among the keys of that kind: the rest of the key
+// after the prefix, or "" for a key that is not made of a prefix and a name.
 func ParseKey(key string) (kind Kind, name string) {
 	switch key {
 	case KeyView:
@@ -79,21 +79,21 @@
 	return KindUnknown, ""
 }
 
-// KeyJob is the key of a job's header.
+// KeyJob returns the key of a job's header.
 func KeyJob(id string) string { return PrefixJob + id }
 
-// KeyChunk is the key of a chunk of a job.
+// KeyChunk returns the key of a chunk of a job.
 func KeyChunk(id string, chunk int) string { return PrefixTask + id + "/" + strconv.Itoa(chunk) }
 
-// KeyCell is the key of a cell of a split chunk of a job.
+// KeyCell returns the key of a cell of a split chunk of a job.
 func KeyCell(id string, chunk, cell int) string {
 	return PrefixTask + id + "/" + strconv.Itoa(chunk) + "/" + strconv.Itoa(cell)
 }
 
-// PackName names a pack of a shard: the rest of its key after PrefixPack.
+// PackName returns the name of a pack of a shard: the part of its key after PrefixPack.
 func PackName(shard string, number int) string { return shard + "/" + strconv.Itoa(number) }
 
-// KeyMachineTypePage is the key of a page of machine types, counted from 0.
+// KeyMachineTypePage returns the key of a page of machine types, counted from 0.
 func KeyMachineTypePage(page int) string {
 	if page == 0 {
 		return KeyMachineTypes
@@ -101,8 +101,8 @@
 	return PrefixMachineTypes + strconv.Itoa(page)
 }
 
-// KeyDependencyPiece is the key of a piece of the list of jobs that a job depends on. The tag
-// names the list among those that were written for submissions of the same job.
+// KeyDependencyPiece returns the key of a piece of the list of jobs that a job depends on. Each
+// submission of the same job writes its own list; the tag tells these lists apart.
 func KeyDependencyPiece(id, tag string, piece int) string {
 	return fmt.Sprintf("%s%s/%s/%d", PrefixDependencies, id, tag, piece)
 }
--- a/internal/codec/value.go
+++ b/internal/codec/value.go
@@ -6,17 +6,17 @@
 	json "github.com/goccy/go-json"
 )
 
-// Encode writes a record as the bytes of its value.
+// Encode returns the bytes that a record is stored as. It panics if the record can't be encoded.
 func Encode(record any) []byte {
 	value, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("record %T can't be encoded: %v", record, err)) // own records always encode
+		panic(fmt.Sprintf("stored record of type %T can't be encoded: %v", record, err)) // the records of this program can always be encoded
 	}
 	return value
 }
 
-// Decode reads a record back from the bytes of its value. Fields that a later version added
-// are passed over. The error is that of the JSON reader.
+// Decode returns the record that is stored as the given bytes. Fields that a later version added are
+// ignored. The error is that of the JSON decoder.
 func Decode[Record any](value []byte) (*Record, error) {
 	record := new(Record)
 	if err := json.Unmarshal(value, record); err != nil {
--- a/internal/domain/amounts.go
+++ b/internal/domain/amounts.go
@@ -1,5 +1,5 @@
 package domain
 
-// Thousandths turns an amount that isn't negative, as settings and the cloud give it, into
-// thousandths: resources are counted in whole thousandths, so that sums are exact.
+// Thousandths converts a non-negative amount, as given in the settings and by the cloud, to
+// thousandths and rounds it. Resources are counted in whole thousandths so that sums are exact.
 func Thousandths(amount float64) int64 { return int64(amount*1000 + 0.5) }
--- a/internal/domain/command.go
+++ b/internal/domain/command.go
@@ -1,36 +1,36 @@
 package domain
 
-// CommandKind is what a command tells an agent to do; the words are those of the protocol.
+// CommandKind is what a command tells an agent to do. Its values are sent to the agents.
 type CommandKind string
 
 // The kinds of commands.
 const (
-	StartTask  CommandKind = "run"   // start an attempt, or leave it running
-	StopTask   CommandKind = "halt"  // save progress within the grace period, then end
-	ForgetTask CommandKind = "clear" // drop an ended attempt from the reports
+	StartTask  CommandKind = "run"   // start an attempt, or keep it running if it has started
+	StopTask   CommandKind = "halt"  // save progress within the grace period, then exit
+	ForgetTask CommandKind = "clear" // stop reporting an ended attempt
 )
 
-// Command to the agent of a machine.
+// Command is an instruction to the agent of a machine, about one attempt of a task.
 type Command struct {
 	Kind         CommandKind
 	Task         TaskID
 	Attempt      uint64
 	GraceSeconds float64
-	Reason       CommandReason // for logs and metrics; the agent is not told
+	Reason       CommandReason // for logs and metrics; not sent to the agent
 }
 
-// CommandReason says why a command was given.
+// CommandReason is the reason for a command, as it appears in logs and metrics.
 type CommandReason string
 
-// The reasons for commands. A start has only one: its booking is committed and names
-// the agent epoch.
+// The reasons for commands. ReasonBooked is the only reason for a start: a committed booking names
+// the machine's agent epoch.
 const (
 	ReasonBooked           CommandReason = "booked"
-	ReasonOutcomeCommitted CommandReason = "settled"     // forget: the outcome is committed
-	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer wanted on that machine
-	ReasonGangBroken       CommandReason = "gang_broken" // not all tasks of the attempt are booked any more
-	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves its progress together
-	ReasonPreempted        CommandReason = "preempted"   // for work of higher priority, or idle work for any other
-	ReasonPreemptionNotice CommandReason = "recalled"    // the cloud takes the machine
-	ReasonDraining         CommandReason = "draining"    // the machine takes no more work
+	ReasonOutcomeCommitted CommandReason = "settled"     // for ForgetTask: the outcome is committed
+	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer booked on that machine
+	ReasonGangBroken       CommandReason = "gang_broken" // some tasks of the gang's attempt are no longer booked
+	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves its progress and stops together
+	ReasonPreempted        CommandReason = "preempted"   // by work of higher priority; idle work by any other work
+	ReasonPreemptionNotice CommandReason = "recalled"    // the cloud is about to take the machine back
+	ReasonDraining         CommandReason = "draining"    // the machine is drained and takes no more work
 )
--- a/internal/domain/doc.go
+++ b/internal/domain/doc.go
@@ -1,4 +1,4 @@
-// Package domain has the types that all of the program speaks in: resources, jobs, tasks,
-// machines, teams, the view, and transactions of the state service. It imports nothing of
-// the program. The short names in tags are those of stored values and never change.
+// Package domain defines the types that all packages share: resources, jobs, tasks, machines, team
+// quotas, the view, and transactions of the key-value store. It imports no other package of the
+// program. The short names in struct tags are part of stored values and must never change.
 package domain
--- a/internal/domain/transaction.go
+++ b/internal/domain/transaction.go
@@ -1,39 +1,40 @@
 package domain
 
-// KeyValue is an item of the state service.
+// KeyValue is an entry of the key-value store.
 type KeyValue struct {
 	Key         string
-	Value       []byte // nil: deleted
-	ModRevision uint64 // revision of its last change
+	Value       []byte // nil: the key was deleted
+	ModRevision uint64 // revision of the last change of the key
 }
 
-// Condition of a transaction: the key was last changed at that revision; 0: it doesn't exist.
+// Condition is a condition of a transaction: the key was last changed at the given revision. 0 means
+// that the key does not exist.
 type Condition struct {
 	Key         string
 	ModRevision uint64
 }
 
-// Put is a change of a transaction.
+// Put is a change that a transaction makes.
 type Put struct {
 	Key     string
-	Value   []byte // nil: delete
-	LeaseID uint64 // the key goes when this lease expires; 0: it stays
+	Value   []byte // nil: delete the key
+	LeaseID uint64 // the key is deleted when this lease expires; 0: no lease
 }
 
-// Transaction is a compare-and-swap on several keys: all puts are carried out if all
-// conditions hold, else none.
+// Transaction is a compare-and-swap on several keys: all puts are carried out if all conditions
+// hold, otherwise none.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 }
 
-// CommitResult is what became of a transaction.
+// CommitResult is the outcome of a transaction, as far as the controller knows it.
 type CommitResult int
 
-// The results of a transaction.
+// The outcomes of a transaction.
 const (
 	Committed CommitResult = iota
-	Conflict               // a condition didn't hold
-	Refused                // not executed (429, 503, 400)
-	InDoubt                // may have been executed or may yet be
+	Conflict               // not executed: a condition did not hold
+	Refused                // not executed: the store rejected the request (status 429, 503 or 400)
+	InDoubt                // outcome unknown: it may have been executed, or may be executed later
 )
