--- a/internal/policy/actor.go
+++ b/internal/policy/actor.go
@@ -1,10 +1,11 @@
-// Package policy is the online actor-critic by which controllers learn where to queue tasks
-// and whom to steal from: a linear softmax policy per kind of decision (Actor), and one linear
-// critic over the loads of all machines (Critic), whose temporal-difference error moves both.
+// Package policy implements the online actor-critic method by which controllers learn where to queue
+// tasks and from where to steal them. Each kind of decision has a linear softmax policy (Actor). One
+// linear critic (Critic) estimates the value of the loads of all machines, and its temporal-difference
+// error updates the weights of critic and actors.
 //
-// It follows the thesis named in docs/design.md under "Sources" (chapters 4 to 6). What is kept
-// of it, what is changed and why stands there under "The ordinary path: kept, changed, why".
-// All is a pure function of what is passed in: random numbers come from the caller.
+// The method follows the thesis that docs/design.md names under "Sources" (chapters 4 to 6). The
+// differences and their reasons are listed there under "The ordinary path: kept, changed, why". The
+// package uses no clock and no random source: random numbers are passed in by the caller.
 package policy
 
 import (
@@ -15,30 +16,30 @@
 	"brassglade/internal/tuning"
 )
 
-// Choice is one option of a draw: a machine's queue, or a whole shard at its mean load.
+// Choice is one option to draw from: the queue of a machine, or a whole shard with its mean load.
 type Choice struct {
 	Name string
 	Load float64 // expected delay there, s
-	Cost float64 // further delay and dearness of choosing it, s
-	Ref  int     // what the caller means by it; the policy doesn't read it
+	Cost float64 // further delay and cost of choosing it, expressed in s
+	Ref  int     // for use by the caller; ignored by the policy
 }
 
-// Actor is a linear softmax policy over choices that come and go: a weight for each pair of
-// names and a bias for each name, with the starting values for names not met yet. It gathers
-// the policy gradient of its draws until the next Step.
+// Actor is a linear softmax policy over a changing set of choices. It has a weight for each pair of
+// names and a bias for each name; names that it has not learned yet have initial values. It
+// accumulates the policy gradient of its draws until the next Step.
 type Actor struct {
-	initialSign     float64 // of the starting weight on a choice's own load
+	initialSign     float64 // sign of the initial weight of a choice's own load
 	weights         map[string]map[string]float64
 	biases          map[string]float64
-	weightGradients map[string]map[string]float64 // summed since the last step
+	weightGradients map[string]map[string]float64 // sums since the last step
 	biasGradients   map[string]float64
-	draws           int // since the last step, of those with something to choose
+	draws           int // number of draws from several choices since the last step
 }
 
-// NewLeastLoadedActor is an actor that at first prefers choices of least load.
+// NewLeastLoadedActor returns an actor that initially prefers the choices with the least load.
 func NewLeastLoadedActor() Actor { return newActor(1) }
 
-// NewMostLoadedActor is an actor that at first prefers choices of most load.
+// NewMostLoadedActor returns an actor that initially prefers the choices with the most load.
 func NewMostLoadedActor() Actor { return newActor(-1) }
 
 func newActor(sign float64) Actor {
@@ -48,7 +49,8 @@
 	}
 }
 
-// weight is the entry of W by which the load of one choice counts for another.
+// weight returns the entry of the weight matrix W by which the load of the choice called other
+// counts for the choice called name.
 func (a *Actor) weight(name, other string) float64 {
 	if row, ok := a.weights[name]; ok {
 		if weight, ok := row[other]; ok {
@@ -61,42 +63,42 @@
 	return 0
 }
 
-// Probabilities is softmax(W x + B - cost), x being the loads, over the choices that the
-// mask left: those that can't be taken are not among them.
+// Probabilities returns softmax(W x + B - cost), where x are the loads, W the weights and B the biases.
+// The caller has already left out the choices that can't be taken.
 func (a *Actor) Probabilities(choices []Choice) []float64 {
-	z := make([]float64, len(choices))
-	top := math.Inf(-1)
+	logits := make([]float64, len(choices))
+	largest := math.Inf(-1)
 	for i := range choices {
-		z[i] = a.biases[choices[i].Name] - choices[i].Cost
+		logits[i] = a.biases[choices[i].Name] - choices[i].Cost
 		for j := range choices {
-			z[i] += a.weight(choices[i].Name, choices[j].Name) * choices[j].Load
+			logits[i] += a.weight(choices[i].Name, choices[j].Name) * choices[j].Load
 		}
-		top = max(top, z[i])
+		largest = max(largest, logits[i])
 	}
 	sum := 0.0
-	for i := range z {
-		z[i] = math.Exp(z[i] - top)
-		sum += z[i]
+	for i := range logits {
+		logits[i] = math.Exp(logits[i] - largest)
+		sum += logits[i]
 	}
-	for i := range z {
-		z[i] /= sum
+	for i := range logits {
+		logits[i] /= sum
 	}
-	return z
+	return logits
 }
 
-// Draw is the choice that a random number, uniform in [0, 1), stands for.
+// Draw returns the index of the choice that is drawn by a random number, uniform in [0, 1).
 func Draw(probabilities []float64, uniform float64) int {
-	k := 0
-	for ; k < len(probabilities)-1; k++ {
-		if uniform -= probabilities[k]; uniform < 0 {
+	chosen := 0
+	for ; chosen < len(probabilities)-1; chosen++ {
+		if uniform -= probabilities[chosen]; uniform < 0 {
 			break
 		}
 	}
-	return k
+	return chosen
 }
 
-// AccumulateGradient adds the gradient of log pi, the logarithm of the probability of what was chosen.
-// With one choice there is nothing to learn.
+// AccumulateGradient adds the gradient of log pi, where pi is the probability of the chosen choice. It
+// ignores draws from a single choice, since there is nothing to learn from them.
 func (a *Actor) AccumulateGradient(choices []Choice, probabilities []float64, chosen int) {
 	if len(choices) < 2 {
 		return
@@ -119,9 +121,10 @@
 	}
 }
 
-// Step moves the weights along the gathered gradients by the temporal-difference error, and
-// forgets names that are not alive (nil: keeps all). Runaway or non-finite values go back to
-// their start; it returns how many did.
+// Step moves the weights and biases along the accumulated gradients, in proportion to the
+// temporal-difference error delta. It resets values that are not finite or exceed
+// tuning.WeightBound to their initial values, and returns how many these were. It then drops the
+// names that are not in alive; nil keeps all.
 func (a *Actor) Step(delta float64, alive map[string]bool) (reset int) {
 	if a.draws > 0 && isBounded(delta/1e6) {
 		reset = a.applyGradients(tuning.ActorRate * delta / float64(a.draws))
@@ -135,7 +138,8 @@
 	return reset
 }
 
-// applyGradients adds the gathered gradients, so many times, to weights and biases.
+// applyGradients adds the accumulated gradients, times rate, to the weights and biases. It returns the
+// number of values that it reset.
 func (a *Actor) applyGradients(rate float64) (reset int) {
 	for _, name := range slices.Sorted(maps.Keys(a.weightGradients)) {
 		if bias := a.biases[name] + rate*a.biasGradients[name]; isBounded(bias) {
@@ -159,7 +163,7 @@
 	return reset
 }
 
-// prune drops the weights of names that are not alive.
+// prune drops the weights and biases of names that are not alive.
 func (a *Actor) prune(alive map[string]bool) {
 	for name, row := range a.weights {
 		if !alive[name] {
@@ -175,7 +179,7 @@
 	}
 }
 
-// isBounded tells whether a value is finite and not a runaway.
+// isBounded reports whether a value is a number and its magnitude at most tuning.WeightBound.
 func isBounded(value float64) bool {
 	return !math.IsNaN(value) && math.Abs(value) <= tuning.WeightBound
 }
--- a/internal/policy/critic.go
+++ b/internal/policy/critic.go
@@ -9,27 +9,26 @@
 // featureCount is the number of features of the critic.
 const featureCount = 4
 
-// Critic is a linear estimate of the discounted payoff to come from the loads of all
-// machines as they are.
+// Critic is a linear estimate of the discounted future payoff, given the present loads of all machines.
 type Critic struct {
-	weights     []float64 // by feature
-	windowStart []float64 // features at the window's start; nil before the first window's end
+	weights     []float64 // by feature, in the order of Features
+	windowStart []float64 // features at the start of the window; nil before the first window
 }
 
-// NewCritic is a critic that expects nothing yet.
+// NewCritic returns a critic whose weights, and so its estimates, are zero.
 func NewCritic() Critic { return Critic{weights: make([]float64, featureCount)} }
 
-// Weights are the critic's weights, for the other controllers; the caller must not
-// change them.
+// Weights returns the critic's weights, which are published to the other controllers. The caller must
+// not modify them.
 func (c *Critic) Weights() []float64 { return c.weights }
 
-// HasWindow tells whether a window has begun, so that its end has an error.
+// HasWindow reports whether a window has begun. TemporalDifference and Step may only be called then.
 func (c *Critic) HasWindow() bool { return c.windowStart != nil }
 
-// BeginWindow notes the features at the start of a window.
+// BeginWindow records the features at the start of a window.
 func (c *Critic) BeginWindow(features []float64) { c.windowStart = features }
 
-// value is the critic's estimate where the features are such.
+// value returns the critic's estimate for the given features.
 func (c *Critic) value(features []float64) float64 {
 	sum := 0.0
 	for i := range c.weights {
@@ -38,14 +37,15 @@
 	return sum
 }
 
-// TemporalDifference is the error of the critic over the window that ends: the payoff and
-// the discounted (gamma) estimate at its end, less the estimate at its start.
+// TemporalDifference returns the error of the critic over the window that ends: the payoff, plus the
+// estimate at the end of the window discounted by tuning.Gamma, minus the estimate at its start.
 func (c *Critic) TemporalDifference(payoff float64, features []float64) float64 {
 	return payoff + tuning.Gamma*c.value(features) - c.value(c.windowStart)
 }
 
-// Step moves the weights by the temporal-difference error along the features at the window's
-// start. It returns the indices of weights that ran away and went back to zero.
+// Step moves the weights along the features at the start of the window, in proportion to the
+// temporal-difference error delta. It resets weights that are not finite or exceed
+// tuning.WeightBound to zero, and returns their indices.
 func (c *Critic) Step(delta float64) (reset []int) {
 	for i := range c.weights {
 		c.weights[i] += tuning.CriticRate * delta * c.windowStart[i]
@@ -57,8 +57,8 @@
 	return reset
 }
 
-// AverageWith is the consensus step: the critic takes the mean of its own weights and the
-// others'. Those of another length, as another version may have them, don't count.
+// AverageWith is the consensus step: it sets the critic's weights to the mean of its own and the
+// others' weights. It ignores weights of a different length, which another version may have.
 func (c *Critic) AverageWith(others [][]float64) {
 	sum := slices.Clone(c.weights)
 	n := 1.0
@@ -77,32 +77,33 @@
 	c.weights = sum
 }
 
-// Features of the loads for the critic: a constant, the mean, the imbalance, the largest.
-// They need no names, so they carry over when machines come and go. The second result is
-// the imbalance per machine: the sum over all pairs grows with the number of machines,
-// so critic and payoff both take it per machine, or fixed rates diverge.
+// Features returns the features of the loads for the critic: a constant, the mean, the imbalance per
+// machine and the maximum. They don't depend on the names of machines, so they remain valid when
+// machines are added or removed. The second result is the unscaled imbalance per machine. Both the
+// critic and the payoff use it per machine, because the sum over all pairs grows with the number of
+// machines and learning with fixed rates would diverge.
 func Features(loads []float64) (features []float64, imbalancePerMachine float64) {
 	if len(loads) == 0 {
 		return []float64{1, 0, 0, 0}, 0
 	}
-	mean, most := 0.0, 0.0
+	mean, maximum := 0.0, 0.0
 	for _, load := range loads {
 		mean += load
-		most = max(most, load)
+		maximum = max(maximum, load)
 	}
 	mean /= float64(len(loads))
 	imbalancePerMachine = Imbalance(loads) / float64(len(loads))
 	const scale = tuning.LoadScale
-	return []float64{1, mean * scale, imbalancePerMachine * scale, most * scale}, imbalancePerMachine
+	return []float64{1, mean * scale, imbalancePerMachine * scale, maximum * scale}, imbalancePerMachine
 }
 
-// Imbalance is the thesis' cost of N loads: 1/(N-1) times the summed |x_j - x_k| over
-// all ordered pairs.
+// Imbalance returns the thesis' cost of N loads x: the sum of |x_j - x_k| over all ordered pairs,
+// divided by N-1.
 func Imbalance(loads []float64) float64 {
 	if len(loads) < 2 {
 		return 0
 	}
-	// In order, the i-th is larger than i others and smaller than the rest.
+	// In sorted order the i-th load is added i times and subtracted for each load after it.
 	sorted := slices.Sorted(slices.Values(loads))
 	sum := 0.0
 	for i, load := range sorted {
@@ -111,8 +112,8 @@
 	return 2 * sum / float64(len(loads)-1)
 }
 
-// Payoff of a window: less the more imbalanced the machines are and the more tasks were
-// passed between shards, per machine.
+// Payoff returns the payoff of a window. It decreases with the imbalance and with the number of tasks
+// passed between shards, each per machine.
 func Payoff(imbalancePerMachine float64, passes, machines int) float64 {
 	return (-imbalancePerMachine - tuning.PassCost*float64(passes)/float64(max(machines, 1))) * tuning.LoadScale
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,6 @@
-// Package quota is the arithmetic of teams' limits and guarantees. It knows neither jobs
-// nor machines: whoever asks sums up what counts against a limit. In all limits 0 means none.
+// Package quota calculates with the limits and guarantees of teams. It has no access to the state of
+// jobs and machines: callers add up the usage that counts against a limit. In all limits 0 means no
+// limit.
 package quota
 
 import (
@@ -9,14 +10,14 @@
 	"brassglade/internal/tuning"
 )
 
-// Within tells whether a use stays within a limit: it may reach it.
-func Within(use, limit domain.Resources) bool {
-	return (limit.CPU == 0 || use.CPU <= limit.CPU) &&
-		(limit.GPU == 0 || use.GPU <= limit.GPU) &&
-		(limit.Memory == 0 || use.Memory <= limit.Memory)
+// Within reports whether a usage is at most the limit.
+func Within(usage, limit domain.Resources) bool {
+	return (limit.CPU == 0 || usage.CPU <= limit.CPU) &&
+		(limit.GPU == 0 || usage.GPU <= limit.GPU) &&
+		(limit.Memory == 0 || usage.Memory <= limit.Memory)
 }
 
-// OnlyLimited leaves out of an amount what a limit does not bound.
+// OnlyLimited returns an amount with 0 for each kind of resource that has no limit.
 func OnlyLimited(amount, limit domain.Resources) domain.Resources {
 	if limit.CPU == 0 {
 		amount.CPU = 0
@@ -30,77 +31,77 @@
 	return amount
 }
 
-// Slack is how much of a team's limit one of so many controllers sets aside beyond its
-// bookings, so that at size hardly any commit has to change the team's key. It is nothing
-// where the limit is only a few tasks like the requested one, and less the less is left,
-// which is the part of the limit that no controller has set aside.
-func Slack(limit, left, request domain.Resources, controllers int) domain.Resources {
+// Slack returns how much of a team's limit each controller reserves beyond its bookings, so that in a
+// large cluster few commits have to change the team's key. The parameter unreserved is the part of
+// the limit that no controller has reserved; the slack shrinks with it. The slack is 0 if it would be
+// less than tuning.SlackTasks tasks like the requested one.
+func Slack(limit, unreserved, request domain.Resources, controllers int) domain.Resources {
 	n := int64(controllers)
 	return domain.Resources{
-		CPU:    resourceSlack(limit.CPU, left.CPU, request.CPU, n),
-		GPU:    resourceSlack(limit.GPU, left.GPU, request.GPU, n),
-		Memory: resourceSlack(limit.Memory, left.Memory, request.Memory, n),
+		CPU:    resourceSlack(limit.CPU, unreserved.CPU, request.CPU, n),
+		GPU:    resourceSlack(limit.GPU, unreserved.GPU, request.GPU, n),
+		Memory: resourceSlack(limit.Memory, unreserved.Memory, request.Memory, n),
 	}
 }
 
-// resourceSlack is the slack in one kind of resource.
-func resourceSlack(limit, left, request, controllers int64) int64 {
-	slack := max(0, min(limit/(tuning.SlackShare*controllers), left/(2*controllers)))
+// resourceSlack returns the slack of one kind of resource.
+func resourceSlack(limit, unreserved, request, controllers int64) int64 {
+	slack := max(0, min(limit/(tuning.SlackShare*controllers), unreserved/(2*controllers)))
 	if slack < tuning.SlackTasks*request {
 		return 0
 	}
 	return slack
 }
 
-// Verdict tells whether one more task may start within its team's limit, or else what keeps
-// it from that.
+// Verdict says whether one more task may start within its team's limit and, if not, why.
 type Verdict int
 
 // The verdicts.
 const (
 	Admitted               Verdict = iota
 	BeyondLimit                    // the limit has no room for the task
-	ReservedForStarvingJob         // the room that is left is kept for a job that starves
-	ReservedForGangs               // the room that is left is kept for gangs that wait
+	ReservedForStarvingJob         // the remaining room is reserved for a starving job
+	ReservedForGangs               // the remaining room is reserved for waiting gangs
 )
 
-// Claim is what the waiting jobs of one team keep of its limit from other tasks.
+// Claim describes the part of a team's limit that is held back from other tasks for waiting jobs.
 type Claim struct {
-	// The gangs that wait: their number, the first of them, what that takes as a whole, and
-	// what is booked by all jobs of the team that the leader places.
+	// The number of waiting gangs, the ID of the first one, the resources of all its tasks
+	// together, and what is booked for all jobs of the team that the leader places.
 	WaitingGangs   int
 	FirstGang      string
 	GangRequest    domain.Resources
 	PlacedByLeader domain.Resources
-	// GangStarving: one of the gangs has waited for so long that no small task goes ahead.
+	// GangStarving is set if one of the gangs has waited for so long that, of the tasks that are
+	// placed one by one, only those of the starving job go ahead of it.
 	GangStarving bool
 
-	// A job of which nothing began for long ("": none), and what one of its tasks takes.
-	// Large tasks at a limit would starve otherwise: each small one of the team that ends
-	// makes room for another small one, for as long as those come.
+	// The ID of a starving job ("": none), which has been ready for a long time without a booked or
+	// done task, and the request of one of its tasks. Without this claim large tasks would starve
+	// at the limit: each small task of the team that ends makes room only for another small one.
 	StarvingJob     string
 	StarvingRequest domain.Resources
 
-	// Jobs that have waited for long with nothing on don't wait for gangs any more, unless
-	// one of those starves itself.
+	// Jobs that have waited for a long time without a booked or done task. They no longer wait for
+	// gangs, unless GangStarving is set.
 	LongWaiting map[string]bool
 }
 
-// Task is one more task for which room is asked.
+// Task is a task that is to start and needs room within its team's limit.
 type Task struct {
 	Job            string
 	Request        domain.Resources
-	PlacedByLeader bool // of a job that the leader places as a whole
+	PlacedByLeader bool // belongs to a job that the leader places as a whole
 }
 
-// LeavesRoomForStarvingJob tells whether a limit keeps room, beside what is used, for a task of the
-// job that starves; for tasks of that job itself nothing is kept.
+// LeavesRoomForStarvingJob reports whether a limit has room for a task of the starving job in addition
+// to what is used. Nothing is reserved from the tasks of that job itself.
 func (c Claim) LeavesRoomForStarvingJob(job string, used, limit domain.Resources) bool {
 	return c.StarvingJob == "" || c.StarvingJob == job || Within(used.Plus(c.StarvingRequest, 1), limit)
 }
 
-// Admit tells whether one more task stays within the limit and leaves what the waiting jobs
-// claim of it.
+// Admit decides whether one more task may start: it has to stay within the limit and leave room for
+// the waiting jobs.
 func (c Claim) Admit(task Task, used, limit domain.Resources) Verdict {
 	withTask := used.Plus(task.Request, 1)
 	switch {
@@ -114,10 +115,9 @@
 	return ReservedForGangs
 }
 
-// Allows tells whether one more task leaves room for the starving job and, unless it may
-// go ahead of them, leaves the waiting gangs all that they could have of the limit. What
-// no gang can use, small tasks may. It doesn't ask whether the task itself is within
-// the limit.
+// Allows reports whether one more task leaves room for the starving job and, unless it may go ahead of
+// the waiting gangs, for as many gangs as the limit has room for. Small tasks may use what no gang can
+// use. Allows doesn't check that the task itself is within the limit.
 func (c Claim) Allows(task Task, used, limit domain.Resources) bool {
 	withTask := used.Plus(task.Request, 1)
 	if !c.LeavesRoomForStarvingJob(task.Job, withTask, limit) {
@@ -129,32 +129,32 @@
 	return c.gangsThatFit(withTask.Plus(c.PlacedByLeader, -1), limit) >= c.maxConcurrentGangs(limit)
 }
 
-// maxConcurrentGangs is how many gangs like the first that waits, running and waiting ones, the
-// team could have at once.
+// maxConcurrentGangs returns how many gangs like the first waiting one the team could have booked at
+// once, counting the booked and the waiting ones.
 func (c Claim) maxConcurrentGangs(limit domain.Resources) int64 {
-	wanted := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
-	return min(wanted, c.gangsThatFit(domain.Resources{}, limit))
+	gangs := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
+	return min(gangs, c.gangsThatFit(domain.Resources{}, limit))
 }
 
-// ReservedForGangs is the part of a limit that small tasks leave to gangs, running and waiting ones.
+// ReservedForGangs returns the part of a limit that small tasks leave to booked and waiting gangs.
 func (c Claim) ReservedForGangs(limit domain.Resources) domain.Resources {
 	return domain.Resources{}.Plus(c.GangRequest, c.maxConcurrentGangs(limit))
 }
 
-// bypassesGangs tells whether a task needn't leave room for waiting gangs.
+// bypassesGangs reports whether a task may go ahead without leaving room for the waiting gangs.
 func (c Claim) bypassesGangs(task Task) bool {
 	return task.PlacedByLeader || c.StarvingJob == task.Job || c.LongWaiting[task.Job] && !c.GangStarving
 }
 
-// gangsThatFit is how many gangs like the first that waits a limit has room for beside
-// a use by small tasks. Memory doesn't bound it.
-func (c Claim) gangsThatFit(small, limit domain.Resources) int64 {
+// gangsThatFit returns how many gangs like the first waiting one a limit has room for in addition to
+// the usage of small tasks. It ignores memory.
+func (c Claim) gangsThatFit(usedBySmall, limit domain.Resources) int64 {
 	room := domain.Resources{CPU: math.MaxInt32, GPU: math.MaxInt32, Memory: math.MaxInt32}
 	if limit.CPU > 0 {
-		room.CPU = limit.CPU - small.CPU
+		room.CPU = limit.CPU - usedBySmall.CPU
 	}
 	if limit.GPU > 0 {
-		room.GPU = limit.GPU - small.GPU
+		room.GPU = limit.GPU - usedBySmall.GPU
 	}
 	return room.CountFitting(c.GangRequest, tuning.MaxCountedGangs)
 }
--- a/internal/tardiness/tardiness.go
+++ b/internal/tardiness/tardiness.go
@@ -1,52 +1,53 @@
-// Package tardiness chooses which of several jobs are to be late when not all of them can be
-// in time: as few as can be.
+// Package tardiness chooses which jobs are to miss their deadlines when not all of them can be on
+// time, such that their number is minimal.
 package tardiness
 
 import "sort"
 
-// Job is what the choice needs to know of a job. Times are in seconds.
+// Job holds the times of a job that the choice depends on, in seconds, and the result.
 type Job struct {
-	TimeLeft float64 // from now until it is due
-	Work     float64 // of the one machine that all jobs share
-	RunTime  float64 // that it needs besides, after its work; the machine is free for others by then
-	Late     bool    // the answer of FewestLate
+	TimeLeft float64 // time from now until its deadline
+	Work     float64 // time that it occupies the single machine that all jobs share
+	RunTime  float64 // further time that it needs after its work, during which the machine is free for others
+	Late     bool    // result of FewestLate: it misses its deadline
 }
 
-// FewestLate sets for as few jobs as can be that they are late, such that all others are in
-// time if their work is done one job after the other from a time on; it returns the time at
-// which that of the others ends. It sorts the jobs by the time left, equals as they were.
+// FewestLate sets Late of each job such that as few jobs as possible are late and all others are on
+// time if their work is done one job after the other from begin on. It returns the time at which the
+// work of these others ends. It sorts the jobs by TimeLeft, with a stable sort.
 //
-// This is Moore and Hodgson's rule (J. M. Moore, "An n job, one machine sequencing algorithm
-// for minimizing the number of late jobs", Management Science 15, 1968): in order of time left,
-// and whenever one job would be late, the one with the most work so far is taken out. Here the
-// one machine is the whole fleet, and a job's last task needs its run time besides.
+// This is the Moore-Hodgson algorithm (J. M. Moore, "An n job, one machine sequencing algorithm for
+// minimizing the number of late jobs", Management Science 15, 1968). It adds the jobs in order of
+// their deadlines; whenever one would be late, it removes the job with the most work of those added so
+// far. Here the single machine stands for the whole fleet, and a job ends only after the run time of
+// its last task, which comes after the job's work.
 func FewestLate(jobs []*Job, begin float64) (end float64) {
 	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].TimeLeft < jobs[b].TimeLeft })
 	end = begin
-	var inTime []*Job
+	var onTime []*Job
 	for _, job := range jobs {
-		job.Late = job.RunTime > job.TimeLeft // too late even alone
+		job.Late = job.RunTime > job.TimeLeft // late even if its work took no time
 		if job.Late {
 			continue
 		}
-		inTime = append(inTime, job)
+		onTime = append(onTime, job)
 		end += job.Work
 		if end+job.RunTime > job.TimeLeft {
-			k := indexOfMostWork(inTime)
-			end -= inTime[k].Work
-			inTime[k].Late = true
-			inTime = append(inTime[:k], inTime[k+1:]...)
+			removed := indexOfMostWork(onTime)
+			end -= onTime[removed].Work
+			onTime[removed].Late = true
+			onTime = append(onTime[:removed], onTime[removed+1:]...)
 		}
 	}
 	return end
 }
 
-// indexOfMostWork is the index of the first job with the most work.
+// indexOfMostWork returns the index of the first job with the most work.
 func indexOfMostWork(jobs []*Job) int {
 	most := 0
-	for k := range jobs {
-		if jobs[k].Work > jobs[most].Work {
-			most = k
+	for i := range jobs {
+		if jobs[i].Work > jobs[most].Work {
+			most = i
 		}
 	}
 	return most
--- a/internal/tardiness/tardiness_test.go
+++ b/internal/tardiness/tardiness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMinimumNumberOfLateJobs compares the rule with all ways to choose which jobs are late.
+// TestMinimumNumberOfLateJobs compares the algorithm's result with all possible choices of late jobs.
 func TestMinimumNumberOfLateJobs(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	for round := range 300 {
@@ -28,13 +28,13 @@
 			}
 		}
 		if n, ok := inTime(jobs, kept); !ok || n != most {
-			t.Fatalf("round %d: %d jobs chosen to be in time (all are: %t), %d could be", round, n, ok, most)
+			t.Fatalf("round %d: %d jobs chosen to be on time (all of them are: %t), the maximum is %d", round, n, ok, most)
 		}
 	}
 }
 
-// inTime counts the chosen jobs, a bit for each, and tells whether all of them are in time
-// one after the other.
+// inTime returns the number of chosen jobs, which are given by a bit each, and reports whether all of
+// them are on time if they are done one after the other.
 func inTime(jobs []*Job, chosen int) (n int, ok bool) {
 	var in []*Job
 	for i, job := range jobs {
@@ -59,15 +59,15 @@
 		late  []bool
 		end   float64
 	}{
-		"none":                         {nil, 3, nil, 3},
-		"just in time":                 {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 0, []bool{false}, 7},
-		"late by its run time":         {[]Job{{TimeLeft: 10, Work: 7, RunTime: 4}}, 0, []bool{true}, 0},
-		"late even alone":              {[]Job{{TimeLeft: 10, Work: 1, RunTime: 11}}, 5, []bool{true}, 5},
-		"late by a late begin":         {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 1, []bool{true}, 1},
-		"the most work gives way":      {[]Job{{TimeLeft: 20, Work: 15}, {TimeLeft: 22, Work: 6}, {TimeLeft: 23, Work: 6}}, 0, []bool{true, false, false}, 12},
-		"of equal work the first does": {[]Job{{TimeLeft: 12, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{false, true}, 8},
-		"of equals the first does":     {[]Job{{TimeLeft: 10, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{true, false}, 8},
-		"an old answer is forgotten":   {[]Job{{TimeLeft: 10, Work: 8, Late: true}}, 0, []bool{false}, 8},
+		"no jobs":                                    {nil, 3, nil, 3},
+		"exactly on time":                            {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 0, []bool{false}, 7},
+		"late because of its run time":               {[]Job{{TimeLeft: 10, Work: 7, RunTime: 4}}, 0, []bool{true}, 0},
+		"run time exceeds the time left":             {[]Job{{TimeLeft: 10, Work: 1, RunTime: 11}}, 5, []bool{true}, 5},
+		"late because of the begin":                  {[]Job{{TimeLeft: 10, Work: 7, RunTime: 3}}, 1, []bool{true}, 1},
+		"the job with the most work is late":         {[]Job{{TimeLeft: 20, Work: 15}, {TimeLeft: 22, Work: 6}, {TimeLeft: 23, Work: 6}}, 0, []bool{true, false, false}, 12},
+		"of equal work the earlier deadline is late": {[]Job{{TimeLeft: 12, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{false, true}, 8},
+		"of equal jobs the first is late":            {[]Job{{TimeLeft: 10, Work: 8}, {TimeLeft: 10, Work: 8}}, 0, []bool{true, false}, 8},
+		"an earlier result is overwritten":           {[]Job{{TimeLeft: 10, Work: 8, Late: true}}, 0, []bool{false}, 8},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var jobs []*Job
@@ -80,7 +80,7 @@
 				late = append(late, x.jobs[i].Late)
 			}
 			if !slices.Equal(late, x.late) || end != x.end {
-				t.Errorf("late: %t, the others end at %g; want %t, %g", late, end, x.late, x.end)
+				t.Errorf("late: %t, the work of the others ends at %g; want %t, %g", late, end, x.late, x.end)
 			}
 		})
 	}
