--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -48,7 +48,7 @@
 //
 // The verbose form, without a version:
 //
-//	?5        five queued tasks      ?1,a,p   one with a attempts so far, passed to shard p
+//	?5        five queued tasks      ?1,a,p   one queued task, a attempts so far, passed to shard p
 //	!3        three done             *4       four booked
 //	|n-000231,z,p,e,a:8-10.12   tasks 8, 9, 10 and 12 are booked on that machine in zone z
 //	                            by controller p, agent epoch e, attempt a
--- a/internal/codec/job_header.go
+++ b/internal/codec/job_header.go
@@ -20,7 +20,7 @@
 	Spec         *domain.JobSpec `json:"s,omitempty"` // nil once the job has ended and no task is booked
 	TaskCount    int             `json:"n"`
 	Shard        string          `json:"p,omitempty"`  // shard that its tasks are queued in, unless they name another
-	AcceptOrder  uint64          `json:"q,omitempty"`  // revision at which it was accepted; jobs are served in this order
+	AcceptOrder  uint64          `json:"q,omitempty"`  // revision at which it was accepted, for first-come, first-served order
 	ChunkSize    int             `json:"ch,omitempty"` // tasks in a chunk
 	Handovers    int             `json:"hp,omitempty"` // number of times that the whole job was passed to another shard
 	Inline       bool            `json:"i,omitempty"`  // the tasks are stored in this header, in InlineTasks
--- a/internal/domain/command.go
+++ b/internal/domain/command.go
@@ -22,15 +22,15 @@
 // CommandReason is the reason for a command, as it appears in logs and metrics.
 type CommandReason string
 
-// The reasons for commands. ReasonBooked is the only reason for a start: a committed booking names
-// the machine's agent epoch.
+// The reasons for commands. The only reason for a start is ReasonBooked: the task has a committed
+// booking on the machine, which names the present agent epoch.
 const (
 	ReasonBooked           CommandReason = "booked"
 	ReasonOutcomeCommitted CommandReason = "settled"     // for ForgetTask: the outcome is committed
 	ReasonNotBooked        CommandReason = "not_booked"  // the task is no longer booked on that machine
 	ReasonGangBroken       CommandReason = "gang_broken" // some tasks of the gang's attempt are no longer booked
 	ReasonGangStop         CommandReason = "gang_halt"   // the whole gang saves its progress and stops together
-	ReasonPreempted        CommandReason = "preempted"   // by work of higher priority; idle work by any other work
+	ReasonPreempted        CommandReason = "preempted"   // for work of higher priority; idle work for any other work
 	ReasonPreemptionNotice CommandReason = "recalled"    // the cloud is about to take the machine back
 	ReasonDraining         CommandReason = "draining"    // the machine is drained and takes no more work
 )
--- a/internal/policy/actor.go
+++ b/internal/policy/actor.go
@@ -123,8 +123,9 @@
 
 // Step moves the weights and biases along the accumulated gradients, in proportion to the
 // temporal-difference error delta. It resets values that are not finite or exceed
-// tuning.WeightBound to their initial values, and returns how many these were. It then drops the
-// names that are not in alive; nil keeps all.
+// tuning.WeightBound to their initial values, and returns how many these were. If delta is not a
+// number or excessive, the weights stay as they are. In any case Step discards the gradients and the
+// names that are not in alive; nil keeps all names.
 func (a *Actor) Step(delta float64, alive map[string]bool) (reset int) {
 	if a.draws > 0 && isBounded(delta/1e6) {
 		reset = a.applyGradients(tuning.ActorRate * delta / float64(a.draws))
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -56,7 +56,7 @@
 // Verdict says whether one more task may start within its team's limit and, if not, why.
 type Verdict int
 
-// The verdicts.
+// The verdicts on a task.
 const (
 	Admitted               Verdict = iota
 	BeyondLimit                    // the limit has no room for the task
@@ -95,7 +95,7 @@
 }
 
 // LeavesRoomForStarvingJob reports whether a limit has room for a task of the starving job in addition
-// to what is used. Nothing is reserved from the tasks of that job itself.
+// to what is used. It is always true for tasks of that job itself.
 func (c Claim) LeavesRoomForStarvingJob(job string, used, limit domain.Resources) bool {
 	return c.StarvingJob == "" || c.StarvingJob == job || Within(used.Plus(c.StarvingRequest, 1), limit)
 }
@@ -116,8 +116,9 @@
 }
 
 // Allows reports whether one more task leaves room for the starving job and, unless it may go ahead of
-// the waiting gangs, for as many gangs as the limit has room for. Small tasks may use what no gang can
-// use. Allows doesn't check that the task itself is within the limit.
+// the waiting gangs, for all booked and waiting gangs or as many of them as the limit has room for.
+// So other tasks may use the room that no gang can use. Allows doesn't check that the task itself is
+// within the limit.
 func (c Claim) Allows(task Task, used, limit domain.Resources) bool {
 	withTask := used.Plus(task.Request, 1)
 	if !c.LeavesRoomForStarvingJob(task.Job, withTask, limit) {
@@ -130,13 +131,13 @@
 }
 
 // maxConcurrentGangs returns how many gangs like the first waiting one the team could have booked at
-// once, counting the booked and the waiting ones.
+// once. It is the number of booked and waiting ones, or less if the limit has no room for so many.
 func (c Claim) maxConcurrentGangs(limit domain.Resources) int64 {
 	gangs := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
 	return min(gangs, c.gangsThatFit(domain.Resources{}, limit))
 }
 
-// ReservedForGangs returns the part of a limit that small tasks leave to booked and waiting gangs.
+// ReservedForGangs returns the part of a limit that is reserved for booked and waiting gangs.
 func (c Claim) ReservedForGangs(limit domain.Resources) domain.Resources {
 	return domain.Resources{}.Plus(c.GangRequest, c.maxConcurrentGangs(limit))
 }
@@ -147,14 +148,14 @@
 }
 
 // gangsThatFit returns how many gangs like the first waiting one a limit has room for in addition to
-// the usage of small tasks. It ignores memory.
-func (c Claim) gangsThatFit(usedBySmall, limit domain.Resources) int64 {
+// the usage of other tasks. It ignores memory.
+func (c Claim) gangsThatFit(usedByOthers, limit domain.Resources) int64 {
 	room := domain.Resources{CPU: math.MaxInt32, GPU: math.MaxInt32, Memory: math.MaxInt32}
 	if limit.CPU > 0 {
-		room.CPU = limit.CPU - usedBySmall.CPU
+		room.CPU = limit.CPU - usedByOthers.CPU
 	}
 	if limit.GPU > 0 {
-		room.GPU = limit.GPU - usedBySmall.GPU
+		room.GPU = limit.GPU - usedByOthers.GPU
 	}
 	return room.CountFitting(c.GangRequest, tuning.MaxCountedGangs)
 }
