--- a/internal/codec/names.go
+++ b/internal/codec/job_names.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// jobNamePrefix is what the names of jobs begin with; lists of names leave it out.
+// jobNamePrefix is the prefix of job names. It is omitted in lists of names.
 const jobNamePrefix = "job-"
 
-// ParseNames reads the names of jobs from a text by JoinNames.
-func ParseNames(text string) []string {
+// ParseJobNames returns the job names in a text that JoinJobNames wrote.
+func ParseJobNames(text string) []string {
 	names := strings.Fields(text)
 	for i := range names {
 		names[i] = jobNamePrefix + names[i]
@@ -14,9 +14,9 @@
 	return names
 }
 
-// JoinNames joins the names of jobs to texts of at most maxBytes each, but for a single name
-// that is longer.
-func JoinNames(ids []string, maxBytes int) []string {
+// JoinJobNames joins job names to texts of at most maxBytes bytes each. A single name that is longer
+// gets a text of its own.
+func JoinJobNames(ids []string, maxBytes int) []string {
 	var texts []string
 	for _, id := range ids {
 		name := strings.TrimPrefix(id, jobNamePrefix)
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -25,8 +25,8 @@
 
 func newLearner() learner {
 	return learner{
-		arrivals: policy.TowardsLeast(),
-		steals:   policy.TowardsMost(),
+		arrivals: policy.NewLeastLoadedActor(),
+		steals:   policy.NewMostLoadedActor(),
 		critic:   policy.NewCritic(),
 	}
 }
@@ -49,7 +49,7 @@
 	if learner.critic.HasWindow() && c.cfg.Learn {
 		c.updateWeights(features, imbalance, handovers, len(all))
 	}
-	learner.critic.Begin(features)
+	learner.critic.BeginWindow(features)
 	c.publishWindow(loads)
 	learner.handovers, learner.finishedTasks = 0, 0
 }
@@ -114,7 +114,7 @@
 	}
 	c.debug("learning window ended", "imbalance", imbalance, "handovers", handovers, "delta", delta, "finished_tasks", learner.finishedTasks, "critic_weights", learner.critic.Weights())
 	if learner.sequence%tuning.ConsensusWindows == 0 {
-		learner.critic.Average(c.peerCriticWeights())
+		learner.critic.AverageWith(c.peerCriticWeights())
 	}
 }
 
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -96,6 +96,6 @@
 	}
 	probabilities := actor.Probabilities(choices)
 	chosen := policy.Draw(probabilities, c.rng.Float64())
-	actor.Gather(choices, probabilities, chosen)
+	actor.AccumulateGradient(choices, probabilities, chosen)
 	return chosen
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -26,7 +26,7 @@
 // judge returns quota.Admitted if one more task of a job stays within the team's limit and leaves
 // the room claimed by the team's waiting jobs, or else the reason why it doesn't.
 func (q quotaClaim) judge(spec *domain.JobSpec, used, limit domain.Resources) quota.Verdict {
-	return q.Judge(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
+	return q.Admit(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
 
 // admits reports whether the team's limit and claims let one more task of a job start.
@@ -41,7 +41,7 @@
 	if d != nil {
 		used = used.Plus(d.usageByTeam[team], 1)
 	}
-	for controller, share := range c.cache.shares[team].ByNode {
+	for controller, share := range c.cache.shares[team].ByController {
 		if controller != c.cfg.Controller {
 			used = used.Plus(share, 1)
 		}
@@ -102,7 +102,7 @@
 func (c *Controller) addLeaderPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
-		claim.GangStarves = claim.GangStarves || j.blocksOthers(c.now)
+		claim.GangStarving = claim.GangStarving || j.blocksOthers(c.now)
 		if claim.WaitingGangs == 0 {
 			claim.FirstGang = j.ID
 			claim.GangRequest = domain.Resources{}.Plus(spec.Request, int64(spec.TaskCount))
@@ -138,7 +138,7 @@
 // the team's key needn't change.
 func (d *draft) ownShareFits(spec *domain.JobSpec) bool {
 	own := d.ownUsage(spec.Team).Plus(spec.Request, 1)
-	return d.c.ownShare(spec.Team).Fits(quota.Bounded(own, d.c.cfg.Teams[spec.Team].Limit))
+	return d.c.ownShare(spec.Team).Fits(quota.OnlyLimited(own, d.c.cfg.Teams[spec.Team].Limit))
 }
 
 // ownUsage returns the resources that this controller has booked for a team, with the draft's.
@@ -148,7 +148,7 @@
 
 // ownShare returns this controller's share of a team's limit.
 func (c *Controller) ownShare(team string) domain.Resources {
-	return c.cache.shares[team].ByNode[c.cfg.Controller]
+	return c.cache.shares[team].ByController[c.cfg.Controller]
 }
 
 // avoidsShareChange reports whether a commit of the team's key failed by a conflict a short time
@@ -162,7 +162,7 @@
 func (c *Controller) shareSlack(team string, request domain.Resources) domain.Resources {
 	limit := c.cfg.Teams[team].Limit
 	left := limit
-	for _, share := range c.cache.shares[team].ByNode {
+	for _, share := range c.cache.shares[team].ByController {
 		left = left.Plus(share, -1)
 	}
 	return quota.Slack(limit, left, request, len(c.cfg.Controllers))
@@ -177,7 +177,7 @@
 		return
 	}
 	limit := c.cfg.Teams[team].Limit
-	use := quota.Bounded(d.ownUsage(team), limit)
+	use := quota.OnlyLimited(d.ownUsage(team), limit)
 	have := c.ownShare(team)
 	slack := c.shareSlack(team, request)
 	fits := have.Fits(use)
@@ -190,10 +190,10 @@
 		want = use
 	}
 	shares := c.cache.cloneShares(team)
-	if shares.ByNode == nil {
-		shares.ByNode = map[string]domain.Resources{}
+	if shares.ByController == nil {
+		shares.ByController = map[string]domain.Resources{}
 	}
-	shares.ByNode[c.cfg.Controller] = want
+	shares.ByController[c.cfg.Controller] = want
 	d.shares[team] = shares
 	d.addCondition(codec.PrefixTeam + team)
 }
@@ -212,7 +212,7 @@
 
 // cloneShares returns a copy of the committed shares of a team's limit.
 func (c *cache) cloneShares(team string) codec.TeamShares {
-	return codec.TeamShares{ByNode: maps.Clone(c.shares[team].ByNode)}
+	return codec.TeamShares{ByController: maps.Clone(c.shares[team].ByController)}
 }
 
 // oneGPU is the request of a task of one GPU.
@@ -240,8 +240,8 @@
 // still booked by them.
 func (d *draft) adjustSharesOfNonMembers(team string) {
 	c := d.c
-	for controller, share := range c.cache.shares[team].ByNode {
-		use := quota.Bounded(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
+	for controller, share := range c.cache.shares[team].ByController {
+		use := quota.OnlyLimited(c.cache.usage[team][controller], c.cfg.Teams[team].Limit)
 		if _, isMember := c.cache.view.Members[controller]; isMember || use == share {
 			continue
 		}
@@ -251,9 +251,9 @@
 			d.shares[team] = shares
 			d.addCondition(codec.PrefixTeam + team)
 		}
-		shares.ByNode[controller] = use
+		shares.ByController[controller] = use
 		if use == (domain.Resources{}) {
-			delete(shares.ByNode, controller)
+			delete(shares.ByController, controller)
 		}
 	}
 }
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -61,8 +61,8 @@
 			withinGuarantee: withinGuarantee,
 			timesLeft:       c.goals(j),
 			timing: tardiness.Job{
-				Work: float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
-				Run:  c.queues.runTime(spec) + tuning.StartLag,
+				Work:    float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
+				RunTime: c.queues.runTime(spec) + tuning.StartLag,
 			},
 		})
 	}
@@ -133,7 +133,7 @@
 	if u.objective < len(u.timesLeft) {
 		return u.timesLeft[u.objective]
 	}
-	return -u.timing.Run
+	return -u.timing.RunTime
 }
 
 // assignObjectives assigns each job to the first objective that it can meet together with the other
@@ -150,7 +150,7 @@
 		var candidates []*tardiness.Job
 		for _, u := range jobs {
 			if u.isAssignedTo(objective) {
-				u.timing.Left = u.timesLeft[objective]
+				u.timing.TimeLeft = u.timesLeft[objective]
 				candidates = append(candidates, &u.timing)
 			}
 		}
--- a/internal/scheduler/urgency_test.go
+++ b/internal/scheduler/urgency_test.go
@@ -10,7 +10,7 @@
 // first objectives.
 func TestLargestJobIsPostponed(t *testing.T) {
 	newJob := func(work, seconds float64) *rankedJob {
-		return &rankedJob{timing: tardiness.Job{Run: 10, Work: work}, timesLeft: []float64{seconds, 2 * seconds}}
+		return &rankedJob{timing: tardiness.Job{RunTime: 10, Work: work}, timesLeft: []float64{seconds, 2 * seconds}}
 	}
 	large, small, second, hopeless := newJob(60, 80), newJob(10, 40), newJob(15, 90), newJob(5, 4)
 	assignObjectives([]*rankedJob{large, small, second, hopeless})
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -30,10 +30,10 @@
 
 // reasonsByVerdict maps each verdict on a team's limit to a wait reason.
 var reasonsByVerdict = map[quota.Verdict]WaitReason{
-	quota.Admitted:           WaitsForNothing,
-	quota.BeyondLimit:        WaitsForLimit,
-	quota.KeptForStarvingJob: WaitsForStarvingJob,
-	quota.KeptForGangs:       WaitsForGangs,
+	quota.Admitted:               WaitsForNothing,
+	quota.BeyondLimit:            WaitsForLimit,
+	quota.ReservedForStarvingJob: WaitsForStarvingJob,
+	quota.ReservedForGangs:       WaitsForGangs,
 }
 
 // recordWaitReason records why a job's tasks can't start, and logs it if the reason has changed. The
@@ -49,7 +49,7 @@
 	var kept domain.Resources
 	switch reason {
 	case WaitsForGangs:
-		keptFor, kept = claim.FirstGang, claim.KeptForGangs(limit)
+		keptFor, kept = claim.FirstGang, claim.ReservedForGangs(limit)
 	case WaitsForStarvingJob:
 		keptFor, kept = claim.StarvingJob, claim.StarvingRequest
 	}
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -52,7 +52,7 @@
 		}, WaitsForLimit, ""},
 		{"a commit of the team's key failed by a conflict", func(c *Controller, _ *Machine) {
 			c.commits.avoidUntil[codec.PrefixTeam+"red"] = time.Hour
-			c.cache.shares["red"].ByNode["c-0"] = domain.Resources{CPU: 1000}
+			c.cache.shares["red"].ByController["c-0"] = domain.Resources{CPU: 1000}
 		}, WaitsForShare, ""},
 		{"a gang of the team is waiting", func(c *Controller, _ *Machine) { applyGang(c, 28) }, WaitsForGangs, jobName(3)},
 		{"a job of the team is starving", func(c *Controller, _ *Machine) {
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -123,7 +123,7 @@
 	redirectAll(3)
 	c.advance(time.Second, sameZone)
 	view := c.desiredView()
-	if view == nil || !view.Zoned || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
+	if view == nil || !view.OwnedByZone || len(view.OwnerOverrides) > 0 || len(view.Serving) != 4 {
 		t.Fatalf("view after repeated redirects: %+v, want a zoned view of 4 controllers without overrides", view)
 	}
 	view.Epoch = 4
@@ -139,7 +139,7 @@
 		t.Errorf("a machine of unknown zone belongs to %s", owner)
 	}
 	c.advance(20*time.Second, sameZone)
-	if view := c.desiredView(); view != nil && !view.Zoned {
+	if view := c.desiredView(); view != nil && !view.OwnedByZone {
 		t.Error("the view was no longer zoned while the zones were still partitioned")
 	}
 	for i := 0; i < 30; i++ {
@@ -148,7 +148,7 @@
 			break
 		}
 	}
-	if view == nil || view.Zoned {
+	if view == nil || view.OwnedByZone {
 		t.Errorf("view after all controllers reached each other again: %+v, want one that is not zoned", view)
 	}
 }
@@ -260,7 +260,7 @@
 		put(codec.KeyJob(id), &codec.JobHeader{State: domain.StateOpen, TaskCount: 2, ChunkSize: 2, Shard: pack[:3], Pack: pack,
 			Spec: &domain.JobSpec{Class: "x", Team: "red", Shape: domain.Array, TaskCount: 2, Request: domain.Resources{CPU: 1000}}})
 		chunk := &codec.ChunkValue{Texts: map[string]string{}}
-		chunk.Put(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: own[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(own[i])}, {State: domain.Done}})
+		chunk.SetTasks(id, []domain.Task{{State: domain.Booked, Attempt: 1, Machine: own[i], AgentEpoch: 1, Shard: "c-0", Zone: c.zoneOf(own[i])}, {State: domain.Done}})
 		put(codec.PrefixPack+pack, chunk)
 		c.recordHeartbeat(c.heartbeats.machines[own[i]], &domain.Heartbeat{Machine: own[i], Type: "box", Zone: c.zoneOf(own[i]), AgentEpoch: 1, Sequence: 5, PreemptionNotice: -1,
 			Tasks: []domain.TaskReport{{Task: domain.TaskID{Job: id, Index: 0}, Attempt: 1, State: domain.ReportedEnded, Cause: domain.CauseDone}}}, true)
