--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -40,11 +40,11 @@
 		b.ReportMetric(float64(mem.HeapAlloc)/float64(len(c.processes))/(1<<20), "MB/controller-with-standin")
 		b.ReportMetric(float64(c.state.changes)/seconds, "changes/simulated-s")
 		b.ReportMetric(float64(c.state.requests)/seconds, "requests/simulated-s")
-		b.ReportMetric(float64(c.Starts()), "starts")
+		b.ReportMetric(float64(c.TaskStarts()), "starts")
 		b.ReportMetric(float64(len(c.workers)), "machines")
 		b.ReportMetric(float64(c.state.revision), "commits")
-		if len(c.Broken) > 0 {
-			b.Fatal(c.Broken[0])
+		if len(c.Violations) > 0 {
+			b.Fatal(c.Violations[0])
 		}
 	}
 }
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -41,7 +41,7 @@
 // violated notes that a rule was broken.
 func (c *Cluster) violated(rule, format string, args ...any) {
 	violation := rule + ": " + fmt.Sprintf(format, args...)
-	c.Broken = append(c.Broken, violation)
+	c.Violations = append(c.Violations, violation)
 	c.log("BROKEN %s", violation)
 }
 
@@ -52,6 +52,6 @@
 	c.everySecond(c.checkRunningTasks)
 	c.everySecond(c.checkProgress)
 	c.everySecond(c.checkLeftWaiting)
-	peers := &gangPeers{cluster: c, incompleteSince: map[gangAttempt]time.Duration{}}
+	peers := &gangMonitor{cluster: c, incompleteSince: map[gangAttempt]time.Duration{}}
 	c.everySecond(peers.endIncompleteGangs)
 }
--- a/internal/simulation/checker_placement.go
+++ b/internal/simulation/checker_placement.go
@@ -20,7 +20,7 @@
 		}
 		for _, id := range w.taskIDs() {
 			job := c.jobs[id.Job]
-			if w.tasks[id].isOnMachine() && c.isCancelOverdue(job) && !job.isReported(c, ruleRanCancelled) {
+			if w.tasks[id].isOnMachine() && c.isCancelOverdue(job) && !job.hasViolation(c, ruleRanCancelled) {
 				c.violated(ruleRanCancelled, "%v on %s", id, w.name)
 			}
 		}
@@ -29,7 +29,7 @@
 
 // isCancelOverdue: a job's user was told cancelled longer ago than its tasks may stay.
 func (c *Cluster) isCancelOverdue(job *jobRecord) bool {
-	return job.cancelToldAt >= 0 && c.Now-job.cancelToldAt > c.settings.CancelWithin
+	return job.cancelReportedAt >= 0 && c.Now-job.cancelReportedAt > c.settings.CancelWithin
 }
 
 // checkQuota (quota): what is on the machines is within the teams' limits.
@@ -66,15 +66,15 @@
 	return used
 }
 
-// checkNotBusy (busy): no attempt comes beside another one that has not ended.
-func (w *worker) checkNotBusy(t *task, command domain.Command) {
+// checkNoOtherAttempt (busy): no attempt comes beside another one that has not ended.
+func (w *worker) checkNoOtherAttempt(t *task, command domain.Command) {
 	if t.attempt != command.Attempt && t.hasNotEnded() {
 		w.cluster.violated(ruleBusy, "%v try %d on %s beside try %d", command.Task, command.Attempt, w.name, t.attempt)
 	}
 }
 
-// checkNotTooEarly (too_early): all dependencies of a job that starts are done.
-func (w *worker) checkNotTooEarly(id domain.TaskID, job *jobRecord) {
+// checkDependenciesDone (too_early): all dependencies of a job that starts are done.
+func (w *worker) checkDependenciesDone(id domain.TaskID, job *jobRecord) {
 	if !w.cluster.dependenciesDone(job) {
 		w.cluster.violated(ruleTooEarly, "%s/%d on %s before what it awaits is done", id.Job, id.Index, w.name)
 	}
@@ -85,8 +85,8 @@
 // a machine drops when they are too old.
 func (w *worker) checkNotLateStart(id domain.TaskID, job *jobRecord) {
 	c := w.cluster
-	late := c.Now - job.cancelToldAt
-	if job.cancelToldAt < 0 || late <= 0 {
+	late := c.Now - job.cancelReportedAt
+	if job.cancelReportedAt < 0 || late <= 0 {
 		return
 	}
 	c.occurred("start after a cancellation was told")
--- a/internal/simulation/checker_progress.go
+++ b/internal/simulation/checker_progress.go
@@ -15,30 +15,30 @@
 	for _, id := range c.Unfinished() {
 		job := c.jobs[id]
 		c.checkAnswered(id, job)
-		c.checkBegins(id, job)
+		c.checkStartsInTime(id, job)
 	}
 }
 
 // checkAnswered (forgotten): once all troubles are over, a job about which no question is
 // answered for 75 s is forgotten.
 func (c *Cluster) checkAnswered(id string, job *jobRecord) {
-	since := c.Now - max(job.answeredAt, c.calmSince)
-	if since > 75*time.Second && !job.isReported(c, ruleForgotten) {
+	since := c.Now - max(job.answeredAt, c.faultsOverAt)
+	if since > 75*time.Second && !job.hasViolation(c, ruleForgotten) {
 		c.violated(ruleForgotten, "%s: no answer for %.0f s", id, since.Seconds())
 	}
 }
 
-// checkBegins (starved): once all troubles are over, a job begins within four minutes after
+// checkStartsInTime (starved): once all troubles are over, a job begins within four minutes after
 // its dependencies are done.
-func (c *Cluster) checkBegins(id string, job *jobRecord) {
+func (c *Cluster) checkStartsInTime(id string, job *jobRecord) {
 	if job.readyAt < 0 && c.dependenciesDone(job) {
 		job.readyAt = c.Now
 	}
-	if job.hasBegun || job.cancelRequested || job.readyAt < 0 {
+	if job.hasStarted || job.cancelRequested || job.readyAt < 0 {
 		return
 	}
-	waited := c.Now - max(job.acceptedAt, job.readyAt, c.calmSince)
-	if waited > 4*time.Minute && !job.isReported(c, ruleStarved) {
+	waited := c.Now - max(job.acceptedAt, job.readyAt, c.faultsOverAt)
+	if waited > 4*time.Minute && !job.hasViolation(c, ruleStarved) {
 		c.violated(ruleStarved, "%s has not begun", id)
 	}
 }
@@ -90,5 +90,5 @@
 
 // wasServed: the job is told done, or is a service that began.
 func (j *jobRecord) wasServed() bool {
-	return j.finalState == stateDone || j.spec.Shape == domain.Service && j.hasBegun
+	return j.finalState == stateDone || j.spec.Shape == domain.Service && j.hasStarted
 }
--- a/internal/simulation/checker_room.go
+++ b/internal/simulation/checker_room.go
@@ -44,8 +44,8 @@
 // canStart: the machine is there, in order and within reach of the controllers.
 func (w *worker) canStart() bool {
 	now := w.cluster.Now
-	isInOrder := w.isUp && !w.isGone && !w.isHung && !w.isSick && w.preemptedAt < 0
-	return isInOrder && now >= w.deafUntil && now >= w.muteUntil
+	isInOrder := w.isUp && !w.isGone && !w.isHung && !w.failsAllTasks && w.preemptedAt < 0
+	return isInOrder && now >= w.noInboundUntil && now >= w.noOutboundUntil
 }
 
 // checkLeftWaiting (left_waiting): once all troubles are over, no job is left waiting for 90 s
@@ -62,8 +62,8 @@
 			delete(c.roomSince, id)
 			continue
 		}
-		room := c.lastingRoom(job)
-		if room.usable(&job.spec, placed[id]) >= job.startsAtOnce() && !job.isReported(c, ruleLeftWaiting) {
+		room := c.sustainedRoom(job)
+		if room.usable(&job.spec, placed[id]) >= job.minTasksToStart() && !job.hasViolation(c, ruleLeftWaiting) {
 			c.violated(ruleLeftWaiting, "%s waits beside room for it", id)
 		}
 	}
@@ -89,8 +89,8 @@
 	return placed
 }
 
-// startsAtOnce is how many tasks of a job must start together.
-func (j *jobRecord) startsAtOnce() int64 {
+// minTasksToStart is how many tasks of a job must start together.
+func (j *jobRecord) minTasksToStart() int64 {
 	if j.spec.Shape == domain.Gang {
 		return int64(j.spec.TaskCount)
 	}
@@ -109,12 +109,12 @@
 		return false
 	}
 	limit := c.settings.Teams[spec.Team].Limit
-	after := used.Plus(spec.Request, job.startsAtOnce())
+	after := used.Plus(spec.Request, job.minTasksToStart())
 	return (limit.GPU == 0 || after.GPU <= limit.GPU) && (limit.CPU == 0 || after.CPU <= limit.CPU)
 }
 
-// lastingRoom is the room for a job on machines that have had some for 90 s, by zone.
-func (c *Cluster) lastingRoom(job *jobRecord) zoneCount {
+// sustainedRoom is the room for a job on machines that have had some for 90 s, by zone.
+func (c *Cluster) sustainedRoom(job *jobRecord) zoneCount {
 	since := c.roomSince[job.spec.ID]
 	if since == nil {
 		since = map[string]time.Duration{}
@@ -129,7 +129,7 @@
 			delete(since, w.name)
 		case !hadRoom:
 			since[w.name] = c.Now
-		case c.Now-max(begin, c.calmSince) > 90*time.Second:
+		case c.Now-max(begin, c.faultsOverAt) > 90*time.Second:
 			room[w.zone] += n
 		}
 	}
--- a/internal/simulation/checker_state.go
+++ b/internal/simulation/checker_state.go
@@ -13,7 +13,7 @@
 	if isFormatOn || put.Value == nil || strings.HasPrefix(put.Key, formatKey) {
 		return
 	}
-	if !asPreviousVersion(put.Key, put.Value).isWhole {
+	if !asPreviousVersion(put.Key, put.Value).isLossless {
 		s.cluster.violated(ruleMisread, "%s: %s", put.Key, put.Value)
 	}
 }
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -49,11 +49,11 @@
 	c := mustPlay(t, "drop book\nat 2 submit job-000001 array 2 blue run=20\nat 2 submit job-000002 gang 1 red run=20\nuntil 300\n")
 	for _, violation := range []string{"left_waiting: job-000001", "starved: job-000001", "unserved: 0 of 1 of team blue"} {
 		if !c.breaks(violation) {
-			t.Errorf("%s is not among %v", violation, c.Broken)
+			t.Errorf("%s is not among %v", violation, c.Violations)
 		}
 	}
-	if slices.ContainsFunc(c.Broken, func(s string) bool { return strings.Contains(s, "job-000002") || strings.Contains(s, "team red") }) {
-		t.Errorf("%v", c.Broken)
+	if slices.ContainsFunc(c.Violations, func(s string) bool { return strings.Contains(s, "job-000002") || strings.Contains(s, "team red") }) {
+		t.Errorf("%v", c.Violations)
 	}
 }
 
--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -30,7 +30,7 @@
 		job.accepted, job.answeredAt = true, c.Now
 		c.checkState(id, job, reply, asked)
 		if isNews {
-			c.lookClosely(id)
+			c.sendQueryBurst(id)
 		}
 	}
 }
@@ -67,17 +67,17 @@
 		c.checkDone(id, job)
 	case stateCancelled:
 		c.checkCancelAsked(id, job)
-		if job.cancelToldAt < 0 {
-			job.cancelToldAt = c.Now
+		if job.cancelReportedAt < 0 {
+			job.cancelReportedAt = c.Now
 		}
 	default:
-		c.checkCancelledWithPrerequisite(id, job, reply)
+		c.checkCancelledWithDependency(id, job, reply)
 		return
 	}
 	if job.finalState == "" {
 		job.finalState, job.finalStateAt = reply.State, c.Now
 		c.log("%s is told %s", id, reply.State)
-		c.lookClosely(id)
+		c.sendQueryBurst(id)
 	}
 }
 
@@ -102,11 +102,11 @@
 	}
 }
 
-// checkCancelledWithPrerequisite (orphaned): a job is cancelled soon after one that it depends on.
-func (c *Cluster) checkCancelledWithPrerequisite(id string, job *jobRecord, reply scheduler.UserReply) {
-	c.anyPrerequisite(job, func(earlier *jobRecord) bool {
+// checkCancelledWithDependency (orphaned): a job is cancelled soon after one that it depends on.
+func (c *Cluster) checkCancelledWithDependency(id string, job *jobRecord, reply scheduler.UserReply) {
+	c.anyDependency(job, func(earlier *jobRecord) bool {
 		isOverdue := c.isCancelOverdue(earlier)
-		if isOverdue && !job.isReported(c, ruleOrphaned) {
+		if isOverdue && !job.hasViolation(c, ruleOrphaned) {
 			c.violated(ruleOrphaned, "%s is %s though %s is cancelled", id, reply.State, earlier.spec.ID)
 		}
 		return isOverdue
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -76,7 +76,7 @@
 		return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 	}
 	var names []string
-	for len(names) < e.Count && c.rentedOf(e.Zone, e.Spot) < c.cluster.marketCapacity {
+	for len(names) < e.Count && c.countRented(e.Zone, e.Spot) < c.cluster.marketCapacity {
 		c.lastMachine++
 		w := newWorker(c.cluster, fmt.Sprintf("n-%06d", c.lastMachine), e.Zone, e.Spot)
 		names = append(names, w.name)
@@ -88,8 +88,8 @@
 	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
-// rentedOf counts the machines of a zone and kind that are rented now.
-func (c *cloud) rentedOf(zone string, spot bool) int {
+// countRented counts the machines of a zone and kind that are rented now.
+func (c *cloud) countRented(zone string, spot bool) int {
 	n := 0
 	for _, w := range c.cluster.workers {
 		if !w.isGone && w.zone == zone && w.isSpot == spot {
@@ -106,7 +106,7 @@
 	}
 	for _, name := range names {
 		if w := c.cluster.workersByName[name]; w != nil && !w.isGone {
-			w.vanish("returned")
+			w.terminate("returned")
 		}
 	}
 	return scheduler.ReturnAnswered{Names: names, OK: true}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -15,9 +15,9 @@
 
 // Cluster is a simulated deployment.
 type Cluster struct {
-	Now    time.Duration // virtual time since the start
-	Trace  []string      // what happened, for people
-	Broken []string      // rules that were broken, each with how
+	Now        time.Duration // virtual time since the start
+	Trace      []string      // what happened, for people
+	Violations []string      // rules that were broken, each with how
 
 	settings     scheduler.Settings
 	rng          *rand.Rand // every random draw, so that the order of draws is part of a day
@@ -36,11 +36,11 @@
 	initialTransactionLimit int  // changes a transaction may have until the limit falls; 0: as in the settings
 	startsAsPreviousVersion bool // all controllers begin as the version before
 
-	troubles       map[string]trouble // by name, with a controller's or zone's name where it strikes one alone
-	calmSince      time.Duration      // when the last trouble so far is over
-	excusesNothing bool               // tests of the checker: troubles are no excuse
-	keptHeartbeats []domain.Heartbeat // old heartbeats that reach every controller when a leader begins
-	leader         string             // by the state service's latest view
+	faults             map[string]fault   // by name, with a controller's or zone's name where it strikes one alone
+	faultsOverAt       time.Duration      // when the last trouble so far is over
+	noFaultGrace       bool               // tests of the checker: troubles are no excuse
+	recordedHeartbeats []domain.Heartbeat // old heartbeats that reach every controller when a leader begins
+	leader             string             // by the state service's latest view
 
 	occurrences   map[string]int                      // what really came about, so that tests can tell that troubles met
 	cordons       []string                            // machines that controllers cordoned, and why
@@ -96,7 +96,7 @@
 		marketCapacity:          defaultMarketCapacity,
 		initialTransactionLimit: initialTransactionLimit,
 		startsAsPreviousVersion: startsAsPreviousVersion,
-		troubles:                map[string]trouble{},
+		faults:                  map[string]fault{},
 		occurrences:             map[string]int{},
 		roomSince:               map[string]map[string]time.Duration{},
 	}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -9,8 +9,8 @@
 	"brassglade/internal/tuning"
 )
 
-// carryOut does what the scheduler decided.
-func (p *controllerProcess) carryOut(effect scheduler.Effect) {
+// applyEffect does what the scheduler decided.
+func (p *controllerProcess) applyEffect(effect scheduler.Effect) {
 	c := p.cluster
 	if c.onEffect != nil {
 		c.onEffect(p, effect)
@@ -24,7 +24,7 @@
 		askState(p, func() any { return c.state.confirm(p.name, e) }, scheduler.ConfirmationAnswered{})
 	case scheduler.Commit:
 		inDoubt := scheduler.CommitAnswered{ID: e.ID, Result: domain.InDoubt}
-		ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { c.state.commitAmidTroubles(p, e, reply) }, inDoubt)
+		ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { c.state.commitWithFaults(p, e, reply) }, inDoubt)
 	case scheduler.ReadKeys:
 		askState(p, func() any { return c.state.read(p.name, e) }, scheduler.KeysRead{ID: e.ID})
 	case scheduler.GrantLease:
@@ -44,7 +44,7 @@
 	case scheduler.SendCommands:
 		p.sendCommands(e)
 	case scheduler.LogLine:
-		p.noteLogLine(e)
+		p.recordLogLine(e)
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // askState asks the state service, which may be slow.
 func askState[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
-	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.answerSlowly(reply, serve()) }, noAnswer)
+	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.replyWithDelay(reply, serve()) }, noAnswer)
 }
 
 // askCloud asks the cloud's provider.
@@ -102,8 +102,8 @@
 	})
 }
 
-// noteLogLine counts or traces the log lines that tests look at.
-func (p *controllerProcess) noteLogLine(line scheduler.LogLine) {
+// recordLogLine counts or traces the log lines that tests look at.
+func (p *controllerProcess) recordLogLine(line scheduler.LogLine) {
 	c := p.cluster
 	switch line.Message {
 	case "value made smaller":
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,22 +9,22 @@
 	"brassglade/internal/scheduler"
 )
 
-// trouble is on for a while and strikes a share of what it may strike.
-type trouble struct {
-	until time.Duration
-	share float64       // chance to strike; 1: always
-	delay time.Duration // how much later answers come at the most, for "slow" alone
+// fault is on for a while and strikes a share of what it may strike.
+type fault struct {
+	until       time.Duration
+	probability float64       // chance to strike; 1: always
+	maxDelay    time.Duration // how much later answers come at the most, for "slow" alone
 }
 
-// startTrouble puts a trouble on from now.
-func (c *Cluster) startTrouble(name string, lasting time.Duration, share float64) {
-	c.troubles[name] = trouble{until: c.Now + lasting, share: share}
+// startFault puts a trouble on from now.
+func (c *Cluster) startFault(name string, lasting time.Duration, share float64) {
+	c.faults[name] = fault{until: c.Now + lasting, probability: share}
 }
 
-// strikes tells whether a trouble is on and chance wills it.
-func (c *Cluster) strikes(name string) bool {
-	t, isOn := c.troubles[name]
-	return isOn && c.Now < t.until && (t.share >= 1 || c.rng.Float64() < t.share)
+// shouldInject tells whether a trouble is on and chance wills it.
+func (c *Cluster) shouldInject(name string) bool {
+	t, isOn := c.faults[name]
+	return isOn && c.Now < t.until && (t.probability >= 1 || c.rng.Float64() < t.probability)
 }
 
 // occurred counts something that troubles brought about.
@@ -32,18 +32,18 @@
 	c.occurrences[what]++
 }
 
-// answerSlowly answers, later than usual while the state service is slow.
-func (c *Cluster) answerSlowly(reply func(any), answer any) {
-	if slow := c.troubles["slow"]; c.Now < slow.until {
+// replyWithDelay answers, later than usual while the state service is slow.
+func (c *Cluster) replyWithDelay(reply func(any), answer any) {
+	if slow := c.faults["slow"]; c.Now < slow.until {
 		c.occurred("slow answer")
-		c.after(time.Duration(c.rng.Int64N(int64(slow.delay))), func() { reply(answer) })
+		c.after(time.Duration(c.rng.Int64N(int64(slow.maxDelay))), func() { reply(answer) })
 		return
 	}
 	reply(answer)
 }
 
-// noticeLeader notices a change of leader: kept heartbeats reach every controller then.
-func (c *Cluster) noticeLeader(value []byte) {
+// trackLeader notices a change of leader: kept heartbeats reach every controller then.
+func (c *Cluster) trackLeader(value []byte) {
 	var view domain.View
 	if json.Unmarshal(value, &view) != nil || view.Leader == c.leader {
 		return
@@ -52,8 +52,8 @@
 		c.occurred("new leader")
 	}
 	c.leader = view.Leader
-	kept := c.keptHeartbeats
-	c.keptHeartbeats = nil
+	kept := c.recordedHeartbeats
+	c.recordedHeartbeats = nil
 	for _, heartbeat := range kept {
 		for _, p := range c.processes {
 			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
@@ -86,8 +86,8 @@
 		}
 		w.cluster.log("%s goes on", w.name)
 		w.isHung = false
-		paused := w.paused
-		w.paused = nil
+		paused := w.deferredCalls
+		w.deferredCalls = nil
 		for _, f := range paused {
 			w.whenResponsive(f)
 		}
@@ -98,16 +98,16 @@
 func (w *worker) preempt(notice time.Duration) {
 	w.cluster.log("%s is recalled", w.name)
 	w.preemptedAt = w.cluster.Now + notice
-	w.heartbeatSoon()
+	w.scheduleHeartbeat()
 	w.cluster.after(notice, func() {
 		if !w.isGone {
-			w.vanish("is taken")
+			w.terminate("is taken")
 		}
 	})
 }
 
-// vanish ends a machine with all that is on it.
-func (w *worker) vanish(how string) {
+// terminate ends a machine with all that is on it.
+func (w *worker) terminate(how string) {
 	w.cluster.log("%s %s", w.name, how)
 	w.isGone, w.goneAt = true, w.cluster.Now
 	w.tasks = map[domain.TaskID]*task{}
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -153,9 +153,9 @@
 	large := c.valuesBeyond(settings.ValueLimit, "")
 	c.state.lowerLimits(settings.ValueLimit, settings.TransactionLimit)
 	c.submitShortPipelines(20, time.Second)
-	starts := c.Starts()
+	starts := c.TaskStarts()
 	c.Run(140 * time.Second)
-	if n := c.Starts() - starts; n < 1500 {
+	if n := c.TaskStarts() - starts; n < 1500 {
 		t.Errorf("only %d tasks started in 70 s after the limits fell", n)
 	}
 	c.Run(200 * time.Second)
@@ -247,8 +247,8 @@
 	for at := 32 * time.Second; at < 80*time.Second; at += 11 * time.Second {
 		c.after(at, func() { c.process("leader").crash(300 * time.Millisecond) })
 		c.after(at+4*time.Second, func() {
-			c.startTrouble("late", 3*time.Second, 0.3)
-			c.startTrouble("lost", 5*time.Second, 0.3)
+			c.startFault("late", 3*time.Second, 0.3)
+			c.startFault("lost", 5*time.Second, 0.3)
 		})
 	}
 	c.after(84*time.Second, func() { c.state.outage(6 * time.Second) })
@@ -276,13 +276,13 @@
 			leaders := c.occurrences["new leader"]
 			answers := c.answers(c.Now - 10*time.Second)
 			t.Logf("%d of %d machines answered in the last 10 s; %d leaders; %d tasks of zone-bound arrays ran, %d starts in all; %d broken rules; %v",
-				answers.answered, answers.up, leaders, ran, c.Starts(), len(c.Broken), c.occurrences)
+				answers.answered, answers.up, leaders, ran, c.TaskStarts(), len(c.Violations), c.occurrences)
 			if answers.up < 4*x.fill*95/100 || !answers.isNearlyAll() || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
 				t.Errorf("%d of %d machines answered, %d leaders, %d tasks of zone-bound arrays ran", answers.answered, answers.up, leaders, ran)
 			}
-			broken := slices.ContainsFunc(c.Broken, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
-			if want := x.drop != ""; broken != want || !want && len(c.Broken) > 0 {
-				t.Errorf("%d broken rules: %.300s", len(c.Broken), fmt.Sprint(c.Broken))
+			broken := slices.ContainsFunc(c.Violations, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
+			if want := x.drop != ""; broken != want || !want && len(c.Violations) > 0 {
+				t.Errorf("%d broken rules: %.300s", len(c.Violations), fmt.Sprint(c.Violations))
 			}
 		})
 	}
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/guests_test.go
@@ -66,15 +66,15 @@
 	array := domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: tuning.PriorityIdle, TaskCount: 12000,
 		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
 	c.Run(60 * time.Second)
-	before := c.Starts()
+	before := c.TaskStarts()
 	c.Run(80 * time.Second)
-	quiet := c.Starts() - before
+	quiet := c.TaskStarts() - before
 	c.Submit(array, 5*time.Second)
 	c.Run(100 * time.Second)
-	before, guests := c.Starts(), len(c.firstRuns(array.ID))
+	before, guests := c.TaskStarts(), len(c.firstRuns(array.ID))
 	c.Run(140 * time.Second)
 	guests = len(c.firstRuns(array.ID)) - guests
-	others := c.Starts() - before - guests
+	others := c.TaskStarts() - before - guests
 	t.Logf("others' starts in 20 s: %d alone, %d beside the array, of which %d tasks started in 40 s", quiet, others/2, guests)
 	if others < quiet || guests < 1000 {
 		t.Errorf("beside the array %d tasks of others started in 40 s, %d in 20 s before it; %d tasks of the array", others, quiet, guests)
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -26,16 +26,16 @@
 // expectSound requires that no rule was broken and all accepted jobs came to their end.
 func expectSound(t *testing.T, c *Cluster, format string, args ...any) {
 	t.Helper()
-	if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
-		t.Errorf("%s: %d broken, %v; unfinished %v", fmt.Sprintf(format, args...), len(c.Broken), c.Broken, c.Unfinished())
+	if len(c.Violations) > 0 || len(c.Unfinished()) > 0 {
+		t.Errorf("%s: %d broken, %v; unfinished %v", fmt.Sprintf(format, args...), len(c.Violations), c.Violations, c.Unfinished())
 	}
 }
 
 // expectNoViolation requires that no rule was broken; of large fleets the first is told alone.
 func expectNoViolation(t *testing.T, c *Cluster) {
 	t.Helper()
-	if len(c.Broken) > 0 {
-		t.Errorf("%d broken rules, first %s", len(c.Broken), c.Broken[0])
+	if len(c.Violations) > 0 {
+		t.Errorf("%d broken rules, first %s", len(c.Violations), c.Violations[0])
 	}
 }
 
@@ -53,7 +53,7 @@
 
 // breaks tells whether a violation begins so.
 func (c *Cluster) breaks(violation string) bool {
-	return slices.ContainsFunc(c.Broken, func(b string) bool { return strings.HasPrefix(b, violation) })
+	return slices.ContainsFunc(c.Violations, func(b string) bool { return strings.HasPrefix(b, violation) })
 }
 
 // formatIsOn tells whether the state service says that all know the new format.
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -29,8 +29,8 @@
 	return network{linkCuts: map[string]string{}, heldOnLink: map[string][]func(){}}
 }
 
-// link names the link between two participants, whichever comes first.
-func link(a, b string) string {
+// linkKey names the linkKey between two participants, whichever comes first.
+func linkKey(a, b string) string {
 	if a > b {
 		a, b = b, a
 	}
@@ -46,7 +46,7 @@
 		}
 		return
 	}
-	key := link(from, to)
+	key := linkKey(from, to)
 	switch n.linkCuts[key] {
 	case cutDrops:
 		return
@@ -77,7 +77,7 @@
 
 // cutLink cuts two participants off from each other for a while.
 func (c *Cluster) cutLink(a, b, mode string, lasting time.Duration) {
-	key := link(a, b)
+	key := linkKey(a, b)
 	c.network.linkCuts[key] = mode
 	c.after(lasting, func() {
 		delete(c.network.linkCuts, key)
@@ -92,7 +92,7 @@
 func (c *Cluster) cutZone(zone, mode string, lasting time.Duration) {
 	c.log("zone %s is cut off (%s)", zone, mode)
 	c.network.cutOffZone, c.network.zoneMode = zone, mode
-	c.calmSince = max(c.calmSince, c.Now+lasting)
+	c.faultsOverAt = max(c.faultsOverAt, c.Now+lasting)
 	c.after(lasting, func() {
 		c.network.cutOffZone = ""
 		c.log("zone %s is back", zone)
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -141,9 +141,9 @@
 
 // previousReading is what the version before makes of a value.
 type previousReading struct {
-	value   []byte // as it would write it again
-	isWhole bool   // nothing of the value is lost that way
-	ok      bool   // it can read the value at all
+	value      []byte // as it would write it again
+	isLossless bool   // nothing of the value is lost that way
+	ok         bool   // it can read the value at all
 }
 
 // asPreviousVersion reads a value as the version before does.
@@ -153,12 +153,12 @@
 		return previousReading{}
 	}
 	written, err := json.Marshal(read)
-	return previousReading{value: written, isWhole: isWholeForPrevious(key, value, read), ok: err == nil}
+	return previousReading{value: written, isLossless: isLosslessForPrevious(key, value, read), ok: err == nil}
 }
 
-// isWholeForPrevious tells whether the version before knows all fields of a value, and the
+// isLosslessForPrevious tells whether the version before knows all fields of a value, and the
 // state of a job, which it would take for final otherwise.
-func isWholeForPrevious(key string, value []byte, read any) bool {
+func isLosslessForPrevious(key string, value []byte, read any) bool {
 	if header, ok := read.(*previousHeader); ok && header.State != "open" && header.State != "done" && header.State != "cancelled" {
 		return false
 	}
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -9,8 +9,8 @@
 	"brassglade/internal/tuning"
 )
 
-// wallStart is the time of day at which clusters begin, ms.
-const wallStart = 1_800_000_000_000
+// wallClockStartMS is the time of day at which clusters begin, ms.
+const wallClockStartMS = 1_800_000_000_000
 
 // controllerProcess is one controller process around a real scheduler.
 type controllerProcess struct {
@@ -29,7 +29,7 @@
 	// decided goes out when it wakes, and then it hears all that it missed.
 	frozenUntil     time.Duration
 	withheldEffects []scheduler.Effect
-	unheardEvents   []scheduler.Event
+	missedEvents    []scheduler.Event
 }
 
 // clock is the time since the process started, as its own clock has it.
@@ -44,7 +44,7 @@
 	p.startedAt = c.Now
 	settings := c.settings
 	settings.Controller, settings.Seed = p.name, uint64(p.generation)
-	settings.WallClockMS = wallStart + c.Now.Milliseconds()
+	settings.WallClockMS = wallClockStartMS + c.Now.Milliseconds()
 	if p.isPreviousVersion {
 		settings.PreviousFormat = true
 		settings.ValueLimit = max(settings.ValueLimit, settings.CurrentValueLimit)
@@ -71,7 +71,7 @@
 	}
 	p.cluster.log("%s ends", p.name)
 	p.controller, p.pendingReplies = nil, nil
-	p.frozenUntil, p.withheldEffects, p.unheardEvents = 0, nil, nil
+	p.frozenUntil, p.withheldEffects, p.missedEvents = 0, nil, nil
 	p.generation++
 	p.cluster.after(downtime, func() {
 		if p.controller == nil {
@@ -88,7 +88,7 @@
 	}
 	isFrozen := p.cluster.Now < p.frozenUntil
 	if isFrozen && len(p.withheldEffects) > 0 {
-		p.unheardEvents = append(p.unheardEvents, event)
+		p.missedEvents = append(p.missedEvents, event)
 		return
 	}
 	effects := p.timedStep(event)
@@ -97,7 +97,7 @@
 		return
 	}
 	for _, e := range effects {
-		p.carryOut(e)
+		p.applyEffect(e)
 	}
 }
 
@@ -124,22 +124,22 @@
 	generation := p.generation
 	p.cluster.after(lasting, func() {
 		if p.generation == generation {
-			p.wake()
+			p.resume()
 		}
 	})
 }
 
-// wake lets a frozen process go on: what it decided before goes out first.
-func (p *controllerProcess) wake() {
-	p.cluster.log("%s goes on, %d events late", p.name, len(p.unheardEvents))
+// resume lets a frozen process go on: what it decided before goes out first.
+func (p *controllerProcess) resume() {
+	p.cluster.log("%s goes on, %d events late", p.name, len(p.missedEvents))
 	p.cluster.occurred("woken")
-	effects, events := p.withheldEffects, p.unheardEvents
-	p.withheldEffects, p.unheardEvents = nil, nil
+	effects, events := p.withheldEffects, p.missedEvents
+	p.withheldEffects, p.missedEvents = nil, nil
 	for _, e := range effects {
 		if reply, ok := e.(scheduler.HeartbeatReply); ok && reply.Status == http.StatusOK {
 			p.cluster.occurred("answer decided before a freeze")
 		}
-		p.carryOut(e)
+		p.applyEffect(e)
 	}
 	for _, e := range events {
 		p.step(e)
--- a/internal/simulation/random_days_test.go
+++ b/internal/simulation/random_days_test.go
@@ -154,7 +154,7 @@
 	t.Helper()
 	starts := 0
 	for _, c := range clusters {
-		starts += c.Starts()
+		starts += c.TaskStarts()
 	}
 	if starts < atLeast {
 		t.Errorf("only %d tasks started", starts)
--- a/internal/simulation/random_meetings_test.go
+++ b/internal/simulation/random_meetings_test.go
@@ -85,8 +85,8 @@
 			s := pairedTroublesDay(seed)
 			c := mustPlay(t, s)
 			expectSound(t, c, "on\n%s", s)
-			if c.occurrences["answer to a close look"] < 100 || c.Starts() < 40 {
-				t.Errorf("%d starts, %v", c.Starts(), c.occurrences)
+			if c.occurrences["answer to a close look"] < 100 || c.TaskStarts() < 40 {
+				t.Errorf("%d starts, %v", c.TaskStarts(), c.occurrences)
 			}
 		})
 	}
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -55,9 +55,9 @@
 		return nil, err
 	}
 	c := newCluster(s.seed, s.settings, s.initialTransactionLimit, s.startsAsPreviousVersion)
-	c.excusesNothing, c.marketCapacity, c.onEffect = s.excusesNothing, s.marketCapacity, onEffect
+	c.noFaultGrace, c.marketCapacity, c.onEffect = s.noFaultGrace, s.marketCapacity, onEffect
 	c.StartChecks()
-	for _, l := range s.lines {
+	for _, l := range s.actions {
 		c.after(l.at, func() {
 			if err := c.playAction(l.words); err != nil {
 				c.violated(ruleScript, "%v: %v", l.words, err)
@@ -75,9 +75,9 @@
 	settings                scheduler.Settings
 	initialTransactionLimit int
 	startsAsPreviousVersion bool
-	excusesNothing          bool
+	noFaultGrace            bool
 	marketCapacity          int
-	lines                   []scriptAction
+	actions                 []scriptAction
 	until                   time.Duration
 }
 
@@ -106,7 +106,7 @@
 	case "seed":
 		s.seed, err = strconv.ParseUint(words[1], 10, 64)
 	case "blind":
-		s.excusesNothing = true
+		s.noFaultGrace = true
 	case "rates":
 		s.settings.WriteRate, s.settings.FairWriteRate, s.settings.ReadRate = 25*0.92/3, 25*0.92/3, 100*0.92/3
 	case "zones":
@@ -124,7 +124,7 @@
 	case "at":
 		var at time.Duration
 		at, err = parseSeconds(words[1])
-		s.lines = append(s.lines, scriptAction{at, words[2:]})
+		s.actions = append(s.actions, scriptAction{at, words[2:]})
 	default:
 		err = fmt.Errorf("unknown word")
 	}
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -43,8 +43,8 @@
 	return time.Duration(a.number(name, byDefault) * float64(time.Second))
 }
 
-// lasting is how long an action goes on.
-func (a action) lasting() time.Duration { return a.seconds("for", 20) }
+// duration is how long an action goes on.
+func (a action) duration() time.Duration { return a.seconds("for", 20) }
 
 func (a action) has(name string) bool {
 	_, ok := a.options[name]
@@ -63,7 +63,7 @@
 type actionKind struct {
 	play func(*Cluster, action) error
 	// What users do is no trouble, so that the checker excuses nothing for it.
-	isUsers bool
+	isUserAction bool
 }
 
 var errUnknownAction = errors.New("unknown action")
@@ -73,10 +73,10 @@
 	"submit":  {(*Cluster).playSubmit, true},
 	"cancel":  {(*Cluster).playCancel, true},
 	"calloff": {(*Cluster).playCallOff, true},
-	"looks":   {(*Cluster).playNamedTrouble, true},
-	"endings": {(*Cluster).playNamedTrouble, true},
-	"storm":   {(*Cluster).playNamedTrouble, true},
-	"quick":   {(*Cluster).playNamedTrouble, true},
+	"looks":   {(*Cluster).playNamedFault, true},
+	"endings": {(*Cluster).playNamedFault, true},
+	"storm":   {(*Cluster).playNamedFault, true},
+	"quick":   {(*Cluster).playNamedFault, true},
 	"odd":     {(*Cluster).playOdd, true},
 
 	"crash":   {(*Cluster).playCrash, false},
@@ -92,8 +92,8 @@
 	"boots":   {(*Cluster).playBoots, false},
 	"cloud":   {(*Cluster).playCloud, false},
 
-	"hang":   {onMachine(func(_ *Cluster, w *worker, a action) { w.hang(a.lasting()) }), false},
-	"take":   {onMachine(func(_ *Cluster, w *worker, _ action) { w.vanish("is taken") }), false},
+	"hang":   {onMachine(func(_ *Cluster, w *worker, a action) { w.hang(a.duration()) }), false},
+	"take":   {onMachine(func(_ *Cluster, w *worker, _ action) { w.terminate("is taken") }), false},
 	"notice": {onMachine(func(_ *Cluster, w *worker, a action) { w.preempt(a.seconds("in", 8)) }), false},
 	"sick":   {onMachine((*Cluster).playSick), false},
 	"deaf":   {onMachine((*Cluster).playDeaf), false},
@@ -106,8 +106,8 @@
 func (c *Cluster) playAction(words []string) error {
 	a := c.newAction(words)
 	kind, ok := actionKinds[words[0]]
-	if !kind.isUsers && !c.excusesNothing {
-		c.calmSince = max(c.calmSince, c.Now+max(a.seconds("for", 0), a.seconds("back", 0), a.seconds("in", 0)))
+	if !kind.isUserAction && !c.noFaultGrace {
+		c.faultsOverAt = max(c.faultsOverAt, c.Now+max(a.seconds("for", 0), a.seconds("back", 0), a.seconds("in", 0)))
 	}
 	if !ok {
 		return errUnknownAction
@@ -169,15 +169,15 @@
 	return nil
 }
 
-// playNamedTrouble puts a trouble on that has the action's name.
-func (c *Cluster) playNamedTrouble(a action) error {
-	c.startTrouble(a.words[0], a.lasting(), a.number("share", 1))
+// playNamedFault puts a trouble on that has the action's name.
+func (c *Cluster) playNamedFault(a action) error {
+	c.startFault(a.words[0], a.duration(), a.number("share", 1))
 	return nil
 }
 
 func (c *Cluster) playOdd(a action) error {
-	c.startTrouble("odd", a.lasting(), 1)
-	c.submitOddRequests()
+	c.startFault("odd", a.duration(), 1)
+	c.sendEdgeCaseRequests()
 	return nil
 }
 
@@ -214,67 +214,67 @@
 	from, to, mode := a.words[1], a.words[2], a.words[3]
 	c.log("cut %s - %s (%s)", from, to, mode)
 	if to != "*" {
-		c.cutLink(from, to, mode, a.lasting())
+		c.cutLink(from, to, mode, a.duration())
 		return nil
 	}
 	for i := 1; i <= 60; i++ {
-		c.cutLink(from, fmt.Sprintf("n-%06d", i), mode, a.lasting())
+		c.cutLink(from, fmt.Sprintf("n-%06d", i), mode, a.duration())
 	}
 	return nil
 }
 
 func (c *Cluster) playCutZone(a action) error {
-	c.cutZone(a.words[1], a.words[2], a.lasting())
+	c.cutZone(a.words[1], a.words[2], a.duration())
 	return nil
 }
 
 func (c *Cluster) playState(a action) error {
 	if a.words[1] == "down" {
-		c.state.outage(a.lasting())
+		c.state.outage(a.duration())
 		return nil
 	}
-	c.state.refuse(a.words[2], a.lasting())
+	c.state.refuse(a.words[2], a.duration())
 	return nil
 }
 
 func (c *Cluster) playLate(a action) error {
 	c.log("transactions of %s: carried out late, without an answer", a.words[1])
-	c.strikeTransactions(a)
+	c.startTransactionFault(a)
 	return nil
 }
 
 func (c *Cluster) playLost(a action) error {
 	c.log("transactions of %s: their answers are lost", a.words[1])
-	c.strikeTransactions(a)
+	c.startTransactionFault(a)
 	return nil
 }
 
-// strikeTransactions puts a trouble on with the transactions of all controllers, or of one.
+// startTransactionFault puts a trouble on with the transactions of all controllers, or of one.
 // Late ones come up to 12 s after its end.
-func (c *Cluster) strikeTransactions(a action) {
+func (c *Cluster) startTransactionFault(a action) {
 	name := a.words[0]
 	if a.words[1] != "all" {
 		name += " " + a.words[1]
 	}
-	c.startTrouble(name, a.lasting(), a.number("share", 0.5))
-	c.calmSince = max(c.calmSince, c.Now+a.lasting()+12*time.Second)
+	c.startFault(name, a.duration(), a.number("share", 0.5))
+	c.faultsOverAt = max(c.faultsOverAt, c.Now+a.duration()+12*time.Second)
 }
 
 func (c *Cluster) playSlow(a action) error {
 	c.log("the state service is slow")
-	c.troubles["slow"] = trouble{until: c.Now + a.lasting(), share: 1, delay: a.seconds("by", 1)}
+	c.faults["slow"] = fault{until: c.Now + a.duration(), probability: 1, maxDelay: a.seconds("by", 1)}
 	return nil
 }
 
 func (c *Cluster) playBoots(a action) error {
 	zone, how := a.words[1], a.words[2]
-	c.startTrouble("boots "+how+" "+zone, a.lasting(), 1)
+	c.startFault("boots "+how+" "+zone, a.duration(), 1)
 	return nil
 }
 
 func (c *Cluster) playCloud(a action) error {
 	c.cloud.isUp = false
-	c.after(a.lasting(), func() { c.cloud.isUp = true })
+	c.after(a.duration(), func() { c.cloud.isUp = true })
 	return nil
 }
 
@@ -293,25 +293,25 @@
 
 func (c *Cluster) playSick(w *worker, _ action) {
 	c.log("%s fails all it starts", w.name)
-	w.isSick = true
+	w.failsAllTasks = true
 }
 
 func (c *Cluster) playDeaf(w *worker, a action) {
 	c.log("nothing reaches %s", w.name)
-	w.deafUntil = c.Now + a.seconds("for", 60)
+	w.noInboundUntil = c.Now + a.seconds("for", 60)
 }
 
 func (c *Cluster) playMute(w *worker, a action) {
 	c.log("%s reaches no controller", w.name)
-	w.muteUntil = c.Now + a.seconds("for", 60)
+	w.noOutboundUntil = c.Now + a.seconds("for", 60)
 }
 
 func (c *Cluster) playCopies(w *worker, a action) {
 	c.log("copies of reports of %s come late", w.name)
-	w.copyUntil, w.copyDelay = c.Now+a.seconds("for", 30), a.seconds("most", 30)
-	c.calmSince = max(c.calmSince, w.copyUntil+w.copyDelay)
+	w.duplicateUntil, w.maxDuplicateDelay = c.Now+a.seconds("for", 30), a.seconds("most", 30)
+	c.faultsOverAt = max(c.faultsOverAt, w.duplicateUntil+w.maxDuplicateDelay)
 }
 
 func (c *Cluster) playKeep(w *worker, a action) {
-	w.keepUntil = c.Now + a.seconds("for", 30)
+	w.recordUntil = c.Now + a.seconds("for", 30)
 }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -54,7 +54,7 @@
 
 	valueLimit       int // the limits in force: bytes of a value, changes of a transaction
 	transactionLimit int
-	limitsFell       bool
+	limitsLowered    bool
 
 	changes           int // puts and deletes asked for
 	requests          int
@@ -79,8 +79,8 @@
 	return s
 }
 
-// isOffFor counts a request and tells whether its sender gets no answer to it.
-func (s *stateService) isOffFor(process string) bool {
+// rejectsRequest counts a request and tells whether its sender gets no answer to it.
+func (s *stateService) rejectsRequest(process string) bool {
 	s.requests++
 	return s.isDown || s.refused[process]
 }
@@ -90,7 +90,7 @@
 	c := s.cluster
 	c.log("state service down for %v", lasting)
 	for _, id := range c.jobIDs() {
-		if job := c.jobs[id]; job.cancelToldAt >= 0 && c.tasksOnMachines(id) > 0 {
+		if job := c.jobs[id]; job.cancelReportedAt >= 0 && c.tasksOnMachines(id) > 0 {
 			c.occurred("outage while cancelled tasks are on")
 		}
 	}
@@ -101,7 +101,7 @@
 			lease.expiresAt = c.Now + lease.ttl
 		}
 		c.log("state service up")
-		s.answerWatches()
+		s.notifyWatchers()
 	})
 }
 
@@ -111,14 +111,14 @@
 	s.refused[process] = true
 	s.cluster.after(lasting, func() {
 		delete(s.refused, process)
-		s.answerWatches()
+		s.notifyWatchers()
 	})
 }
 
 // lowerLimits lowers the limits, without notice.
 func (s *stateService) lowerLimits(valueLimit, transactionLimit int) {
 	s.cluster.log("limits fall to %d bytes a value and %d changes", valueLimit, transactionLimit)
-	s.valueLimit, s.transactionLimit, s.limitsFell = valueLimit, transactionLimit, true
+	s.valueLimit, s.transactionLimit, s.limitsLowered = valueLimit, transactionLimit, true
 }
 
 // expireLeases ends leases that were not renewed in time, and deletes what hangs on them.
@@ -135,14 +135,14 @@
 	sort.Slice(expired, func(a, b int) bool { return expired[a] < expired[b] })
 	for _, id := range expired {
 		delete(s.leases, id)
-		s.deleteOfLease(id)
+		s.deleteLeaseKeys(id)
 	}
 	if len(expired) > 0 {
-		s.answerWatches()
+		s.notifyWatchers()
 	}
 }
 
-func (s *stateService) deleteOfLease(id uint64) {
+func (s *stateService) deleteLeaseKeys(id uint64) {
 	var keys []string
 	for key, e := range s.entries {
 		if e.leaseID == id {
@@ -159,18 +159,18 @@
 
 // confirm answers whether a value is still of the revision named.
 func (s *stateService) confirm(process string, e scheduler.ConfirmView) any {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return scheduler.ConfirmationAnswered{}
 	}
 	return scheduler.ConfirmationAnswered{OK: true, Same: s.entries[e.Key].modRevision == e.ModRevision, Revision: s.revision}
 }
 
-// commitAmidTroubles carries a transaction out, unless a trouble strikes: late, after newer
+// commitWithFaults carries a transaction out, unless a trouble strikes: late, after newer
 // ones of the same controller, or at once with only the answer lost.
-func (s *stateService) commitAmidTroubles(p *controllerProcess, e scheduler.Commit, reply func(any)) {
+func (s *stateService) commitWithFaults(p *controllerProcess, e scheduler.Commit, reply func(any)) {
 	c := s.cluster
 	switch {
-	case c.strikes("late") || c.strikes("late "+p.name):
+	case c.shouldInject("late") || c.shouldInject("late "+p.name):
 		c.after(2*time.Second+time.Duration(c.rng.Int64N(int64(10*time.Second))), func() {
 			answered := s.commit(p.name, e)
 			c.occurred("late transaction")
@@ -178,24 +178,24 @@
 				c.occurred("late transaction that changed something")
 			}
 		})
-	case c.strikes("lost") || c.strikes("lost "+p.name):
+	case c.shouldInject("lost") || c.shouldInject("lost "+p.name):
 		s.commit(p.name, e)
 		c.occurred("answer lost")
 	default:
-		c.answerSlowly(reply, s.commit(p.name, e))
+		c.replyWithDelay(reply, s.commit(p.name, e))
 	}
 }
 
 // commit carries a transaction out if its conditions hold and the service takes it.
 func (s *stateService) commit(process string, e scheduler.Commit) scheduler.CommitAnswered {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
 	}
 	malformed := scheduler.CommitAnswered{ID: e.ID, Revision: s.revision, Result: domain.Refused, Malformed: true}
 	s.changes += len(e.Transaction.Puts)
 	if excess := s.excess(&e); excess != "" {
 		// Values that are larger are known to all; that the limit fell shows only by the refusal.
-		if !s.limitsFell {
+		if !s.limitsLowered {
 			s.cluster.violated(ruleLimit, "%s", excess)
 		}
 		s.refusedAsTooLarge++
@@ -219,7 +219,7 @@
 	}
 	s.apply(e.Transaction.Puts)
 	answered.Revision = s.revision
-	s.answerWatches()
+	s.notifyWatchers()
 	return answered
 }
 
@@ -249,14 +249,14 @@
 		}
 		s.history = append(s.history, domain.KeyValue{Key: put.Key, Value: put.Value, ModRevision: s.revision})
 		if put.Key == viewKey {
-			s.cluster.noticeLeader(put.Value)
+			s.cluster.trackLeader(put.Value)
 		}
 	}
 }
 
 // read answers the values of some keys.
 func (s *stateService) read(process string, e scheduler.ReadKeys) any {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return scheduler.KeysRead{ID: e.ID}
 	}
 	read := scheduler.KeysRead{ID: e.ID, OK: true}
@@ -270,7 +270,7 @@
 
 // grant gives out a new lease.
 func (s *stateService) grant(process string, ttl time.Duration) any {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return scheduler.LeaseGranted{}
 	}
 	s.lastLease++
@@ -280,7 +280,7 @@
 
 // renew lets a lease live on from now.
 func (s *stateService) renew(process string, id uint64) any {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return scheduler.LeaseRenewalAnswered{}
 	}
 	lease := s.leases[id]
@@ -293,7 +293,7 @@
 
 // snapshot answers all values, as the process that asks understands them; nil: no answer.
 func (s *stateService) snapshot(process string) any {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		return nil
 	}
 	loaded := scheduler.SnapshotLoaded{Revision: s.revision}
@@ -302,23 +302,23 @@
 			loaded.Items = append(loaded.Items, domain.KeyValue{Key: key, Value: e.value, ModRevision: e.modRevision})
 		}
 	}
-	loaded.Items = s.seenBy(process, loaded.Items)
+	loaded.Items = s.visibleTo(process, loaded.Items)
 	sort.Slice(loaded.Items, func(a, b int) bool { return loaded.Items[a].Key < loaded.Items[b].Key })
 	return loaded
 }
 
 // watch answers as soon as there are changes after a revision.
 func (s *stateService) watch(process string, revision uint64, reply func(any)) {
-	if s.isOffFor(process) {
+	if s.rejectsRequest(process) {
 		reply(nil)
 		return
 	}
 	s.watchers = append(s.watchers, stateWatcher{revision, reply, process})
-	s.answerWatches()
+	s.notifyWatchers()
 }
 
-// answerWatches answers all watchers for whom there is something new.
-func (s *stateService) answerWatches() {
+// notifyWatchers answers all watchers for whom there is something new.
+func (s *stateService) notifyWatchers() {
 	if s.isDown {
 		return
 	}
@@ -330,15 +330,15 @@
 		}
 		advanced := scheduler.WatchAdvanced{Revision: s.revision}
 		from := sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision > watcher.revision })
-		advanced.Items = s.seenBy(watcher.process, s.history[from:])
+		advanced.Items = s.visibleTo(watcher.process, s.history[from:])
 		watcher.reply(advanced)
 	}
 	s.watchers = waiting
 }
 
-// seenBy is what a controller makes of changes: one of the version before drops what it
+// visibleTo is what a controller makes of changes: one of the version before drops what it
 // doesn't know.
-func (s *stateService) seenBy(process string, changes []domain.KeyValue) []domain.KeyValue {
+func (s *stateService) visibleTo(process string, changes []domain.KeyValue) []domain.KeyValue {
 	p := s.cluster.process(process)
 	if p == nil || !p.isPreviousVersion {
 		return append([]domain.KeyValue(nil), changes...)
--- a/internal/simulation/trace.go
+++ b/internal/simulation/trace.go
@@ -10,8 +10,8 @@
 	c.Trace = append(c.Trace, fmt.Sprintf("%7.2f ", c.Now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Starts counts task starts in the trace.
-func (c *Cluster) Starts() int {
+// TaskStarts counts task starts in the trace.
+func (c *Cluster) TaskStarts() int {
 	n := 0
 	for _, line := range c.Trace {
 		if strings.Contains(line, " runs on ") {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -88,7 +88,7 @@
 	c.requestAnywhere(query(id), func(reply scheduler.UserReply, asked time.Duration) {
 		c.checkReply(id, reply, asked)
 		pause := 5 * time.Second
-		if c.strikes("storm") {
+		if c.shouldInject("storm") {
 			pause /= 10
 			c.occurred(fmt.Sprintf("poll answered %d", reply.Status))
 		}
@@ -110,11 +110,11 @@
 	})
 }
 
-// lookClosely asks all controllers about a job within milliseconds of news about it, again and
+// sendQueryBurst asks all controllers about a job within milliseconds of news about it, again and
 // again, and submits it anew.
-func (c *Cluster) lookClosely(id string) {
+func (c *Cluster) sendQueryBurst(id string) {
 	job := c.jobs[id]
-	if !c.strikes("looks") || !job.isSubmitted {
+	if !c.shouldInject("looks") || !job.isSubmitted {
 		return
 	}
 	for _, p := range c.processes {
@@ -127,14 +127,14 @@
 			}
 			c.after(time.Duration(c.rng.IntN(40*(k+1)))*time.Millisecond, func() {
 				c.requestAt(p, request, func(reply scheduler.UserReply, asked time.Duration) {
-					c.closeLookAnswered(id, reply, asked)
+					c.checkBurstReply(id, reply, asked)
 				})
 			})
 		}
 	}
 }
 
-func (c *Cluster) closeLookAnswered(id string, reply scheduler.UserReply, asked time.Duration) {
+func (c *Cluster) checkBurstReply(id string, reply scheduler.UserReply, asked time.Duration) {
 	if reply.Status == http.StatusOK {
 		c.occurred("answer to a close look")
 	}
@@ -179,13 +179,13 @@
 	return nil
 }
 
-// submitOddRequests sends, once a second, a job that fits no machine or lacks a field, repeats
+// sendEdgeCaseRequests sends, once a second, a job that fits no machine or lacks a field, repeats
 // submissions with other fields, and cancels jobs that are done.
-func (c *Cluster) submitOddRequests() {
-	if !c.strikes("odd") {
+func (c *Cluster) sendEdgeCaseRequests() {
+	if !c.shouldInject("odd") {
 		return
 	}
-	c.after(time.Second, c.submitOddRequests)
+	c.after(time.Second, c.sendEdgeCaseRequests)
 	c.submitInvalidJob()
 	for _, id := range c.jobIDs() {
 		job := c.jobs[id]
@@ -193,12 +193,12 @@
 			continue
 		}
 		if job.finalState == stateDone {
-			c.requestOddly(id, cancellation(id), func(scheduler.UserReply) { c.occurred("done job cancelled") })
+			c.requestChecked(id, cancellation(id), func(scheduler.UserReply) { c.occurred("done job cancelled") })
 			continue
 		}
 		again := job.spec
 		again.Request.GPU = machineCapacity.GPU + 1 // a repeat is known by its id alone
-		c.requestOddly(id, submission(id, again), func(reply scheduler.UserReply) {
+		c.requestChecked(id, submission(id, again), func(reply scheduler.UserReply) {
 			if reply.Status == http.StatusOK {
 				c.occurred("repeat answered")
 			}
@@ -206,8 +206,8 @@
 	}
 }
 
-// requestOddly sends a request whose answer is checked as any other.
-func (c *Cluster) requestOddly(id string, request userRequest, done func(scheduler.UserReply)) {
+// requestChecked sends a request whose answer is checked as any other.
+func (c *Cluster) requestChecked(id string, request userRequest, done func(scheduler.UserReply)) {
 	c.requestAnywhere(request, func(reply scheduler.UserReply, asked time.Duration) {
 		c.checkReply(id, reply, asked)
 		done(reply)
@@ -241,7 +241,7 @@
 	}
 	c.jobs[id] = newJobRecord(spec, 0)
 	c.jobs[id].isInvalid = true
-	c.requestOddly(id, request, func(reply scheduler.UserReply) {
+	c.requestChecked(id, request, func(reply scheduler.UserReply) {
 		if reply.Status == want {
 			c.occurred("odd submission refused")
 		} else if reply.Status >= 400 && reply.Status < 500 {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -38,15 +38,15 @@
 	leaseRenewedAt time.Duration // sending time of the last heartbeat that was answered
 	acceptedAt     time.Duration // when it last got a 200
 
-	isHung      bool
-	paused      []func()      // what follows when it no longer hangs
-	isSick      bool          // fails all that it starts
-	preemptedAt time.Duration // when the provider takes it back; < 0: no notice
-	deafUntil   time.Duration // until then nothing reaches it, though its heartbeats arrive
-	muteUntil   time.Duration // until then it reaches no controller; commands reach it
-	keepUntil   time.Duration // until then its heartbeats are kept for the next leader
-	copyUntil   time.Duration // until then copies of its heartbeats come late
-	copyDelay   time.Duration // at the most
+	isHung            bool
+	deferredCalls     []func()      // what follows when it no longer hangs
+	failsAllTasks     bool          // fails all that it starts
+	preemptedAt       time.Duration // when the provider takes it back; < 0: no notice
+	noInboundUntil    time.Duration // until then nothing reaches it, though its heartbeats arrive
+	noOutboundUntil   time.Duration // until then it reaches no controller; commands reach it
+	recordUntil       time.Duration // until then its heartbeats are kept for the next leader
+	duplicateUntil    time.Duration // until then copies of its heartbeats come late
+	maxDuplicateDelay time.Duration // at the most
 }
 
 // newWorker rents a machine, which boots for a while.
@@ -55,15 +55,15 @@
 	c.workers = append(c.workers, w)
 	c.workersByName[name] = w
 	boot := time.Duration(8000+c.rng.IntN(6000)) * time.Millisecond
-	if c.strikes("quick") {
+	if c.shouldInject("quick") {
 		boot = time.Duration(300+c.rng.IntN(1700)) * time.Millisecond
 		c.occurred("up within two seconds")
 	}
-	if c.strikes("boots late " + zone) {
+	if c.shouldInject("boots late " + zone) {
 		boot *= lateBootFactor
 		c.occurred("up late")
 	}
-	if c.strikes("boots never " + zone) {
+	if c.shouldInject("boots never " + zone) {
 		c.occurred("never up")
 		return w
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	if w.isHung {
-		w.paused = append(w.paused, f)
+		w.deferredCalls = append(w.deferredCalls, f)
 		return
 	}
 	f()
@@ -125,8 +125,8 @@
 	w.heartbeat()
 }
 
-// heartbeatSoon sends a heartbeat for some news.
-func (w *worker) heartbeatSoon() {
+// scheduleHeartbeat sends a heartbeat for some news.
+func (w *worker) scheduleHeartbeat() {
 	w.heartbeatAfter(max(0, minHeartbeatGap-(w.cluster.Now-w.heartbeatAt)))
 }
 
@@ -159,22 +159,22 @@
 	heartbeat := w.makeHeartbeat()
 	sent, agentEpoch := c.Now, w.agentEpoch
 	p := c.processes[w.controller]
-	if c.Now < w.copyUntil {
+	if c.Now < w.duplicateUntil {
 		// A copy of the heartbeat comes late, here or to another controller.
 		other := c.processes[c.rng.IntN(len(c.processes))]
-		c.after(time.Duration(1+c.rng.Int64N(int64(w.copyDelay))), func() {
+		c.after(time.Duration(1+c.rng.Int64N(int64(w.maxDuplicateDelay))), func() {
 			other.request(heartbeatRequest(heartbeat), ignoreReply)
 		})
 	}
-	if c.Now < w.keepUntil {
-		c.keptHeartbeats = append(c.keptHeartbeats, heartbeat)
+	if c.Now < w.recordUntil {
+		c.recordedHeartbeats = append(c.recordedHeartbeats, heartbeat)
 	}
 	c.call(w.name, p.name, replyAgeLimit, func(reply func(any)) {
-		if c.Now < w.muteUntil {
+		if c.Now < w.noOutboundUntil {
 			return
 		}
 		p.request(heartbeatRequest(heartbeat), func(e scheduler.Effect) {
-			if c.Now >= w.deafUntil {
+			if c.Now >= w.noInboundUntil {
 				reply(e)
 			}
 		})
@@ -182,13 +182,13 @@
 		w.whenResponsive(func() {
 			w.awaitsReply = false
 			reply, _ := answer.(scheduler.HeartbeatReply)
-			w.takeReply(reply, sent, agentEpoch)
+			w.handleHeartbeatReply(reply, sent, agentEpoch)
 		})
 	})
 }
 
-// takeReply does what the answer to a heartbeat says, or turns to another controller.
-func (w *worker) takeReply(reply scheduler.HeartbeatReply, sent time.Duration, agentEpoch uint64) {
+// handleHeartbeatReply does what the answer to a heartbeat says, or turns to another controller.
+func (w *worker) handleHeartbeatReply(reply scheduler.HeartbeatReply, sent time.Duration, agentEpoch uint64) {
 	c := w.cluster
 	switch reply.Status {
 	case http.StatusOK:
@@ -196,7 +196,7 @@
 			return
 		}
 		w.fencingToken, w.leaseRenewedAt, w.acceptedAt = reply.FencingToken, sent, c.Now
-		w.carryOut(reply.Commands)
+		w.executeCommands(reply.Commands)
 		return
 	case http.StatusMisdirectedRequest: // another controller owns the machine
 		for i, p := range c.processes {
@@ -213,16 +213,16 @@
 
 // receiveCommands carries out commands sent straight here.
 func (w *worker) receiveCommands(e scheduler.SendCommands, reply func(any)) {
-	if w.cluster.Now < w.deafUntil {
+	if w.cluster.Now < w.noInboundUntil {
 		return
 	}
 	w.whenResponsive(func() {
 		if e.FencingToken >= w.fencingToken && e.AgentEpoch == w.agentEpoch {
-			if w.cluster.Now < w.muteUntil {
+			if w.cluster.Now < w.noOutboundUntil {
 				w.cluster.occurred("commands to a mute machine")
 			}
 			w.fencingToken = e.FencingToken
-			w.carryOut(e.Commands)
+			w.executeCommands(e.Commands)
 		}
 		reply(w.makeHeartbeat())
 	})
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -25,8 +25,8 @@
 // hasNotEnded: it takes up room, if only to fetch its image.
 func (t *task) hasNotEnded() bool { return t.state != domain.ReportedEnded }
 
-// carryOut carries out a controller's commands.
-func (w *worker) carryOut(commands []domain.Command) {
+// executeCommands carries out a controller's commands.
+func (w *worker) executeCommands(commands []domain.Command) {
 	for _, command := range commands {
 		switch command.Kind {
 		case domain.ForgetTask:
@@ -74,10 +74,10 @@
 	id := command.Task
 	job := w.cluster.jobs[id.Job]
 	if t := w.tasks[id]; t != nil {
-		w.checkNotBusy(t, command)
+		w.checkNoOtherAttempt(t, command)
 		return
 	}
-	w.checkNotTooEarly(id, job)
+	w.checkDependenciesDone(id, job)
 	w.checkNotLateStart(id, job)
 	t := &task{attempt: command.Attempt, state: domain.ReportedFetching}
 	w.tasks[id] = t
@@ -110,12 +110,12 @@
 func (w *worker) endTask(id domain.TaskID, t *task, cause string, saved bool) {
 	t.state, t.cause, t.saved = domain.ReportedEnded, cause, saved
 	w.cluster.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, w.name, cause)
-	w.heartbeatSoon()
+	w.scheduleHeartbeat()
 }
 
 // imageFetched: the task has its image and is on the machine from now on.
 func (w *worker) imageFetched(id domain.TaskID, t *task, job *jobRecord) {
-	if w.isSick || job.failsEverywhere {
+	if w.failsAllTasks || job.failsEverywhere {
 		w.endTask(id, t, domain.CauseError, false)
 		return
 	}
@@ -163,10 +163,10 @@
 
 // runTask lets a task run, to its end unless it is a service's.
 func (w *worker) runTask(id domain.TaskID, t *task, job *jobRecord) {
-	job.hasBegun = true
+	job.hasStarted = true
 	t.state = domain.ReportedRunning
 	w.cluster.log("%s/%d try %d runs on %s (%s)", id.Job, id.Index, t.attempt, w.name, w.zone)
-	w.heartbeatSoon()
+	w.scheduleHeartbeat()
 	if job.spec.Shape == domain.Service {
 		return
 	}
@@ -192,7 +192,7 @@
 			job.done[i] = true
 		}
 	}
-	if len(job.done) == job.spec.TaskCount && job.isSubmitted && w.cluster.strikes("endings") {
+	if len(job.done) == job.spec.TaskCount && job.isSubmitted && w.cluster.shouldInject("endings") {
 		w.cluster.occurred("cancelled at its end")
 		w.cluster.Cancel(id.Job)
 	}
@@ -218,15 +218,15 @@
 	attempt uint64
 }
 
-// gangPeers ends the tasks of gangs whose other members are gone, as agents do.
-type gangPeers struct {
+// gangMonitor ends the tasks of gangs whose other members are gone, as agents do.
+type gangMonitor struct {
 	cluster         *Cluster
 	incompleteSince map[gangAttempt]time.Duration
 }
 
 // endIncompleteGangs looks at all gangs once.
-func (g *gangPeers) endIncompleteGangs() {
-	running := g.running()
+func (g *gangMonitor) endIncompleteGangs() {
+	running := g.countRunning()
 	for _, w := range g.cluster.workers {
 		for _, id := range w.taskIDs() {
 			t, job := w.tasks[id], g.cluster.jobs[id.Job]
@@ -249,8 +249,8 @@
 	}
 }
 
-// running counts the tasks of each gang that run on machines that respond.
-func (g *gangPeers) running() map[gangAttempt]int {
+// countRunning counts the tasks of each gang that run on machines that respond.
+func (g *gangMonitor) countRunning() map[gangAttempt]int {
 	running := map[gangAttempt]int{}
 	for _, w := range g.cluster.workers {
 		if w.isHung {
