--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// The rules of the protocol, as Broken names them. A violation is "RULE: how".
+// The rules of the protocol, as named in Cluster.Violations. A violation has the form
+// "RULE: description".
 const (
-	// What runs where.
-	ruleQuota        = "quota"         // a team uses no more than its limit
-	ruleRanTwice     = "ran_twice"     // no task is on two machines at once
-	ruleBusy         = "busy"          // no attempt starts beside another one of its task on a machine
-	ruleWrongPlace   = "wrong_place"   // no task is in a zone or on a kind of machine that its job rules out
+	// Placement of tasks.
+	ruleQuota        = "quota"         // a team's running tasks stay within its limit
+	ruleRanTwice     = "ran_twice"     // a task is on at most one machine at a time
+	ruleBusy         = "busy"          // no attempt starts on a machine where another attempt at the same task has not ended
+	ruleWrongPlace   = "wrong_place"   // no task is in a zone or on a kind of machine that its job excludes
 	ruleTooEarly     = "too_early"     // no task starts before its job's dependencies are done
-	ruleRanCancelled = "ran_cancelled" // nothing of a job is on machines long after its user was told cancelled
-	ruleLateStart    = "late_start"    // nothing starts once the answers that could bring it have expired
-
-	// What users are told.
-	ruleForgotten = "forgotten" // an accepted job stays known, and questions about it are answered
-	ruleRefused   = "refused"   // a job that can run is not refused, one that can't in the right way
-	ruleTaken     = "taken"     // a job that can't run is not accepted, and none is accepted twice
-	ruleInvented  = "invented"  // no job is accepted that nobody submitted
-	ruleWentBack  = "went_back" // a final state stays, and nothing is cancelled unasked
-	ruleNotDone   = "not_done"  // a job that is told done ran to its end
-	ruleOrphaned  = "orphaned"  // what depends on a cancelled job is cancelled, too
-
-	// What comes to its end.
-	ruleStarved     = "starved"      // each job begins within minutes once it may
-	ruleLeftWaiting = "left_waiting" // no job waits beside room that it may use
-	ruleUnserved    = "unserved"     // at the end of a day most of each class and team was served
-
-	// What the state service gets.
-	ruleLimit   = "limit"   // no value or transaction beyond the limits
-	ruleMisread = "misread" // before the upgrade is over, all that is written passes through the version before whole
+	ruleRanCancelled = "ran_cancelled" // no task of a job remains on a machine once the time allowed for its cancellation has passed
+	ruleLateStart    = "late_start"    // no task of a cancelled job starts once the responses that could carry the start have expired
+
+	// Responses to users.
+	ruleForgotten = "forgotten" // an accepted job stays known, and queries about it are answered
+	ruleRefused   = "refused"   // a job that can run is not refused; one that can't is refused with the right status
+	ruleTaken     = "taken"     // a job that can't run is not accepted, and no job is accepted twice
+	ruleInvented  = "invented"  // only submitted jobs are accepted
+	ruleWentBack  = "went_back" // a reported final state does not change, and no job is cancelled without a request
+	ruleNotDone   = "not_done"  // a job reported done ran to completion
+	ruleOrphaned  = "orphaned"  // jobs that depend on a cancelled job are cancelled, too
+
+	// Progress of jobs.
+	ruleStarved     = "starved"      // each job starts within minutes of becoming ready
+	ruleLeftWaiting = "left_waiting" // no job waits while there is room that it may use
+	ruleUnserved    = "unserved"     // at the end of a scenario at least half of the jobs of each class and team were served
+
+	// Writes to the state service.
+	ruleLimit   = "limit"   // no value or transaction exceeds the limits
+	ruleMisread = "misread" // until the upgrade is complete, the previous version can rewrite every value without loss
 
 	// The script itself.
-	ruleScript = "script" // each action of a script can be played
+	ruleScript = "script" // every action of a script can be executed
 )
 
-// violated notes that a rule was broken.
+// violated records a violation of a rule and adds it to the trace.
 func (c *Cluster) violated(rule, format string, args ...any) {
 	violation := rule + ": " + fmt.Sprintf(format, args...)
 	c.Violations = append(c.Violations, violation)
 	c.log("BROKEN %s", violation)
 }
 
-// StartChecks starts the checks that run every second, and the agents' look at their gangs'
-// other members. Other checks run where a task starts, a user gets an answer or a transaction
-// comes.
+// StartChecks starts the checks that run every second, and the monitor that stands for the
+// agents' checks of their gangs' other members. Further checks run when a task starts, a user
+// receives a response or the state service receives a transaction.
 func (c *Cluster) StartChecks() {
 	c.everySecond(c.checkRunningTasks)
 	c.everySecond(c.checkProgress)
 	c.everySecond(c.checkLeftWaiting)
-	peers := &gangMonitor{cluster: c, incompleteSince: map[gangAttempt]time.Duration{}}
-	c.everySecond(peers.endIncompleteGangs)
+	monitor := &gangMonitor{cluster: c, incompleteSince: map[gangAttempt]time.Duration{}}
+	c.everySecond(monitor.endIncompleteGangs)
 }
--- a/internal/simulation/checker_placement.go
+++ b/internal/simulation/checker_placement.go
@@ -4,15 +4,15 @@
 	"brassglade/internal/domain"
 )
 
-// checkRunningTasks checks what is on the machines; called every second, and whenever a task
-// comes on a machine of a small fleet.
+// checkRunningTasks checks the tasks on all machines. It is called every second and, in a small
+// fleet, also whenever a task has fetched its image.
 func (c *Cluster) checkRunningTasks() {
 	c.checkCancelledTasks()
 	c.checkQuota()
 }
 
-// checkCancelledTasks (ran_cancelled): nothing of a job is on machines longer than a
-// cancellation may take after its user was told.
+// checkCancelledTasks (ran_cancelled) checks that no task of a cancelled job is on a machine
+// longer than Settings.CancelWithin after its user was told of the cancellation.
 func (c *Cluster) checkCancelledTasks() {
 	for _, w := range c.workers {
 		if w.isGone {
@@ -27,12 +27,13 @@
 	}
 }
 
-// isCancelOverdue: a job's user was told cancelled longer ago than its tasks may stay.
+// isCancelOverdue reports whether more than Settings.CancelWithin has passed since a job's user
+// was told that it is cancelled, so that none of its tasks may be on a machine.
 func (c *Cluster) isCancelOverdue(job *jobRecord) bool {
 	return job.cancelReportedAt >= 0 && c.Now-job.cancelReportedAt > c.settings.CancelWithin
 }
 
-// checkQuota (quota): what is on the machines is within the teams' limits.
+// checkQuota (quota) checks that the tasks on machines stay within their teams' GPU limits.
 func (c *Cluster) checkQuota() {
 	used := c.usedByTeam((*task).isOnMachine)
 	for _, team := range []string{"red", "blue"} {
@@ -49,7 +50,7 @@
 	}
 }
 
-// usedByTeam sums up what the tasks that count take up.
+// usedByTeam returns the resources requested by the tasks for which counts holds, by team.
 func (c *Cluster) usedByTeam(counts func(*task) bool) map[string]domain.Resources {
 	used := map[string]domain.Resources{}
 	for _, w := range c.workers {
@@ -66,23 +67,26 @@
 	return used
 }
 
-// checkNoOtherAttempt (busy): no attempt comes beside another one that has not ended.
+// checkNoOtherAttempt (busy) checks that a start command does not arrive while another attempt at
+// the same task, t, has not ended on this machine.
 func (w *worker) checkNoOtherAttempt(t *task, command domain.Command) {
 	if t.attempt != command.Attempt && t.hasNotEnded() {
 		w.cluster.violated(ruleBusy, "%v try %d on %s beside try %d", command.Task, command.Attempt, w.name, t.attempt)
 	}
 }
 
-// checkDependenciesDone (too_early): all dependencies of a job that starts are done.
+// checkDependenciesDone (too_early) checks that all dependencies of a starting job are done.
 func (w *worker) checkDependenciesDone(id domain.TaskID, job *jobRecord) {
 	if !w.cluster.dependenciesDone(job) {
 		w.cluster.violated(ruleTooEarly, "%s/%d on %s before what it awaits is done", id.Job, id.Index, w.name)
 	}
 }
 
-// checkNotLateStart (late_start): an answer that was given under the fence may still bring a
-// start a little after the cancellation; not after that. Starts go out in answers alone, which
-// a machine drops when they are too old.
+// checkNotLateStart (late_start) checks that no task of a job starts too long after its user was
+// told of the cancellation. Start commands are sent only in responses to heartbeats. A controller
+// that does not know of the cancellation yet may send one for up to FenceAge after its last
+// confirmation, and machines drop responses older than replyAgeLimit; so no task starts later
+// than the sum of both.
 func (w *worker) checkNotLateStart(id domain.TaskID, job *jobRecord) {
 	c := w.cluster
 	late := c.Now - job.cancelReportedAt
@@ -95,7 +99,7 @@
 	}
 }
 
-// checkRunsOnce (ran_twice): a task that comes on a machine is on no other one.
+// checkRunsOnce (ran_twice) checks that a task that has fetched its image is on no other machine.
 func (w *worker) checkRunsOnce(id domain.TaskID, t *task) {
 	for _, other := range w.cluster.workers {
 		if x := other.tasks[id]; other != w && x != nil && x.isOnMachine() && !other.isGone {
@@ -104,28 +108,31 @@
 	}
 }
 
-// checkPlace (wrong_place): a job is on spot machines only if it allows these, and in its zone
-// if it names one.
+// checkPlace (wrong_place) checks that a task is on a spot machine only if its job allows that,
+// and in the zone that the job names, if any.
 func (w *worker) checkPlace(id domain.TaskID, job *jobRecord) {
 	if !w.isAllowed(&job.spec) {
 		w.cluster.violated(ruleWrongPlace, "%s/%d on %s", id.Job, id.Index, w.name)
 	}
 }
 
-// isAllowed: the job's rules on kind and zone, each machine by itself, admit this one.
+// isAllowed reports whether a job may use this machine by its kind (spot or not) and zone. It
+// ignores where the job's other tasks are.
 func (w *worker) isAllowed(spec *domain.JobSpec) bool {
 	return (!w.isSpot || spec.Spot) && (spec.Zone == "" || spec.Zone == w.zone)
 }
 
-// checkNotCancelled (ran_cancelled): nothing starts of a job whose cancellation is overdue.
+// checkNotCancelled (ran_cancelled) checks that no task starts of a job whose cancellation is
+// overdue.
 func (w *worker) checkNotCancelled(id domain.TaskID, job *jobRecord) {
 	if w.cluster.isCancelOverdue(job) {
 		w.cluster.violated(ruleRanCancelled, "%s/%d starts on %s", id.Job, id.Index, w.name)
 	}
 }
 
-// checkZoneRules (wrong_place) checks the rules on a job's zones as one of its tasks comes on a
-// machine, given the others that are on machines: all in one zone, or at most half in each.
+// checkZoneRules (wrong_place) checks the zone rule of a job when one of its tasks has fetched its
+// image, given the job's other tasks on machines: all in one zone (OneZone), or at most half,
+// rounded up, in each (Spread).
 func (w *worker) checkZoneRules(id domain.TaskID, job *jobRecord) {
 	if !job.spec.OneZone && !job.spec.Spread {
 		return
@@ -151,5 +158,6 @@
 	}
 }
 
-// mostInZone is how many tasks of a job that is spread over zones may be in one.
+// mostInZone returns how many tasks of a job with the Spread rule may be in one zone: half of them,
+// rounded up.
 func mostInZone(spec *domain.JobSpec) int64 { return int64(spec.TaskCount+1) / 2 }
--- a/internal/simulation/checker_progress.go
+++ b/internal/simulation/checker_progress.go
@@ -7,10 +7,11 @@
 	"brassglade/internal/tuning"
 )
 
-// isLarge: the fleet is so large that checks of all machines run seldom or not at all.
+// isLarge reports whether the fleet has more than tuning.LargeFleetMachines machines. Checks over
+// all machines run less often, or not at all, in a large fleet.
 func (c *Cluster) isLarge() bool { return len(c.workers) > tuning.LargeFleetMachines }
 
-// checkProgress checks what becomes of the jobs that are not over.
+// checkProgress checks the jobs that are accepted and have no final state.
 func (c *Cluster) checkProgress() {
 	for _, id := range c.Unfinished() {
 		job := c.jobs[id]
@@ -19,8 +20,8 @@
 	}
 }
 
-// checkAnswered (forgotten): once all troubles are over, a job about which no question is
-// answered for 75 s is forgotten.
+// checkAnswered (forgotten) checks that a query about a job was answered within the last 75 s, not
+// counting the time until all faults are over.
 func (c *Cluster) checkAnswered(id string, job *jobRecord) {
 	since := c.Now - max(job.answeredAt, c.faultsOverAt)
 	if since > 75*time.Second && !job.hasViolation(c, ruleForgotten) {
@@ -28,8 +29,8 @@
 	}
 }
 
-// checkStartsInTime (starved): once all troubles are over, a job begins within four minutes after
-// its dependencies are done.
+// checkStartsInTime (starved) checks that a job starts within four minutes of being accepted and
+// its dependencies being done, not counting the time until all faults are over.
 func (c *Cluster) checkStartsInTime(id string, job *jobRecord) {
 	if job.readyAt < 0 && c.dependenciesDone(job) {
 		job.readyAt = c.Now
@@ -43,14 +44,15 @@
 	}
 }
 
-// servedShare is how many of some jobs were served.
+// servedShare counts the jobs of a group, and those of them that were served.
 type servedShare struct{ served, all int }
 
-// checkServed (unserved): at the end of a day at least half of a class, of a team and of a
-// class's largest jobs has been served.
+// checkServed (unserved) checks, at the end of a scenario, that at least half of the jobs of each
+// class, of each team and of each class's largest jobs (those with more than half as many tasks
+// as its largest job) were served.
 func (c *Cluster) checkServed() {
 	jobs := c.jobsToServe()
-	largest := map[string]int{} // tasks, by class
+	largest := map[string]int{} // number of tasks of the largest job, by class
 	for _, job := range jobs {
 		largest[job.spec.Class] = max(largest[job.spec.Class], job.spec.TaskCount)
 	}
@@ -77,7 +79,8 @@
 	}
 }
 
-// jobsToServe lists the accepted jobs that nobody cancelled.
+// jobsToServe returns the accepted jobs for which no user requested a cancellation, directly or
+// through a dependency.
 func (c *Cluster) jobsToServe() []*jobRecord {
 	var jobs []*jobRecord
 	for _, id := range c.jobIDs() {
@@ -88,7 +91,7 @@
 	return jobs
 }
 
-// wasServed: the job is told done, or is a service that began.
+// wasServed reports whether the job was reported done or, if a service, has started.
 func (j *jobRecord) wasServed() bool {
 	return j.finalState == stateDone || j.spec.Shape == domain.Service && j.hasStarted
 }
--- a/internal/simulation/checker_room.go
+++ b/internal/simulation/checker_room.go
@@ -16,7 +16,8 @@
 	return n
 }
 
-// usable is how much of the room a job's zone rule lets it use, given where its tasks are.
+// usable returns how many more tasks of a job its zone rule allows in the room z, given where its
+// tasks are placed.
 func (z zoneCount) usable(spec *domain.JobSpec, placed zoneCount) (n int64) {
 	if !spec.OneZone && !spec.Spread {
 		return z.sum()
@@ -25,14 +26,14 @@
 		switch {
 		case spec.Spread:
 			n += min(room, mostInZone(spec)-placed[zone])
-		case placed.sum() == placed[zone]: // none elsewhere
+		case placed.sum() == placed[zone]: // no task is in another zone
 			n = max(n, room)
 		}
 	}
 	return n
 }
 
-// roomFor is how many tasks of a job a machine still has room for.
+// roomFor returns how many more tasks of a job fit on the machine, 0 if it can't start any.
 func (w *worker) roomFor(spec *domain.JobSpec) int64 {
 	if !w.canStart() || !w.isAllowed(spec) {
 		return 0
@@ -41,16 +42,17 @@
 	return free.CountFitting(spec.Request, int64(spec.TaskCount))
 }
 
-// canStart: the machine is there, in order and within reach of the controllers.
+// canStart reports whether the machine is up, healthy and able to exchange messages with
+// controllers. Network cuts are not considered.
 func (w *worker) canStart() bool {
 	now := w.cluster.Now
 	isInOrder := w.isUp && !w.isGone && !w.isHung && !w.failsAllTasks && w.preemptedAt < 0
 	return isInOrder && now >= w.noInboundUntil && now >= w.noOutboundUntil
 }
 
-// checkLeftWaiting (left_waiting): once all troubles are over, no job is left waiting for 90 s
-// while machines that fit have room for it all the time and its team is under its limit. Large
-// fleets are left out.
+// checkLeftWaiting (left_waiting) checks, once all faults are over, that no job waits more than
+// 90 s while suitable machines have room for it throughout and its team is below its limit. It
+// skips large fleets.
 func (c *Cluster) checkLeftWaiting() {
 	if c.isLarge() {
 		return
@@ -69,7 +71,7 @@
 	}
 }
 
-// placedByZone counts the tasks of each job that have not ended, by zone.
+// placedByZone counts the tasks of each job on machines that have not ended, by job and zone.
 func (c *Cluster) placedByZone() map[string]zoneCount {
 	placed := map[string]zoneCount{}
 	for _, w := range c.workers {
@@ -89,7 +91,7 @@
 	return placed
 }
 
-// minTasksToStart is how many tasks of a job must start together.
+// minTasksToStart returns how many tasks of a job must start together: all of a gang, else 1.
 func (j *jobRecord) minTasksToStart() int64 {
 	if j.spec.Shape == domain.Gang {
 		return int64(j.spec.TaskCount)
@@ -97,7 +99,9 @@
 	return 1
 }
 
-// couldStartMore: a job has tasks left to start, and nothing but room may keep it from that.
+// couldStartMore reports whether a job has tasks left to start, its dependencies are done and its
+// team's limit admits them, so that only a lack of room may keep them waiting. used is what the
+// team's tasks take up, placed the number of the job's tasks on machines that have not ended.
 func (c *Cluster) couldStartMore(job *jobRecord, used domain.Resources, placed int64) bool {
 	spec := &job.spec
 	isOpen := job.accepted && job.finalState == "" && !job.cancelRequested
@@ -113,7 +117,8 @@
 	return (limit.GPU == 0 || after.GPU <= limit.GPU) && (limit.CPU == 0 || after.CPU <= limit.CPU)
 }
 
-// sustainedRoom is the room for a job on machines that have had some for 90 s, by zone.
+// sustainedRoom returns the room for a job, in tasks and by zone, on machines that have had some
+// for more than 90 s since all faults were over. It also updates roomSince.
 func (c *Cluster) sustainedRoom(job *jobRecord) zoneCount {
 	since := c.roomSince[job.spec.ID]
 	if since == nil {
--- a/internal/simulation/checker_state.go
+++ b/internal/simulation/checker_state.go
@@ -6,8 +6,9 @@
 	"brassglade/internal/domain"
 )
 
-// checkReadableByPrevious (misread): until all controllers know the new format, whatever is
-// written passes whole through the version before.
+// checkReadableByPrevious (misread) checks that the previous version can read a written value and
+// write it back without loss, as long as the state service does not record that all controllers
+// know the new format.
 func (s *stateService) checkReadableByPrevious(put domain.Put) {
 	_, isFormatOn := s.entries[formatKey]
 	if isFormatOn || put.Value == nil || strings.HasPrefix(put.Key, formatKey) {
--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -7,14 +7,15 @@
 	"brassglade/internal/scheduler"
 )
 
-// The final states of a job, as users are told.
+// The final states of a job, as reported to users.
 const (
 	stateDone      = "done"
 	stateCancelled = "cancelled"
 )
 
-// checkReply checks an answer against the rules that concern users. A request that was under
-// way when its user was told otherwise may still bring the older state.
+// checkReply checks a response about a job, requested at time asked, against the rules on responses
+// to users. A response may still report an older state if it was requested before its user
+// learned the newer one.
 func (c *Cluster) checkReply(id string, reply scheduler.UserReply, asked time.Duration) {
 	job := c.jobs[id]
 	switch reply.Status {
@@ -23,33 +24,34 @@
 		c.checkRefusal(id, job, reply)
 	case http.StatusOK, http.StatusCreated:
 		c.checkAcceptable(id, job, reply)
-		isNews := !job.accepted
-		if isNews {
+		isNew := !job.accepted
+		if isNew {
 			job.acceptedAt = c.Now
 		}
 		job.accepted, job.answeredAt = true, c.Now
 		c.checkState(id, job, reply, asked)
-		if isNews {
+		if isNew {
 			c.sendQueryBurst(id)
 		}
 	}
 }
 
-// checkKnown (forgotten): an accepted job stays known.
+// checkKnown (forgotten) checks that an accepted job is not rejected as unknown or invalid by a
+// response requested after it was accepted.
 func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	if job.accepted && asked >= job.acceptedAt {
 		c.violated(ruleForgotten, "%s got %d", id, reply.Status)
 	}
 }
 
-// checkRefusal (refused): only what can't run is refused.
+// checkRefusal (refused) checks that only jobs that can't run are refused; status 404 is no refusal.
 func (c *Cluster) checkRefusal(id string, job *jobRecord, reply scheduler.UserReply) {
 	if reply.Status != http.StatusNotFound && !job.isInvalid {
 		c.violated(ruleRefused, "%s got %d: %s", id, reply.Status, reply.Reason)
 	}
 }
 
-// checkAcceptable (invented, taken): only what was submitted and can run is accepted.
+// checkAcceptable (invented, taken) checks that an accepted job was submitted and can run.
 func (c *Cluster) checkAcceptable(id string, job *jobRecord, reply scheduler.UserReply) {
 	if !job.isSubmitted {
 		c.violated(ruleInvented, "%s", id)
@@ -59,7 +61,7 @@
 	}
 }
 
-// checkState checks the state of a job that its user is told, and notes the final one.
+// checkState checks the state of a job reported to its user, and records the first final state.
 func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	c.checkFinalStateStays(id, job, reply, asked)
 	switch reply.State {
@@ -81,33 +83,36 @@
 	}
 }
 
-// checkFinalStateStays (went_back): what was told as final stays.
+// checkFinalStateStays (went_back) checks that no response requested after a final state was
+// reported reports another state.
 func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	if job.finalState != "" && reply.State != job.finalState && asked >= job.finalStateAt {
 		c.violated(ruleWentBack, "%s: %s after %s", id, reply.State, job.finalState)
 	}
 }
 
-// checkDone (not_done): all tasks of a job that is told done ran to their end.
+// checkDone (not_done) checks that all tasks of a job reported done ran to completion.
 func (c *Cluster) checkDone(id string, job *jobRecord) {
 	if !job.isDone() {
 		c.violated(ruleNotDone, "%s: %d of %d", id, len(job.done), job.spec.TaskCount)
 	}
 }
 
-// checkCancelAsked (went_back): a job is cancelled only if somebody asked for that.
+// checkCancelAsked (went_back) checks that a job reported cancelled was cancelled by a user,
+// directly or through a dependency.
 func (c *Cluster) checkCancelAsked(id string, job *jobRecord) {
 	if !c.wasCancelRequested(job) {
 		c.violated(ruleWentBack, "%s cancelled though nobody asked", id)
 	}
 }
 
-// checkCancelledWithDependency (orphaned): a job is cancelled soon after one that it depends on.
+// checkCancelledWithDependency (orphaned) checks that a job is not reported open once the
+// cancellation of a job that it depends on, directly or not, is overdue.
 func (c *Cluster) checkCancelledWithDependency(id string, job *jobRecord, reply scheduler.UserReply) {
-	c.anyDependency(job, func(earlier *jobRecord) bool {
-		isOverdue := c.isCancelOverdue(earlier)
+	c.anyDependency(job, func(dependency *jobRecord) bool {
+		isOverdue := c.isCancelOverdue(dependency)
 		if isOverdue && !job.hasViolation(c, ruleOrphaned) {
-			c.violated(ruleOrphaned, "%s is %s though %s is cancelled", id, reply.State, earlier.spec.ID)
+			c.violated(ruleOrphaned, "%s is %s though %s is cancelled", id, reply.State, dependency.spec.ID)
 		}
 		return isOverdue
 	})
--- a/internal/simulation/clock_and_events.go
+++ b/internal/simulation/clock_and_events.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a point of virtual time.
+// event is a function to be run at a point of virtual time.
 type event struct {
 	at       time.Duration
-	sequence int // among events of one time, the order in which they were planned
+	sequence int // order among events of the same time: that in which they were scheduled
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events ordered by time, then by sequence.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -21,10 +21,10 @@
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -32,23 +32,23 @@
 	return last
 }
 
-// after plans f for a virtual duration from now.
+// after schedules f to run when a virtual duration has passed.
 func (c *Cluster) after(delay time.Duration, f func()) {
 	c.lastSequence++
 	heap.Push(&c.events, event{c.Now + delay, c.lastSequence, f})
 }
 
-// everySecond runs f once a virtual second.
+// everySecond runs f once per virtual second, the first time in one second.
 func (c *Cluster) everySecond(f func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		f()
-		c.after(time.Second, again)
+		c.after(time.Second, repeat)
 	}
-	c.after(time.Second, again)
+	c.after(time.Second, repeat)
 }
 
-// Run plays until the given virtual time.
+// Run runs all events up to the given virtual time, inclusive, and sets Now to it.
 func (c *Cluster) Run(until time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= until {
 		next := heap.Pop(&c.events).(event)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -7,22 +7,23 @@
 	"brassglade/internal/scheduler"
 )
 
-// defaultMarketCapacity is how many machines of each zone and kind can be rented unless a test
-// says otherwise.
+// defaultMarketCapacity is the number of machines of each zone and kind (spot or not) that can be
+// rented at a time, unless the script sets another.
 const defaultMarketCapacity = 5
 
-// machineCapacity is the size of every machine.
+// machineCapacity is the capacity of every machine.
 var machineCapacity = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
-// cloud is a provider with one machine type, two zones and a list that lags behind.
+// cloud is a simulated cloud provider with one machine type, two zones and a list of instances
+// that is out of date by Settings.InstanceListLag.
 type cloud struct {
 	cluster     *Cluster
 	isUp        bool
-	rentals     map[string][]string // machines by rental, since a rental may be asked for twice
+	rentals     map[string][]string // names of the rented machines by rental ID, since a rental may be requested twice
 	lastMachine int
 }
 
-// machineTypes answers what can be rented; nil: no answer.
+// machineTypes returns the response to a query for machine types; nil: no response.
 func (c *cloud) machineTypes() any {
 	if !c.isUp {
 		return nil
@@ -39,7 +40,8 @@
 	}}}
 }
 
-// instances answers the rented machines, as they were a little while ago; nil: no answer.
+// instances returns the list of rented machines; nil: no response. Rentals and ends of machines
+// appear in it only after Settings.InstanceListLag.
 func (c *cloud) instances() any {
 	if !c.isUp {
 		return nil
@@ -67,7 +69,8 @@
 	return listed
 }
 
-// rent gives as many of the machines asked for as there are, the same ones to the same rental.
+// rent rents as many of the requested machines as the market has, and returns the response. A
+// repeated request with the same rental ID gets the same machines.
 func (c *cloud) rent(e scheduler.RentMachines) any {
 	if !c.isUp {
 		return scheduler.RentalAnswered{RentalID: e.RentalID}
@@ -88,7 +91,7 @@
 	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
-// countRented counts the machines of a zone and kind that are rented now.
+// countRented returns the number of machines of a zone and kind (spot or not) that are rented now.
 func (c *cloud) countRented(zone string, spot bool) int {
 	n := 0
 	for _, w := range c.cluster.workers {
@@ -99,7 +102,7 @@
 	return n
 }
 
-// returnMachines takes machines back; nil: no answer.
+// returnMachines ends the rental of machines and returns the response; nil: no response.
 func (c *cloud) returnMachines(names []string) any {
 	if !c.isUp {
 		return nil
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,7 +1,8 @@
-// Package simulation is a deterministic cluster for tests: state service, cloud, workers, users
-// and a network that delays, cuts and holds back, all in virtual time around real schedulers.
-// It checks the protocol's rules as it goes. The same seed and script give the same day to the
-// byte: nothing here may depend on the order of a map or on real time.
+// Package simulation is a deterministic cluster for tests. Real schedulers run in virtual time
+// with a simulated state service, cloud provider, workers, users and a network that delays, drops
+// and holds back messages. The rules of the protocol are checked during the run. The same seed and
+// script give the same trace to the byte, so nothing here may depend on the order of a map or on
+// real time.
 package simulation
 
 import (
@@ -16,48 +17,48 @@
 // Cluster is a simulated deployment.
 type Cluster struct {
 	Now        time.Duration // virtual time since the start
-	Trace      []string      // what happened, for people
-	Violations []string      // rules that were broken, each with how
+	Trace      []string      // log of what happened, one line each, for readers and golden traces
+	Violations []string      // violations of the checker's rules, each as "RULE: description"
 
 	settings     scheduler.Settings
-	rng          *rand.Rand // every random draw, so that the order of draws is part of a day
+	rng          *rand.Rand // source of all randomness; the order of draws affects the rest of the run
 	events       eventQueue
-	lastSequence int // of the event planned last
+	lastSequence int // of the event scheduled last
 
 	network       network
 	processes     []*controllerProcess
 	state         *stateService
 	cloud         *cloud
-	workers       []*worker             // in the order in which they were rented, those that are gone included
-	workersByName map[string]*worker    // those rented so far
+	workers       []*worker             // in the order in which they were rented, including those that are gone
+	workersByName map[string]*worker    // all machines rented so far, by name
 	jobs          map[string]*jobRecord // by ID
 
-	marketCapacity          int  // machines that can be rented of each zone and kind (spot or not)
-	initialTransactionLimit int  // changes a transaction may have until the limit falls; 0: as in the settings
-	startsAsPreviousVersion bool // all controllers begin as the version before
+	marketCapacity          int  // number of machines of each zone and kind (spot or not) that can be rented at a time
+	initialTransactionLimit int  // changes per transaction allowed until the limit is lowered; 0: Settings.TransactionLimit
+	startsAsPreviousVersion bool // all controllers start as the previous version
 
-	faults             map[string]fault   // by name, with a controller's or zone's name where it strikes one alone
-	faultsOverAt       time.Duration      // when the last trouble so far is over
-	noFaultGrace       bool               // tests of the checker: troubles are no excuse
-	recordedHeartbeats []domain.Heartbeat // old heartbeats that reach every controller when a leader begins
-	leader             string             // by the state service's latest view
+	faults             map[string]fault   // by name, followed by the name of a controller or zone if the fault concerns only that one
+	faultsOverAt       time.Duration      // end of the last fault so far; the checker excuses delays until then
+	noFaultGrace       bool               // faults do not move faultsOverAt, for tests of the checker
+	recordedHeartbeats []domain.Heartbeat // heartbeats to be replayed to every controller at the next change of leader
+	leader             string             // name of the leader in the state service's latest view; "": none yet
 
-	occurrences   map[string]int                      // what really came about, so that tests can tell that troubles met
-	cordons       []string                            // machines that controllers cordoned, and why
-	shrunkValues  int                                 // values that were rewritten within a smaller limit
-	generatedJobs int                                 // jobs that loads made so far
-	roomSince     map[string]map[string]time.Duration // since when a machine has had room for a waiting job: job, then machine
+	occurrences   map[string]int                      // counts of what happened, by description, so that tests can check that faults took effect
+	cordons       []string                            // machines that controllers cordoned, each with the reason
+	shrunkValues  int                                 // number of values that were rewritten to fit a lower limit
+	generatedJobs int                                 // number of jobs generated so far
+	roomSince     map[string]map[string]time.Duration // since when a machine has had room for a waiting job, by job and machine
 
-	// onEffect, if set, sees all that leaves the schedulers, as it leaves them.
+	// onEffect, if set, is called with each effect of a scheduler before it is applied.
 	onEffect func(*controllerProcess, scheduler.Effect)
 
-	// Benchmarks only: the processor time of the schedulers' steps.
+	// Time spent in the schedulers' steps, measured in real time; only for benchmarks.
 	timesSteps  bool
 	stepTime    time.Duration
 	longestStep time.Duration
 }
 
-// Settings of a small deployment with three controllers and two teams.
+// Settings returns the settings of a small deployment with three controllers and two teams.
 func Settings() scheduler.Settings {
 	return scheduler.Settings{
 		Controllers: []string{"c-0", "c-1", "c-2"},
@@ -81,7 +82,8 @@
 	}
 }
 
-// New returns a cluster whose controllers start at time 0.
+// New returns a cluster whose controllers start at virtual time 0. All randomness is drawn from
+// the seed.
 func New(seed uint64, settings scheduler.Settings) *Cluster {
 	return newCluster(seed, settings, 0, false)
 }
@@ -110,7 +112,8 @@
 	return c
 }
 
-// process finds a controller by name, "leader" among them; nil: there is none.
+// process returns the controller process with a name, where "leader" stands for the current leader;
+// nil: there is none.
 func (c *Cluster) process(name string) *controllerProcess {
 	if name == "leader" {
 		name = c.leader
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -9,7 +9,7 @@
 	"brassglade/internal/tuning"
 )
 
-// applyEffect does what the scheduler decided.
+// applyEffect carries out an effect returned by the scheduler.
 func (p *controllerProcess) applyEffect(effect scheduler.Effect) {
 	c := p.cluster
 	if c.onEffect != nil {
@@ -48,28 +48,29 @@
 	}
 }
 
-// ask puts a request to a service. The scheduler gets its answer, or noAnswer when none came in
-// time, unless the process has ended meanwhile.
+// ask sends a request to a service and passes the response to the scheduler as an event, or
+// noAnswer if no response of type A arrives within the limit. It drops the response if the process
+// has ended or restarted meanwhile.
 func ask[A scheduler.Event](p *controllerProcess, service string, limit time.Duration, serve func(reply func(any)), noAnswer A) {
 	generation := p.generation
 	p.cluster.call(p.name, service, limit, serve, func(answer any) {
 		if p.generation != generation {
 			return
 		}
-		answered, ok := answer.(A)
+		event, ok := answer.(A)
 		if !ok {
-			answered = noAnswer
+			event = noAnswer
 		}
-		p.step(answered)
+		p.step(event)
 	})
 }
 
-// askState asks the state service, which may be slow.
+// askState sends a request to the state service, whose response may be delayed by a fault.
 func askState[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
 	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.replyWithDelay(reply, serve()) }, noAnswer)
 }
 
-// askCloud asks the cloud's provider.
+// askCloud sends a request to the cloud provider.
 func askCloud[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
 	ask(p, participantCloud, tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noAnswer)
 }
@@ -84,7 +85,7 @@
 	}
 }
 
-// sendCommands sends commands straight to a machine, which answers with a heartbeat.
+// sendCommands sends commands directly to a machine, which responds with a heartbeat.
 func (p *controllerProcess) sendCommands(e scheduler.SendCommands) {
 	w := p.cluster.workersByName[e.Machine]
 	if w == nil {
@@ -92,17 +93,17 @@
 	}
 	generation := p.generation
 	p.cluster.call(p.name, w.name, tuning.DirectCommandTimeout, func(reply func(any)) { w.receiveCommands(e, reply) }, func(answer any) {
-		answered := scheduler.CommandsAnswered{Machine: e.Machine}
+		event := scheduler.CommandsAnswered{Machine: e.Machine}
 		if heartbeat, ok := answer.(domain.Heartbeat); ok {
-			answered.Heartbeat = &heartbeat
+			event.Heartbeat = &heartbeat
 		}
 		if p.generation == generation {
-			p.step(answered)
+			p.step(event)
 		}
 	})
 }
 
-// recordLogLine counts or traces the log lines that tests look at.
+// recordLogLine counts or traces the log lines of a scheduler that tests check.
 func (p *controllerProcess) recordLogLine(line scheduler.LogLine) {
 	c := p.cluster
 	switch line.Message {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,30 +9,32 @@
 	"brassglade/internal/scheduler"
 )
 
-// fault is on for a while and strikes a share of what it may strike.
+// fault is an injected fault that lasts until a point of virtual time.
 type fault struct {
 	until       time.Duration
-	probability float64       // chance to strike; 1: always
-	maxDelay    time.Duration // how much later answers come at the most, for "slow" alone
+	probability float64       // of an injection each time the fault applies; 1: always
+	maxDelay    time.Duration // maximum delay of a response; only for the fault "slow"
 }
 
-// startFault puts a trouble on from now.
-func (c *Cluster) startFault(name string, lasting time.Duration, share float64) {
-	c.faults[name] = fault{until: c.Now + lasting, probability: share}
+// startFault starts a fault, which is injected with the given probability each time it applies.
+func (c *Cluster) startFault(name string, duration time.Duration, probability float64) {
+	c.faults[name] = fault{until: c.Now + duration, probability: probability}
 }
 
-// shouldInject tells whether a trouble is on and chance wills it.
+// shouldInject reports whether a fault is active and to be injected now, which is drawn at random
+// if its probability is below 1.
 func (c *Cluster) shouldInject(name string) bool {
-	t, isOn := c.faults[name]
-	return isOn && c.Now < t.until && (t.probability >= 1 || c.rng.Float64() < t.probability)
+	t, isActive := c.faults[name]
+	return isActive && c.Now < t.until && (t.probability >= 1 || c.rng.Float64() < t.probability)
 }
 
-// occurred counts something that troubles brought about.
-func (c *Cluster) occurred(what string) {
-	c.occurrences[what]++
+// occurred counts an occurrence by its description. Tests check the counts to be sure that faults
+// took effect.
+func (c *Cluster) occurred(description string) {
+	c.occurrences[description]++
 }
 
-// replyWithDelay answers, later than usual while the state service is slow.
+// replyWithDelay passes on a response, after a random delay while the fault "slow" is active.
 func (c *Cluster) replyWithDelay(reply func(any), answer any) {
 	if slow := c.faults["slow"]; c.Now < slow.until {
 		c.occurred("slow answer")
@@ -42,7 +44,8 @@
 	reply(answer)
 }
 
-// trackLeader notices a change of leader: kept heartbeats reach every controller then.
+// trackLeader records the leader of a new view. If it changed, the recorded heartbeats are sent to
+// every controller, each after a random delay of 1 to 400 ms.
 func (c *Cluster) trackLeader(value []byte) {
 	var view domain.View
 	if json.Unmarshal(value, &view) != nil || view.Leader == c.leader {
@@ -52,9 +55,9 @@
 		c.occurred("new leader")
 	}
 	c.leader = view.Leader
-	kept := c.recordedHeartbeats
+	recorded := c.recordedHeartbeats
 	c.recordedHeartbeats = nil
-	for _, heartbeat := range kept {
+	for _, heartbeat := range recorded {
 		for _, p := range c.processes {
 			c.after(time.Duration(1+c.rng.IntN(400))*time.Millisecond, func() {
 				w := c.workersByName[heartbeat.Machine]
@@ -67,7 +70,7 @@
 	}
 }
 
-// heartbeatRequest is a machine's heartbeat as a controller receives it.
+// heartbeatRequest returns the request by which a controller receives a machine's heartbeat.
 func heartbeatRequest(heartbeat domain.Heartbeat) func(uint64) scheduler.Event {
 	return func(requestID uint64) scheduler.Event {
 		return scheduler.HeartbeatReceived{RequestID: requestID, Heartbeat: heartbeat}
@@ -76,11 +79,11 @@
 
 func ignoreReply(scheduler.Effect) {}
 
-// hang makes a machine stand still for a while; what was to happen on it follows then.
-func (w *worker) hang(lasting time.Duration) {
+// hang makes a machine unresponsive for a while. Calls deferred meanwhile run when it ends.
+func (w *worker) hang(duration time.Duration) {
 	w.cluster.log("%s hangs", w.name)
 	w.isHung = true
-	w.cluster.after(lasting, func() {
+	w.cluster.after(duration, func() {
 		if w.isGone {
 			return
 		}
@@ -94,7 +97,7 @@
 	})
 }
 
-// preempt gives notice that the provider takes the machine back.
+// preempt announces that the provider will preempt the machine after the notice period.
 func (w *worker) preempt(notice time.Duration) {
 	w.cluster.log("%s is recalled", w.name)
 	w.preemptedAt = w.cluster.Now + notice
@@ -106,9 +109,9 @@
 	})
 }
 
-// terminate ends a machine with all that is on it.
-func (w *worker) terminate(how string) {
-	w.cluster.log("%s %s", w.name, how)
+// terminate removes a machine and all its tasks; reason is added to the trace.
+func (w *worker) terminate(reason string) {
+	w.cluster.log("%s %s", w.name, reason)
 	w.isGone, w.goneAt = true, w.cluster.Now
 	w.tasks = map[domain.TaskID]*task{}
 }
--- a/internal/simulation/job_record.go
+++ b/internal/simulation/job_record.go
@@ -9,76 +9,78 @@
 	"brassglade/internal/domain"
 )
 
-// jobRecord is what really became of a job, and what its user asked and was told.
+// jobRecord records the actual progress of a job, what its user requested and what its user was
+// told.
 type jobRecord struct {
 	spec             domain.JobSpec
 	runtime          time.Duration // of each task, on a machine that neither hangs nor fails
-	done             map[int]bool  // tasks that ran to their end, by index
-	accepted         bool          // its user was told so
+	done             map[int]bool  // tasks that ran to completion, by index
+	accepted         bool          // its user was told that it is accepted
 	acceptedAt       time.Duration
 	isSubmitted      bool          // submitted by a user
-	cancelRequested  bool          // its user asked to cancel it
-	cancelReportedAt time.Duration // when its user was told that it is cancelled; < 0: not
-	finalState       string        // the final state that its user was told; "": none yet
+	cancelRequested  bool          // its user requested its cancellation
+	cancelReportedAt time.Duration // when its user was first told that it is cancelled; < 0: not yet
+	finalState       string        // the final state reported to its user; "": none yet
 	finalStateAt     time.Duration
-	answeredAt       time.Duration // when a question about it was last answered
-	hasStarted       bool          // one of its tasks ran
-	isInvalid        bool          // submitted wrongly on purpose
+	answeredAt       time.Duration // when a request about it was last answered with 200 or 201
+	hasStarted       bool          // at least one of its tasks has run
+	isInvalid        bool          // deliberately invalid, so that it must be refused
 	failsEverywhere  bool          // its tasks fail on every machine
-	readyAt          time.Duration // when all its dependencies were done; < 0: not yet
+	readyAt          time.Duration // when the checker saw that all its dependencies are done; < 0: not yet
 }
 
 func newJobRecord(spec domain.JobSpec, runtime time.Duration) *jobRecord {
 	return &jobRecord{spec: spec, runtime: runtime, done: map[int]bool{}, cancelReportedAt: -1, readyAt: -1}
 }
 
-// isDone tells whether all tasks ran to their end.
+// isDone reports whether all tasks ran to completion.
 func (j *jobRecord) isDone() bool { return len(j.done) >= j.spec.TaskCount }
 
-// hasViolation tells whether the trace already says that the job broke a rule.
+// hasViolation reports whether a violation of the rule by this job is already recorded.
 func (j *jobRecord) hasViolation(c *Cluster, rule string) bool {
 	return slices.ContainsFunc(c.Violations, func(s string) bool {
 		return strings.HasPrefix(s, rule) && strings.Contains(s, j.spec.ID)
 	})
 }
 
-// dependenciesDone tells whether all that a job depends on is done.
+// dependenciesDone reports whether all direct dependencies of a job are done.
 func (c *Cluster) dependenciesDone(job *jobRecord) bool {
 	for _, id := range job.spec.Dependencies {
-		if earlier := c.jobs[id]; earlier == nil || !earlier.isDone() {
+		if dependency := c.jobs[id]; dependency == nil || !dependency.isDone() {
 			return false
 		}
 	}
 	return true
 }
 
-// anyDependency tells whether the condition holds for a job that one depends on, directly or not.
+// anyDependency reports whether the condition holds for a direct or indirect dependency of a job.
 func (c *Cluster) anyDependency(job *jobRecord, holds func(*jobRecord) bool) bool {
 	seen := map[string]bool{}
-	left := append([]string(nil), job.spec.Dependencies...)
-	for len(left) > 0 {
-		id := left[len(left)-1]
-		left = left[:len(left)-1]
-		earlier := c.jobs[id]
-		if earlier == nil || seen[id] {
+	remaining := append([]string(nil), job.spec.Dependencies...)
+	for len(remaining) > 0 {
+		id := remaining[len(remaining)-1]
+		remaining = remaining[:len(remaining)-1]
+		dependency := c.jobs[id]
+		if dependency == nil || seen[id] {
 			continue
 		}
 		seen[id] = true
-		if holds(earlier) {
+		if holds(dependency) {
 			return true
 		}
-		left = append(left, earlier.spec.Dependencies...)
+		remaining = append(remaining, dependency.spec.Dependencies...)
 	}
 	return false
 }
 
-// wasCancelRequested tells whether a user asked to cancel a job, or one that it depends on.
+// wasCancelRequested reports whether a user requested the cancellation of a job or of one of its
+// direct or indirect dependencies.
 func (c *Cluster) wasCancelRequested(job *jobRecord) bool {
 	return job.cancelRequested ||
-		c.anyDependency(job, func(earlier *jobRecord) bool { return earlier.cancelRequested })
+		c.anyDependency(job, func(dependency *jobRecord) bool { return dependency.cancelRequested })
 }
 
-// Unfinished lists accepted jobs that are not over, services aside.
+// Unfinished returns the IDs of the accepted jobs without a final state, except services, in order.
 func (c *Cluster) Unfinished() []string {
 	var unfinished []string
 	for id, job := range c.jobs {
@@ -90,7 +92,7 @@
 	return unfinished
 }
 
-// jobIDs lists all jobs in order.
+// jobIDs returns the IDs of all jobs in order.
 func (c *Cluster) jobIDs() []string { return sortedKeys(c.jobs) }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// What becomes of messages between two sides that are cut off from each other.
+// Modes of a cut: what happens to messages between the separated sides.
 const (
-	cutDrops = "drop" // they are lost
-	cutHolds = "hold" // they arrive when the cut is over
+	cutDrops = "drop" // messages are lost
+	cutHolds = "hold" // messages are delivered when the cut ends
 )
 
-// Participants beside controllers and machines, which have their own names.
+// Names of the participants other than controllers and machines.
 const (
 	participantState = "state"
 	participantCloud = "cloud"
 	participantUsers = "users"
 )
 
-// network is what stands between the cluster's participants: cuts of links and of a whole zone.
+// network holds the cuts between the cluster's participants, of links and of a whole zone, and the
+// messages that they hold back.
 type network struct {
-	linkCuts   map[string]string   // mode of a cut, by link
-	heldOnLink map[string][]func() // deliveries that wait for the end of a cut, by link
+	linkCuts   map[string]string   // mode of the cut, by link
+	heldOnLink map[string][]func() // deliveries held back until the end of the cut, by link
 
-	cutOffZone string // a zone cut off from everything outside it; "": none
+	cutOffZone string // the zone cut off from everything outside it; "": none
 	zoneMode   string
-	heldAtZone []func() // deliveries that wait for the end of the zone's cut
+	heldAtZone []func() // deliveries held back until the end of the zone's cut
 }
 
 func newNetwork() network {
 	return network{linkCuts: map[string]string{}, heldOnLink: map[string][]func(){}}
 }
 
-// linkKey names the linkKey between two participants, whichever comes first.
+// linkKey returns the key of the link between two participants, in either order.
 func linkKey(a, b string) string {
 	if a > b {
 		a, b = b, a
@@ -37,7 +38,8 @@
 	return a + "|" + b
 }
 
-// send delivers after a few milliseconds, unless a cut drops the message or holds it back.
+// send calls deliver after 1 to 5 ms, unless a cut drops the message or holds it back. Held
+// messages are delivered 1 ms after the end of the cut.
 func (c *Cluster) send(from, to string, deliver func()) {
 	n := &c.network
 	if n.cutOffZone != "" && c.isInCutOffZone(from) != c.isInCutOffZone(to) {
@@ -57,13 +59,13 @@
 	c.after(time.Duration(1+c.rng.IntN(5))*time.Millisecond, deliver)
 }
 
-// call is a request with a time limit: serve answers it at its receiver, and done gets the
-// answer, or nil when the limit passes first.
+// call sends a request. serve runs at the receiver and passes its response to reply; done runs
+// once at the sender, with the response, or with nil if none arrives within the limit.
 func (c *Cluster) call(from, to string, limit time.Duration, serve func(reply func(any)), done func(any)) {
-	over := false
+	isDone := false
 	finish := func(answer any) {
-		if !over {
-			over = true
+		if !isDone {
+			isDone = true
 			done(answer)
 		}
 	}
@@ -75,11 +77,11 @@
 	c.after(limit, func() { finish(nil) })
 }
 
-// cutLink cuts two participants off from each other for a while.
-func (c *Cluster) cutLink(a, b, mode string, lasting time.Duration) {
+// cutLink cuts the link between two participants for a duration.
+func (c *Cluster) cutLink(a, b, mode string, duration time.Duration) {
 	key := linkKey(a, b)
 	c.network.linkCuts[key] = mode
-	c.after(lasting, func() {
+	c.after(duration, func() {
 		delete(c.network.linkCuts, key)
 		for _, deliver := range c.network.heldOnLink[key] {
 			c.after(time.Millisecond, deliver)
@@ -88,12 +90,12 @@
 	})
 }
 
-// cutZone cuts the controllers and machines of a zone off from everything outside it.
-func (c *Cluster) cutZone(zone, mode string, lasting time.Duration) {
+// cutZone cuts the controllers and machines of a zone off from everything outside it for a duration.
+func (c *Cluster) cutZone(zone, mode string, duration time.Duration) {
 	c.log("zone %s is cut off (%s)", zone, mode)
 	c.network.cutOffZone, c.network.zoneMode = zone, mode
-	c.faultsOverAt = max(c.faultsOverAt, c.Now+lasting)
-	c.after(lasting, func() {
+	c.faultsOverAt = max(c.faultsOverAt, c.Now+duration)
+	c.after(duration, func() {
 		c.network.cutOffZone = ""
 		c.log("zone %s is back", zone)
 		for _, deliver := range c.network.heldAtZone {
@@ -103,7 +105,7 @@
 	})
 }
 
-// isInCutOffZone tells whether a controller or machine lies in the zone that is cut off.
+// isInCutOffZone reports whether a controller or machine is in the zone that is cut off.
 func (c *Cluster) isInCutOffZone(name string) bool {
 	if w := c.workersByName[name]; w != nil {
 		return w.zone == c.network.cutOffZone
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -7,16 +7,18 @@
 	json "github.com/goccy/go-json"
 )
 
-// This file is frozen. It holds the stored values as the version before pipelines reads and
-// writes them: the types of internal/core (types.go, chunk.go, learn.go) at commit 1036003,
-// which is `production` in deploy/service.toml. The types must not follow those of package
-// domain or codec, since they stand for a program that is already deployed: a controller that
-// plays that version sees every value through them, and so drops what it doesn't know; and
-// whatever the new version writes before all controllers are upgraded must pass through them
-// whole (the rule misread; "Two versions side by side" in docs/design.md).
+// This file is frozen: Go names may change, tags and types of fields may not.
 //
-// It goes, or is taken anew from the then deployed version, once no controller of that version
-// can come back. Go names may change; tags and types of fields may not.
+// It holds the stored values as the previous version, the last one without pipelines, reads and
+// writes them: the types of internal/core (types.go, chunk.go, learn.go) at commit 1036003, which
+// is `production` in deploy/service.toml. The types must not follow those of packages domain and
+// codec, since they represent a program that is already deployed. A simulated controller of that
+// version sees every value through them, and so loses what they don't know. Until all controllers
+// are upgraded, the previous version must be able to rewrite every value that the new version
+// writes without loss (rule misread; see "Two versions side by side" in docs/design.md).
+//
+// Once no controller of that version can be started again, remove this file or replace its types
+// by those of the version deployed then.
 
 type previousResources struct {
 	CPU    int64 `json:"c,omitempty"`
@@ -24,7 +26,7 @@
 	Memory int64 `json:"m,omitempty"`
 }
 
-// previousSpec is a job's specification, in its header.
+// previousSpec is a job's specification, part of its header.
 type previousSpec struct {
 	Class              string            `json:"cl"`
 	Team               string            `json:"tm"`
@@ -45,7 +47,7 @@
 	Deadline           float64           `json:"du,omitempty"`
 }
 
-// previousChunk holds the tasks of a job or of several (b/task/, b/pack/, or in a header).
+// previousChunk holds tasks of one or several jobs (b/task/, b/pack/, or in a header).
 type previousChunk struct {
 	Dictionary []string          `json:"d,omitempty"`
 	Jobs       map[string]string `json:"j"`
@@ -78,18 +80,18 @@
 	IsZoned        bool              `json:"z,omitempty"`
 }
 
-// previousTeam is a team's use of its limit, by shard (b/team/).
+// previousTeam is how much of its limit a team uses, by shard (b/team/).
 type previousTeam struct {
 	Use map[string]previousResources `json:"r"`
 }
 
-// previousCordons are the cordons of a page of machines (b/mach/).
+// previousCordons holds the cordons of a page of machines (b/mach/).
 type previousCordons struct {
 	Drain map[string]string `json:"d,omitempty"`
 	Gone  []string          `json:"g,omitempty"`
 }
 
-// previousMachineTypes are the machine types that the cloud named (b/flavors).
+// previousMachineTypes holds the machine types listed by the cloud provider (b/flavors).
 type previousMachineTypes struct {
 	Types []struct {
 		Name         string            `json:"n"`
@@ -103,7 +105,7 @@
 	} `json:"f"`
 }
 
-// previousWindow is a shard's record for learning (b/window/).
+// previousWindow is a shard's record of a window of learning (b/window/).
 type previousWindow struct {
 	Sequence uint64    `json:"q"`
 	Loads    []float64 `json:"x"`
@@ -111,8 +113,8 @@
 	Weights  []float64 `json:"t"`
 }
 
-// previousKeys says what the version before reads a key as; one that ends in "/" stands for
-// all keys that begin so.
+// previousKeys lists the keys that the previous version knows, with the type of their values. A
+// key that ends in "/" is a prefix.
 var previousKeys = []struct {
 	key      string
 	newValue func() any
@@ -128,8 +130,8 @@
 	{"b/window/", func() any { return &previousWindow{} }},
 }
 
-// newPreviousValue is an empty value of the type as which the version before reads a key; nil:
-// it ignores the key.
+// newPreviousValue returns a pointer to a zero value of the type that the previous version uses for
+// a key; nil: it ignores the key.
 func newPreviousValue(key string) any {
 	for _, p := range previousKeys {
 		if key == p.key || strings.HasSuffix(p.key, "/") && strings.HasPrefix(key, p.key) {
@@ -139,14 +141,15 @@
 	return nil
 }
 
-// previousReading is what the version before makes of a value.
+// previousReading is the result of reading a value with the previous version.
 type previousReading struct {
-	value      []byte // as it would write it again
-	isLossless bool   // nothing of the value is lost that way
-	ok         bool   // it can read the value at all
+	value      []byte // as the previous version would write it back
+	isLossless bool   // nothing is lost when it is written back
+	ok         bool   // the value can be read at all
 }
 
-// asPreviousVersion reads a value as the version before does.
+// asPreviousVersion reads a value as the previous version does. The zero result means that it
+// ignores the key or can't decode the value.
 func asPreviousVersion(key string, value []byte) previousReading {
 	read := newPreviousValue(key)
 	if read == nil || json.Unmarshal(value, read) != nil {
@@ -156,13 +159,13 @@
 	return previousReading{value: written, isLossless: isLosslessForPrevious(key, value, read), ok: err == nil}
 }
 
-// isLosslessForPrevious tells whether the version before knows all fields of a value, and the
-// state of a job, which it would take for final otherwise.
+// isLosslessForPrevious reports whether the previous version knows all fields of a value and, in the
+// header of a job, the job's state. It would take a state that it doesn't know for a final one.
 func isLosslessForPrevious(key string, value []byte, read any) bool {
 	if header, ok := read.(*previousHeader); ok && header.State != "open" && header.State != "done" && header.State != "cancelled" {
 		return false
 	}
-	strict := json.NewDecoder(bytes.NewReader(value))
-	strict.DisallowUnknownFields()
-	return strict.Decode(newPreviousValue(key)) == nil
+	decoder := json.NewDecoder(bytes.NewReader(value))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(newPreviousValue(key)) == nil
 }
