--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -11,29 +11,29 @@
 	// Placement of tasks.
 	ruleQuota        = "quota"         // a team's running tasks stay within its limit
 	ruleRanTwice     = "ran_twice"     // a task is on at most one machine at a time
-	ruleBusy         = "busy"          // no attempt starts on a machine where another attempt at the same task has not ended
+	ruleBusy         = "busy"          // no attempt starts on a machine beside another one of its task
 	ruleWrongPlace   = "wrong_place"   // no task is in a zone or on a kind of machine that its job excludes
 	ruleTooEarly     = "too_early"     // no task starts before its job's dependencies are done
-	ruleRanCancelled = "ran_cancelled" // no task of a job remains on a machine once the time allowed for its cancellation has passed
-	ruleLateStart    = "late_start"    // no task of a cancelled job starts once the responses that could carry the start have expired
+	ruleRanCancelled = "ran_cancelled" // no task of a job is on a machine after the time limit of its cancellation
+	ruleLateStart    = "late_start"    // no task of a cancelled job starts after the last response that may start it
 
 	// Responses to users.
 	ruleForgotten = "forgotten" // an accepted job stays known, and queries about it are answered
-	ruleRefused   = "refused"   // a job that can run is not refused; one that can't is refused with the right status
+	ruleRefused   = "refused"   // jobs that can run are not refused; others are, with the right status
 	ruleTaken     = "taken"     // a job that can't run is not accepted, and no job is accepted twice
 	ruleInvented  = "invented"  // only submitted jobs are accepted
-	ruleWentBack  = "went_back" // a reported final state does not change, and no job is cancelled without a request
+	ruleWentBack  = "went_back" // a reported final state stays, and no job is cancelled without a request
 	ruleNotDone   = "not_done"  // a job reported done ran to completion
 	ruleOrphaned  = "orphaned"  // jobs that depend on a cancelled job are cancelled, too
 
 	// Progress of jobs.
 	ruleStarved     = "starved"      // each job starts within minutes of becoming ready
 	ruleLeftWaiting = "left_waiting" // no job waits while there is room that it may use
-	ruleUnserved    = "unserved"     // at the end of a scenario at least half of the jobs of each class and team were served
+	ruleUnserved    = "unserved"     // at least half of the jobs of each class and team are served
 
 	// Writes to the state service.
 	ruleLimit   = "limit"   // no value or transaction exceeds the limits
-	ruleMisread = "misread" // until the upgrade is complete, the previous version can rewrite every value without loss
+	ruleMisread = "misread" // during an upgrade the previous version can rewrite values without loss
 
 	// The script itself.
 	ruleScript = "script" // every action of a script can be executed
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -19,7 +19,7 @@
 type cloud struct {
 	cluster     *Cluster
 	isUp        bool
-	rentals     map[string][]string // names of the rented machines by rental ID, since a rental may be requested twice
+	rentals     map[string][]string // machine names by rental ID, since a rental may be requested twice
 	lastMachine int
 }
 
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -29,25 +29,25 @@
 	processes     []*controllerProcess
 	state         *stateService
 	cloud         *cloud
-	workers       []*worker             // in the order in which they were rented, including those that are gone
+	workers       []*worker             // in the order of their rental, including those that are gone
 	workersByName map[string]*worker    // all machines rented so far, by name
 	jobs          map[string]*jobRecord // by ID
 
-	marketCapacity          int  // number of machines of each zone and kind (spot or not) that can be rented at a time
-	initialTransactionLimit int  // changes per transaction allowed until the limit is lowered; 0: Settings.TransactionLimit
+	marketCapacity          int  // machines of each zone and kind (spot or not) that can be rented
+	initialTransactionLimit int  // changes per transaction before the limit is lowered; 0: TransactionLimit
 	startsAsPreviousVersion bool // all controllers start as the previous version
 
-	faults             map[string]fault   // by name, followed by the name of a controller or zone if the fault concerns only that one
-	faultsOverAt       time.Duration      // end of the last fault so far; the checker excuses delays until then
-	noFaultGrace       bool               // faults do not move faultsOverAt, for tests of the checker
+	faults             map[string]fault   // by name, and that of the one controller or zone affected, if any
+	faultsOverAt       time.Duration      // end of the last fault; time until then does not count as a delay
+	noFaultGrace       bool               // faults don't change faultsOverAt, for tests of the checker
 	recordedHeartbeats []domain.Heartbeat // heartbeats to be replayed to every controller at the next change of leader
 	leader             string             // name of the leader in the state service's latest view; "": none yet
 
-	occurrences   map[string]int                      // counts of what happened, by description, so that tests can check that faults took effect
+	occurrences   map[string]int                      // by description, so that tests can check that faults took effect
 	cordons       []string                            // machines that controllers cordoned, each with the reason
 	shrunkValues  int                                 // number of values that were rewritten to fit a lower limit
 	generatedJobs int                                 // number of jobs generated so far
-	roomSince     map[string]map[string]time.Duration // since when a machine has had room for a waiting job, by job and machine
+	roomSince     map[string]map[string]time.Duration // when a machine got room for a waiting job, by job and machine
 
 	// onEffect, if set, is called with each effect of a scheduler before it is applied.
 	onEffect func(*controllerProcess, scheduler.Effect)
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -9,7 +9,7 @@
 	"brassglade/internal/tuning"
 )
 
-// wallClockStartMS is the time of day at which clusters begin, ms.
+// wallClockStartMS is the wall-clock time at virtual time 0, in ms since the Unix epoch.
 const wallClockStartMS = 1_800_000_000_000
 
 // controllerProcess is one controller process around a real scheduler.
@@ -17,22 +17,22 @@
 	cluster           *Cluster
 	name              string
 	controller        *scheduler.Controller // nil: the process is not running
-	generation        int                   // counts starts and ends, so that what was meant for an earlier process is dropped
+	generation        int                   // counts starts and ends; calls and responses of an earlier one are dropped
 	startedAt         time.Duration
-	clockRate         float64 // how fast its clock goes
+	clockRate         float64 // speed of its clock relative to virtual time
 	lastRequest       uint64
-	pendingReplies    map[uint64]func(scheduler.Effect) // who waits for an answer, by request
+	pendingReplies    map[uint64]func(scheduler.Effect) // callbacks that wait for a reply, by request ID
 	watchRevision     uint64                            // up to which it has seen the state service's changes
-	isPreviousVersion bool                              // runs the version before, as far as that concerns the upgrade
+	isPreviousVersion bool                              // has the stored formats and the limits of the previous version
 
-	// A frozen process stands still in the middle of a step, while its clock goes on: what it
-	// decided goes out when it wakes, and then it hears all that it missed.
+	// A frozen process stops in the middle of a step while its clock goes on. When it resumes, the
+	// effects of that step are applied first, then the events that arrived meanwhile are handled.
 	frozenUntil     time.Duration
 	withheldEffects []scheduler.Effect
 	missedEvents    []scheduler.Event
 }
 
-// clock is the time since the process started, as its own clock has it.
+// clock returns the time since the process started by its own clock, which runs at clockRate.
 func (p *controllerProcess) clock() time.Duration {
 	return time.Duration(float64(p.cluster.Now-p.startedAt) * p.clockRate)
 }
@@ -64,7 +64,7 @@
 	p.loadSnapshot(generation)
 }
 
-// crash ends the process; it starts again after a while.
+// crash ends the process, which starts again after downtime unless it was started before.
 func (p *controllerProcess) crash(downtime time.Duration) {
 	if p.controller == nil {
 		return
@@ -81,7 +81,7 @@
 	})
 }
 
-// step gives the scheduler an event and carries out what it decides.
+// step passes an event to the scheduler and applies the effects, or defers them while frozen.
 func (p *controllerProcess) step(event scheduler.Event) {
 	if p.controller == nil {
 		return
@@ -101,35 +101,35 @@
 	}
 }
 
-// timedStep is a step of the scheduler, timed where a benchmark asks for it.
+// timedStep runs a step of the scheduler and measures its time if timesSteps is set.
 func (p *controllerProcess) timedStep(event scheduler.Event) []scheduler.Effect {
 	if !p.cluster.timesSteps {
 		return p.controller.Step(p.clock(), event)
 	}
 	start := time.Now()
 	effects := p.controller.Step(p.clock(), event)
-	took := time.Since(start)
-	p.cluster.stepTime += took
-	p.cluster.longestStep = max(p.cluster.longestStep, took)
+	elapsed := time.Since(start)
+	p.cluster.stepTime += elapsed
+	p.cluster.longestStep = max(p.cluster.longestStep, elapsed)
 	return effects
 }
 
-// freeze stops the process at its next step that decides something.
-func (p *controllerProcess) freeze(lasting time.Duration) {
+// freeze stops the process for a duration, starting with its next step that has effects.
+func (p *controllerProcess) freeze(duration time.Duration) {
 	if p.controller == nil {
 		return
 	}
 	p.cluster.log("%s stands still, its clock goes on", p.name)
-	p.frozenUntil = p.cluster.Now + lasting
+	p.frozenUntil = p.cluster.Now + duration
 	generation := p.generation
-	p.cluster.after(lasting, func() {
+	p.cluster.after(duration, func() {
 		if p.generation == generation {
 			p.resume()
 		}
 	})
 }
 
-// resume lets a frozen process go on: what it decided before goes out first.
+// resume continues a frozen process: it applies the withheld effects, then handles missed events.
 func (p *controllerProcess) resume() {
 	p.cluster.log("%s goes on, %d events late", p.name, len(p.missedEvents))
 	p.cluster.occurred("woken")
@@ -146,7 +146,8 @@
 	}
 }
 
-// request puts a request to the scheduler; done gets the effect that answers it.
+// request passes a request to the scheduler; done is called with the effect that answers it. A
+// request to a process that is not running is never answered.
 func (p *controllerProcess) request(event func(requestID uint64) scheduler.Event, done func(scheduler.Effect)) {
 	if p.controller == nil {
 		return
@@ -156,7 +157,7 @@
 	p.step(event(p.lastRequest))
 }
 
-// reply gives the answer to a request to whoever waits for it.
+// reply passes the answer to a request to its callback, once.
 func (p *controllerProcess) reply(requestID uint64, e scheduler.Effect) {
 	if done := p.pendingReplies[requestID]; done != nil {
 		delete(p.pendingReplies, requestID)
@@ -164,8 +165,8 @@
 	}
 }
 
-// loadSnapshot loads the whole state, again and again until the state service answers, and
-// watches it from there.
+// loadSnapshot loads the whole state, retrying until the state service responds, and then watches
+// the changes since its revision.
 func (p *controllerProcess) loadSnapshot(generation int) {
 	if p.generation != generation {
 		return
@@ -186,7 +187,7 @@
 	})
 }
 
-// watch asks for changes since the revision that the process has seen, over and over.
+// watch repeatedly requests the changes since the revision that the process has seen.
 func (p *controllerProcess) watch(generation int) {
 	if p.generation != generation {
 		return
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -9,46 +9,53 @@
 	"brassglade/internal/scheduler"
 )
 
-// Play reads a script, one action a line, and plays it:
+// Play parses and plays a script, with one statement per line and # comments. It returns an error
+// if the script can't be parsed. A machine is named like n-000001, a CONTROLLER like c-0 or, in
+// actions, "leader" for the current leader. S and T (after "at" and "until") are seconds, X is a
+// probability. The tasks of a job submitted with the option mistake fail on every machine.
+//
+// Statements:
 //
 //	seed N
-//	drop GUARD
-//	old                              (all controllers begin as the version before)
-//	fill N                           (machines of each zone and kind that can be rented)
-//	next value=N ops=N               (limits to come, as the settings name them)
-//	zones                            (controllers lie in zones, which a cut can part)
-//	rates                            (changes and requests a second are limited)
+//	drop GUARD                       (disables a guard of the schedulers)
+//	old                              (all controllers start as the previous version)
+//	fill N                           (machines of each zone and kind, spot or not, that can be rented)
+//	next value=N ops=N               (limits that apply after "limits": bytes of a value, changes of a transaction)
+//	zones                            (controllers are in zones, so that cutzone separates them, too)
+//	rates                            (schedulers limit their changes and requests per second)
 //	at T submit ID SHAPE N TEAM [run=S] [gpu=N] [cpu=N] [prio=N] [due=S] [spot] [onezone] [spread] [zone=Z] [types=T,T] [ckpt=S] [awaits=ID,ID] [mistake]
-//	at T upgrade CONTROLLER back=S   (ends and comes back as the new version)
-//	at T limits                      (the limits to come hold from now on)
+//	at T upgrade CONTROLLER back=S   (ends and restarts after S as the new version)
+//	at T limits                      (the limits of "next" apply from now on)
 //	at T cancel ID
 //	at T crash CONTROLLER back=S     at T crash all back=S
-//	at T cutzone Z drop|hold for=S   (controllers and machines of a zone from all others)
-//	at T cut A B drop|hold for=S     (CONTROLLER may be "leader" everywhere; controllers, state, cloud, users, n-000001; * for all machines)
+//	at T cutzone Z drop|hold for=S   (separates the controllers and machines of a zone from all others)
+//	at T cut A B drop|hold for=S     (A and B: a controller, state, cloud, users, a machine; B also * for all machines)
 //	at T state down for=S            at T state refuse CONTROLLER for=S
 //	at T cloud down for=S
-//	at T hang MACHINE for=S          at T take MACHINE       at T notice MACHINE in=S
-//	at T sick MACHINE
-//	at T deaf MACHINE for=S          (its heartbeats arrive, answers and commands don't)
-//	at T copies MACHINE for=S most=S (copies of its heartbeats come late)
-//	at T keep MACHINE for=S          (its heartbeats come again, at every controller, as the next leader begins)
-//	at T mute MACHINE for=S          (it reaches no controller, while commands reach it)
-//	at T freeze CONTROLLER for=S     (stands still in the middle of a step, its clock goes on)
-//	at T late CONTROLLER|all for=S share=X (transactions get no answer and are carried out 2 to 12 s later)
-//	at T lost CONTROLLER|all for=S share=X (transactions are carried out, only their answer is lost)
-//	at T slow for=S by=S             (the state service answers up to that much later)
-//	at T quick for=S                 (machines rented meanwhile are up within two seconds)
-//	at T boots ZONE late|never for=S (machines rented there meanwhile come up late or never)
-//	at T storm for=S                 (users ask about their jobs ten times as often)
-//	at T calloff N [hang=S]          (users cancel that many running jobs at once, whose machines may hang)
-//	at T endings for=S share=X       (jobs are cancelled at the moment at which their last task ends)
-//	at T looks for=S                 (users ask all controllers within milliseconds after each news, and submit again)
-//	at T odd for=S                   (submissions of what can't run or lacks a field, repeats, cancellations of what is done)
-//	blind                            (the checker takes no trouble for an excuse)
-//	until T
+//	at T hang MACHINE for=S          (does nothing for a while)
+//	at T take MACHINE                (the cloud provider takes it without notice)
+//	at T notice MACHINE in=S         (the cloud provider takes it S after a notice)
+//	at T sick MACHINE                (fails all tasks that it starts)
+//	at T deaf MACHINE for=S          (its heartbeats arrive, but replies and commands don't reach it)
+//	at T copies MACHINE for=S most=S (copies of its heartbeats arrive up to "most" later at any controller)
+//	at T keep MACHINE for=S          (its heartbeats are sent again, to every controller, when the leader changes)
+//	at T mute MACHINE for=S          (its heartbeats reach no controller, but commands reach it)
+//	at T freeze CONTROLLER for=S     (stops in the middle of a step while its clock goes on)
+//	at T late CONTROLLER|all for=S share=X (transactions get no response and are executed 2 to 12 s later)
+//	at T lost CONTROLLER|all for=S share=X (transactions are executed, but their responses are lost)
+//	at T slow for=S by=S             (responses of the state service are delayed by up to "by")
+//	at T quick for=S                 (machines rented meanwhile boot within two seconds)
+//	at T boots ZONE late|never for=S (machines rented there meanwhile take twice as long to boot, or never do)
+//	at T storm for=S                 (users query their jobs ten times as often)
+//	at T calloff N [hang=S]          (users cancel N running jobs within 0.2 s; up to eight of their machines may hang)
+//	at T endings for=S share=X       (jobs are cancelled at the moment at which their last task finishes)
+//	at T looks for=S                 (users query all controllers within milliseconds of each change, and resubmit)
+//	at T odd for=S                   (invalid submissions, repeated submissions, cancellations of done jobs)
+//	blind                            (the checker grants no extra time for faults)
+//	until T                          (end of the scenario)
 func Play(text string) (*Cluster, error) { return play(text, nil) }
 
-// play is Play with a look at all that leaves the schedulers.
+// play is Play with a callback for each effect of a scheduler; nil: none.
 func play(text string, onEffect func(*controllerProcess, scheduler.Effect)) (*Cluster, error) {
 	s, err := parseScript(text)
 	if err != nil {
@@ -57,10 +64,10 @@
 	c := newCluster(s.seed, s.settings, s.initialTransactionLimit, s.startsAsPreviousVersion)
 	c.noFaultGrace, c.marketCapacity, c.onEffect = s.noFaultGrace, s.marketCapacity, onEffect
 	c.StartChecks()
-	for _, l := range s.actions {
-		c.after(l.at, func() {
-			if err := c.playAction(l.words); err != nil {
-				c.violated(ruleScript, "%v: %v", l.words, err)
+	for _, a := range s.actions {
+		c.after(a.at, func() {
+			if err := c.playAction(a.words); err != nil {
+				c.violated(ruleScript, "%v: %v", a.words, err)
 			}
 		})
 	}
@@ -69,7 +76,7 @@
 	return c, nil
 }
 
-// script is what a script says before it is played.
+// script is a parsed script.
 type script struct {
 	seed                    uint64
 	settings                scheduler.Settings
@@ -81,7 +88,7 @@
 	until                   time.Duration
 }
 
-// scriptAction is an action and when it is played.
+// scriptAction is an action and the time at which it is played.
 type scriptAction struct {
 	at    time.Duration
 	words []string
@@ -89,19 +96,19 @@
 
 func parseScript(text string) (*script, error) {
 	s := &script{seed: 1, settings: Settings(), marketCapacity: defaultMarketCapacity}
-	for _, l := range strings.Split(text, "\n") {
-		words := strings.Fields(l)
+	for _, line := range strings.Split(text, "\n") {
+		words := strings.Fields(line)
 		if len(words) == 0 || strings.HasPrefix(words[0], "#") {
 			continue
 		}
-		if err := s.parseLine(l, words); err != nil {
-			return nil, fmt.Errorf("%q: %w", l, err)
+		if err := s.parseLine(line, words); err != nil {
+			return nil, fmt.Errorf("%q: %w", line, err)
 		}
 	}
 	return s, nil
 }
 
-func (s *script) parseLine(l string, words []string) (err error) {
+func (s *script) parseLine(line string, words []string) (err error) {
 	switch words[0] {
 	case "seed":
 		s.seed, err = strconv.ParseUint(words[1], 10, 64)
@@ -116,7 +123,7 @@
 	case "old":
 		s.startsAsPreviousVersion = true
 	case "next":
-		err = s.parseNextLimits(l)
+		err = s.parseNextLimits(line)
 	case "drop":
 		s.settings.DisabledGuard = scheduler.Guard(words[1])
 	case "until":
@@ -126,15 +133,16 @@
 		at, err = parseSeconds(words[1])
 		s.actions = append(s.actions, scriptAction{at, words[2:]})
 	default:
-		err = fmt.Errorf("unknown word")
+		err = fmt.Errorf("unknown statement")
 	}
 	return err
 }
 
-// parseNextLimits reads the limits to come; those of the settings hold until then.
-func (s *script) parseNextLimits(l string) error {
+// parseNextLimits reads the limits that apply after the action "limits". Those of the settings
+// apply until then.
+func (s *script) parseNextLimits(line string) error {
 	s.settings.CurrentValueLimit, s.initialTransactionLimit = s.settings.ValueLimit, s.settings.TransactionLimit
-	if _, err := fmt.Sscanf(l, "next value=%d ops=%d", &s.settings.ValueLimit, &s.settings.TransactionLimit); err != nil {
+	if _, err := fmt.Sscanf(line, "next value=%d ops=%d", &s.settings.ValueLimit, &s.settings.TransactionLimit); err != nil {
 		return fmt.Errorf("next: %w", err)
 	}
 	return nil
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -10,14 +10,15 @@
 	"brassglade/internal/domain"
 )
 
-// action is one action of a script: its words, and its options (name=value, or a name alone).
+// action is one action of a script: its words, and its options by name (words of the form
+// name=value, or a name alone with the value "").
 type action struct {
 	words   []string
 	options map[string]string
 }
 
-// newAction reads the words of an action; "leader" stands for the controller that leads now,
-// and is replaced in the words themselves.
+// newAction parses the words of an action. It replaces "leader" by the name of the current leader,
+// also in the slice passed.
 func (c *Cluster) newAction(words []string) action {
 	a := action{words, map[string]string{}}
 	for i, word := range words {
@@ -30,20 +31,20 @@
 	return a
 }
 
-// number is an option's value, or the default when it has none or no number.
-func (a action) number(name string, byDefault float64) float64 {
+// number returns an option's value, or the default if it is absent or not a number.
+func (a action) number(name string, defaultValue float64) float64 {
 	if v, err := strconv.ParseFloat(a.options[name], 64); err == nil {
 		return v
 	}
-	return byDefault
+	return defaultValue
 }
 
-// seconds is an option's value as a duration.
-func (a action) seconds(name string, byDefault float64) time.Duration {
-	return time.Duration(a.number(name, byDefault) * float64(time.Second))
+// seconds returns an option's value, a number of seconds, as a duration. The default is in seconds.
+func (a action) seconds(name string, defaultValue float64) time.Duration {
+	return time.Duration(a.number(name, defaultValue) * float64(time.Second))
 }
 
-// duration is how long an action goes on.
+// duration returns the option "for", by default 20 s.
 func (a action) duration() time.Duration { return a.seconds("for", 20) }
 
 func (a action) has(name string) bool {
@@ -51,7 +52,7 @@
 	return ok
 }
 
-// list is an option's values between commas.
+// list returns an option's comma-separated values; nil: none.
 func (a action) list(name string) []string {
 	if l := a.options[name]; l != "" {
 		return strings.Split(l, ",")
@@ -59,16 +60,17 @@
 	return nil
 }
 
-// actionKind says how an action is played.
+// actionKind describes a kind of action.
 type actionKind struct {
 	play func(*Cluster, action) error
-	// What users do is no trouble, so that the checker excuses nothing for it.
+	// The action is something that users do, not a fault, so that the checker grants no extra
+	// time for it.
 	isUserAction bool
 }
 
 var errUnknownAction = errors.New("unknown action")
 
-// actionKinds are the actions by their first word. The table of Play says what each does.
+// actionKinds holds the kinds of actions by their first word. The comment of Play describes them.
 var actionKinds = map[string]actionKind{
 	"submit":  {(*Cluster).playSubmit, true},
 	"cancel":  {(*Cluster).playCancel, true},
@@ -102,7 +104,8 @@
 	"keep":   {onMachine((*Cluster).playKeep), false},
 }
 
-// playAction carries out one action of a script.
+// playAction executes one action of a script. An action that is a fault extends faultsOverAt by the
+// longest of its options for, back and in.
 func (c *Cluster) playAction(words []string) error {
 	a := c.newAction(words)
 	kind, ok := actionKinds[words[0]]
@@ -169,7 +172,7 @@
 	return nil
 }
 
-// playNamedFault puts a trouble on that has the action's name.
+// playNamedFault starts the fault that has the action's name.
 func (c *Cluster) playNamedFault(a action) error {
 	c.startFault(a.words[0], a.duration(), a.number("share", 1))
 	return nil
@@ -208,8 +211,8 @@
 	return nil
 }
 
-// playCut cuts two participants off from each other, or one from all machines, also those that
-// are not rented yet.
+// playCut cuts the link between two participants, or between one and the first 60 machines,
+// including those that are not rented yet.
 func (c *Cluster) playCut(a action) error {
 	from, to, mode := a.words[1], a.words[2], a.words[3]
 	c.log("cut %s - %s (%s)", from, to, mode)
@@ -249,8 +252,8 @@
 	return nil
 }
 
-// startTransactionFault puts a trouble on with the transactions of all controllers, or of one.
-// Late ones come up to 12 s after its end.
+// startTransactionFault starts a fault that affects transactions of all controllers or of one. The
+// faults are over 12 s after its end, since delayed transactions are executed up to 12 s late.
 func (c *Cluster) startTransactionFault(a action) {
 	name := a.words[0]
 	if a.words[1] != "all" {
@@ -267,8 +270,8 @@
 }
 
 func (c *Cluster) playBoots(a action) error {
-	zone, how := a.words[1], a.words[2]
-	c.startFault("boots "+how+" "+zone, a.duration(), 1)
+	zone, mode := a.words[1], a.words[2]
+	c.startFault("boots "+mode+" "+zone, a.duration(), 1)
 	return nil
 }
 
@@ -278,15 +281,16 @@
 	return nil
 }
 
-// onMachine plays what strikes one machine, if it is there.
-func onMachine(strike func(*Cluster, *worker, action)) func(*Cluster, action) error {
+// onMachine returns the play function of an action on one machine. It adds a line to the trace and
+// does nothing else if the machine does not exist or is gone.
+func onMachine(act func(*Cluster, *worker, action)) func(*Cluster, action) error {
 	return func(c *Cluster, a action) error {
 		w := c.workersByName[a.words[1]]
 		if w == nil || w.isGone {
 			c.log("no machine %s", a.words[1])
 			return nil
 		}
-		strike(c, w, a)
+		act(c, w, a)
 		return nil
 	}
 }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -11,34 +11,34 @@
 	"brassglade/internal/scheduler"
 )
 
-// Keys that the state service and the checker look at. They stand here once more beside those
-// of package codec, so that the checker notices if these change.
+// Keys that the state service and the checker use. They repeat constants of package codec, so that
+// tests fail if those change.
 const (
-	formatKey = "b/format" // says that all controllers know the new format
-	viewKey   = "b/view"   // the epoch, its leader and the members that serve
+	formatKey = "b/format" // its presence means that all controllers know the new format
+	viewKey   = "b/view"   // the epoch, the leader and the serving members
 )
 
-// stateEntry is a value with the revision that wrote it and the lease that it hangs on.
+// stateEntry is a value with the revision that wrote it and the lease that it is attached to.
 type stateEntry struct {
 	value       []byte
 	modRevision uint64
 	leaseID     uint64 // 0: none
 }
 
-// stateLease is a lease; what hangs on it goes when it expires.
+// stateLease is a lease. The entries attached to it are deleted when it expires.
 type stateLease struct {
 	ttl       time.Duration
 	expiresAt time.Duration
 }
 
-// stateWatcher waits for changes after a revision.
+// stateWatcher is a pending watch request for the changes after a revision.
 type stateWatcher struct {
 	revision uint64
 	reply    func(any)
 	process  string
 }
 
-// stateService is a consensus-backed key-value store as its clients see it: one map with
+// stateService simulates a consensus-backed key-value store as its clients see it: one map with
 // revisions, compare-and-swap transactions, leases and watches.
 type stateService struct {
 	cluster   *Cluster
@@ -50,15 +50,15 @@
 	watchers  []stateWatcher
 
 	isDown  bool
-	refused map[string]bool // controllers that alone get no answer
+	refused map[string]bool // controllers whose requests are rejected, by name
 
-	valueLimit       int // the limits in force: bytes of a value, changes of a transaction
+	valueLimit       int // limits in effect: bytes per value and changes per transaction
 	transactionLimit int
 	limitsLowered    bool
 
-	changes           int // puts and deletes asked for
+	changes           int // number of puts and deletes requested
 	requests          int
-	refusedAsTooLarge int // transactions beyond the limits since these fell
+	refusedAsTooLarge int // number of transactions refused because they exceed the limits
 }
 
 func newStateService(c *Cluster) *stateService {
@@ -79,23 +79,23 @@
 	return s
 }
 
-// rejectsRequest counts a request and tells whether its sender gets no answer to it.
+// rejectsRequest counts a request and reports whether its sender gets no valid response.
 func (s *stateService) rejectsRequest(process string) bool {
 	s.requests++
 	return s.isDown || s.refused[process]
 }
 
-// outage takes the service down for a while; leases live on from its end.
-func (s *stateService) outage(lasting time.Duration) {
+// outage takes the service down for a duration. At its end all leases are renewed.
+func (s *stateService) outage(duration time.Duration) {
 	c := s.cluster
-	c.log("state service down for %v", lasting)
+	c.log("state service down for %v", duration)
 	for _, id := range c.jobIDs() {
 		if job := c.jobs[id]; job.cancelReportedAt >= 0 && c.tasksOnMachines(id) > 0 {
 			c.occurred("outage while cancelled tasks are on")
 		}
 	}
 	s.isDown = true
-	c.after(lasting, func() {
+	c.after(duration, func() {
 		s.isDown = false
 		for _, lease := range s.leases {
 			lease.expiresAt = c.Now + lease.ttl
@@ -105,23 +105,23 @@
 	})
 }
 
-// refuse leaves one controller alone without answers for a while.
-func (s *stateService) refuse(process string, lasting time.Duration) {
+// refuse rejects the requests of one controller for a duration.
+func (s *stateService) refuse(process string, duration time.Duration) {
 	s.cluster.log("state service refuses %s", process)
 	s.refused[process] = true
-	s.cluster.after(lasting, func() {
+	s.cluster.after(duration, func() {
 		delete(s.refused, process)
 		s.notifyWatchers()
 	})
 }
 
-// lowerLimits lowers the limits, without notice.
+// lowerLimits sets lower limits without informing the controllers.
 func (s *stateService) lowerLimits(valueLimit, transactionLimit int) {
 	s.cluster.log("limits fall to %d bytes a value and %d changes", valueLimit, transactionLimit)
 	s.valueLimit, s.transactionLimit, s.limitsLowered = valueLimit, transactionLimit, true
 }
 
-// expireLeases ends leases that were not renewed in time, and deletes what hangs on them.
+// expireLeases deletes the leases that were not renewed in time, and the entries attached to them.
 func (s *stateService) expireLeases() {
 	if s.isDown {
 		return
@@ -157,7 +157,7 @@
 	}
 }
 
-// confirm answers whether a value is still of the revision named.
+// confirm returns the response to a query whether a key still has the given revision.
 func (s *stateService) confirm(process string, e scheduler.ConfirmView) any {
 	if s.rejectsRequest(process) {
 		return scheduler.ConfirmationAnswered{}
@@ -165,8 +165,9 @@
 	return scheduler.ConfirmationAnswered{OK: true, Same: s.entries[e.Key].modRevision == e.ModRevision, Revision: s.revision}
 }
 
-// commitWithFaults carries a transaction out, unless a trouble strikes: late, after newer
-// ones of the same controller, or at once with only the answer lost.
+// commitWithFaults executes a transaction, subject to two faults: "late" executes it 2 to 12 s
+// later without a response, so that newer ones of the same controller may come first; "lost"
+// executes it now, but loses the response.
 func (s *stateService) commitWithFaults(p *controllerProcess, e scheduler.Commit, reply func(any)) {
 	c := s.cluster
 	switch {
@@ -186,7 +187,7 @@
 	}
 }
 
-// commit carries a transaction out if its conditions hold and the service takes it.
+// commit executes a transaction if the service accepts it and its conditions hold.
 func (s *stateService) commit(process string, e scheduler.Commit) scheduler.CommitAnswered {
 	if s.rejectsRequest(process) {
 		return scheduler.CommitAnswered{ID: e.ID, Result: domain.Refused}
@@ -194,7 +195,8 @@
 	malformed := scheduler.CommitAnswered{ID: e.ID, Revision: s.revision, Result: domain.Refused, Malformed: true}
 	s.changes += len(e.Transaction.Puts)
 	if excess := s.excess(&e); excess != "" {
-		// Values that are larger are known to all; that the limit fell shows only by the refusal.
+		// Controllers know the initial limits and must respect them. They learn of lower limits
+		// only by a refusal.
 		if !s.limitsLowered {
 			s.cluster.violated(ruleLimit, "%s", excess)
 		}
@@ -223,7 +225,7 @@
 	return answered
 }
 
-// excess says how a transaction is larger than the limits allow; "": it is not.
+// excess describes how a transaction exceeds the limits; "": it doesn't.
 func (s *stateService) excess(e *scheduler.Commit) string {
 	puts, conditions := e.Transaction.Puts, e.Transaction.Conditions
 	excess := ""
@@ -238,7 +240,7 @@
 	return excess
 }
 
-// apply carries out the changes of a transaction as one revision.
+// apply applies the changes of a transaction as one revision.
 func (s *stateService) apply(puts []domain.Put) {
 	s.revision++
 	for _, put := range puts {
@@ -254,7 +256,7 @@
 	}
 }
 
-// read answers the values of some keys.
+// read returns the response to a read of some keys. Keys without a value are left out.
 func (s *stateService) read(process string, e scheduler.ReadKeys) any {
 	if s.rejectsRequest(process) {
 		return scheduler.KeysRead{ID: e.ID}
@@ -268,7 +270,7 @@
 	return read
 }
 
-// grant gives out a new lease.
+// grant creates a lease and returns the response.
 func (s *stateService) grant(process string, ttl time.Duration) any {
 	if s.rejectsRequest(process) {
 		return scheduler.LeaseGranted{}
@@ -278,7 +280,7 @@
 	return scheduler.LeaseGranted{OK: true, LeaseID: s.lastLease}
 }
 
-// renew lets a lease live on from now.
+// renew extends a lease by its TTL from now and returns the response.
 func (s *stateService) renew(process string, id uint64) any {
 	if s.rejectsRequest(process) {
 		return scheduler.LeaseRenewalAnswered{}
@@ -291,7 +293,7 @@
 	return scheduler.LeaseRenewalAnswered{OK: true}
 }
 
-// snapshot answers all values, as the process that asks understands them; nil: no answer.
+// snapshot returns all values as the requesting process understands them; nil: no response.
 func (s *stateService) snapshot(process string) any {
 	if s.rejectsRequest(process) {
 		return nil
@@ -307,7 +309,7 @@
 	return loaded
 }
 
-// watch answers as soon as there are changes after a revision.
+// watch responds as soon as there are changes after a revision.
 func (s *stateService) watch(process string, revision uint64, reply func(any)) {
 	if s.rejectsRequest(process) {
 		reply(nil)
@@ -317,7 +319,7 @@
 	s.notifyWatchers()
 }
 
-// notifyWatchers answers all watchers for whom there is something new.
+// notifyWatchers responds to all watchers for which there are changes.
 func (s *stateService) notifyWatchers() {
 	if s.isDown {
 		return
@@ -336,8 +338,8 @@
 	s.watchers = waiting
 }
 
-// visibleTo is what a controller makes of changes: one of the version before drops what it
-// doesn't know.
+// visibleTo returns changes as a controller understands them: one of the previous version loses
+// fields and ignores values that it doesn't know.
 func (s *stateService) visibleTo(process string, changes []domain.KeyValue) []domain.KeyValue {
 	p := s.cluster.process(process)
 	if p == nil || !p.isPreviousVersion {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -9,10 +9,10 @@
 	"brassglade/internal/scheduler"
 )
 
-// userRequest makes the event of a user's request from the ID that a controller gives it.
+// userRequest makes the event of a user's request, given the ID that the controller assigns to it.
 type userRequest func(requestID uint64) scheduler.Event
 
-// submission submits a job; each time with a specification of its own.
+// submission returns a request to submit a job. Each event gets its own copy of the specification.
 func submission(id string, spec domain.JobSpec) userRequest {
 	return func(requestID uint64) scheduler.Event {
 		own := spec
@@ -30,23 +30,23 @@
 	}
 }
 
-// requestAnywhere sends a request to a live controller through the load balancer; done gets the
-// answer, without a status when none came, and when it was asked for.
+// requestAnywhere sends a request to a random running controller, as through a load balancer. done
+// gets the reply, with status 0 if none arrived, and the time of the request.
 func (c *Cluster) requestAnywhere(request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
-	var live []*controllerProcess
+	var running []*controllerProcess
 	for _, p := range c.processes {
 		if p.controller != nil {
-			live = append(live, p)
+			running = append(running, p)
 		}
 	}
-	if len(live) == 0 {
+	if len(running) == 0 {
 		done(scheduler.UserReply{}, c.Now)
 		return
 	}
-	c.requestAt(live[c.rng.IntN(len(live))], request, done)
+	c.requestAt(running[c.rng.IntN(len(running))], request, done)
 }
 
-// requestAt is the same at one controller.
+// requestAt sends a request to one controller; done is called as by requestAnywhere.
 func (c *Cluster) requestAt(p *controllerProcess, request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
 	asked := c.Now
 	c.call(participantUsers, p.name, 2*time.Second, func(reply func(any)) {
@@ -57,15 +57,15 @@
 	})
 }
 
-// Submit sends a job, again and again until it is accepted; then it polls. Tasks run for the
-// time given.
+// Submit submits a job, retrying until it is accepted, and then polls its state. It first waits
+// until all dependencies are accepted. Each task runs for the given time.
 func (c *Cluster) Submit(spec domain.JobSpec, runtime time.Duration) {
 	job := c.jobs[spec.ID]
 	if job == nil {
 		job = newJobRecord(spec, runtime)
 		c.jobs[spec.ID] = job
 	}
-	for _, id := range spec.Dependencies { // users name only what was accepted
+	for _, id := range spec.Dependencies { // users name only accepted jobs as dependencies
 		if earlier := c.jobs[id]; earlier == nil || !earlier.accepted {
 			c.after(100*time.Millisecond, func() { c.Submit(spec, runtime) })
 			return
@@ -83,7 +83,8 @@
 	})
 }
 
-// poll asks about a job until it is over.
+// poll queries a job every 5 s, or every 0.5 s during the fault "storm", until its user is told a
+// final state.
 func (c *Cluster) poll(id string) {
 	c.requestAnywhere(query(id), func(reply scheduler.UserReply, asked time.Duration) {
 		c.checkReply(id, reply, asked)
@@ -98,7 +99,8 @@
 	})
 }
 
-// Cancel cancels a job, again and again until its user is told that it is over.
+// Cancel cancels a job, retrying every second until its user is told a final state. The job must
+// exist.
 func (c *Cluster) Cancel(id string) {
 	job := c.jobs[id]
 	job.cancelRequested = true
@@ -110,8 +112,9 @@
 	})
 }
 
-// sendQueryBurst asks all controllers about a job within milliseconds of news about it, again and
-// again, and submits it anew.
+// sendQueryBurst sends several queries for a job, and a repeated submission, to each controller
+// within 160 ms, if the fault "looks" is active. It is called when a job's user learns that the
+// job is accepted or has reached a final state.
 func (c *Cluster) sendQueryBurst(id string) {
 	job := c.jobs[id]
 	if !c.shouldInject("looks") || !job.isSubmitted {
@@ -121,9 +124,9 @@
 		for k := 0; k < 4; k++ {
 			request := query(id)
 			if k == 3 {
-				again := job.spec
-				again.TaskCount++ // whatever the other fields say now
-				request = submission(id, again)
+				repeated := job.spec
+				repeated.TaskCount++ // a repeated submission is identified by its ID alone
+				request = submission(id, repeated)
 			}
 			c.after(time.Duration(c.rng.IntN(40*(k+1)))*time.Millisecond, func() {
 				c.requestAt(p, request, func(reply scheduler.UserReply, asked time.Duration) {
@@ -144,27 +147,27 @@
 	c.checkReply(id, reply, asked)
 }
 
-// cancelRunningJobs cancels so many running jobs within a fifth of a second; up to eight of the
-// machines that run them hang, if there is a time for that.
+// cancelRunningJobs cancels up to count running jobs within 200 ms. If hang is positive, up to eight
+// of the machines that run them hang for that time.
 func (c *Cluster) cancelRunningJobs(count int, hang time.Duration) {
 	hung := 0
 	for _, id := range c.jobIDs() {
 		job := c.jobs[id]
-		on := c.firstWorkerOf(id)
-		if count == 0 || on == nil || job.cancelRequested || job.finalState != "" || !job.accepted {
+		machine := c.firstWorkerOf(id)
+		if count == 0 || machine == nil || job.cancelRequested || job.finalState != "" || !job.accepted {
 			continue
 		}
 		count--
 		c.occurred("running job cancelled")
 		c.after(time.Duration(c.rng.IntN(200))*time.Millisecond, func() { c.Cancel(id) })
-		if hang > 0 && hung < 8 && !on.isHung {
+		if hang > 0 && hung < 8 && !machine.isHung {
 			hung++
-			on.hang(hang)
+			machine.hang(hang)
 		}
 	}
 }
 
-// firstWorkerOf is the machine rented first of those that have a task of a job; nil: none has.
+// firstWorkerOf returns the first rented machine that has a task of a job; nil: none has.
 func (c *Cluster) firstWorkerOf(job string) *worker {
 	for _, w := range c.workers {
 		if w.isGone {
@@ -179,8 +182,8 @@
 	return nil
 }
 
-// sendEdgeCaseRequests sends, once a second, a job that fits no machine or lacks a field, repeats
-// submissions with other fields, and cancels jobs that are done.
+// sendEdgeCaseRequests submits an invalid job, resubmits some open jobs with another specification
+// and cancels some done jobs, once per second while the fault "odd" is active.
 func (c *Cluster) sendEdgeCaseRequests() {
 	if !c.shouldInject("odd") {
 		return
@@ -196,9 +199,9 @@
 			c.requestChecked(id, cancellation(id), func(scheduler.UserReply) { c.occurred("done job cancelled") })
 			continue
 		}
-		again := job.spec
-		again.Request.GPU = machineCapacity.GPU + 1 // a repeat is known by its id alone
-		c.requestChecked(id, submission(id, again), func(reply scheduler.UserReply) {
+		repeated := job.spec
+		repeated.Request.GPU = machineCapacity.GPU + 1 // a repeated submission is identified by its ID alone
+		c.requestChecked(id, submission(id, repeated), func(reply scheduler.UserReply) {
 			if reply.Status == http.StatusOK {
 				c.occurred("repeat answered")
 			}
@@ -206,7 +209,8 @@
 	}
 }
 
-// requestChecked sends a request whose answer is checked as any other.
+// requestChecked sends a request about a job to any controller and checks the reply before it calls
+// done.
 func (c *Cluster) requestChecked(id string, request userRequest, done func(scheduler.UserReply)) {
 	c.requestAnywhere(request, func(reply scheduler.UserReply, asked time.Duration) {
 		c.checkReply(id, reply, asked)
@@ -214,8 +218,8 @@
 	})
 }
 
-// submitInvalidJob submits a job that can't run, in one of four ways in turn; it must be
-// refused with the right status.
+// submitInvalidJob submits a job that can't run, with one of four defects in turn. It must be refused
+// with the right status.
 func (c *Cluster) submitInvalidJob() {
 	c.generatedJobs++
 	id := fmt.Sprintf("job-7%06d", c.generatedJobs)
@@ -232,20 +236,20 @@
 	case 3:
 		lacksSpec = true
 	}
-	request, want := submission(id, spec), http.StatusUnprocessableEntity
+	request, wantStatus := submission(id, spec), http.StatusUnprocessableEntity
 	if lacksSpec {
 		request = func(requestID uint64) scheduler.Event {
 			return scheduler.JobSubmitted{RequestID: requestID, ID: id}
 		}
-		want = http.StatusBadRequest
+		wantStatus = http.StatusBadRequest
 	}
 	c.jobs[id] = newJobRecord(spec, 0)
 	c.jobs[id].isInvalid = true
 	c.requestChecked(id, request, func(reply scheduler.UserReply) {
-		if reply.Status == want {
+		if reply.Status == wantStatus {
 			c.occurred("odd submission refused")
 		} else if reply.Status >= 400 && reply.Status < 500 {
-			c.violated(ruleRefused, "%s got %d, not %d", id, reply.Status, want)
+			c.violated(ruleRefused, "%s got %d, not %d", id, reply.Status, wantStatus)
 		}
 	})
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -9,16 +9,16 @@
 	"brassglade/internal/scheduler"
 )
 
-// replyAgeLimit is the age beyond which a machine drops the answer to a heartbeat.
+// replyAgeLimit is the time from a heartbeat beyond which a machine drops the reply to it.
 const replyAgeLimit = 4 * time.Second
 
-// minHeartbeatGap is the least time between two heartbeats that news brought about.
+// minHeartbeatGap is the shortest time from a heartbeat to an extra one for a change on the machine.
 const minHeartbeatGap = 500 * time.Millisecond
 
-// lateBootFactor is how many times as long machines take that come up late.
+// lateBootFactor is the factor by which "boots ZONE late" extends the boot time.
 const lateBootFactor = 2
 
-// worker is one machine with its agent.
+// worker is a rented machine with its agent.
 type worker struct {
 	cluster    *Cluster
 	name, zone string
@@ -29,27 +29,27 @@
 	goneAt     time.Duration
 	tasks      map[domain.TaskID]*task
 
-	agentEpoch     uint64 // of the agent's session; a lost lease begins a new one
-	sequence       uint64 // of the last heartbeat made
-	fencingToken   uint64 // the highest seen
-	controller     int    // whom it sends heartbeats to, an index of the processes
-	awaitsReply    bool   // to a heartbeat under way
+	agentEpoch     uint64 // session of the agent; a lost lease starts a new one
+	sequence       uint64 // sequence number of the last heartbeat made
+	fencingToken   uint64 // the highest token seen
+	controller     int    // index in Cluster.processes of the controller that it sends heartbeats to
+	awaitsReply    bool   // a heartbeat is in flight
 	heartbeatAt    time.Duration
-	leaseRenewedAt time.Duration // sending time of the last heartbeat that was answered
-	acceptedAt     time.Duration // when it last got a 200
+	leaseRenewedAt time.Duration // when the last heartbeat accepted with status 200 was sent
+	acceptedAt     time.Duration // when the last reply with status 200 was accepted
 
 	isHung            bool
-	deferredCalls     []func()      // what follows when it no longer hangs
-	failsAllTasks     bool          // fails all that it starts
-	preemptedAt       time.Duration // when the provider takes it back; < 0: no notice
-	noInboundUntil    time.Duration // until then nothing reaches it, though its heartbeats arrive
-	noOutboundUntil   time.Duration // until then it reaches no controller; commands reach it
-	recordUntil       time.Duration // until then its heartbeats are kept for the next leader
-	duplicateUntil    time.Duration // until then copies of its heartbeats come late
-	maxDuplicateDelay time.Duration // at the most
+	deferredCalls     []func()      // calls to make when it no longer hangs
+	failsAllTasks     bool          // action "sick"
+	preemptedAt       time.Duration // when the cloud provider will take it; < 0: no notice given
+	noInboundUntil    time.Duration // action "deaf": until then no reply or command reaches it
+	noOutboundUntil   time.Duration // action "mute": until then its heartbeats reach no controller
+	recordUntil       time.Duration // action "keep": until then its heartbeats are recorded for replay
+	duplicateUntil    time.Duration // action "copies": until then delayed copies of its heartbeats are sent
+	maxDuplicateDelay time.Duration // maximum delay of a copy
 }
 
-// newWorker rents a machine, which boots for a while.
+// newWorker adds a rented machine, which boots in 8 to 14 s unless a fault changes that.
 func newWorker(c *Cluster, name, zone string, spot bool) *worker {
 	w := &worker{cluster: c, name: name, zone: zone, isSpot: spot, rentedAt: c.Now, agentEpoch: 1, tasks: map[domain.TaskID]*task{}, preemptedAt: -1}
 	c.workers = append(c.workers, w)
@@ -78,7 +78,7 @@
 	return w
 }
 
-// taskIDs lists the tasks that the machine knows, in order.
+// taskIDs returns the IDs of the machine's tasks, in order, including ended ones not yet forgotten.
 func (w *worker) taskIDs() []domain.TaskID {
 	ids := make([]domain.TaskID, 0, len(w.tasks))
 	for id := range w.tasks {
@@ -90,7 +90,8 @@
 	return ids
 }
 
-// whenResponsive runs f now, or when the machine no longer hangs.
+// whenResponsive runs f now or, while the machine hangs, when it no longer does. It drops f if the
+// machine is gone.
 func (w *worker) whenResponsive(f func()) {
 	if w.isGone {
 		return
@@ -102,8 +103,9 @@
 	f()
 }
 
-// checkLease ends the session when no heartbeat was answered in time; also while the
-// machine hangs, since its tasks are killed before anything else then.
+// checkLease ends the session and all tasks when no heartbeat was accepted within
+// Settings.WorkerLease. It does so even while the machine hangs, since a machine kills its tasks
+// before it does anything else when it resumes.
 func (w *worker) checkLease() {
 	c := w.cluster
 	if w.isGone {
@@ -118,14 +120,15 @@
 	c.after(100*time.Millisecond, w.checkLease)
 }
 
-// heartbeatLoop sends heartbeats every three seconds or so.
+// heartbeatLoop sends a heartbeat every 2.25 to 3.75 s.
 func (w *worker) heartbeatLoop() {
 	pause := time.Duration(2250+w.cluster.rng.IntN(1500)) * time.Millisecond
 	w.cluster.after(pause, func() { w.whenResponsive(w.heartbeatLoop) })
 	w.heartbeat()
 }
 
-// scheduleHeartbeat sends a heartbeat for some news.
+// scheduleHeartbeat schedules an extra heartbeat for a change on the machine, at least
+// minHeartbeatGap after the last one.
 func (w *worker) scheduleHeartbeat() {
 	w.heartbeatAfter(max(0, minHeartbeatGap-(w.cluster.Now-w.heartbeatAt)))
 }
@@ -134,7 +137,7 @@
 	w.cluster.after(pause, func() { w.whenResponsive(w.heartbeat) })
 }
 
-// makeHeartbeat says what is on the machine.
+// makeHeartbeat returns a new heartbeat with the state of the machine and its tasks.
 func (w *worker) makeHeartbeat() domain.Heartbeat {
 	w.sequence++
 	heartbeat := domain.Heartbeat{Machine: w.name, Addr: w.name, Type: "box", Zone: w.zone, Spot: w.isSpot,
@@ -149,7 +152,7 @@
 	return heartbeat
 }
 
-// heartbeat sends a heartbeat and does what the answer says, unless one is under way.
+// heartbeat sends a heartbeat and handles the reply, unless one is in flight.
 func (w *worker) heartbeat() {
 	c := w.cluster
 	if w.awaitsReply || w.isGone {
@@ -160,7 +163,7 @@
 	sent, agentEpoch := c.Now, w.agentEpoch
 	p := c.processes[w.controller]
 	if c.Now < w.duplicateUntil {
-		// A copy of the heartbeat comes late, here or to another controller.
+		// Send a delayed copy of the heartbeat to any controller.
 		other := c.processes[c.rng.IntN(len(c.processes))]
 		c.after(time.Duration(1+c.rng.Int64N(int64(w.maxDuplicateDelay))), func() {
 			other.request(heartbeatRequest(heartbeat), ignoreReply)
@@ -187,7 +190,9 @@
 	})
 }
 
-// handleHeartbeatReply does what the answer to a heartbeat says, or turns to another controller.
+// handleHeartbeatReply executes the commands of a reply, or selects another controller if there is
+// no reply with status 200. It drops replies for an earlier session, with an old fencing token or
+// older than replyAgeLimit.
 func (w *worker) handleHeartbeatReply(reply scheduler.HeartbeatReply, sent time.Duration, agentEpoch uint64) {
 	c := w.cluster
 	switch reply.Status {
@@ -211,7 +216,8 @@
 	w.heartbeatAfter(time.Second)
 }
 
-// receiveCommands carries out commands sent straight here.
+// receiveCommands executes commands that a controller sent directly, unless they are for another
+// session or have an old fencing token, and replies with a heartbeat.
 func (w *worker) receiveCommands(e scheduler.SendCommands, reply func(any)) {
 	if w.cluster.Now < w.noInboundUntil {
 		return
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -6,26 +6,26 @@
 	"brassglade/internal/domain"
 )
 
-// causePeers is the cause of an end that the other members of a gang brought about.
+// causePeers is the cause of an end due to missing members of the gang.
 const causePeers = "peers"
 
 // task is an attempt at a task on a machine.
 type task struct {
 	attempt uint64
-	state   string // as heartbeats name it
-	cause   string // of its end
-	saved   bool   // it saved its progress at the end
+	state   string // as reported in heartbeats
+	cause   string // why it ended
+	saved   bool   // it saved its progress before it ended
 }
 
-// isOnMachine: it has its image and has not ended.
+// isOnMachine reports whether the task has its image and has not ended.
 func (t *task) isOnMachine() bool {
 	return t.state == domain.ReportedWaiting || t.state == domain.ReportedRunning || t.state == domain.ReportedSaving
 }
 
-// hasNotEnded: it takes up room, if only to fetch its image.
+// hasNotEnded reports whether the task takes up room, which it does from the fetch of its image on.
 func (t *task) hasNotEnded() bool { return t.state != domain.ReportedEnded }
 
-// executeCommands carries out a controller's commands.
+// executeCommands executes a controller's commands.
 func (w *worker) executeCommands(commands []domain.Command) {
 	for _, command := range commands {
 		switch command.Kind {
@@ -46,7 +46,8 @@
 	}
 }
 
-// stopTask ends an attempt, after it saved its progress if there is time for that.
+// stopTask ends an attempt. A running task with checkpoints saves its progress first if the
+// command's grace period is long enough.
 func (w *worker) stopTask(command domain.Command) {
 	t := w.tasks[command.Task]
 	if t == nil || t.attempt != command.Attempt || t.state == domain.ReportedEnded {
@@ -69,7 +70,7 @@
 	}
 }
 
-// startTask begins an attempt: the machine fetches the image first.
+// startTask starts an attempt by fetching its image, which takes 0.5 to 2 s.
 func (w *worker) startTask(command domain.Command) {
 	id := command.Task
 	job := w.cluster.jobs[id.Job]
@@ -95,7 +96,7 @@
 	})
 }
 
-// used is what the tasks that have not ended take up.
+// used returns the resources that the tasks that have not ended take up.
 func (w *worker) used() domain.Resources {
 	var used domain.Resources
 	for id, t := range w.tasks {
@@ -106,14 +107,14 @@
 	return used
 }
 
-// endTask ends an attempt and lets the controller know soon.
+// endTask ends an attempt and schedules a heartbeat to report it.
 func (w *worker) endTask(id domain.TaskID, t *task, cause string, saved bool) {
 	t.state, t.cause, t.saved = domain.ReportedEnded, cause, saved
 	w.cluster.log("%s/%d try %d ends on %s: %s", id.Job, id.Index, t.attempt, w.name, cause)
 	w.scheduleHeartbeat()
 }
 
-// imageFetched: the task has its image and is on the machine from now on.
+// imageFetched handles the end of a fetch. The task is on the machine from now on, unless it fails.
 func (w *worker) imageFetched(id domain.TaskID, t *task, job *jobRecord) {
 	if w.failsAllTasks || job.failsEverywhere {
 		w.endTask(id, t, domain.CauseError, false)
@@ -124,7 +125,7 @@
 	w.checkPlace(id, job)
 	w.checkNotCancelled(id, job)
 	t.state = domain.ReportedWaiting
-	// In a large fleet the sums over all machines are made each second only.
+	// In a large fleet these checks, which cover all machines, run only once per second.
 	if !w.cluster.isLarge() {
 		w.cluster.checkRunningTasks()
 	}
@@ -135,14 +136,14 @@
 	w.cluster.startGangIfComplete(id.Job, t.attempt, job)
 }
 
-// gangMember is an attempt at a gang's task on its machine.
+// gangMember is an attempt at a task of a gang, with its machine.
 type gangMember struct {
 	worker *worker
 	id     domain.TaskID
 	task   *task
 }
 
-// startGangIfComplete lets the tasks of a gang run once all of one attempt wait for each other.
+// startGangIfComplete runs the tasks of a gang once all tasks of an attempt have their images.
 func (c *Cluster) startGangIfComplete(id string, attempt uint64, job *jobRecord) {
 	var waiting []gangMember
 	for _, w := range c.workers {
@@ -161,7 +162,8 @@
 	}
 }
 
-// runTask lets a task run, to its end unless it is a service's.
+// runTask starts running a task. The task finishes after the job's runtime, or at once if it was
+// finished before; tasks of services don't finish.
 func (w *worker) runTask(id domain.TaskID, t *task, job *jobRecord) {
 	job.hasStarted = true
 	t.state = domain.ReportedRunning
@@ -170,12 +172,12 @@
 	if job.spec.Shape == domain.Service {
 		return
 	}
-	left := job.runtime
+	remaining := job.runtime
 	if job.done[id.Index] {
-		left = 0
+		remaining = 0
 	}
 	agentEpoch := w.agentEpoch
-	w.cluster.after(left, func() {
+	w.cluster.after(remaining, func() {
 		w.whenResponsive(func() {
 			if w.agentEpoch == agentEpoch && w.tasks[id] == t && t.state == domain.ReportedRunning {
 				w.finishTask(id, t, job)
@@ -184,7 +186,8 @@
 	})
 }
 
-// finishTask: the task ran to its end, and with it all of a gang.
+// finishTask records that a task ran to completion. For a task of a gang, it records all tasks of
+// the gang as done. The fault "endings" cancels the job when its last task finishes.
 func (w *worker) finishTask(id domain.TaskID, t *task, job *jobRecord) {
 	job.done[id.Index] = true
 	if job.spec.Shape == domain.Gang {
@@ -199,7 +202,7 @@
 	w.endTask(id, t, domain.CauseDone, false)
 }
 
-// tasksOnMachines counts a job's tasks on machines.
+// tasksOnMachines returns the number of a job's tasks on machines.
 func (c *Cluster) tasksOnMachines(job string) int {
 	n := 0
 	for _, w := range c.workers {
@@ -212,19 +215,20 @@
 	return n
 }
 
-// gangAttempt is an attempt at a gang as a whole.
+// gangAttempt identifies an attempt at a gang as a whole.
 type gangAttempt struct {
 	job     string
 	attempt uint64
 }
 
-// gangMonitor ends the tasks of gangs whose other members are gone, as agents do.
+// gangMonitor ends running tasks of gangs that have lacked members for Settings.GangPeerWait, as the
+// agents of a real cluster do.
 type gangMonitor struct {
 	cluster         *Cluster
 	incompleteSince map[gangAttempt]time.Duration
 }
 
-// endIncompleteGangs looks at all gangs once.
+// endIncompleteGangs checks all gangs once.
 func (g *gangMonitor) endIncompleteGangs() {
 	running := g.countRunning()
 	for _, w := range g.cluster.workers {
@@ -249,7 +253,7 @@
 	}
 }
 
-// countRunning counts the tasks of each gang that run on machines that respond.
+// countRunning returns the number of running tasks of each gang on machines that do not hang.
 func (g *gangMonitor) countRunning() map[gangAttempt]int {
 	running := map[gangAttempt]int{}
 	for _, w := range g.cluster.workers {
