--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -89,9 +89,9 @@
 		}
 		w.cluster.log("%s goes on", w.name)
 		w.isHung = false
-		paused := w.deferredCalls
+		deferred := w.deferredCalls
 		w.deferredCalls = nil
-		for _, f := range paused {
+		for _, f := range deferred {
 			w.whenResponsive(f)
 		}
 	})
