--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -25,7 +25,7 @@
 func benchmark(b *testing.B, fill, backlog int) {
 	for b.Loop() {
 		c := grownCluster(7, fill)
-		c.timesSteps = true
+		c.measuresSteps = true
 		c.submitGrownLoad(backlog, time.Millisecond)
 		c.submitGrownLoad(400*max(1, fill/500), 300*time.Millisecond/time.Duration(max(1, fill/500)))
 		c.Run(2 * time.Minute)
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -15,7 +15,7 @@
 	ruleWrongPlace   = "wrong_place"   // no task is in a zone or on a kind of machine that its job excludes
 	ruleTooEarly     = "too_early"     // no task starts before its job's dependencies are done
 	ruleRanCancelled = "ran_cancelled" // no task of a job is on a machine after the time limit of its cancellation
-	ruleLateStart    = "late_start"    // no task of a cancelled job starts after the last response that may start it
+	ruleLateStart    = "late_start"    // no task of a cancelled job starts once all earlier responses have expired
 
 	// Responses to users.
 	ruleForgotten = "forgotten" // an accepted job stays known, and queries about it are answered
--- a/internal/simulation/checker_progress.go
+++ b/internal/simulation/checker_progress.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// servedShare counts the jobs of a group, and those of them that were served.
-type servedShare struct{ served, all int }
+// servedCount counts the jobs of a group, and those of them that were served.
+type servedCount struct{ served, all int }
 
 // checkServed (unserved) checks, at the end of a scenario, that at least half of the jobs of each
 // class, of each team and of each class's largest jobs (those with more than half as many tasks
@@ -56,25 +56,25 @@
 	for _, job := range jobs {
 		largest[job.spec.Class] = max(largest[job.spec.Class], job.spec.TaskCount)
 	}
-	shares := map[string]*servedShare{}
+	counts := map[string]*servedCount{}
 	for _, job := range jobs {
 		kinds := []string{"class " + job.spec.Class, "team " + job.spec.Team}
 		if 2*job.spec.TaskCount > largest[job.spec.Class] {
 			kinds = append(kinds, "largest of class "+job.spec.Class)
 		}
 		for _, kind := range kinds {
-			if shares[kind] == nil {
-				shares[kind] = &servedShare{}
+			if counts[kind] == nil {
+				counts[kind] = &servedCount{}
 			}
-			shares[kind].all++
+			counts[kind].all++
 			if job.wasServed() {
-				shares[kind].served++
+				counts[kind].served++
 			}
 		}
 	}
-	for _, kind := range sortedKeys(shares) {
-		if share := shares[kind]; 2*share.served < share.all {
-			c.violated(ruleUnserved, "%d of %d of %s", share.served, share.all, kind)
+	for _, kind := range sortedKeys(counts) {
+		if count := counts[kind]; 2*count.served < count.all {
+			c.violated(ruleUnserved, "%d of %d of %s", count.served, count.all, kind)
 		}
 	}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -23,7 +23,7 @@
 	settings     scheduler.Settings
 	rng          *rand.Rand // source of all randomness; the order of draws affects the rest of the run
 	events       eventQueue
-	lastSequence int // of the event scheduled last
+	lastSequence int // sequence number of the event scheduled last
 
 	network       network
 	processes     []*controllerProcess
@@ -53,9 +53,9 @@
 	onEffect func(*controllerProcess, scheduler.Effect)
 
 	// Time spent in the schedulers' steps, measured in real time; only for benchmarks.
-	timesSteps  bool
-	stepTime    time.Duration
-	longestStep time.Duration
+	measuresSteps bool
+	stepTime      time.Duration
+	longestStep   time.Duration
 }
 
 // Settings returns the settings of a small deployment with three controllers and two teams.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -9,7 +9,8 @@
 	"brassglade/internal/scheduler"
 )
 
-// fault is an injected fault that lasts until a point of virtual time.
+// fault is an injected fault, or an unusual behaviour of users or machines, that lasts until a point
+// of virtual time.
 type fault struct {
 	until       time.Duration
 	probability float64       // of an injection each time the fault applies; 1: always
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -18,16 +18,16 @@
 // network holds the cuts between the cluster's participants, of links and of a whole zone, and the
 // messages that they hold back.
 type network struct {
-	linkCuts   map[string]string   // mode of the cut, by link
-	heldOnLink map[string][]func() // deliveries held back until the end of the cut, by link
+	linkCuts      map[string]string   // mode of the cut, by link
+	heldByLinkCut map[string][]func() // deliveries held back until the end of the cut, by link
 
-	cutOffZone string // the zone cut off from everything outside it; "": none
-	zoneMode   string
-	heldAtZone []func() // deliveries held back until the end of the zone's cut
+	cutOffZone    string // the zone cut off from everything outside it; "": none
+	zoneCutMode   string
+	heldByZoneCut []func() // deliveries held back until the end of the zone's cut
 }
 
 func newNetwork() network {
-	return network{linkCuts: map[string]string{}, heldOnLink: map[string][]func(){}}
+	return network{linkCuts: map[string]string{}, heldByLinkCut: map[string][]func(){}}
 }
 
 // linkKey returns the key of the link between two participants, in either order.
@@ -43,8 +43,8 @@
 func (c *Cluster) send(from, to string, deliver func()) {
 	n := &c.network
 	if n.cutOffZone != "" && c.isInCutOffZone(from) != c.isInCutOffZone(to) {
-		if n.zoneMode == cutHolds {
-			n.heldAtZone = append(n.heldAtZone, deliver)
+		if n.zoneCutMode == cutHolds {
+			n.heldByZoneCut = append(n.heldByZoneCut, deliver)
 		}
 		return
 	}
@@ -53,7 +53,7 @@
 	case cutDrops:
 		return
 	case cutHolds:
-		n.heldOnLink[key] = append(n.heldOnLink[key], deliver)
+		n.heldByLinkCut[key] = append(n.heldByLinkCut[key], deliver)
 		return
 	}
 	c.after(time.Duration(1+c.rng.IntN(5))*time.Millisecond, deliver)
@@ -83,25 +83,25 @@
 	c.network.linkCuts[key] = mode
 	c.after(duration, func() {
 		delete(c.network.linkCuts, key)
-		for _, deliver := range c.network.heldOnLink[key] {
+		for _, deliver := range c.network.heldByLinkCut[key] {
 			c.after(time.Millisecond, deliver)
 		}
-		delete(c.network.heldOnLink, key)
+		delete(c.network.heldByLinkCut, key)
 	})
 }
 
 // cutZone cuts the controllers and machines of a zone off from everything outside it for a duration.
 func (c *Cluster) cutZone(zone, mode string, duration time.Duration) {
 	c.log("zone %s is cut off (%s)", zone, mode)
-	c.network.cutOffZone, c.network.zoneMode = zone, mode
+	c.network.cutOffZone, c.network.zoneCutMode = zone, mode
 	c.faultsOverAt = max(c.faultsOverAt, c.Now+duration)
 	c.after(duration, func() {
 		c.network.cutOffZone = ""
 		c.log("zone %s is back", zone)
-		for _, deliver := range c.network.heldAtZone {
+		for _, deliver := range c.network.heldByZoneCut {
 			c.after(time.Millisecond, deliver)
 		}
-		c.network.heldAtZone = nil
+		c.network.heldByZoneCut = nil
 	})
 }
 
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -103,7 +103,7 @@
 
 // timedStep runs a step of the scheduler and measures its time if timesSteps is set.
 func (p *controllerProcess) timedStep(event scheduler.Event) []scheduler.Effect {
-	if !p.cluster.timesSteps {
+	if !p.cluster.measuresSteps {
 		return p.controller.Step(p.clock(), event)
 	}
 	start := time.Now()
