--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -25,7 +25,7 @@
 func benchmark(b *testing.B, fill, backlog int) {
 	for b.Loop() {
 		c := grownCluster(7, fill)
-		c.timesSteps = true
+		c.measuresSteps = true
 		c.submitGrownLoad(backlog, time.Millisecond)
 		c.submitGrownLoad(400*max(1, fill/500), 300*time.Millisecond/time.Duration(max(1, fill/500)))
 		c.Run(2 * time.Minute)
@@ -40,11 +40,11 @@
 		b.ReportMetric(float64(mem.HeapAlloc)/float64(len(c.processes))/(1<<20), "MB/controller-with-standin")
 		b.ReportMetric(float64(c.state.changes)/seconds, "changes/simulated-s")
 		b.ReportMetric(float64(c.state.requests)/seconds, "requests/simulated-s")
-		b.ReportMetric(float64(c.Starts()), "starts")
+		b.ReportMetric(float64(c.TaskStarts()), "starts")
 		b.ReportMetric(float64(len(c.workers)), "machines")
 		b.ReportMetric(float64(c.state.revision), "commits")
-		if len(c.Broken) > 0 {
-			b.Fatal(c.Broken[0])
+		if len(c.Violations) > 0 {
+			b.Fatal(c.Violations[0])
 		}
 	}
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -7,22 +7,23 @@
 	"brassglade/internal/scheduler"
 )
 
-// defaultMarketCapacity is how many machines of each zone and kind can be rented unless a test
-// says otherwise.
+// defaultMarketCapacity is the number of machines of each zone and kind (spot or not) that can be
+// rented at a time, unless the script sets another.
 const defaultMarketCapacity = 5
 
-// machineCapacity is the size of every machine.
+// machineCapacity is the capacity of every machine.
 var machineCapacity = domain.Resources{CPU: 16000, GPU: 4000, Memory: 64000}
 
-// cloud is a provider with one machine type, two zones and a list that lags behind.
+// cloud is a simulated cloud provider with one machine type, two zones and a list of instances
+// that is out of date by Settings.InstanceListLag.
 type cloud struct {
 	cluster     *Cluster
 	isUp        bool
-	rentals     map[string][]string // machines by rental, since a rental may be asked for twice
+	rentals     map[string][]string // machine names by rental ID, since a rental may be requested twice
 	lastMachine int
 }
 
-// machineTypes answers what can be rented; nil: no answer.
+// machineTypes returns the response to a query for machine types; nil: no response.
 func (c *cloud) machineTypes() any {
 	if !c.isUp {
 		return nil
@@ -39,7 +40,8 @@
 	}}}
 }
 
-// instances answers the rented machines, as they were a little while ago; nil: no answer.
+// instances returns the list of rented machines; nil: no response. Rentals and ends of machines
+// appear in it only after Settings.InstanceListLag.
 func (c *cloud) instances() any {
 	if !c.isUp {
 		return nil
@@ -67,7 +69,8 @@
 	return listed
 }
 
-// rent gives as many of the machines asked for as there are, the same ones to the same rental.
+// rent rents as many of the requested machines as the market has, and returns the response. A
+// repeated request with the same rental ID gets the same machines.
 func (c *cloud) rent(e scheduler.RentMachines) any {
 	if !c.isUp {
 		return scheduler.RentalAnswered{RentalID: e.RentalID}
@@ -76,7 +79,7 @@
 		return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 	}
 	var names []string
-	for len(names) < e.Count && c.rentedOf(e.Zone, e.Spot) < c.cluster.marketCapacity {
+	for len(names) < e.Count && c.countRented(e.Zone, e.Spot) < c.cluster.marketCapacity {
 		c.lastMachine++
 		w := newWorker(c.cluster, fmt.Sprintf("n-%06d", c.lastMachine), e.Zone, e.Spot)
 		names = append(names, w.name)
@@ -88,8 +91,8 @@
 	return scheduler.RentalAnswered{RentalID: e.RentalID, OK: true, Names: names}
 }
 
-// rentedOf counts the machines of a zone and kind that are rented now.
-func (c *cloud) rentedOf(zone string, spot bool) int {
+// countRented returns the number of machines of a zone and kind (spot or not) that are rented now.
+func (c *cloud) countRented(zone string, spot bool) int {
 	n := 0
 	for _, w := range c.cluster.workers {
 		if !w.isGone && w.zone == zone && w.isSpot == spot {
@@ -99,14 +102,14 @@
 	return n
 }
 
-// returnMachines takes machines back; nil: no answer.
+// returnMachines ends the rental of machines and returns the response; nil: no response.
 func (c *cloud) returnMachines(names []string) any {
 	if !c.isUp {
 		return nil
 	}
 	for _, name := range names {
 		if w := c.cluster.workersByName[name]; w != nil && !w.isGone {
-			w.vanish("returned")
+			w.terminate("returned")
 		}
 	}
 	return scheduler.ReturnAnswered{Names: names, OK: true}
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -10,14 +10,15 @@
 	"brassglade/internal/domain"
 )
 
-// action is one action of a script: its words, and its options (name=value, or a name alone).
+// action is one action of a script: its words, and its options by name (words of the form
+// name=value, or a name alone with the value "").
 type action struct {
 	words   []string
 	options map[string]string
 }
 
-// newAction reads the words of an action; "leader" stands for the controller that leads now,
-// and is replaced in the words themselves.
+// newAction parses the words of an action. It replaces "leader" by the name of the current leader,
+// also in the slice passed.
 func (c *Cluster) newAction(words []string) action {
 	a := action{words, map[string]string{}}
 	for i, word := range words {
@@ -30,28 +31,28 @@
 	return a
 }
 
-// number is an option's value, or the default when it has none or no number.
-func (a action) number(name string, byDefault float64) float64 {
+// number returns an option's value, or the default if it is absent or not a number.
+func (a action) number(name string, defaultValue float64) float64 {
 	if v, err := strconv.ParseFloat(a.options[name], 64); err == nil {
 		return v
 	}
-	return byDefault
+	return defaultValue
 }
 
-// seconds is an option's value as a duration.
-func (a action) seconds(name string, byDefault float64) time.Duration {
-	return time.Duration(a.number(name, byDefault) * float64(time.Second))
+// seconds returns an option's value, a number of seconds, as a duration. The default is in seconds.
+func (a action) seconds(name string, defaultValue float64) time.Duration {
+	return time.Duration(a.number(name, defaultValue) * float64(time.Second))
 }
 
-// lasting is how long an action goes on.
-func (a action) lasting() time.Duration { return a.seconds("for", 20) }
+// duration returns the option "for", by default 20 s.
+func (a action) duration() time.Duration { return a.seconds("for", 20) }
 
 func (a action) has(name string) bool {
 	_, ok := a.options[name]
 	return ok
 }
 
-// list is an option's values between commas.
+// list returns an option's comma-separated values; nil: none.
 func (a action) list(name string) []string {
 	if l := a.options[name]; l != "" {
 		return strings.Split(l, ",")
@@ -59,24 +60,25 @@
 	return nil
 }
 
-// actionKind says how an action is played.
+// actionKind describes a kind of action.
 type actionKind struct {
 	play func(*Cluster, action) error
-	// What users do is no trouble, so that the checker excuses nothing for it.
-	isUsers bool
+	// The action is something that users do, not a fault, so that the checker grants no extra
+	// time for it.
+	isUserAction bool
 }
 
 var errUnknownAction = errors.New("unknown action")
 
-// actionKinds are the actions by their first word. The table of Play says what each does.
+// actionKinds holds the kinds of actions by their first word. The comment of Play describes them.
 var actionKinds = map[string]actionKind{
 	"submit":  {(*Cluster).playSubmit, true},
 	"cancel":  {(*Cluster).playCancel, true},
 	"calloff": {(*Cluster).playCallOff, true},
-	"looks":   {(*Cluster).playNamedTrouble, true},
-	"endings": {(*Cluster).playNamedTrouble, true},
-	"storm":   {(*Cluster).playNamedTrouble, true},
-	"quick":   {(*Cluster).playNamedTrouble, true},
+	"looks":   {(*Cluster).playNamedFault, true},
+	"endings": {(*Cluster).playNamedFault, true},
+	"storm":   {(*Cluster).playNamedFault, true},
+	"quick":   {(*Cluster).playNamedFault, true},
 	"odd":     {(*Cluster).playOdd, true},
 
 	"crash":   {(*Cluster).playCrash, false},
@@ -92,8 +94,8 @@
 	"boots":   {(*Cluster).playBoots, false},
 	"cloud":   {(*Cluster).playCloud, false},
 
-	"hang":   {onMachine(func(_ *Cluster, w *worker, a action) { w.hang(a.lasting()) }), false},
-	"take":   {onMachine(func(_ *Cluster, w *worker, _ action) { w.vanish("is taken") }), false},
+	"hang":   {onMachine(func(_ *Cluster, w *worker, a action) { w.hang(a.duration()) }), false},
+	"take":   {onMachine(func(_ *Cluster, w *worker, _ action) { w.terminate("is taken") }), false},
 	"notice": {onMachine(func(_ *Cluster, w *worker, a action) { w.preempt(a.seconds("in", 8)) }), false},
 	"sick":   {onMachine((*Cluster).playSick), false},
 	"deaf":   {onMachine((*Cluster).playDeaf), false},
@@ -102,12 +104,13 @@
 	"keep":   {onMachine((*Cluster).playKeep), false},
 }
 
-// playAction carries out one action of a script.
+// playAction executes one action of a script. An action that is a fault extends faultsOverAt by the
+// longest of its options for, back and in.
 func (c *Cluster) playAction(words []string) error {
 	a := c.newAction(words)
 	kind, ok := actionKinds[words[0]]
-	if !kind.isUsers && !c.excusesNothing {
-		c.calmSince = max(c.calmSince, c.Now+max(a.seconds("for", 0), a.seconds("back", 0), a.seconds("in", 0)))
+	if !kind.isUserAction && !c.noFaultGrace {
+		c.faultsOverAt = max(c.faultsOverAt, c.Now+max(a.seconds("for", 0), a.seconds("back", 0), a.seconds("in", 0)))
 	}
 	if !ok {
 		return errUnknownAction
@@ -169,15 +172,15 @@
 	return nil
 }
 
-// playNamedTrouble puts a trouble on that has the action's name.
-func (c *Cluster) playNamedTrouble(a action) error {
-	c.startTrouble(a.words[0], a.lasting(), a.number("share", 1))
+// playNamedFault starts the fault that has the action's name.
+func (c *Cluster) playNamedFault(a action) error {
+	c.startFault(a.words[0], a.duration(), a.number("share", 1))
 	return nil
 }
 
 func (c *Cluster) playOdd(a action) error {
-	c.startTrouble("odd", a.lasting(), 1)
-	c.submitOddRequests()
+	c.startFault("odd", a.duration(), 1)
+	c.sendEdgeCaseRequests()
 	return nil
 }
 
@@ -208,110 +211,111 @@
 	return nil
 }
 
-// playCut cuts two participants off from each other, or one from all machines, also those that
-// are not rented yet.
+// playCut cuts the link between two participants, or between one and the first 60 machines,
+// including those that are not rented yet.
 func (c *Cluster) playCut(a action) error {
 	from, to, mode := a.words[1], a.words[2], a.words[3]
 	c.log("cut %s - %s (%s)", from, to, mode)
 	if to != "*" {
-		c.cutLink(from, to, mode, a.lasting())
+		c.cutLink(from, to, mode, a.duration())
 		return nil
 	}
 	for i := 1; i <= 60; i++ {
-		c.cutLink(from, fmt.Sprintf("n-%06d", i), mode, a.lasting())
+		c.cutLink(from, fmt.Sprintf("n-%06d", i), mode, a.duration())
 	}
 	return nil
 }
 
 func (c *Cluster) playCutZone(a action) error {
-	c.cutZone(a.words[1], a.words[2], a.lasting())
+	c.cutZone(a.words[1], a.words[2], a.duration())
 	return nil
 }
 
 func (c *Cluster) playState(a action) error {
 	if a.words[1] == "down" {
-		c.state.outage(a.lasting())
+		c.state.outage(a.duration())
 		return nil
 	}
-	c.state.refuse(a.words[2], a.lasting())
+	c.state.refuse(a.words[2], a.duration())
 	return nil
 }
 
 func (c *Cluster) playLate(a action) error {
 	c.log("transactions of %s: carried out late, without an answer", a.words[1])
-	c.strikeTransactions(a)
+	c.startTransactionFault(a)
 	return nil
 }
 
 func (c *Cluster) playLost(a action) error {
 	c.log("transactions of %s: their answers are lost", a.words[1])
-	c.strikeTransactions(a)
+	c.startTransactionFault(a)
 	return nil
 }
 
-// strikeTransactions puts a trouble on with the transactions of all controllers, or of one.
-// Late ones come up to 12 s after its end.
-func (c *Cluster) strikeTransactions(a action) {
+// startTransactionFault starts a fault that affects transactions of all controllers or of one. The
+// faults are over 12 s after its end, since delayed transactions are executed up to 12 s late.
+func (c *Cluster) startTransactionFault(a action) {
 	name := a.words[0]
 	if a.words[1] != "all" {
 		name += " " + a.words[1]
 	}
-	c.startTrouble(name, a.lasting(), a.number("share", 0.5))
-	c.calmSince = max(c.calmSince, c.Now+a.lasting()+12*time.Second)
+	c.startFault(name, a.duration(), a.number("share", 0.5))
+	c.faultsOverAt = max(c.faultsOverAt, c.Now+a.duration()+12*time.Second)
 }
 
 func (c *Cluster) playSlow(a action) error {
 	c.log("the state service is slow")
-	c.troubles["slow"] = trouble{until: c.Now + a.lasting(), share: 1, delay: a.seconds("by", 1)}
+	c.faults["slow"] = fault{until: c.Now + a.duration(), probability: 1, maxDelay: a.seconds("by", 1)}
 	return nil
 }
 
 func (c *Cluster) playBoots(a action) error {
-	zone, how := a.words[1], a.words[2]
-	c.startTrouble("boots "+how+" "+zone, a.lasting(), 1)
+	zone, mode := a.words[1], a.words[2]
+	c.startFault("boots "+mode+" "+zone, a.duration(), 1)
 	return nil
 }
 
 func (c *Cluster) playCloud(a action) error {
 	c.cloud.isUp = false
-	c.after(a.lasting(), func() { c.cloud.isUp = true })
+	c.after(a.duration(), func() { c.cloud.isUp = true })
 	return nil
 }
 
-// onMachine plays what strikes one machine, if it is there.
-func onMachine(strike func(*Cluster, *worker, action)) func(*Cluster, action) error {
+// onMachine returns the play function of an action on one machine. It adds a line to the trace and
+// does nothing else if the machine does not exist or is gone.
+func onMachine(act func(*Cluster, *worker, action)) func(*Cluster, action) error {
 	return func(c *Cluster, a action) error {
 		w := c.workersByName[a.words[1]]
 		if w == nil || w.isGone {
 			c.log("no machine %s", a.words[1])
 			return nil
 		}
-		strike(c, w, a)
+		act(c, w, a)
 		return nil
 	}
 }
 
 func (c *Cluster) playSick(w *worker, _ action) {
 	c.log("%s fails all it starts", w.name)
-	w.isSick = true
+	w.failsAllTasks = true
 }
 
 func (c *Cluster) playDeaf(w *worker, a action) {
 	c.log("nothing reaches %s", w.name)
-	w.deafUntil = c.Now + a.seconds("for", 60)
+	w.noInboundUntil = c.Now + a.seconds("for", 60)
 }
 
 func (c *Cluster) playMute(w *worker, a action) {
 	c.log("%s reaches no controller", w.name)
-	w.muteUntil = c.Now + a.seconds("for", 60)
+	w.noOutboundUntil = c.Now + a.seconds("for", 60)
 }
 
 func (c *Cluster) playCopies(w *worker, a action) {
 	c.log("copies of reports of %s come late", w.name)
-	w.copyUntil, w.copyDelay = c.Now+a.seconds("for", 30), a.seconds("most", 30)
-	c.calmSince = max(c.calmSince, w.copyUntil+w.copyDelay)
+	w.duplicateUntil, w.maxDuplicateDelay = c.Now+a.seconds("for", 30), a.seconds("most", 30)
+	c.faultsOverAt = max(c.faultsOverAt, w.duplicateUntil+w.maxDuplicateDelay)
 }
 
 func (c *Cluster) playKeep(w *worker, a action) {
-	w.keepUntil = c.Now + a.seconds("for", 30)
+	w.recordUntil = c.Now + a.seconds("for", 30)
 }
