--- a/internal/simulation/bench_test.go
+++ b/internal/simulation/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkGrown plays two minutes of a grown deployment; with -cpuprofile it
+// BenchmarkLargeCluster plays two minutes of a grown deployment; with -cpuprofile it
 // shows what the controllers spend their time on.
-func BenchmarkGrown(b *testing.B) {
+func BenchmarkLargeCluster(b *testing.B) {
 	benchmark(b, 250, 0)
 }
 
@@ -24,10 +24,10 @@
 
 func benchmark(b *testing.B, fill, backlog int) {
 	for b.Loop() {
-		c := grownCluster(7, fill)
+		c := largeCluster(7, fill)
 		c.timesSteps = true
-		c.submitGrownLoad(backlog, time.Millisecond)
-		c.submitGrownLoad(400*max(1, fill/500), 300*time.Millisecond/time.Duration(max(1, fill/500)))
+		c.submitLargeLoad(backlog, time.Millisecond)
+		c.submitLargeLoad(400*max(1, fill/500), 300*time.Millisecond/time.Duration(max(1, fill/500)))
 		c.Run(2 * time.Minute)
 		runtime.GC()
 		var mem runtime.MemStats
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// TestCheckerBites takes one guard away at a time: the same days must then
+// TestCheckerReportsMissingGuards takes one guard away at a time: the same days must then
 // break the rule that the guard keeps.
-func TestCheckerBites(t *testing.T) {
+func TestCheckerReportsMissingGuards(t *testing.T) {
 	withPipelines := func(guard string) func(uint64) string {
-		return func(seed uint64) string { return pipelinesDay(seed, guard) }
+		return func(seed uint64) string { return pipelineScenario(seed, guard) }
 	}
 	for _, x := range []struct {
 		guard  string
 		rule   string
 		script func(seed uint64) string
 	}{
-		{"proof", ruleRanTwice, func(seed uint64) string { return randomDay(seed, "proof") }},
-		{"quota", ruleQuota, func(seed uint64) string { return randomDay(seed, "quota") }},
+		{"proof", ruleRanTwice, func(seed uint64) string { return randomScenario(seed, "proof") }},
+		{"quota", ruleQuota, func(seed uint64) string { return randomScenario(seed, "quota") }},
 		{"needs", ruleTooEarly, withPipelines("needs")},
 		{"cascade", ruleOrphaned, withPipelines("cascade")},
-		{"draft", ruleWrongPlace, func(seed uint64) string { return zoneDay(seed, "draft") }},
+		{"draft", ruleWrongPlace, func(seed uint64) string { return zoneScenario(seed, "draft") }},
 		// An owner that hears nothing from the state service while its machines still reach
 		// it, for longer than fence and lease; without the cloud, whose word would settle it.
 		{"fence", ruleRanTwice, func(seed uint64) string {
@@ -38,17 +38,17 @@
 	} {
 		t.Run(x.guard, func(t *testing.T) {
 			t.Parallel()
-			expectSomeDayBreaks(t, x.rule, x.guard, x.script)
+			expectSomeSeedBreaks(t, x.rule, x.guard, x.script)
 		})
 	}
 }
 
-// TestCheckerSeesWaiting: without bookings a job waits beside room for it, and its
+// TestCheckerReportsWaitingJobs: without bookings a job waits beside room for it, and its
 // class and team go unserved, while a gang, which the leader books, is served.
-func TestCheckerSeesWaiting(t *testing.T) {
+func TestCheckerReportsWaitingJobs(t *testing.T) {
 	c := mustPlay(t, "drop book\nat 2 submit job-000001 array 2 blue run=20\nat 2 submit job-000002 gang 1 red run=20\nuntil 300\n")
 	for _, violation := range []string{"left_waiting: job-000001", "starved: job-000001", "unserved: 0 of 1 of team blue"} {
-		if !c.breaks(violation) {
+		if !c.hasViolation(violation) {
 			t.Errorf("%s is not among %v", violation, c.Broken)
 		}
 	}
@@ -57,9 +57,9 @@
 	}
 }
 
-// pipelinesDay is a random day with pipelines among its jobs.
-func pipelinesDay(seed uint64, drop string) string {
+// pipelineScenario is a random day with pipelines among its jobs.
+func pipelineScenario(seed uint64, drop string) string {
 	var b strings.Builder
 	writePipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
-	return randomDay(seed, drop) + b.String()
+	return randomScenario(seed, drop) + b.String()
 }
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// meeting is two or more troubles that meet, at times that differ by seed.
-type meeting struct {
+// faultCombination is two or more troubles that meet, at times that differ by seed.
+type faultCombination struct {
 	name  string
 	play  func(*rand.Rand) string
 	want  []string // what must have come about, or the troubles missed each other
@@ -15,9 +15,9 @@
 	rule  string
 }
 
-// refusalGap: the state service refuses one controller, others confirm cancellations, then
+// refusalThenOutage: the state service refuses one controller, others confirm cancellations, then
 // it is out for all for longer than a cancellation has.
-func refusalGap(r *rand.Rand, node string) string {
+func refusalThenOutage(r *rand.Rand, node string) string {
 	at := 60 + 10*r.Float64()
 	s := ""
 	for i := 1; i <= 4; i++ {
@@ -30,11 +30,11 @@
 	return s + scriptLine(at+2.2+0.7*r.Float64(), "state down for=%d", 50+r.IntN(30))
 }
 
-// meetings are those of the users' list; docs/meetings.md has a row for each.
-var meetings = []meeting{
+// faultCombinations are those of the users' list; docs/faultCombinations.md has a row for each.
+var faultCombinations = []faultCombination{
 	{
 		name:  "gap",
-		play:  func(r *rand.Rand) string { return refusalGap(r, anyController(r)) + "until 320\n" },
+		play:  func(r *rand.Rand) string { return refusalThenOutage(r, randomController(r)) + "until 320\n" },
 		want:  []string{"outage while cancelled tasks are on"},
 		guard: "fence",
 		rule:  ruleRanCancelled,
@@ -44,7 +44,7 @@
 		play: func(r *rand.Rand) string {
 			// Bookings whose runs the old leader hasn't sent: its machines are cut off from
 			// it for a moment, within their lease.
-			n := anyController(r)
+			n := randomController(r)
 			s := "at 2 submit job-000100 array 12 blue run=55\n"
 			s += scriptLine(68.8+0.4*r.Float64(), "cut %s * drop for=%d", n, 14+r.IntN(2))
 			for i := 1; i <= 6; i++ {
@@ -61,7 +61,7 @@
 			s := mixedLoad(r, 16, 120) + "at 2 submit job-000001 array 9 blue run=120 spot\n"
 			for i := 0; i < 6; i++ {
 				at := 30 + 120*r.Float64()
-				s += scriptLine(at, "cut %s %s hold for=%d", anyController(r), anyMachine(r), 2+r.IntN(12)) + scriptLine(at+r.Float64(), "hang %s for=%d", anyMachine(r), 2+r.IntN(22)) +
+				s += scriptLine(at, "cut %s %s hold for=%d", randomController(r), randomMachine(r), 2+r.IntN(12)) + scriptLine(at+r.Float64(), "hang %s for=%d", randomMachine(r), 2+r.IntN(22)) +
 					scriptLine(at+1, "crash leader back=%.1f", oneOf(r, 0.3, 4))
 			}
 			return s + scriptLine(100, "calloff 3 hang=15") + "until 600\n"
@@ -89,7 +89,7 @@
 			for i := 0; i < 10; i++ {
 				s += scriptLine(3+110*r.Float64(), "cancel job-%06d", 100+r.IntN(30))
 			}
-			return s + scriptLine(40, "lost all for=60 share=0.3") + scriptLine(60, "cut %s state hold for=5", anyController(r)) + scriptLine(80, "slow for=20 by=0.9") + "until 500\n"
+			return s + scriptLine(40, "lost all for=60 share=0.3") + scriptLine(60, "cut %s state hold for=5", randomController(r)) + scriptLine(80, "slow for=20 by=0.9") + "until 500\n"
 		},
 		want:  []string{"answer to a close look", "answer lost", "slow answer", "cancelled at its end"},
 		guard: "index",
@@ -103,7 +103,7 @@
 				s += scriptLine(at, "crash leader back=%.1f", 0.1+r.Float64()) + scriptLine(at+2*r.Float64(), "crash leader back=0.2")
 			}
 			return s + scriptLine(80, "crash all back=0.3") + scriptLine(110, "crash all back=25") + scriptLine(111, "crash c-0 back=0.1") + scriptLine(160, "crash all back=0.1") +
-				scriptLine(160.5, "crash %s back=3", anyController(r)) + "until 700\n"
+				scriptLine(160.5, "crash %s back=3", randomController(r)) + "until 700\n"
 		},
 		want: []string{"new leader"},
 	},
@@ -128,7 +128,7 @@
 	{
 		name: "zone_cut_off",
 		play: func(r *rand.Rand) string {
-			return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", oneOf(r, "a", "b"), anyCutMode(r), 25+r.IntN(40)) +
+			return "zones\n" + mixedLoad(r, 20, 120) + scriptLine(50+10*r.Float64(), "cutzone %s %s for=%d", oneOf(r, "a", "b"), randomCutMode(r), 25+r.IntN(40)) +
 				scriptLine(60, "calloff 4") + scriptLine(120, "crash leader back=4") + "until 600\n"
 		},
 		want: []string{"running job cancelled"},
@@ -141,7 +141,7 @@
 				s += fmt.Sprintf("at 25 keep n-%06d for=150\nat 30 copies n-%06d for=120 most=45\n", i, i)
 			}
 			for at := 45.0; at < 190; at += 28 {
-				s += scriptLine(at, "hang %s for=24", anyMachine(r)) + scriptLine(at+10*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.3, 6))
+				s += scriptLine(at, "hang %s for=24", randomMachine(r)) + scriptLine(at+10*r.Float64(), "crash leader back=%.1f", oneOf(r, 0.3, 6))
 			}
 			return s + scriptLine(90, "calloff 3 hang=18") + "until 700\n"
 		},
@@ -152,8 +152,8 @@
 		play: func(r *rand.Rand) string {
 			s := "fill 4\n" + loadAtLimits(r)
 			for at := 45.0; at < 160; at += 30 {
-				s += scriptLine(at, "cut leader %s hold for=%d", anyMachine(r), 8+r.IntN(20)) + scriptLine(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
-					scriptLine(at+1.5+3*r.Float64(), "crash leader back=4") + scriptLine(at+2, "deaf %s for=12", anyMachine(r))
+				s += scriptLine(at, "cut leader %s hold for=%d", randomMachine(r), 8+r.IntN(20)) + scriptLine(at+1, "calloff 3 hang=%d", 6+r.IntN(20)) +
+					scriptLine(at+1.5+3*r.Float64(), "crash leader back=4") + scriptLine(at+2, "deaf %s for=12", randomMachine(r))
 			}
 			return s + "until 700\n"
 		},
@@ -176,7 +176,7 @@
 		play: func(r *rand.Rand) string {
 			s := mixedLoad(r, 24, 120)
 			for at := 40.0; at < 160; at += 30 {
-				s += scriptLine(at, "crash %s back=%.1f", anyController(r), oneOf(r, 0.3, 8))
+				s += scriptLine(at, "crash %s back=%.1f", randomController(r), oneOf(r, 0.3, 8))
 				for k := 0; k < 5; k++ {
 					s += scriptLine(at+8*r.Float64(), "calloff 1")
 				}
@@ -190,10 +190,10 @@
 		play: func(r *rand.Rand) string {
 			s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
 			for at := 20.0; at < 200; at += 20 {
-				s += scriptLine(at, "late %s for=12 share=0.5", oneOf(r, "all", anyController(r))) + scriptLine(at+15*r.Float64(), "crash %s back=%.1f", anyController(r), oneOf(r, 0.2, 4)) +
+				s += scriptLine(at, "late %s for=12 share=0.5", oneOf(r, "all", randomController(r))) + scriptLine(at+15*r.Float64(), "crash %s back=%.1f", randomController(r), oneOf(r, 0.2, 4)) +
 					scriptLine(at+5*r.Float64(), "calloff 1")
 			}
-			return s + scriptLine(210, "state refuse %s for=20", anyController(r)) + "until 700\n"
+			return s + scriptLine(210, "state refuse %s for=20", randomController(r)) + "until 700\n"
 		},
 		want: []string{"late transaction that changed something", "a team at its limit", "running job cancelled"},
 	},
@@ -232,7 +232,7 @@
 				n := fmt.Sprintf("c-%d", (k+r.IntN(2))%3)
 				for _, o := range []string{"state", "c-0", "c-1", "c-2"} {
 					if o != n {
-						s += scriptLine(at, "cut %s %s %s for=50", n, o, anyCutMode(r))
+						s += scriptLine(at, "cut %s %s %s for=50", n, o, randomCutMode(r))
 					}
 				}
 				s += scriptLine(at+6, "calloff 3") + scriptLine(at+12, "calloff 2 hang=10")
@@ -259,7 +259,7 @@
 		play: func(r *rand.Rand) string {
 			s := "fill 4\nat 1 looks for=300\n" + loadAtLimits(r)
 			for at := 20.0; at < 160; at += 25 {
-				s += scriptLine(at, "lost %s for=15 share=0.5", oneOf(r, "all", anyController(r))) + scriptLine(at+15*r.Float64(), "calloff 1") + scriptLine(at+10, "crash %s back=0.2", anyController(r))
+				s += scriptLine(at, "lost %s for=15 share=0.5", oneOf(r, "all", randomController(r))) + scriptLine(at+15*r.Float64(), "calloff 1") + scriptLine(at+10, "crash %s back=0.2", randomController(r))
 			}
 			return s + "until 600\n"
 		},
@@ -286,7 +286,7 @@
 				s += fmt.Sprintf("at %d submit job-%06d array %d blue run=%d zone=%s\n", 1+r.IntN(60), 100+i, 2+r.IntN(9), 20+r.IntN(60), oneOf(r, "a", "b"))
 			}
 			for i := 0; i < 8; i++ {
-				s += scriptLine(30+90*r.Float64(), "take %s", anyMachine(r)) + scriptLine(40+80*r.Float64(), "notice %s in=5", anyMachine(r))
+				s += scriptLine(30+90*r.Float64(), "take %s", randomMachine(r)) + scriptLine(40+80*r.Float64(), "notice %s in=5", randomMachine(r))
 			}
 			return s + scriptLine(70, "crash leader back=4") + scriptLine(72, "cloud down for=25") + "until 700\n"
 		},
@@ -294,7 +294,7 @@
 	},
 	{
 		name:  "zone_bound_arrays_across_leaders",
-		play:  zoneBoundAcrossLeaders,
+		play:  zoneBoundLeaderChanges,
 		want:  []string{"new leader", "answer lost", "late transaction that changed something"},
 		guard: "draft",
 		rule:  ruleWrongPlace,
@@ -302,7 +302,7 @@
 	{
 		name: "all_away_longer_than_a_lease",
 		play: func(r *rand.Rand) string {
-			return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", anyMachine(r)) + "until 700\n"
+			return mixedLoad(r, 24, 120) + scriptLine(50+20*r.Float64(), "crash all back=%d", 21+r.IntN(20)) + scriptLine(49, "calloff 3 hang=30") + scriptLine(52, "keep %s for=1", randomMachine(r)) + "until 700\n"
 		},
 		want: []string{"new leader", "running job cancelled"},
 	},
@@ -313,7 +313,7 @@
 			for at := 40.0; at < 150; at += 35 {
 				for i := 0; i < 4; i++ {
 					what := oneOf(r, "deaf %s for=%d", "hang %s for=%d", "mute %s for=%d", "cut c-1 %s drop for=%d", "cut c-2 %s hold for=%d")
-					s += scriptLine(at+r.Float64(), what, anyMachine(r), 10+r.IntN(20))
+					s += scriptLine(at+r.Float64(), what, randomMachine(r), 10+r.IntN(20))
 				}
 				s += scriptLine(at+2, "crash leader back=4") + scriptLine(at+3, "calloff 1")
 			}
@@ -326,7 +326,7 @@
 		play: func(r *rand.Rand) string {
 			s := "at 1 looks for=250\n" + mixedLoad(r, 24, 150)
 			for at := 35.0; at < 170; at += 30 {
-				s += scriptLine(at+5*r.Float64(), "freeze %s for=%d", oneOf(r, "leader", anyController(r)), 2+r.IntN(40)) + scriptLine(at+3+5*r.Float64(), "calloff 2")
+				s += scriptLine(at+5*r.Float64(), "freeze %s for=%d", oneOf(r, "leader", randomController(r)), 2+r.IntN(40)) + scriptLine(at+3+5*r.Float64(), "calloff 2")
 			}
 			return s + scriptLine(100, "state refuse leader for=15") + "until 700\n"
 		},
@@ -348,8 +348,8 @@
 			s := "at 2 submit job-000001 array 9 blue run=200 spot\n" + mixedLoad(r, 20, 120)
 			for at := 45.0; at < 150; at += 40 {
 				a := r.IntN(3)
-				s += scriptLine(at+r.Float64(), "cut c-%d state %s for=%d", a, anyCutMode(r), 10+r.IntN(18)) +
-					scriptLine(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, anyCutMode(r), 10+r.IntN(18)) + scriptLine(at+4, "calloff 2")
+				s += scriptLine(at+r.Float64(), "cut c-%d state %s for=%d", a, randomCutMode(r), 10+r.IntN(18)) +
+					scriptLine(at+3*r.Float64(), "cut c-%d * %s for=%d", (a+1)%3, randomCutMode(r), 10+r.IntN(18)) + scriptLine(at+4, "calloff 2")
 			}
 			return s + "until 700\n"
 		},
@@ -358,33 +358,33 @@
 }
 
 // script is the meeting on the day of a seed, with a guard dropped unless it is "".
-func (m *meeting) script(seed uint64, drop string) string {
-	return fmt.Sprintf("seed %d\n", seed) + dropLine(drop) + m.play(rand.New(rand.NewPCG(seed, 31)))
+func (m *faultCombination) script(seed uint64, drop string) string {
+	return fmt.Sprintf("seed %d\n", seed) + dropGuardLine(drop) + m.play(rand.New(rand.NewPCG(seed, 31)))
 }
 
-// TestMeetings brings about each meeting of troubles that the users list, three
+// TestCombinedFaults brings about each meeting of troubles that the users list, three
 // times: no rule may break, all work comes to its end, and the troubles must
 // really have met. Where a guard is named, some such day breaks its rule without it.
-func TestMeetings(t *testing.T) {
-	for _, m := range meetings {
+func TestCombinedFaults(t *testing.T) {
+	for _, m := range faultCombinations {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			m.expectTroublesMeet(t)
+			m.expectFaultsCombine(t)
 			if m.guard != "" {
-				expectSomeDayBreaks(t, m.rule, m.guard, func(seed uint64) string { return m.script(seed, m.guard) })
+				expectSomeSeedBreaks(t, m.rule, m.guard, func(seed uint64) string { return m.script(seed, m.guard) })
 			}
 		})
 	}
 }
 
-// expectTroublesMeet plays three days of a meeting, which must be sound and bring about what it
+// expectFaultsCombine plays three days of a meeting, which must be sound and bring about what it
 // is for.
-func (m *meeting) expectTroublesMeet(t *testing.T) {
+func (m *faultCombination) expectFaultsCombine(t *testing.T) {
 	t.Helper()
 	met := map[string]int{}
 	for seed := uint64(1); seed <= 3; seed++ {
 		c := mustPlay(t, m.script(seed, ""))
-		expectSound(t, c, "seed %d", seed)
+		expectCleanRun(t, c, "seed %d", seed)
 		for what, n := range c.occurrences {
 			met[what] += n
 		}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -109,25 +109,25 @@
 
 // digestKind is a kind of day: played is one of them, to its end.
 type digestKind struct {
-	name   string
-	days   uint64
-	played func(seed uint64, d *digest) error
+	name      string
+	scenarios uint64
+	play      func(seed uint64, d *digest) error
 }
 
 var digestKinds = []digestKind{
-	{"random", 60, scripted(func(seed uint64) string { return randomDay(seed, "") })},
-	{"zones", 60, scripted(func(seed uint64) string { return zoneDay(300+seed, "") })},
-	{"zones across leaders", 15, scripted(func(seed uint64) string { return zoneBoundAcrossLeaders(rand.New(rand.NewPCG(seed, 71))) })},
-	{"meetings", 40, scripted(pairedTroublesDay)},
+	{"random", 60, scripted(func(seed uint64) string { return randomScenario(seed, "") })},
+	{"zones", 60, scripted(func(seed uint64) string { return zoneScenario(300+seed, "") })},
+	{"zones across leaders", 15, scripted(func(seed uint64) string { return zoneBoundLeaderChanges(rand.New(rand.NewPCG(seed, 71))) })},
+	{"meetings", 40, scripted(faultPairScenario)},
 	{"pipelines", 30, scripted(func(seed uint64) string {
 		var b strings.Builder
 		writePipelines(&b, rand.New(rand.NewPCG(seed, 5)), 5, 14)
-		return randomDay(seed, "") + b.String()
+		return randomScenario(seed, "") + b.String()
 	})},
-	{"old beside new", 40, scripted(func(seed uint64) string { return upgradeDay(seed, "") })},
-	{"guests", 4, fleetDay(withGuestDay)},
-	{"fleet restarts", 1, fleetDay(restartedFleet)},
-	{"fleet with a zone cut", 1, fleetDay(cutFleet)},
+	{"old beside new", 40, scripted(func(seed uint64) string { return upgradeScenario(seed, "") })},
+	{"guests", 4, unscripted(playTeamWithoutQuota)},
+	{"fleet restarts", 1, unscripted(playFleetRestart)},
+	{"fleet with a zone cut", 1, unscripted(playFleetZoneCut)},
 }
 
 func scripted(script func(uint64) string) func(uint64, *digest) error {
@@ -137,27 +137,27 @@
 	}
 }
 
-func fleetDay(run func(seed uint64, d *digest)) func(uint64, *digest) error {
+func unscripted(run func(seed uint64, d *digest)) func(uint64, *digest) error {
 	return func(seed uint64, d *digest) error {
 		run(seed, d)
 		return nil
 	}
 }
 
-// withGuestDay has an idle array of a guest beside jobs of teams with guarantees.
-func withGuestDay(seed uint64, d *digest) {
-	c := clusterWithGuest(seed, 4)
+// playTeamWithoutQuota has an idle array of a guest beside jobs of teams with guarantees.
+func playTeamWithoutQuota(seed uint64, d *digest) {
+	c := clusterWithTeamWithoutQuota(seed, 4)
 	c.onEffect = d.add
 	c.after(time.Second, func() {
 		c.Submit(domain.JobSpec{ID: "job-000001", Class: "x", Team: "guest", Shape: domain.Array, Priority: 0, TaskCount: 150,
 			Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: "img", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 20, CheckpointCost: 2}, 300*time.Second)
 	})
-	c.submitGrownLoad(25, 4*time.Second)
+	c.submitLargeLoad(25, 4*time.Second)
 	c.Run(300 * time.Second)
 }
 
-// restartedFleet has 700 machines; all controllers end at once after an outage.
-func restartedFleet(_ uint64, d *digest) {
+// playFleetRestart has 700 machines; all controllers end at once after an outage.
+func playFleetRestart(_ uint64, d *digest) {
 	c := busyFleet(d)
 	c.Run(40 * time.Second)
 	c.state.outage(8 * time.Second)
@@ -168,8 +168,8 @@
 	c.Run(90 * time.Second)
 }
 
-// cutFleet has 700 machines, one of whose zones is cut off with its controllers.
-func cutFleet(_ uint64, d *digest) {
+// playFleetZoneCut has 700 machines, one of whose zones is cut off with its controllers.
+func playFleetZoneCut(_ uint64, d *digest) {
 	c := busyFleet(d)
 	c.Run(40 * time.Second)
 	c.cutZone("b", "hold", 35*time.Second)
@@ -177,13 +177,13 @@
 }
 
 func busyFleet(d *digest) *Cluster {
-	c := grownCluster(5, 175, func(s *scheduler.Settings) {
+	c := largeCluster(5, 175, func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/5, 120*0.92/5
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
 	c.onEffect = d.add
-	c.submitGrownLoad(120, time.Millisecond)
-	c.submitGrownLoad(200, 300*time.Millisecond)
+	c.submitLargeLoad(120, time.Millisecond)
+	c.submitLargeLoad(200, 300*time.Millisecond)
 	return c
 }
 
@@ -202,7 +202,7 @@
 
 // total plays all days of a kind, several at a time, and digests their digests in order.
 func (k digestKind) total() (total []byte, effects int, err error) {
-	days := (k.days + *digestShare - 1) / *digestShare
+	days := (k.scenarios + *digestShare - 1) / *digestShare
 	digests, errs := make([]*digest, days), make([]error, days)
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var playing sync.WaitGroup
@@ -211,7 +211,7 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			digests[i] = newDigest()
-			errs[i] = k.played(uint64(i+1), digests[i])
+			errs[i] = k.play(uint64(i+1), digests[i])
 		})
 	}
 	playing.Wait()
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -25,8 +25,8 @@
 // looked at again for each event, forty times as often as now.
 func TestFleetRestarts(t *testing.T) {
 	c := fleetCluster(500)
-	c.submitGrownLoad(260, time.Millisecond)
-	c.submitGrownLoad(300, 300*time.Millisecond)
+	c.submitLargeLoad(260, time.Millisecond)
+	c.submitLargeLoad(300, 300*time.Millisecond)
 	c.Run(60 * time.Second)
 	a := c.totalWork()
 	c.Run(70 * time.Second)
@@ -40,7 +40,7 @@
 	if x := float64(b.Machines-a.Machines) / machines; x > 5 {
 		t.Errorf("each machine is looked at %.1f times a second", x)
 	}
-	if up := c.answers(0).up; up < 1900 {
+	if up := c.countAnswered(0).up; up < 1900 {
 		t.Fatalf("only %d machines are up", up)
 	}
 	c.state.outage(12 * time.Second)
@@ -58,7 +58,7 @@
 	c.after(4700*time.Millisecond, func() { c.processes[2].crash(100 * time.Millisecond) })
 	c.Run(crash + 12*time.Second)
 	changes, requests := c.state.changes, c.state.requests
-	if a := c.answers(crash); !a.isNearlyAll() {
+	if a := c.countAnswered(crash); !a.isNearlyAll() {
 		t.Errorf("8 s after the controllers came back %d of %d machines have an answer", a.answered, a.up)
 	}
 	c.Run(crash + 30*time.Second)
@@ -86,8 +86,8 @@
 // can't be reached is neither lost nor run twice, and the other zone goes on.
 func TestFleetZoneCut(t *testing.T) {
 	c := fleetCluster(500)
-	c.submitGrownLoad(260, time.Millisecond)
-	c.submitGrownLoad(400, 300*time.Millisecond)
+	c.submitLargeLoad(260, time.Millisecond)
+	c.submitLargeLoad(400, 300*time.Millisecond)
 	c.Run(60 * time.Second)
 	c.cordons = nil
 	c.cutZone("b", "hold", 40*time.Second)
@@ -115,7 +115,7 @@
 	if given > 20 {
 		t.Errorf("%d machines were given up for the cut, as %s", given, c.cordons[0])
 	}
-	if a := c.answers(c.Now - 10*time.Second); !a.isNearlyAll() {
+	if a := c.countAnswered(c.Now - 10*time.Second); !a.isNearlyAll() {
 		t.Errorf("25 s after the cut %d of %d machines have an answer", a.answered, a.up)
 	}
 	expectNoViolation(t, c)
@@ -127,15 +127,15 @@
 // breaks, hardly a change is refused for its size, the machines go on starting tasks,
 // pipelines run, and in the end no value of a job is too large.
 func TestFleetUpgrade(t *testing.T) {
-	settings := grownSettings(7, 500, func(s *scheduler.Settings) {
+	settings := largeSettings(7, 500, func(s *scheduler.Settings) {
 		s.CurrentValueLimit, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
 		s.WriteRate, s.FairWriteRate, s.ReadRate = 18*0.92*1.4/7, 18*0.92/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	})
 	c := newCluster(1, settings, 8, true)
 	c.marketCapacity = 500
-	c.submitGrownLoad(220, time.Millisecond)
-	c.submitGrownLoad(260, 500*time.Millisecond)
+	c.submitLargeLoad(220, time.Millisecond)
+	c.submitLargeLoad(260, 500*time.Millisecond)
 	for i, p := range c.processes {
 		c.after(time.Duration(40+4*i)*time.Second, func() {
 			p.isPreviousVersion = false
@@ -143,14 +143,14 @@
 		})
 	}
 	c.Run(63 * time.Second)
-	if c.formatIsOn() {
+	if c.isFormatOn() {
 		t.Fatal("the format is on before the last controller is replaced")
 	}
 	c.Run(66 * time.Second)
-	if !c.formatIsOn() {
+	if !c.isFormatOn() {
 		t.Fatal("the format is not on")
 	}
-	large := c.valuesBeyond(settings.ValueLimit, "")
+	large := c.countValuesOver(settings.ValueLimit, "")
 	c.state.lowerLimits(settings.ValueLimit, settings.TransactionLimit)
 	c.submitShortPipelines(20, time.Second)
 	starts := c.Starts()
@@ -159,8 +159,8 @@
 		t.Errorf("only %d tasks started in 70 s after the limits fell", n)
 	}
 	c.Run(200 * time.Second)
-	done := c.shortPipelinesDone(20)
-	left := c.valuesBeyond(settings.ValueLimit, "b/task/") // what was cut stays where it was
+	done := c.countShortPipelinesDone(20)
+	left := c.countValuesOver(settings.ValueLimit, "b/task/") // what was cut stays where it was
 	t.Logf("%d values too large when the limits fell, %d in the end; %d made smaller, %d refused; %d pipelines done", large, left, c.shrunkValues, c.state.refusedAsTooLarge, done)
 	if large < 3 || left > 0 || c.state.refusedAsTooLarge > 14 || done < 18 {
 		t.Errorf("%d values too large when the limits fell, %d in the end; %d refused; %d of 20 pipelines done", large, left, c.state.refusedAsTooLarge, done)
@@ -168,8 +168,8 @@
 	expectNoViolation(t, c)
 }
 
-// valuesBeyond counts the values larger than a limit, those of keys that begin so aside.
-func (c *Cluster) valuesBeyond(limit int, except string) int {
+// countValuesOver counts the values larger than a limit, those of keys that begin so aside.
+func (c *Cluster) countValuesOver(limit int, except string) int {
 	n := 0
 	for key, e := range c.state.entries {
 		if len(e.value) > limit && (except == "" || !strings.HasPrefix(key, except)) {
@@ -179,8 +179,8 @@
 	return n
 }
 
-// shortPipeline names the two jobs of a short pipeline.
-func shortPipeline(i int) (first, second string) {
+// shortPipelineJobs names the two jobs of a short pipeline.
+func shortPipelineJobs(i int) (first, second string) {
 	return fmt.Sprintf("job-%06d", 900000+2*i), fmt.Sprintf("job-%06d", 900001+2*i)
 }
 
@@ -190,7 +190,7 @@
 		first := domain.JobSpec{Class: "p", Team: "red", Shape: domain.Array, TaskCount: 3,
 			Request: domain.Resources{CPU: 1000, Memory: 1000}, Spot: true, EstimatedRuntime: 5}
 		second := first
-		first.ID, second.ID = shortPipeline(i)
+		first.ID, second.ID = shortPipelineJobs(i)
 		second.Dependencies = []string{first.ID}
 		c.after(time.Duration(i)*every, func() {
 			c.Submit(first, 5*time.Second)
@@ -199,11 +199,11 @@
 	}
 }
 
-// shortPipelinesDone counts those whose last job is done.
-func (c *Cluster) shortPipelinesDone(count int) int {
+// countShortPipelinesDone counts those whose last job is done.
+func (c *Cluster) countShortPipelinesDone(count int) int {
 	done := 0
 	for i := 0; i < count; i++ {
-		_, second := shortPipeline(i)
+		_, second := shortPipelineJobs(i)
 		if job := c.jobs[second]; job != nil && len(job.done) == 3 {
 			done++
 		}
@@ -215,8 +215,8 @@
 // deployment. What each controller holds stays far below its memory, and what the
 // array's tasks cost leaves the state service changes for others.
 func TestFleetLargestArray(t *testing.T) {
-	c := grownCluster(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
-	c.submitGrownLoad(200, 400*time.Millisecond)
+	c := largeCluster(5, 120, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
+	c.submitLargeLoad(200, 400*time.Millisecond)
 	c.Run(50 * time.Second)
 	c.Submit(domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: 1, TaskCount: 100000,
 		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}, 5*time.Second)
@@ -227,7 +227,7 @@
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	each := float64(mem.HeapAlloc) / 5 / (1 << 20)
-	started := len(c.firstRuns("job-900001"))
+	started := len(c.firstRunTimes("job-900001"))
 	t.Logf("%d tasks started in a minute, %.1f changes a second, at most %.1f MB a controller with the simulation's own", started, perSecond, each)
 	if started < 5000 || perSecond > 1.4*25 || each > 100 {
 		t.Errorf("%d tasks started in a minute, %.1f changes a second, %.1f MB a controller", started, perSecond, each)
@@ -235,14 +235,14 @@
 	expectNoViolation(t, c)
 }
 
-// zoneBoundFleet plays two minutes of a fleet of four times fill machines: zone-bound
+// playZoneBoundFleet plays two minutes of a fleet of four times fill machines: zone-bound
 // arrays, each booked in several commits, meet leaders that end between these, late
 // transactions, lost answers and an outage.
-func zoneBoundFleet(fill int, drop scheduler.Guard) *Cluster {
+func playZoneBoundFleet(fill int, drop scheduler.Guard) *Cluster {
 	c := fleetCluster(fill, func(s *scheduler.Settings) { s.DisabledGuard = drop })
 	size := fill / 250
-	c.submitGrownLoad(150*size, time.Millisecond)
-	c.submitGrownLoad(300*size, 300*time.Millisecond/time.Duration(size))
+	c.submitLargeLoad(150*size, time.Millisecond)
+	c.submitLargeLoad(300*size, 300*time.Millisecond/time.Duration(size))
 	c.submitZoneBoundLoad(70+20*size, 1800*time.Millisecond/time.Duration(size+1))
 	for at := 32 * time.Second; at < 80*time.Second; at += 11 * time.Second {
 		c.after(at, func() { c.process("leader").crash(300 * time.Millisecond) })
@@ -266,15 +266,15 @@
 	}{{250, ""}, {250, scheduler.GuardDraft}, {1000, ""}} {
 		t.Run(fmt.Sprint(4*x.fill, x.drop), func(t *testing.T) {
 			t.Parallel()
-			c := zoneBoundFleet(x.fill, x.drop)
+			c := playZoneBoundFleet(x.fill, x.drop)
 			ran := 0
 			for id, job := range c.jobs {
 				if job.spec.Class == "z" && job.spec.Shape == domain.Array {
-					ran += len(c.firstRuns(id))
+					ran += len(c.firstRunTimes(id))
 				}
 			}
 			leaders := c.occurrences["new leader"]
-			answers := c.answers(c.Now - 10*time.Second)
+			answers := c.countAnswered(c.Now - 10*time.Second)
 			t.Logf("%d of %d machines answered in the last 10 s; %d leaders; %d tasks of zone-bound arrays ran, %d starts in all; %d broken rules; %v",
 				answers.answered, answers.up, leaders, ran, c.Starts(), len(c.Broken), c.occurrences)
 			if answers.up < 4*x.fill*95/100 || !answers.isNearlyAll() || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
--- a/internal/simulation/kept_traces_test.go
+++ b/internal/simulation/golden_traces_test.go
@@ -11,22 +11,22 @@
 
 var update = flag.Bool("update", false, "write the kept traces anew")
 
-// TestKeptTracesRepeat plays each script in testdata and compares what happened with
+// TestGoldenTraces plays each script in testdata and compares what happened with
 // the trace kept below it. The traces are for reading: each tells one story.
-func TestKeptTracesRepeat(t *testing.T) {
+func TestGoldenTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) < 8 {
 		t.Fatalf("kept traces: %d, %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".trace"), func(t *testing.T) {
-			expectTraceRepeats(t, file)
+			expectGoldenTrace(t, file)
 		})
 	}
 }
 
-// expectTraceRepeats plays the script of a file; with -update it writes its trace.
-func expectTraceRepeats(t *testing.T, file string) {
+// expectGoldenTrace plays the script of a file; with -update it writes its trace.
+func expectGoldenTrace(t *testing.T, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	script, want, _ := strings.Cut(string(text), "\n----\n")
 	c := mustPlay(t, script)
-	expectSound(t, c, "%s", file)
+	expectCleanRun(t, c, "%s", file)
 	got := strings.Join(c.Trace, "\n") + "\n"
 	if *update {
 		if err := os.WriteFile(file, []byte(script+"\n----\n"+got), 0o644); err != nil {
@@ -57,9 +57,9 @@
 	return fmt.Sprintf("trace ends early, after %d of %d lines", len(got), len(want))
 }
 
-// TestSameDayPlaysTheSameTwice: a day plays the same way each time.
-func TestSameDayPlaysTheSameTwice(t *testing.T) {
-	first, second := mustPlay(t, randomDay(3, "")), mustPlay(t, randomDay(3, ""))
+// TestSameSeedGivesSameTrace: a day plays the same way each time.
+func TestSameSeedGivesSameTrace(t *testing.T) {
+	first, second := mustPlay(t, randomScenario(3, "")), mustPlay(t, randomScenario(3, ""))
 	if strings.Join(first.Trace, "\n") != strings.Join(second.Trace, "\n") {
 		t.Error("two plays of one day differ")
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -23,8 +23,8 @@
 	return c
 }
 
-// expectSound requires that no rule was broken and all accepted jobs came to their end.
-func expectSound(t *testing.T, c *Cluster, format string, args ...any) {
+// expectCleanRun requires that no rule was broken and all accepted jobs came to their end.
+func expectCleanRun(t *testing.T, c *Cluster, format string, args ...any) {
 	t.Helper()
 	if len(c.Broken) > 0 || len(c.Unfinished()) > 0 {
 		t.Errorf("%s: %d broken, %v; unfinished %v", fmt.Sprintf(format, args...), len(c.Broken), c.Broken, c.Unfinished())
@@ -39,38 +39,38 @@
 	}
 }
 
-// expectSomeDayBreaks requires that one of twenty days breaks a rule, as it must without the
+// expectSomeSeedBreaks requires that one of twenty days breaks a rule, as it must without the
 // guard that keeps it.
-func expectSomeDayBreaks(t *testing.T, rule, guard string, script func(seed uint64) string) {
+func expectSomeSeedBreaks(t *testing.T, rule, guard string, script func(seed uint64) string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 20; seed++ {
-		if mustPlay(t, script(seed)).breaks(rule) {
+		if mustPlay(t, script(seed)).hasViolation(rule) {
 			return
 		}
 	}
 	t.Errorf("without guard %s no day broke %s", guard, rule)
 }
 
-// breaks tells whether a violation begins so.
-func (c *Cluster) breaks(violation string) bool {
+// hasViolation tells whether a violation begins so.
+func (c *Cluster) hasViolation(violation string) bool {
 	return slices.ContainsFunc(c.Broken, func(b string) bool { return strings.HasPrefix(b, violation) })
 }
 
-// formatIsOn tells whether the state service says that all know the new format.
-func (c *Cluster) formatIsOn() bool { return c.state.entries[formatKey].value != nil }
+// isFormatOn tells whether the state service says that all know the new format.
+func (c *Cluster) isFormatOn() bool { return c.state.entries[formatKey].value != nil }
 
-// playSoundDays plays a day for each seed and requires that each is sound.
-func playSoundDays(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
+// expectCleanRuns plays a day for each seed and requires that each is sound.
+func expectCleanRuns(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
 	t.Helper()
-	clusters := playAll(t, seeds, script)
+	clusters := playSeeds(t, seeds, script)
 	for i, c := range clusters {
-		expectSound(t, c, "seed %d", seeds[i])
+		expectCleanRun(t, c, "seed %d", seeds[i])
 	}
 	return clusters
 }
 
-// firstRuns tells when each task first ran, in seconds, by the trace.
-func (c *Cluster) firstRuns(job string) []float64 {
+// firstRunTimes tells when each task first ran, in seconds, by the trace.
+func (c *Cluster) firstRunTimes(job string) []float64 {
 	first := map[string]float64{}
 	for _, l := range c.Trace {
 		var at float64
@@ -90,8 +90,8 @@
 	return times
 }
 
-// playAll plays a day for each seed, several at a time: clusters share nothing.
-func playAll(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
+// playSeeds plays a day for each seed, several at a time: clusters share nothing.
+func playSeeds(t *testing.T, seeds []uint64, script func(uint64) string) []*Cluster {
 	t.Helper()
 	clusters, errs := make([]*Cluster, len(seeds)), make([]error, len(seeds))
 	room := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -116,8 +116,8 @@
 // isNearlyAll: 95 of 100 machines had an answer.
 func (a answerCount) isNearlyAll() bool { return 100*a.answered >= 95*a.up }
 
-// answers counts the machines that got a 200 since the given time.
-func (c *Cluster) answers(since time.Duration) (count answerCount) {
+// countAnswered counts the machines that got a 200 since the given time.
+func (c *Cluster) countAnswered(since time.Duration) (count answerCount) {
 	for _, w := range c.workers {
 		if w.isGone || !w.isUp {
 			continue
--- a/internal/simulation/grown_clusters_test.go
+++ b/internal/simulation/large_clusters_test.go
@@ -8,15 +8,15 @@
 	"brassglade/internal/scheduler"
 )
 
-// grownCluster is a deployment of the size that the grown ones have.
-func grownCluster(nodes, fill int, change ...func(*scheduler.Settings)) *Cluster {
-	c := New(1, grownSettings(nodes, fill, change...))
+// largeCluster is a deployment of the size that the grown ones have.
+func largeCluster(nodes, fill int, change ...func(*scheduler.Settings)) *Cluster {
+	c := New(1, largeSettings(nodes, fill, change...))
 	c.marketCapacity = fill
 	return c
 }
 
-// grownSettings are those of a grown deployment, with changes.
-func grownSettings(nodes, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
+// largeSettings are those of a grown deployment, with changes.
+func largeSettings(nodes, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
 	settings := Settings()
 	settings.Controllers, settings.ZoneOf = nil, map[string]string{}
 	for i := 0; i < nodes; i++ {
@@ -43,5 +43,5 @@
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
 		s.WorkerLease, s.CancelWithin = 31*time.Second, 56*time.Second
 	}
-	return grownCluster(7, fill, append([]func(*scheduler.Settings){rates}, change...)...)
+	return largeCluster(7, fill, append([]func(*scheduler.Settings){rates}, change...)...)
 }
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -14,8 +14,8 @@
 	return fmt.Sprintf("at %.2f ", at) + fmt.Sprintf(format, a...) + "\n"
 }
 
-// dropLine takes a guard away; "": none.
-func dropLine(guard string) string {
+// dropGuardLine takes a guard away; "": none.
+func dropGuardLine(guard string) string {
 	if guard == "" {
 		return ""
 	}
@@ -25,11 +25,11 @@
 // oneOf draws one of some values.
 func oneOf[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
 
-func anyController(r *rand.Rand) string { return fmt.Sprintf("c-%d", r.IntN(3)) }
+func randomController(r *rand.Rand) string { return fmt.Sprintf("c-%d", r.IntN(3)) }
 
-func anyCutMode(r *rand.Rand) string { return oneOf(r, "drop", "hold") }
+func randomCutMode(r *rand.Rand) string { return oneOf(r, "drop", "hold") }
 
-func anyMachine(r *rand.Rand) string { return fmt.Sprintf("n-%06d", 1+r.IntN(8)) }
+func randomMachine(r *rand.Rand) string { return fmt.Sprintf("n-%06d", 1+r.IntN(8)) }
 
 // mixedLoad is work for a few minutes: long and short arrays, gangs, both teams.
 func mixedLoad(r *rand.Rand, n, within int) string {
@@ -83,9 +83,9 @@
 	return b.String()
 }
 
-// zoneBoundAcrossLeaders is a load of large zone-bound arrays, each booked in several commits, while
+// zoneBoundLeaderChanges is a load of large zone-bound arrays, each booked in several commits, while
 // leaders change between these, transactions come late and answers to them are lost.
-func zoneBoundAcrossLeaders(r *rand.Rand) string {
+func zoneBoundLeaderChanges(r *rand.Rand) string {
 	var b strings.Builder
 	b.WriteString("fill 4\n")
 	for i := 0; i < 14; i++ {
@@ -103,7 +103,7 @@
 		case 2:
 			b.WriteString(scriptLine(at, "lost all for=6 share=0.6"))
 		default:
-			b.WriteString(scriptLine(at, "late all for=8 share=0.5") + scriptLine(at+r.Float64(), "take %s", anyMachine(r)))
+			b.WriteString(scriptLine(at, "late all for=8 share=0.5") + scriptLine(at+r.Float64(), "take %s", randomMachine(r)))
 		}
 	}
 	return b.String() + "until 900\n"
@@ -154,8 +154,8 @@
 	}
 }
 
-// submitGrownLoad submits arrays and gangs as they come in a grown deployment.
-func (c *Cluster) submitGrownLoad(jobs int, every time.Duration) {
+// submitLargeLoad submits arrays and gangs as they come in a grown deployment.
+func (c *Cluster) submitLargeLoad(jobs int, every time.Duration) {
 	for i := 0; i < jobs; i++ {
 		c.generatedJobs++
 		id := fmt.Sprintf("job-%06d", 100000+c.generatedJobs)
--- a/internal/simulation/random_meetings_test.go
+++ b/internal/simulation/random_fault_pairs_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// pairableTroubles are one line or two each, for days that pair any two of them.
-var pairableTroubles = []func(r *rand.Rand, at float64) string{
+// pairableFaults are one line or two each, for days that pair any two of them.
+var pairableFaults = []func(r *rand.Rand, at float64) string{
 	func(r *rand.Rand, at float64) string {
 		return scriptLine(at, "crash leader back=%.1f", oneOf(r, 0.2, 4))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "crash %s back=%.1f", anyController(r), oneOf(r, 0.2, 4))
+		return scriptLine(at, "crash %s back=%.1f", randomController(r), oneOf(r, 0.2, 4))
 	},
 	func(r *rand.Rand, at float64) string {
 		return scriptLine(at, "crash all back=%.1f", oneOf(r, 0.3, 3, 24))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "cut %s state %s for=%d", anyController(r), anyCutMode(r), 5+r.IntN(25))
+		return scriptLine(at, "cut %s state %s for=%d", randomController(r), randomCutMode(r), 5+r.IntN(25))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "cut %s * %s for=%d", anyController(r), anyCutMode(r), 5+r.IntN(25))
+		return scriptLine(at, "cut %s * %s for=%d", randomController(r), randomCutMode(r), 5+r.IntN(25))
 	},
 	func(r *rand.Rand, at float64) string { return scriptLine(at, "state down for=%d", 3+r.IntN(45)) },
 	func(r *rand.Rand, at float64) string {
@@ -29,7 +29,7 @@
 	},
 	func(r *rand.Rand, at float64) string { return scriptLine(at, "slow for=%d by=1.4", 5+r.IntN(25)) },
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "freeze %s for=%d", anyController(r), 2+r.IntN(30))
+		return scriptLine(at, "freeze %s for=%d", randomController(r), 2+r.IntN(30))
 	},
 	func(r *rand.Rand, at float64) string {
 		return scriptLine(at, "late all for=%d share=0.4", 5+r.IntN(20))
@@ -38,16 +38,16 @@
 		return scriptLine(at, "lost all for=%d share=0.4", 5+r.IntN(20))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "cloud down for=30") + scriptLine(at+1, "take %s", anyMachine(r))
+		return scriptLine(at, "cloud down for=30") + scriptLine(at+1, "take %s", randomMachine(r))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "hang %s for=%d", anyMachine(r), 3+r.IntN(25)) + scriptLine(at+1, "notice %s in=6", anyMachine(r))
+		return scriptLine(at, "hang %s for=%d", randomMachine(r), 3+r.IntN(25)) + scriptLine(at+1, "notice %s in=6", randomMachine(r))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "deaf %s for=%d", anyMachine(r), 5+r.IntN(35)) + scriptLine(at, "mute %s for=%d", anyMachine(r), 5+r.IntN(35))
+		return scriptLine(at, "deaf %s for=%d", randomMachine(r), 5+r.IntN(35)) + scriptLine(at, "mute %s for=%d", randomMachine(r), 5+r.IntN(35))
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "keep %s for=30", anyMachine(r)) + scriptLine(at+6, "crash leader back=4") + scriptLine(at, "copies %s for=20 most=40", anyMachine(r))
+		return scriptLine(at, "keep %s for=30", randomMachine(r)) + scriptLine(at+6, "crash leader back=4") + scriptLine(at, "copies %s for=20 most=40", randomMachine(r))
 	},
 	func(r *rand.Rand, at float64) string {
 		return scriptLine(at, "calloff %d hang=%d", 2+r.IntN(3), 25*r.IntN(2))
@@ -57,12 +57,12 @@
 		return scriptLine(at, "odd for=20") + scriptLine(at, "quick for=20")
 	},
 	func(r *rand.Rand, at float64) string {
-		return scriptLine(at, "cutzone %s %s for=%d", oneOf(r, "a", "b"), anyCutMode(r), 5+r.IntN(35))
+		return scriptLine(at, "cutzone %s %s for=%d", oneOf(r, "a", "b"), randomCutMode(r), 5+r.IntN(35))
 	},
 }
 
-// pairedTroublesDay is a day of mixed work with five pairs of troubles.
-func pairedTroublesDay(seed uint64) string {
+// faultPairScenario is a day of mixed work with five pairs of troubles.
+func faultPairScenario(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 53))
 	s := fmt.Sprintf("seed %d\nat 1 looks for=600\n", seed)
 	if seed%3 == 0 {
@@ -70,21 +70,21 @@
 	}
 	s += mixedLoad(r, 26, 190)
 	for at := 35.0; at < 200; at += 38 {
-		a, b := r.IntN(len(pairableTroubles)), r.IntN(len(pairableTroubles))
-		s += pairableTroubles[a](r, at) + pairableTroubles[b](r, at+3*r.Float64())
+		a, b := r.IntN(len(pairableFaults)), r.IntN(len(pairableFaults))
+		s += pairableFaults[a](r, at) + pairableFaults[b](r, at+3*r.Float64())
 	}
 	return s + "until 900\n"
 }
 
-// TestRandomMeetings pairs troubles at random, five pairs a day, while users look
+// TestRandomFaultPairs pairs troubles at random, five pairs a day, while users look
 // closely at all that happens. On the last two days jobs were left waiting beside room.
-func TestRandomMeetings(t *testing.T) {
+func TestRandomFaultPairs(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 138, 229} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := pairedTroublesDay(seed)
+			s := faultPairScenario(seed)
 			c := mustPlay(t, s)
-			expectSound(t, c, "on\n%s", s)
+			expectCleanRun(t, c, "on\n%s", s)
 			if c.occurrences["answer to a close look"] < 100 || c.Starts() < 40 {
 				t.Errorf("%d starts, %v", c.Starts(), c.occurrences)
 			}
--- a/internal/simulation/random_days_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// randomDay makes a random day of jobs and overlapping troubles.
-func randomDay(seed uint64, drop string) string {
+// randomScenario makes a random day of jobs and overlapping troubles.
+func randomScenario(seed uint64, drop string) string {
 	r := rand.New(rand.NewPCG(seed, 99))
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d\n", seed)
-	b.WriteString(dropLine(drop))
+	b.WriteString(dropGuardLine(drop))
 	team := []string{"red", "blue"}
 	for i := 0; i < 22; i++ {
 		at := 1 + r.IntN(220)
@@ -38,21 +38,21 @@
 		case 12:
 			fmt.Fprintf(&b, "at %d copies %s for=%d most=%d\n", at, m, 20+r.IntN(60), 5+r.IntN(50))
 		case 13:
-			fmt.Fprintf(&b, "at %d cut c-0 state %s for=40\nat %d cut c-0 c-1 drop for=40\nat %d cut c-0 c-2 drop for=40\n", at, anyCutMode(r), at, at)
+			fmt.Fprintf(&b, "at %d cut c-0 state %s for=40\nat %d cut c-0 c-1 drop for=40\nat %d cut c-0 c-2 drop for=40\n", at, randomCutMode(r), at, at)
 		case 0:
-			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, anyController(r), oneOf(r, 0.2, 4))
+			fmt.Fprintf(&b, "at %d crash %s back=%.1f\n", at, randomController(r), oneOf(r, 0.2, 4))
 		case 1:
 			fmt.Fprintf(&b, "at %d crash all back=3\n", at)
 		case 2:
-			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, anyController(r), anyCutMode(r), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, randomController(r), randomCutMode(r), 5+r.IntN(40))
 		case 3:
-			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, anyController(r), anyCutMode(r), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, randomController(r), randomCutMode(r), 5+r.IntN(40))
 		case 4:
-			fmt.Fprintf(&b, "at %d cut c-0 c-1 %s for=30\nat %d cut c-1 c-2 %s for=25\n", at, anyCutMode(r), at+2, anyCutMode(r))
+			fmt.Fprintf(&b, "at %d cut c-0 c-1 %s for=30\nat %d cut c-1 c-2 %s for=25\n", at, randomCutMode(r), at+2, randomCutMode(r))
 		case 5:
 			fmt.Fprintf(&b, "at %d state down for=%d\n", at, 3+r.IntN(50))
 		case 6:
-			fmt.Fprintf(&b, "at %d state refuse %s for=%d\n", at, anyController(r), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d state refuse %s for=%d\n", at, randomController(r), 5+r.IntN(40))
 		case 7:
 			fmt.Fprintf(&b, "at %d cloud down for=30\n", at)
 		case 8:
@@ -67,19 +67,19 @@
 	return b.String()
 }
 
-// zoneDay makes a random day of zone-bound jobs among others, with overlapping troubles.
-func zoneDay(seed uint64, drop string) string {
-	return randomDay(seed, drop) + zoneBoundLoad(rand.New(rand.NewPCG(seed, 61)), 16, 200)
+// zoneScenario makes a random day of zone-bound jobs among others, with overlapping troubles.
+func zoneScenario(seed uint64, drop string) string {
+	return randomScenario(seed, drop) + zoneBoundLoad(rand.New(rand.NewPCG(seed, 61)), 16, 200)
 }
 
-// upgradeDay makes a random day that begins with the version before. The
+// upgradeScenario makes a random day that begins with the version before. The
 // controllers are replaced one by one amid troubles, one of them perhaps after it
 // ended and came back as it was; then the limits fall.
-func upgradeDay(seed uint64, drop string) string {
+func upgradeScenario(seed uint64, drop string) string {
 	r := rand.New(rand.NewPCG(seed, 17))
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d\nold\nnext value=1024 ops=4\n", seed)
-	b.WriteString(dropLine(drop))
+	b.WriteString(dropGuardLine(drop))
 	big, cpu := 60, 1
 	if seed%2 == 0 { // a wider fleet, whose packs grow large
 		b.WriteString("fill 40\n")
@@ -112,9 +112,9 @@
 		case 1:
 			fmt.Fprintf(&b, "at %d crash all back=3\n", at)
 		case 2:
-			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, n, anyCutMode(r), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s state %s for=%d\n", at, n, randomCutMode(r), 5+r.IntN(40))
 		case 3:
-			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, n, anyCutMode(r), 5+r.IntN(40))
+			fmt.Fprintf(&b, "at %d cut %s * %s for=%d\n", at, n, randomCutMode(r), 5+r.IntN(40))
 		case 4:
 			fmt.Fprintf(&b, "at %d take n-%06d\n", at, 1+r.IntN(10))
 		case 5:
@@ -129,24 +129,24 @@
 	return b.String()
 }
 
-// TestRandomDays plays days of overlapping troubles: no rule may be broken, and
+// TestRandomScenarios plays days of overlapping troubles: no rule may be broken, and
 // every accepted job must come to its end.
-func TestRandomDays(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	t.Parallel()
 	// The last three broke ran_twice before new sessions were told from old
 	// ones (docs/incidents/own-day-sessions.md).
 	seeds := []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 107, 132, 144}
-	expectStarts(t, 800, playSoundDays(t, seeds, func(seed uint64) string { return randomDay(seed, "") }))
+	expectStarts(t, 800, expectCleanRuns(t, seeds, func(seed uint64) string { return randomScenario(seed, "") }))
 }
 
-// TestRandomZoneDays: on days of overlapping troubles no task starts in a zone that its
+// TestRandomZoneScenarios: on days of overlapping troubles no task starts in a zone that its
 // job's other tasks rule out, and all jobs come to their end. In production two arrays
 // ran in two zones: docs/incidents/production-wrong-place.md.
-func TestRandomZoneDays(t *testing.T) {
+func TestRandomZoneScenarios(t *testing.T) {
 	t.Parallel()
 	// On the last three, jobs waited for ever for machines in zones that they can't use.
 	seeds := []uint64{301, 302, 303, 304, 305, 306, 307, 308, 309, 310, 311, 312, 1058, 1110, 1254}
-	expectStarts(t, 1500, playSoundDays(t, seeds, func(seed uint64) string { return zoneDay(seed, "") }))
+	expectStarts(t, 1500, expectCleanRuns(t, seeds, func(seed uint64) string { return zoneScenario(seed, "") }))
 }
 
 // expectStarts requires that so many tasks started in all, or the days show little.
@@ -165,7 +165,7 @@
 func TestRandomPipelines(t *testing.T) {
 	t.Parallel()
 	seeds := []uint64{201, 202, 203, 204, 205, 206, 207, 208}
-	playSoundDays(t, seeds, func(seed uint64) string { return pipelinesDay(seed, "") })
+	expectCleanRuns(t, seeds, func(seed uint64) string { return pipelineScenario(seed, "") })
 }
 
 // TestRandomUpgrades plays days on which the version before is replaced amid
@@ -174,12 +174,12 @@
 	t.Parallel()
 	refused, shrunk := 0, 0
 	seeds := []uint64{1, 3, 5, 4, 8, 12, 14, 22}
-	for i, c := range playSoundDays(t, seeds, func(seed uint64) string { return upgradeDay(seed, "") }) {
+	for i, c := range expectCleanRuns(t, seeds, func(seed uint64) string { return upgradeScenario(seed, "") }) {
 		refused, shrunk = refused+c.state.refusedAsTooLarge, shrunk+c.shrunkValues
 		if c.state.refusedAsTooLarge > 12 {
 			t.Errorf("seed %d: %d transactions were refused as too large", seeds[i], c.state.refusedAsTooLarge)
 		}
-		if !c.formatIsOn() {
+		if !c.isFormatOn() {
 			t.Errorf("seed %d: the format was never turned on", seeds[i])
 		}
 	}
--- a/internal/simulation/scaling_test.go
+++ b/internal/simulation/scaling_test.go
@@ -5,24 +5,24 @@
 	"testing"
 )
 
-// TestMachinesOfAZoneComeLateOrNever: a zone's machines come up late, or never, while
+// TestLateAndMissingMachines: a zone's machines come up late, or never, while
 // jobs wait. Those that never come are returned, as many are rented as are needed, and
 // jobs that may run elsewhere do.
-func TestMachinesOfAZoneComeLateOrNever(t *testing.T) {
+func TestLateAndMissingMachines(t *testing.T) {
 	for _, how := range []string{"late", "never"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			seeds := []uint64{1, 2, 3}
-			for i, c := range playSoundDays(t, seeds, func(seed uint64) string { return slowBootsDay(seed, how) }) {
+			for i, c := range expectCleanRuns(t, seeds, func(seed uint64) string { return slowBootScenario(seed, how) }) {
 				if c.occurrences["up late"]+c.occurrences["never up"] == 0 {
 					t.Fatalf("seed %d: no machine was rented in that zone", seeds[i])
 				}
 				// 24 tasks of a quarter of a machine each need six.
-				if never := c.neverUp(); len(c.workers) > 18 || never > 0 {
+				if never := c.countNeverUp(); len(c.workers) > 18 || never > 0 {
 					t.Errorf("seed %d: %d machines rented, %d never came up and are still paid for", seeds[i], len(c.workers), never)
 				}
 				for k := 1; k <= 6; k++ {
-					if starts := c.firstRuns(fmt.Sprintf("job-%06d", k)); len(starts) < 4 || starts[3] > 100 {
+					if starts := c.firstRunTimes(fmt.Sprintf("job-%06d", k)); len(starts) < 4 || starts[3] > 100 {
 						t.Errorf("seed %d: job %d ran at %.0f s", seeds[i], k, starts)
 					}
 				}
@@ -31,8 +31,8 @@
 	}
 }
 
-// slowBootsDay has six arrays of four tasks, while machines of zone a come up late or never.
-func slowBootsDay(seed uint64, how string) string {
+// slowBootScenario has six arrays of four tasks, while machines of zone a come up late or never.
+func slowBootScenario(seed uint64, how string) string {
 	s := fmt.Sprintf("seed %d\nat 0 boots a %s for=60\n", seed, how)
 	for k := 1; k <= 6; k++ {
 		s += fmt.Sprintf("at %d submit job-%06d array 4 blue run=30\n", 2+3*k, k)
@@ -40,8 +40,8 @@
 	return s + "until 400\n"
 }
 
-// neverUp counts the machines that are paid for and have not come up.
-func (c *Cluster) neverUp() int {
+// countNeverUp counts the machines that are paid for and have not come up.
+func (c *Cluster) countNeverUp() int {
 	n := 0
 	for _, w := range c.workers {
 		if !w.isUp && !w.isGone {
--- a/internal/simulation/shapes_test.go
+++ b/internal/simulation/shapes_test.go
@@ -39,8 +39,8 @@
 func expectAllTasksRun(t *testing.T, job string, tasks int) {
 	t.Helper()
 	c := mustPlay(t, "seed 7\nat 1 submit job-000001 "+job+"\nuntil 100\n")
-	if runs := c.firstRuns("job-000001"); len(runs) != tasks {
+	if runs := c.firstRunTimes("job-000001"); len(runs) != tasks {
 		t.Errorf("%d of %d tasks ran", len(runs), tasks)
 	}
-	expectSound(t, c, "%s", job)
+	expectCleanRun(t, c, "%s", job)
 }
--- a/internal/simulation/guests_test.go
+++ b/internal/simulation/team_without_quota_test.go
@@ -10,9 +10,9 @@
 	"brassglade/internal/tuning"
 )
 
-// clusterWithGuest is the small deployment with a further team that has neither guarantee
+// clusterWithTeamWithoutQuota is the small deployment with a further team that has neither guarantee
 // nor limit.
-func clusterWithGuest(seed uint64, fill int) *Cluster {
+func clusterWithTeamWithoutQuota(seed uint64, fill int) *Cluster {
 	settings := Settings()
 	settings.Teams["guest"] = domain.Quota{}
 	c := New(seed, settings)
@@ -21,17 +21,17 @@
 	return c
 }
 
-// TestIdleWorkYields: a guest's array of idle priority fills all machines with tasks
+// TestIdleWorkIsPreempted: a guest's array of idle priority fills all machines with tasks
 // of five minutes. Other teams' jobs start as soon as some of these have saved, no
 // ordinary machine is rented for the guest, and all its tasks are done in the end.
-func TestIdleWorkYields(t *testing.T) {
+func TestIdleWorkIsPreempted(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		c := clusterWithGuest(seed, 2)
+		c := clusterWithTeamWithoutQuota(seed, 2)
 		idle := domain.JobSpec{ID: "job-000001", Class: "sims", Team: "guest", Shape: domain.Array, Priority: tuning.PriorityIdle, TaskCount: 40,
 			Request: domain.Resources{CPU: 4000, Memory: 8000}, Spot: true, Image: "sims", ImageGB: 1, EstimatedRuntime: 300, CheckpointInterval: 10, CheckpointCost: 2}
 		c.after(2*time.Second, func() { c.Submit(idle, 300*time.Second) })
 		c.Run(59 * time.Second)
-		if n := len(c.firstRuns(idle.ID)); n < 16 {
+		if n := len(c.firstRunTimes(idle.ID)); n < 16 {
 			t.Fatalf("seed %d: only %d idle tasks ran", seed, n)
 		}
 		for _, w := range c.workers {
@@ -48,21 +48,21 @@
 		c.Run(1500 * time.Second)
 		for i := 0; i < jobs; i++ {
 			job := fmt.Sprintf("job-%06d", 100+i)
-			starts := c.firstRuns(job)
+			starts := c.firstRunTimes(job)
 			if len(starts) < 2 || starts[1]-float64(60+8*i) > 15 {
 				t.Errorf("seed %d: %s ran at %v, submitted at %d", seed, job, starts, 60+8*i)
 			}
 		}
-		expectSound(t, c, "seed %d", seed)
+		expectCleanRun(t, c, "seed %d", seed)
 	}
 }
 
-// TestLargeArrayLeavesChanges: a guest's array of thousands of short tasks runs on the
+// TestLargeArrayLeavesWriteBudget: a guest's array of thousands of short tasks runs on the
 // machines of a grown deployment. The releases of its tasks must leave room in the
 // commits for the bookings of the other teams' jobs, which go on starting.
-func TestLargeArrayLeavesChanges(t *testing.T) {
-	c := grownCluster(5, 60, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
-	c.submitGrownLoad(500, 350*time.Millisecond)
+func TestLargeArrayLeavesWriteBudget(t *testing.T) {
+	c := largeCluster(5, 60, func(s *scheduler.Settings) { s.Teams["guest"] = domain.Quota{} })
+	c.submitLargeLoad(500, 350*time.Millisecond)
 	array := domain.JobSpec{ID: "job-900001", Class: "sweep", Team: "guest", Shape: domain.Array, Priority: tuning.PriorityIdle, TaskCount: 12000,
 		Request: domain.Resources{CPU: 250, Memory: 900}, Spot: true, Image: "sweep", ImageGB: 0.5, EstimatedRuntime: 5}
 	c.Run(60 * time.Second)
@@ -71,9 +71,9 @@
 	quiet := c.Starts() - before
 	c.Submit(array, 5*time.Second)
 	c.Run(100 * time.Second)
-	before, guests := c.Starts(), len(c.firstRuns(array.ID))
+	before, guests := c.Starts(), len(c.firstRunTimes(array.ID))
 	c.Run(140 * time.Second)
-	guests = len(c.firstRuns(array.ID)) - guests
+	guests = len(c.firstRunTimes(array.ID)) - guests
 	others := c.Starts() - before - guests
 	t.Logf("others' starts in 20 s: %d alone, %d beside the array, of which %d tasks started in 40 s", quiet, others/2, guests)
 	if others < quiet || guests < 1000 {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -22,31 +22,31 @@
 		t.Run(x.order, func(t *testing.T) {
 			c := newCluster(31, Settings(), 0, true)
 			c.StartChecks()
-			mustAct(t, c, "submit job-000001 array 6 blue run=60 spot")
+			mustPlayAction(t, c, "submit job-000001 array 6 blue run=60 spot")
 			c.Run(30 * time.Second)
 			for left := 3; left > 0; left-- {
 				next := c.nextToUpgrade(x.isLeaderFirst)
-				mustAct(t, c, "upgrade "+next+" back=0.5")
+				mustPlayAction(t, c, "upgrade "+next+" back=0.5")
 				if left == 2 {
-					mustAct(t, c, "submit job-000002 array 2 red run=5 awaits=job-000001")
+					mustPlayAction(t, c, "submit job-000002 array 2 red run=5 awaits=job-000001")
 				}
 				if x.crashesAtStart {
 					c.Run(c.Now + 700*time.Millisecond)
-					mustAct(t, c, "crash "+next+" back=0.2")
+					mustPlayAction(t, c, "crash "+next+" back=0.2")
 				}
 				c.Run(c.Now + 8*time.Second)
 			}
 			c.Run(c.Now + 90*time.Second)
-			expectSound(t, c, "%s", x.order)
-			if !c.jobs["job-000002"].accepted || !c.formatIsOn() {
-				t.Errorf("pipeline accepted: %v, format on: %v", c.jobs["job-000002"].accepted, c.formatIsOn())
+			expectCleanRun(t, c, "%s", x.order)
+			if !c.jobs["job-000002"].accepted || !c.isFormatOn() {
+				t.Errorf("pipeline accepted: %v, format on: %v", c.jobs["job-000002"].accepted, c.isFormatOn())
 			}
 		})
 	}
 }
 
-// mustAct plays one action of a script now.
-func mustAct(t *testing.T, c *Cluster, action string) {
+// mustPlayAction plays one action of a script now.
+func mustPlayAction(t *testing.T, c *Cluster, action string) {
 	t.Helper()
 	if err := c.playAction(strings.Fields(action)); err != nil {
 		t.Fatal(err)
@@ -75,14 +75,14 @@
 	return leader
 }
 
-// TestLateWritesAmidAnUpgrade: transactions are carried out late, or only their answers
+// TestLateWritesDuringUpgrade: transactions are carried out late, or only their answers
 // are lost, while the version before is replaced, values are made smaller and the
 // limits fall.
-func TestLateWritesAmidAnUpgrade(t *testing.T) {
+func TestLateWritesDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	late := 0
-	for _, c := range playSoundDays(t, []uint64{3, 5, 8}, func(seed uint64) string {
-		return upgradeDay(seed, "") + "at 70 late all for=25 share=0.4\nat 105 late all for=60 share=0.3\nat 170 lost all for=40 share=0.3\n"
+	for _, c := range expectCleanRuns(t, []uint64{3, 5, 8}, func(seed uint64) string {
+		return upgradeScenario(seed, "") + "at 70 late all for=25 share=0.4\nat 105 late all for=60 share=0.3\nat 170 lost all for=40 share=0.3\n"
 	}) {
 		late += c.occurrences["late transaction that changed something"]
 	}
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// TestMistakenJobs: jobs that fail on every machine until they are cancelled mark no
+// TestFailingJobsDontCordonMachines: jobs that fail on every machine until they are cancelled mark no
 // machine as sick, while one that is sick is still found beside them; others are
 // served, and the failing ones back off.
-func TestMistakenJobs(t *testing.T) {
+func TestFailingJobsDontCordonMachines(t *testing.T) {
 	found := 0
 	for _, seed := range []uint64{1, 2, 3} {
-		c := mustPlay(t, mistakenJobsDay(seed))
-		expectSound(t, c, "seed %d", seed)
+		c := mustPlay(t, failingJobScenario(seed))
+		expectCleanRun(t, c, "seed %d", seed)
 		sick := c.cordonsFor("sick")
-		tries, ofOthers := c.failedTries("n-000001")
+		tries, ofOthers := c.countFailedAttempts("n-000001")
 		if len(sick) > 1 || len(sick) == 1 && !strings.Contains(sick[0], "n-000001") || len(sick) == 0 && ofOthers >= 4 {
 			t.Errorf("seed %d: marked as sick: %v", seed, sick)
 		}
@@ -30,8 +30,8 @@
 	}
 }
 
-// mistakenJobsDay has jobs that fail everywhere among others, and a sick machine.
-func mistakenJobsDay(seed uint64) string {
+// failingJobScenario has jobs that fail everywhere among others, and a sick machine.
+func failingJobScenario(seed uint64) string {
 	s := fmt.Sprintf("seed %d\n", seed)
 	for i := 1; i <= 6; i++ {
 		team := []string{"red", "blue"}[i%2]
@@ -53,9 +53,9 @@
 	return cordons
 }
 
-// failedTries counts the attempts that failed, and those on a machine of jobs that are done
+// countFailedAttempts counts the attempts that failed, and those on a machine of jobs that are done
 // elsewhere.
-func (c *Cluster) failedTries(machine string) (all, ofOthers int) {
+func (c *Cluster) countFailedAttempts(machine string) (all, ofOthers int) {
 	for _, l := range c.Trace {
 		if !strings.Contains(l, ": error") {
 			continue
@@ -90,5 +90,5 @@
 	if answered < 2000 || 50*failed > answered || 2*requests > answered {
 		t.Errorf("%d polls answered, %d not, %d requests to the state service", answered, failed, requests)
 	}
-	expectSound(t, c, "poll storm")
+	expectCleanRun(t, c, "poll storm")
 }
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -29,7 +29,7 @@
 				}
 			}
 			c := mustPlay(t, script+"at 40 submit job-000001 "+x.job+"\nuntil 400\n")
-			runs := c.firstRuns("job-000001")
+			runs := c.firstRunTimes("job-000001")
 			if len(runs) != x.n || runs[x.n-1] > 70 {
 				t.Errorf("ran at %v, submitted at 40", runs)
 			}
@@ -44,7 +44,7 @@
 	c := mustPlay(t, "seed 3\nat 1 submit job-000001 service 4 red run=1 gpu=1 spread\n"+
 		"at 20 submit job-000002 gang 3 red run=20 gpu=4\n"+
 		"at 30 submit job-000003 array 4 red run=10 gpu=1 spot\nat 600 cancel job-000001\nuntil 800\n")
-	if runs := c.firstRuns("job-000003"); len(runs) != 4 || runs[3] > 240 {
+	if runs := c.firstRunTimes("job-000003"); len(runs) != 4 || runs[3] > 240 {
 		t.Errorf("ran at %v, submitted at 30", runs)
 	}
 }
