--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -63,7 +63,7 @@
 	}
 	c.Run(crashedAt + 30*time.Second)
 	secs := (c.Now - crashedAt - 12*time.Second).Seconds()
-	if r := float64(c.state.changes-changes) / secs; r > 1.4*30 { // besides the controllers' budgets, those of the clients
+	if r := float64(c.state.changes-changes) / secs; r > 1.4*30 { // the controllers together plan up to tuning.WriteOverlap (1.4) times the rate
 		t.Errorf("%.1f changes a second in the state service, want at most 42", r)
 	}
 	if r := float64(c.state.requests-requests) / secs; r > 120 {
@@ -161,7 +161,7 @@
 	}
 	c.Run(200 * time.Second)
 	done := c.countShortPipelinesDone(20)
-	left := c.countValuesOver(settings.ValueLimit, "b/task/") // chunks and cells are left aside: those that were split stay where they were
+	left := c.countValuesOver(settings.ValueLimit, "b/task/") // a chunk that is too large is not deleted when it is split into cells
 	t.Logf("%d values too large when the limits fell, %d in the end; %d made smaller, %d transactions refused; %d pipelines done", tooLarge, left, c.shrunkValues, c.state.refusedAsTooLarge, done)
 	if tooLarge < 3 || left > 0 || c.state.refusedAsTooLarge > 14 || done < 18 {
 		t.Errorf("%d values too large when the limits fell, %d in the end; %d transactions refused; %d of 20 pipelines done", tooLarge, left, c.state.refusedAsTooLarge, done)
