--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -340,7 +340,7 @@
 	switch {
 	case p.job.Header.Spec.Shape == domain.Gang:
 		return p.job.Header.Spec.TaskCount
-	case p.job.hasOnlyFailures():
+	case p.job.onlyFailed():
 		return max(0, 1-p.placed.booked)
 	}
 	inDraft := p.placed.booked - p.job.counts.booked
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -87,7 +87,7 @@
 
 // maxLargeArrayTasks returns how many tasks of a large array one plan may book.
 func (d *draft) maxLargeArrayTasks(j *Job) int {
-	if j.hasOnlyFailures() {
+	if j.onlyFailed() {
 		return 1 - placementOf(j, d).booked
 	}
 	return tuning.MaxArrayTasksPerPlan
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -166,7 +166,7 @@
 
 // mayQueueMore reports whether one more task of the job may wait in a queue here.
 func (j *Job) mayQueueMore() bool {
-	return j.queuedHere < tuning.QueuedPerJob && !(j.hasOnlyFailures() && j.counts.booked+j.queuedHere > 0)
+	return j.queuedHere < tuning.QueuedPerJob && !(j.onlyFailed() && j.counts.booked+j.queuedHere > 0)
 }
 
 // isUnplaced reports whether a task waits in this shard but in no queue yet. A task without a
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -11,17 +11,17 @@
 
 // bookingCandidate is the first startable task in a machine's queue; the machine has room for it.
 type bookingCandidate struct {
-	machine *Machine
-	task    domain.TaskID
-	job     *Job
-	isOwed  bool // within its team's guarantee
+	machine         *Machine
+	task            domain.TaskID
+	job             *Job
+	withinGuarantee bool // within its team's guarantee
 }
 
 // compareBookingCandidates orders candidates: those within their team's guarantee first, then by
 // priority, then in the order of acceptance.
 func compareBookingCandidates(a, b bookingCandidate) int {
 	return cmp.Or(
-		trueFirst(a.isOwed, b.isOwed),
+		trueFirst(a.withinGuarantee, b.withinGuarantee),
 		cmp.Compare(b.job.priority, a.job.priority),
 		cmp.Compare(a.job.Header.AcceptOrder, b.job.Header.AcceptOrder),
 	)
@@ -37,7 +37,7 @@
 	for range tuning.MaxBookingRounds {
 		var candidates []bookingCandidate
 		for _, m := range machines {
-			if head, ok := c.headOfQueue(d, m, claims); ok {
+			if head, ok := c.firstBookable(d, m, claims); ok {
 				candidates = append(candidates, head)
 			}
 		}
@@ -64,9 +64,9 @@
 	return machines
 }
 
-// headOfQueue returns the first task in a machine's queue that could start now. It returns false
+// firstBookable returns the first task in a machine's queue that could start now. It returns false
 // if there is none, or if a task that may start does not fit yet and the others wait for it.
-func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
+func (c *Controller) firstBookable(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
@@ -89,7 +89,7 @@
 			c.recordWaitReason(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
 			return bookingCandidate{}, false // the queue waits for room for its first task
 		}
-		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isWithinGuarantee(spec)}, true
+		return bookingCandidate{machine: m, task: id, job: j, withinGuarantee: d.isWithinGuarantee(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		m := c.heartbeats.machines[name]
-		for _, id := range c.provenOffTasks(m) {
+		for _, id := range c.provenStoppedTasks(m) {
 			j := c.cache.jobs[id.Job]
 			proven := c.releaseOf(m, j, id)
 			if !proven.reported && c.willResendStart(m, j, id) {
@@ -70,8 +70,8 @@
 	return releases, byValue
 }
 
-// provenOffTasks returns the tasks booked on a machine that are proven off it, sorted.
-func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
+// provenStoppedTasks returns the tasks booked on a machine that are proven off it, sorted.
+func (c *Controller) provenStoppedTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
 		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.isProvenStopped(m, id, j.task(id.Index)) {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -59,7 +59,7 @@
 		jobs = append(jobs, &rankedJob{
 			job:             j,
 			withinGuarantee: withinGuarantee,
-			timesLeft:       c.goals(j),
+			timesLeft:       c.timesLeft(j),
 			timing: tardiness.Job{
 				Work:    float64(j.counts.queued) * c.queues.runTime(spec) / c.slots(spec),
 				RunTime: c.queues.runTime(spec) + tuning.StartLag,
@@ -69,10 +69,10 @@
 	return jobs
 }
 
-// goals returns the time left until each objective of a job, in seconds. The objectives are the
+// timesLeft returns the time left until each objective of a job, in seconds. The objectives are the
 // DeadlineMultiples of the job's deadline, or of the deadline of a job that depends on it, and the
 // completion times that FinishWithin sets for the class of the job.
-func (c *Controller) goals(j *Job) []float64 {
+func (c *Controller) timesLeft(j *Job) []float64 {
 	var goals []float64
 	if j.deadlineSeconds > 0 {
 		left := time.Duration(j.deadlineAt - int64(c.now)).Seconds()
@@ -99,12 +99,10 @@
 	return float64(max(total, 1))
 }
 
-// hasOnlyFailures reports whether no task of the job is done and at least DoubtAfter attempts have
+// onlyFailed reports whether no task of the job is done and at least DoubtAfter attempts have
 // failed. Such a job runs one task at a time, since a faulty job would otherwise take machines and
 // write capacity from other jobs.
-func (j *Job) hasOnlyFailures() bool {
-	return j.counts.done == 0 && j.failures >= tuning.ProbeAfterFailures
-}
+func (j *Job) onlyFailed() bool { return j.counts.done == 0 && j.failures >= tuning.ProbeAfterFailures }
 
 // isStarving reports whether a job has been ready to start for longer than StarveAfter and has no
 // task that is booked or done. A job whose bookings all ended without a result starves like one
