--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -16,7 +16,8 @@
 // both from the headers it reads at the same revision; no further write is needed between a
 // cancellation and its consequences.
 
-// phase is the phase of a job in the cache, derived from its header and its dependencies.
+// phase is the state of a job in the cache, derived from its header and its dependencies. The zero
+// value is phaseNew.
 type phase int
 
 const (
@@ -71,7 +72,8 @@
 	}
 }
 
-// setPhase changes a job's phase. No other code does.
+// setPhase changes a job's phase and updates everything that depends on it. No other code may set
+// the phase.
 func (c *Controller) setPhase(j *Job, next phase) {
 	old := j.phase
 	if old == phaseOpen && next != old {
@@ -100,7 +102,7 @@
 }
 
 // addOpenJob adds a job to the open jobs. Its order and age count from the end of its last
-// dependency; after a restart, from the times in the headers.
+// dependency. While a snapshot is loaded, they are derived from the times in the headers.
 func (c *Controller) addOpenJob(j *Job) {
 	j.readyAt = int64(c.now)
 	if c.cache.loadingSnapshot {
@@ -112,8 +114,9 @@
 	}
 }
 
-// doneTime returns when a job was done, in ns of this controller's monotonic clock: the time in
-// its header while a snapshot is loaded, if the header has one, and the present time otherwise.
+// doneTime returns the time at which a job was done, in ns of this controller's monotonic clock.
+// While a snapshot is loaded, this is the time in the job's header, if it has one; otherwise it is
+// the present time.
 func (c *Controller) doneTime(j *Job) int64 {
 	if c.cache.loadingSnapshot && j.Header.DoneAtMS > 0 {
 		return min(int64(c.now), c.monotonicTime(j.Header.DoneAtMS))
@@ -200,7 +203,7 @@
 // dependents, of their latest finish less their run time.
 func (c *Controller) propagateUrgency(j *Job) {
 	jobs := latestFirst{j}
-	inHeap := map[*Job]bool{j: true} // jobs in the heap
+	inHeap := map[*Job]bool{j: true}
 	for len(jobs) > 0 {
 		dependent := heap.Pop(&jobs).(*Job)
 		delete(inHeap, dependent)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -198,11 +198,11 @@
 				t.Fatal("an older commit is still in flight")
 			}
 			if len(pending.transaction.Puts) > c.cfg.TransactionLimit || len(pending.transaction.Conditions) > 4*c.cfg.TransactionLimit {
-				t.Fatalf("%d changes, %d conditions", len(pending.transaction.Puts), len(pending.transaction.Conditions))
+				t.Fatalf("a transaction with %d changes and %d conditions is over the limits", len(pending.transaction.Puts), len(pending.transaction.Conditions))
 			}
 			for _, put := range pending.transaction.Puts {
 				if len(put.Value) > c.cfg.ValueLimit {
-					t.Fatalf("%s has %d bytes", put.Key, len(put.Value))
+					t.Fatalf("the value of %s has %d bytes, over the limit", put.Key, len(put.Value))
 				}
 				keys = append(keys, put.Key)
 			}
@@ -228,11 +228,11 @@
 	c.onJobSubmitted(submission("job-999999", append(needs, needs...)...)) // duplicates count once
 	keys := commitAll(t, c)
 	if len(keys) < 10 || keys[len(keys)-1] != "b/job/job-999999" || lastReply(c).Status != 201 {
-		t.Fatalf("%d keys written, %+v", len(keys), lastReply(c))
+		t.Fatalf("%d keys written, want at least 10 with the header last; reply %+v, want status 201", len(keys), lastReply(c))
 	}
 	j := c.cache.jobs["job-999999"]
 	if j.unfinishedDependencies != 4000 || j.phase != phaseWaiting || len(c.cache.dependencyPieces) != 0 {
-		t.Fatalf("%d jobs needed, phase %d, %d pieces left", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
+		t.Fatalf("%d unfinished dependencies, want 4000; phase %d, want waiting; %d pieces left, want 0", j.unfinishedDependencies, j.phase, len(c.cache.dependencyPieces))
 	}
 	// Another controller reads the header first.
 	other := New(Settings{Controller: "c-1"}, "y")
@@ -257,8 +257,9 @@
 	}
 }
 
-// submitAndReply has the controller take a submission, answer its lookups with the header that its
-// cache lacks, reach the read index, and reply.
+// submitAndReply submits a job and answers the controller's lookups with the header elsewhere. It
+// checks that the controller does not reply before its cache has reached the read index, and then
+// lets it reply and commit.
 func submitAndReply(t *testing.T, c *Controller, submitted JobSubmitted, elsewhere domain.KeyValue) {
 	t.Helper()
 	c.effects = nil
@@ -304,7 +305,7 @@
 				t.Errorf("reply %+v", reply)
 			}
 			if got := slices.Contains(openIDs(c), jobName(9)); got != test.open {
-				t.Errorf("may start: %v", got)
+				t.Errorf("the job may start: %v", got)
 			}
 			if j := c.cache.jobs[jobName(9)]; name == "cancelled job" && (j == nil || !j.cancelled()) {
 				t.Error("the job is not cancelled though a dependency is")
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -34,17 +34,17 @@
 	// What later stages of the plan need to know.
 
 	changed        map[domain.TaskID]bool      // tasks whose copies were changed
-	copiedCells    map[string][]int            // by job, first tasks of its cells in the field cells
-	usageByTeam    map[string]domain.Resources // by team, additions to this controller's bookings
-	usageByMachine map[string]domain.Resources // by machine, additions to its bookings; negative after releases
+	copiedCells    map[string][]int            // by job, first tasks of those of its cells that the draft has copied
+	usageByTeam    map[string]domain.Resources // by team, change of the resources booked by this controller
+	usageByMachine map[string]domain.Resources // by machine, change of its booked resources; negative after releases
 
 	// The budget of the transaction, of which each stage may use a part.
 
-	foreignKey string         // the only value to change, of another shard; "": this shard's values
-	maxChanges int            // the most changes that the draft may have after the present stage
-	maxBytes   int            // the most bytes that the draft may have after the present stage
+	foreignKey string         // key of the only value that may change, if it is another shard's; "": this shard's values
+	maxChanges int            // number of changes up to which the present stage may fill the draft
+	maxBytes   int            // number of bytes up to which the present stage may fill the draft
 	bytes      int            // upper bound of the size of all values to write
-	growth     map[string]int // by key, bytes by which the value may grow
+	growth     map[string]int // by key, bytes by which the draft's changes may make the value grow
 
 	// What to do when the draft is sent and once it is committed.
 
@@ -53,7 +53,8 @@
 	onCommit []func()        // called in this order
 }
 
-// newDraft returns a draft that is empty except for the value that excludes an in-doubt commit.
+// newDraft returns a draft that is empty except for the value that excludes an in-doubt commit
+// (in_doubt.go), if there is one.
 func (c *Controller) newDraft() *draft {
 	d := &draft{
 		c:              c,
@@ -144,7 +145,7 @@
 	d.cells[ref] = j.copyOfCell(i)
 }
 
-// peek returns task i as it is in the draft, without adding its cell to the draft.
+// peek returns task i with the draft's changes, without adding its cell to the draft.
 func (d *draft) peek(j *Job, i int) domain.Task {
 	if ref := j.cellRef(i); d.cells[ref] != nil {
 		return d.cells[ref][i-ref.from]
@@ -152,7 +153,7 @@
 	return j.task(i)
 }
 
-// Budget of the draft.
+// Checks whether the draft has room for a change.
 
 // hasRoomForConditions reports whether the transaction may have n further conditions.
 func (d *draft) hasRoomForConditions(n int) bool {
@@ -196,9 +197,9 @@
 	return d.hasRoomFor(taskChange{job: j, source: key, key: key, header: done})
 }
 
-// hasRoomFor reports whether the draft has room for the change of one more task, which changes
-// at most one value, one header and one team's key. If another kind of commit has to come first,
-// it makes a note for that commit.
+// hasRoomFor reports whether the draft has room for the change of one more task, which changes at
+// most one value, one header and one team's key. If another commit has to come first, to split the
+// value or to change another shard's value, it requests that commit.
 func (d *draft) hasRoomFor(change taskChange) bool {
 	refusal := d.checkChange(&change)
 	switch refusal {
@@ -216,8 +217,8 @@
 	return refusal == notRefused
 }
 
-// checkChange returns the first reason against a change. If the job has to leave its pack with
-// this change, it directs the change to the job's new pack.
+// checkChange returns the first reason against a change, or notRefused. If the job has to leave its
+// pack with this change, it changes the key of the change to the job's new pack.
 func (d *draft) checkChange(change *taskChange) roomRefusal {
 	if refusal := d.checkShard(change); refusal != notRefused {
 		return refusal
@@ -228,8 +229,9 @@
 	return d.checkBudget(change)
 }
 
-// checkShard refuses changes of other shards' values in a draft for own values, and of all but
-// one value in a draft for another shard's value. The reason is given at planCommit.
+// checkShard refuses changes of other shards' values in a draft for this shard's values, and all
+// changes but those of foreignKey in a draft for another shard's value. planCommit says why the two
+// are kept apart.
 func (d *draft) checkShard(change *taskChange) roomRefusal {
 	foreign := d.c.isForeign(change.job)
 	switch {
@@ -241,9 +243,9 @@
 	return notRefused
 }
 
-// checkValueSize refuses a change that would make a value too large to be written. If the value
-// already is too large, a job leaves its pack with this change, whereas a chunk has to be split
-// first.
+// checkValueSize refuses a change that would make a value too large to be written. If a pack is
+// already too large, the job moves to another pack with this change; a chunk that is already too
+// large has to be split first.
 func (d *draft) checkValueSize(change *taskChange) roomRefusal {
 	header := change.job.Header
 	if header.Inline {
@@ -304,8 +306,9 @@
 	return notRefused
 }
 
-// newConditions returns the number of conditions that a change adds, including one for the page
-// of the machine's cordon. They are counted exactly, since small transactions may have few.
+// newConditions returns the number of conditions that a change adds, including one for the page of
+// the machine's cordon. The caller adds one for the view. Conditions are counted exactly, since a
+// transaction that may have few changes may also have few conditions.
 func (d *draft) newConditions(change *taskChange) int {
 	j, count := change.job, 1
 	for _, key := range [4]string{change.key, change.source, codec.KeyJob(j.ID), codec.PrefixTeam + j.Header.Spec.Team} {
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -56,10 +56,10 @@
 // book adds the booking of an attempt of task i to the draft.
 func (d *draft) book(j *Job, i int, place bookingPlace, attempt uint64) {
 	if !d.c.mayStart(j) {
-		panic("booking " + j.ID + " before its dependencies are done") // not an open job
+		panic("booking " + j.ID + " before its dependencies are done") // can't happen: such a job is not among the open jobs
 	}
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
+	d.addCondition(codec.KeyJob(j.ID)) // fails the commit if the job was cancelled or handed over
 	*task = domain.Task{State: domain.Booked, Attempt: attempt, Machine: place.machine, AgentEpoch: place.agentEpoch, Zone: place.zone, Shard: d.c.cfg.Controller}
 	if d.c.isGuardEnabled(GuardCordons) {
 		d.addCondition(codec.PrefixCordons + d.c.cordonPageOf(place.machine))
@@ -77,9 +77,9 @@
 	d.adjustShare(spec.Team, spec.Request)
 }
 
-// bookingBytes returns how many bytes a booking is planned to add to its value: the usual size, or
-// the largest one if a draft planned with the usual size came out too large or the shorter format
-// is not in use yet.
+// bookingBytes returns the number of bytes that a booking is assumed to add to its value: the usual
+// size, or the largest one if the shorter format is not in use yet or the last draft, planned with
+// the usual size, came out too large.
 func (c *Controller) bookingBytes() int {
 	if c.cache.isFormatOn() && !c.planner.assumeMaxBookingBytes {
 		return tuning.TaskBytesShort
@@ -95,9 +95,9 @@
 	})
 }
 
-// release removes the booking of a task that is proven off its machine, and finishes the task if
-// it is done. No start of the attempt may be sent once the transaction is, since it may be carried
-// out late.
+// release removes the booking of a task that is proven stopped (isProvenStopped), and finishes the
+// task if it is done. Once the transaction is sent, no start of the attempt may be sent any more,
+// since the transaction may be carried out late.
 func (d *draft) release(j *Job, i int, done bool) {
 	spec, task := j.Header.Spec, d.task(j, i)
 	d.releases = append(d.releases, attemptID{domain.TaskID{Job: j.ID, Index: i}, task.Attempt})
@@ -165,13 +165,13 @@
 // handOver moves a queued task to another shard.
 func (d *draft) handOver(j *Job, i int, to string) {
 	task := d.task(j, i)
-	d.addCondition(codec.KeyJob(j.ID)) // the job may have been cancelled or handed over
+	d.addCondition(codec.KeyJob(j.ID)) // fails the commit if the job was cancelled or handed over
 	d.growth[d.keyOf(j, i)] += tuning.ReleaseBytes
 	task.Shard = to
 }
 
-// handOverJob moves a job, none of whose tasks was booked or handed over, to another shard, and
-// to a pack of that shard if one has room for it.
+// handOverJob moves a whole job to another shard, and to a pack of that shard if one has room for
+// it. None of the job's tasks may have been booked or handed over.
 func (d *draft) handOverJob(j *Job, to string) {
 	header := d.header(j)
 	header.Shard, header.Handovers = to, header.Handovers+1
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -75,6 +75,6 @@
 	}
 	d.book(j, 0, bookingPlace{machine: "n-000001", zone: "a", agentEpoch: 1}, 1)
 	if d.headers[j.ID] == nil || d.headers[j.ID].Pack != "c-0/1" || d.keys[pack] || !d.conditions[pack] {
-		t.Errorf("headers %v, values %v, conditions %v", d.headers, d.keys, d.conditions)
+		t.Errorf("draft has headers %v, values %v and conditions %v; want a header with pack c-0/1, and the old pack only as a condition", d.headers, d.keys, d.conditions)
 	}
 }
--- a/internal/scheduler/draft_transaction.go
+++ b/internal/scheduler/draft_transaction.go
@@ -12,9 +12,10 @@
 // tasksByJob holds the tasks of a pack, chunk or cell, by job.
 type tasksByJob map[string][]domain.Task
 
-// transaction returns the transaction that writes the draft, conditional on all that it read.
+// transaction returns the transaction that writes the draft, on condition that no value that the
+// draft depends on has changed.
 func (d *draft) transaction() domain.Transaction {
-	puts := d.appendHeaders(nil) // first, since a cache drops a chunk whose job's header it lacks
+	puts := d.appendHeaders(nil) // first, since a cache ignores a chunk whose job's header it lacks
 	puts = append(puts, d.rawPuts...)
 	puts = d.appendValues(puts)
 	puts = d.appendShares(puts)
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,10 +12,10 @@
 	"brassglade/internal/tuning"
 )
 
-// planGangs books the jobs that the leader reserves machines for: gangs as a whole or not at
-// all, other jobs task by task within their zone rules. It makes two passes. The first one
-// considers only jobs whose image is on a machine with room, since fetching an image takes a
-// large fraction of a run and uses the team's limit for as long; the second considers all jobs.
+// planGangs books the tasks of jobs for which the leader reserves machines: gangs as a whole or not
+// at all, other jobs task by task within their zone rules. It makes two passes. The first one
+// considers only jobs whose image is on a machine with room, since fetching an image takes a large
+// fraction of a run and uses the team's limit for as long; the second considers all jobs.
 func (c *Controller) planGangs(d *draft) {
 	if !c.isLeader() {
 		return
@@ -35,7 +35,7 @@
 	c.newGangPass(d, PassAny, machines, claims).book(jobs)
 }
 
-// sortByGuarantee orders jobs: those within their team's guarantee first, then by priority.
+// sortByGuarantee sorts the jobs: those within their team's guarantee first, then by priority.
 func (d *draft) sortByGuarantee(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(a, b *Job) int {
 		return cmp.Or(
@@ -45,9 +45,9 @@
 	})
 }
 
-// blocksOthers reports whether a job that the leader places has waited for so long that other
-// jobs have to wait for it. This ends after tuning.GangBlock, since the job may be impossible to
-// place.
+// blocksOthers reports whether a job that the leader places has waited for so long that other jobs
+// have to wait for it. They wait for at most tuning.MaxGangBlock, since the job may be impossible
+// to place.
 func (j *Job) blocksOthers(now time.Duration) bool {
 	age := j.age(now)
 	return age > tuning.GangStarvationAge && age < tuning.GangStarvationAge+tuning.MaxGangBlock
@@ -78,8 +78,9 @@
 	}
 }
 
-// placementKey is everything that decides where a job fits. Once a gang has found no place, no
-// other one with the same key is tried: in large deployments most waiting gangs are alike.
+// placementKey holds all properties that decide where a job fits. Once a gang has found no place,
+// no other gang with the same key is tried in that pass: in large fleets most waiting gangs are
+// alike.
 type placementKey struct {
 	team, zone            string
 	machineTypes          string // separated by commas
@@ -101,22 +102,22 @@
 func (p *gangPass) book(jobs []*Job) bool {
 	for _, j := range jobs {
 		spec := j.Header.Spec
-		kind := placementKeyOf(spec)
+		key := placementKeyOf(spec)
 		if p.pass == PassCached && !p.isCachedSomewhere(spec) {
 			continue
 		}
-		if reason := p.knownWaitReason(spec.Team, kind); reason != WaitsForNothing {
+		if reason := p.knownWaitReason(spec.Team, key); reason != WaitsForNothing {
 			p.c.recordWaitReason(j, reason, p.claims, p.draft.teamUsed(spec.Team))
 			continue
 		}
-		before := len(p.draft.changed)
+		changedBefore := len(p.draft.changed)
 		if !p.c.bookByLeader(p.draft, j, p.machines, p.claims, p.pass) {
 			return false
 		}
-		if len(p.draft.changed) > before || !p.foundNoPlace(j) {
+		if len(p.draft.changed) > changedBefore || !p.foundNoPlace(j) {
 			continue
 		}
-		p.unplaceable[kind] = true
+		p.unplaceable[key] = true
 		if p.pass == PassCached || !j.holdsMachinesBack(p.c.now) {
 			continue
 		}
@@ -130,9 +131,9 @@
 
 // knownWaitReason returns why a job need not be tried, given the earlier jobs of this pass, or
 // WaitsForNothing if it has to be tried.
-func (p *gangPass) knownWaitReason(team string, kind placementKey) WaitReason {
+func (p *gangPass) knownWaitReason(team string, key placementKey) WaitReason {
 	switch {
-	case p.unplaceable[kind]:
+	case p.unplaceable[key]:
 		return WaitsForMachine
 	case p.blockedTeams[team]:
 		return WaitsForGangs
@@ -140,8 +141,8 @@
 	return WaitsForNothing
 }
 
-// foundNoPlace reports whether a job is a gang all of whose tasks are queued, with the draft's
-// changes counted.
+// foundNoPlace reports whether a job is a gang all of whose tasks are still queued after the
+// changes in the draft.
 func (p *gangPass) foundNoPlace(j *Job) bool {
 	spec := j.Header.Spec
 	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
@@ -153,7 +154,8 @@
 	return quota.Within(p.draft.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), p.c.cfg.Teams[spec.Team].Limit)
 }
 
-// isCachedSomewhere reports whether a machine with room for a task of the job has its image.
+// isCachedSomewhere reports whether any machine with room for a task of the job has the job's
+// image.
 func (p *gangPass) isCachedSomewhere(spec *domain.JobSpec) bool {
 	for i := range p.machines {
 		m := &p.machines[i]
@@ -208,7 +210,7 @@
 	}
 	placed := placementOf(j, d)
 	if spec.Shape == domain.Gang && placed.queued < spec.TaskCount {
-		return true // booked in this draft, or some tasks of the last attempt are not proven off yet
+		return true // booked in this draft, or some tasks of the last attempt are not proven stopped yet
 	}
 	if spec.Shape == domain.Gang && !c.quotaAllowsPlaced(j, d.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), claims) {
 		return true
@@ -229,8 +231,8 @@
 	return true
 }
 
-// bookGang books all tasks of a gang under one attempt number. It returns false if they do not
-// fit the rest of the draft and have to wait for an emptier one.
+// bookGang books all tasks of a gang under one attempt number. It returns false if the draft has no
+// room left for all of them, so that the gang has to wait for a draft with fewer changes.
 func (c *Controller) bookGang(d *draft, j *Job, picks []assignment, pass PlanningPass) bool {
 	if !d.hasRoomForGang(j) {
 		c.planner.dirty = true
@@ -317,8 +319,8 @@
 	spec := j.Header.Spec
 	chosen := &zoneAssignments{machineChooser: p, zone: zone, used: map[string]domain.Resources{}, byZone: maps.Clone(p.zones)}
 	room := chosen.machinesWithRoom()
-	used, most := d.teamUsed(spec.Team), p.maxTasks()
-	for i := 0; i < spec.TaskCount && len(chosen.assignments) < most; i++ {
+	used, limit := d.teamUsed(spec.Team), p.maxTasks()
+	for i := 0; i < spec.TaskCount && len(chosen.assignments) < limit; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
--- a/internal/scheduler/large_arrays.go
+++ b/internal/scheduler/large_arrays.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// waitingJobs returns the open jobs that match, have tasks to book and do not pause after a
-// failure.
+// waitingJobs returns the open jobs that match, have tasks to book and are not paused after
+// failures.
 func (c *cache) waitingJobs(matches func(*domain.JobSpec) bool, now time.Duration) []*Job {
 	var jobs []*Job
 	for _, j := range c.openJobs {
@@ -64,9 +64,9 @@
 	if len(owners) == 0 {
 		return true
 	}
-	left := d.maxLargeArrayTasks(j)
+	remaining := d.maxLargeArrayTasks(j)
 	rooms := map[string][]*inventoryMachine{} // by owner
-	for cell, from := 0, 0; from < j.Header.TaskCount && left > 0; cell, from = cell+1, j.Header.CellEnd(from) {
+	for cell, from := 0, 0; from < j.Header.TaskCount && remaining > 0; cell, from = cell+1, j.Header.CellEnd(from) {
 		if !j.anyQueued(from) {
 			continue
 		}
@@ -75,8 +75,8 @@
 		if !known {
 			room = c.ownerMachinesWithRoom(d, j.Header.Spec, machines, owner)
 		}
-		booking := c.bookCell(d, j, from, left, room, claims)
-		left -= booking.tasks
+		booking := c.bookCell(d, j, from, remaining, room, claims)
+		remaining -= booking.tasks
 		rooms[owner] = booking.room
 		if booking.draftFull {
 			return false
@@ -137,12 +137,13 @@
 	draftFull bool
 }
 
-// bookCell books up to most queued tasks of the cell that begins with task from.
-func (c *Controller) bookCell(d *draft, j *Job, from, most int, room []*inventoryMachine, claims map[string]quotaClaim) cellBooking {
+// bookCell books at most limit queued tasks of the cell that begins with task from, on the given
+// machines, which are sorted and have room.
+func (c *Controller) bookCell(d *draft, j *Job, from, limit int, room []*inventoryMachine, claims map[string]quotaClaim) cellBooking {
 	spec := j.Header.Spec
 	booking := cellBooking{room: room}
 	end := j.Header.CellEnd(from)
-	for i := from; i < end && booking.tasks < most && len(booking.room) > 0; i++ {
+	for i := from; i < end && booking.tasks < limit && len(booking.room) > 0; i++ {
 		if j.task(i).State != domain.Queued || d.changed[domain.TaskID{Job: j.ID, Index: i}] {
 			continue
 		}
@@ -164,9 +165,9 @@
 	return booking
 }
 
-// quotaAllowsPlaced reports whether a team may use the given resources, which include a task of a
-// job that the leader places: whether they are within the team's limit and leave a starving job
-// what it claims.
+// quotaAllowsPlaced reports whether a team may use the given resources, which include those for the
+// next tasks of a job that the leader places: they must be within the team's limit and leave the
+// room that a starving job claims. If the result is false, the wait reason of the job is recorded.
 func (c *Controller) quotaAllowsPlaced(j *Job, used domain.Resources, claims map[string]quotaClaim) bool {
 	spec := j.Header.Spec
 	claim := claims[spec.Team]
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -101,12 +101,12 @@
 }
 
 // updateWeights takes the temporal-difference step of the critic and the actors. Every
-// ConsensusEvery windows it also averages the critic with those of the other controllers.
+// tuning.ConsensusWindows windows it also averages the critic with those of the other controllers.
 func (c *Controller) updateWeights(features []float64, imbalance float64, handovers, machines int) {
 	learner := &c.learner
 	delta := learner.critic.TemporalDifference(policy.Payoff(imbalance, handovers, machines), features)
 	for _, i := range learner.critic.Step(delta) {
-		c.info("critic weight was too large or not finite and has been reset", "i", i)
+		c.info("critic weight was too large or not finite and has been reset", "weight_index", i)
 	}
 	names := c.currentChoiceNames()
 	if n := learner.arrivals.Step(delta, names) + learner.steals.Step(delta, names); n > 0 {
--- a/internal/scheduler/load.go
+++ b/internal/scheduler/load.go
@@ -7,9 +7,9 @@
 	"brassglade/internal/tuning"
 )
 
-// runTime returns the expected run time of a task in seconds: the user's estimate, or SeedRun
-// without one, times the smoothed ratio of actual to estimated run times of the class, if known.
-// The ratio is bounded to between 0.25 and 4.
+// runTime returns the expected run time of a task in seconds: the user's estimate, or
+// tuning.DefaultRunSeconds without one, times the smoothed ratio of actual to estimated run times
+// of the job's class. The ratio is used once it has three samples, and limited to 0.25 to 4.
 func (q *queues) runTime(spec *domain.JobSpec) float64 {
 	seconds := spec.EstimatedRuntime
 	if seconds <= 0 {
@@ -68,7 +68,7 @@
 }
 
 // meanLoad returns the mean load of this controller's machines, including the pending jobs of the
-// shard, in seconds. The value is cached for the minimum interval between two plans.
+// shard, in seconds. The result is cached for planInterval.
 func (c *Controller) meanLoad() float64 {
 	if c.queues.meanLoadTakenAt.Within(c.planInterval(), c.now) {
 		return c.queues.meanLoad
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -34,8 +34,10 @@
 	}
 }
 
-// beginPlacementRun reports whether a run of placeTasks is due: something changed or the last
-// full run is long ago, and in either case the planning pace has passed since the last run.
+// beginPlacementRun reports whether a run of placeTasks is due, and if so sets the time of the next
+// one. A run is due if something changed or the last regular run is long enough ago, and in either
+// case planInterval has passed since the last run. Before a regular run it also drops stale queue
+// entries.
 func (c *Controller) beginPlacementRun() bool {
 	if c.now-c.queues.lastDrawAt >= max(tuning.DrawInterval/4, c.planInterval()) {
 		c.queues.lastDrawAt = c.now
@@ -71,7 +73,7 @@
 // placeRound is one pass over the jobs in their order.
 type placeRound struct {
 	split  bool // limited to jobs that are late for all their objectives, or to the others
-	late   bool // if split: which of the two
+	late   bool // if split: true for the late jobs, false for the others
 	cached bool // only machines that have the image or are fetching it
 }
 
@@ -93,7 +95,7 @@
 // includes reports whether the round considers a job.
 func (r placeRound) includes(j *Job) bool { return !r.split || j.beyondObjectives == r.late }
 
-// placementRun is one run of placeTasks.
+// placementRun is the state of one run of placeTasks.
 type placementRun struct {
 	c             *Controller
 	targets       []target
@@ -102,8 +104,8 @@
 	targetsByKind map[taskKind][]int // by kind of task, indices of the targets whose queues still take one
 }
 
-// newPlacementRun begins a run with the present state of the machines. It also removes tasks from
-// their queues for which the team has no room any more.
+// newPlacementRun begins a run with the present state of the machines. It also removes from their
+// queues the tasks for which the team's limit has no room any more.
 func (c *Controller) newPlacementRun(machines []*Machine) *placementRun {
 	run := &placementRun{c: c, targets: make([]target, len(machines)), targetsByKind: map[taskKind][]int{}}
 	for i, m := range machines {
@@ -148,7 +150,7 @@
 	}
 }
 
-// placeNext places one more task of a job. It returns false if the team has no room for the task,
+// placeNext places one more task of a job. It returns false if the team's limit has no room for it,
 // or if the task stays pending in this shard.
 func (p *placementRun) placeNext(j *Job, id domain.TaskID, choices []policy.Choice, round placeRound) bool {
 	if !p.teams.allows(j) {
@@ -210,9 +212,9 @@
 	return nil
 }
 
-// place draws where one task goes, from the choices of its job, and puts it into that machine's
-// queue or marks it for handover to that shard. It returns false if nothing can take the task
-// now, or if the draw left it pending in this shard.
+// place draws where one task goes, from the choices of its job, and puts it into the queue of the
+// chosen machine or marks it for handover to the chosen shard. It returns false if nothing can take
+// the task now, or if the draw left it pending in this shard.
 func (p *placementRun) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
@@ -223,11 +225,11 @@
 		}
 		offers = c.appendPeers(offers, spec)
 	}
-	k := c.draw(&c.learner.arrivals, offers)
-	if k < 0 {
+	drawn := c.draw(&c.learner.arrivals, offers)
+	if drawn < 0 {
 		return false
 	}
-	chosen := offers[k]
+	chosen := offers[drawn]
 	switch {
 	case chosen.Name == c.cfg.Controller:
 		c.queues.tasksDrawnToStay[id] = true
@@ -243,16 +245,16 @@
 	return true
 }
 
-// appendPeers appends the other serving shards as choices, each at its mean load, that sent a
-// message lately and have a machine for a task of the job.
+// appendPeers appends other serving shards as choices, each with its mean load: those whose
+// controller sent a message lately and that have a machine for a task of the job.
 func (c *Controller) appendPeers(offers []policy.Choice, spec *domain.JobSpec) []policy.Choice {
-	for _, node := range c.cache.view.Serving {
-		peer := c.peers.byName[node]
-		if node == c.cfg.Controller || peer == nil || c.now-peer.receivedAt > 3*tuning.DrawInterval {
+	for _, shard := range c.cache.view.Serving {
+		peer := c.peers.byName[shard]
+		if shard == c.cfg.Controller || peer == nil || c.now-peer.receivedAt > 3*tuning.DrawInterval {
 			continue
 		}
 		if c.peerFits(peer, spec) {
-			offers = append(offers, policy.Choice{Name: node, Load: peer.load, Cost: tuning.PassCost, Ref: noTarget})
+			offers = append(offers, policy.Choice{Name: shard, Load: peer.load, Cost: tuning.PassCost, Ref: noTarget})
 		}
 	}
 	return offers
@@ -289,8 +291,8 @@
 	used   map[string]domain.Resources
 }
 
-// newTeamHeadroom sums up what teams use by bookings and by the queues here, and removes tasks
-// from the queues for which the team has no room any more.
+// newTeamHeadroom sums up what teams use by bookings and by the queues here. It removes from the
+// queues the tasks for which the team's limit has no room any more.
 func (c *Controller) newTeamHeadroom() *teamHeadroom {
 	room := &teamHeadroom{c, c.claims(nil), map[string]domain.Resources{}}
 	for name := range c.cfg.Teams {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -8,14 +8,14 @@
 // as committed. Every rule on the tasks of a job as a whole uses it:
 //
 //   - A committed booking counts as it is in the cache until its release is committed. Only a
-//     booking that is proven off its machine is released (isProvenOff).
+//     booking whose attempt is proven stopped is released (isProvenStopped).
 //   - A change in the draft counts in place of the committed record: one plan may look at a job
 //     several times, and its commit is carried out as a whole or not at all.
 //   - An in-doubt commit of this controller does not count. It and the draft exclude each other
-//     (in_doubt.go): if the former was carried out, the latter will not be.
+//     (in_doubt.go): if that commit was carried out, the draft's will not be.
 //   - Commits of other leaders count once they are in the cache. Those of earlier leaders were
-//     conditional on an older view, so they were carried out before the present view was
-//     written, and a cache that has the view has them, too.
+//     conditional on an older view, so they were carried out, if at all, before the present
+//     view was written, and a cache that has the view has them, too.
 
 // placement counts a job's tasks by state.
 type placement struct {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -8,13 +8,13 @@
 
 // planner is the state that is kept from one plan to the next.
 type planner struct {
-	dirty                 bool                     // something changed since the last plan, or did not fit it
-	nextPlan              monotime.Deadline        // when the next plan may be made, a pace after the last one
-	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; changes with each
-	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; changes with each
+	dirty                 bool                     // a new plan is needed: something changed, or the last draft had no room for it
+	nextPlan              monotime.Deadline        // when the next plan may be made, planInterval after the last one
+	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; alternates
+	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; alternates
 	assumeMaxBookingBytes bool                     // the next draft plans with the largest size of a booking
-	splitTurn             bool                     // this commit may split a value; changes with each
-	foreignTurn           bool                     // the next commit may be for a value of another shard; changes with each
+	splitTurn             bool                     // this commit is to split a value, if there is one to split; alternates
+	foreignTurn           bool                     // the next commit may be for a value of another shard; alternates
 	foreignValues         map[string]bool          // other shards' values that wait for a change by this controller
 	lastForeignValue      string                   // key of the one that was changed last
 	firstReleaseMachine   string                   // machine whose releases come first in the next plan
@@ -42,15 +42,15 @@
 }
 
 // planCommit plans and sends the next task commit if there is something to commit. It plans only
-// when a commit can be sent at once: a plan that had to wait for credit would lose against
-// commits that others make in the meantime.
+// when a commit can be sent at once: if a plan had to wait for the write rate, commits of other
+// controllers would change its values in the meantime and make it fail.
 //
-// A commit is for one of three things, in turns: a value that has to be split, one value of
-// another shard, or everything that this shard's values need. Values of this shard and of another
-// are never changed in the same commit: a change of the other value by its own controller fails
-// the whole commit, and with several such values in each commit a controller can lose every time,
-// for minutes. While a commit is in doubt every draft repeats one of its values (in_doubt.go) and
-// so is not empty: own values then wait until the outcome is known.
+// A commit is for one of three things, in turns: a value that has to be split, one value of another
+// shard, or everything that this shard's values need. Values of this shard and of another are never
+// changed in the same commit: a change of the other shard's value by its own controller fails the
+// whole commit, and with several such values in each commit a controller can lose every time, for
+// minutes. While a commit is in doubt, every draft writes one of its values again (in_doubt.go), so
+// no draft is empty, and this shard's values wait until the outcome is known.
 func (c *Controller) planCommit() {
 	if !c.planner.dirty || !c.planner.nextPlan.HasPassed(c.now) || !c.canCommitTasks() {
 		return
@@ -95,8 +95,8 @@
 	return c.planner.splitTurn && c.maySplit()
 }
 
-// maySplit reports whether there are values to split, this is possible (mayShrinkValues), and no
-// in-doubt commit may still change one.
+// maySplit reports whether there are values to split, all controllers can read split values or the
+// values can't be written otherwise (mayShrinkValues), and no in-doubt commit may still change one.
 func (c *Controller) maySplit() bool {
 	anyToSplit := len(c.cache.oversized)+len(c.commits.fullValues) > 0
 	return anyToSplit && c.commits.inDoubt.key == "" && c.mayShrinkValues()
@@ -203,5 +203,5 @@
 	}
 }
 
-// planShares writes the teams' shares of limits that no longer match their use.
+// planShares writes those shares of teams' limits that no longer match the bookings.
 func (c *Controller) planShares(d *draft) { d.adjustShares() }
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -14,7 +14,7 @@
 	machine         *Machine
 	task            domain.TaskID
 	job             *Job
-	withinGuarantee bool // within its team's guarantee
+	withinGuarantee bool // the task is within its team's guarantee
 }
 
 // compareBookingCandidates orders candidates: those within their team's guarantee first, then by
@@ -37,8 +37,8 @@
 	for range tuning.MaxBookingRounds {
 		var candidates []bookingCandidate
 		for _, m := range machines {
-			if head, ok := c.firstBookable(d, m, claims); ok {
-				candidates = append(candidates, head)
+			if candidate, ok := c.firstBookable(d, m, claims); ok {
+				candidates = append(candidates, candidate)
 			}
 		}
 		if len(candidates) == 0 {
@@ -65,7 +65,7 @@
 }
 
 // firstBookable returns the first task in a machine's queue that could start now. It returns false
-// if there is none, or if a task that may start does not fit yet and the others wait for it.
+// if there is none, or if a task does not fit on the machine yet: those behind it then wait, too.
 func (c *Controller) firstBookable(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.cache.queueByPriority(m) {
@@ -135,8 +135,8 @@
 	return anyBooked
 }
 
-// isNearlyFull reports whether the draft has so little room for further bookings that trying them
-// all is not worth the time.
+// isNearlyFull reports whether the draft has so little room left that trying all remaining bookings
+// is not worth the time.
 func (d *draft) isNearlyFull() bool {
 	limit := d.c.cfg.TransactionLimit
 	return d.changes() >= limit-2 && limit > tuning.SmallTransaction || !d.hasRoomForConditions(3)
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -8,7 +8,7 @@
 	"brassglade/internal/domain"
 )
 
-// provenRelease is the release of a booking whose attempt is proven off its machine.
+// provenRelease is the release of a booking whose attempt is proven stopped (isProvenStopped).
 type provenRelease struct {
 	machine  *Machine
 	task     domain.TaskID
@@ -70,7 +70,7 @@
 	return releases, byValue
 }
 
-// provenStoppedTasks returns the tasks booked on a machine that are proven off it, sorted.
+// provenStoppedTasks returns the tasks booked on a machine that are proven stopped, sorted.
 func (c *Controller) provenStoppedTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
@@ -81,8 +81,8 @@
 	return sortTasks(ids)
 }
 
-// releaseOf returns the release of a task that is proven off its machine, with the machine's last
-// report on it.
+// releaseOf returns the release of a task that is proven stopped, with the machine's last report on
+// it.
 func (c *Controller) releaseOf(m *Machine, j *Job, id domain.TaskID) provenRelease {
 	task := j.task(id.Index)
 	report, known := m.reported[id]
@@ -126,9 +126,10 @@
 }
 
 // takeLargestReleasesTurn reports whether the values with the most releases go first in this plan.
-// If more values wait for releases than fit one commit, a backlog that is spread over many values
-// would otherwise use up all changes of a second for two or three releases each. This alternates
-// with the order by machine, so that no value is left out.
+// They do in every second plan of a large fleet if more values wait for releases than one commit
+// can change: in the order of machines, a backlog that is spread over many values would use up all
+// changes of a second with two or three releases for each. The plans between go by machine, so that
+// no value is left out.
 func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
 	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
 	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
@@ -173,8 +174,8 @@
 	}
 }
 
-// coversValueOf reports whether the draft is for the value that holds the job's tasks. A value of
-// another shard is remembered for a later draft.
+// coversValueOf reports whether the draft may change the value that holds the job's tasks. If it is
+// another shard's value and the draft is not for it, it is remembered for a later draft.
 func (d *draft) coversValueOf(j *Job) bool {
 	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -12,7 +12,7 @@
 )
 
 // controllerWithQueues returns a controller, one of five, that may act. It has idle machines with
-// tasks of one large job in their queues, and the smallest transactions in use.
+// tasks of one large job in their queues, and settings with the smallest transactions in use.
 func controllerWithQueues(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := actingController()
@@ -47,11 +47,11 @@
 	}
 	c.planBookings(d)
 	if booked := len(d.changed); booked < 100 {
-		t.Errorf("%d of 120 tasks are booked", booked)
+		t.Errorf("%d of 120 tasks are booked, want at least 100", booked)
 	}
 	transaction := d.transaction()
 	if len(transaction.Conditions) > 16 || len(transaction.Puts) > 4 || c.hasValueTooLarge(transaction) {
-		t.Errorf("%d conditions, %d changes, too large %v", len(transaction.Conditions), len(transaction.Puts), c.hasValueTooLarge(transaction))
+		t.Errorf("%d conditions, want at most 16; %d changes, want at most 4; has a value that is too large: %v", len(transaction.Conditions), len(transaction.Puts), c.hasValueTooLarge(transaction))
 	}
 }
 
@@ -226,7 +226,7 @@
 			}
 			c.planReservations(c.machines(), pending)
 			if got := len(c.scaling.reserved) > 0; got != reserved {
-				t.Errorf("%d machines are reserved", len(c.scaling.reserved))
+				t.Errorf("%d machines are reserved; want some for the gang, none for the array", len(c.scaling.reserved))
 			}
 		})
 	}
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -10,12 +10,12 @@
 
 // queues holds the state of the queues of this controller's machines and of the draws that fill
 // them. The order of a queue is in Machine.queue, but only machineOf says whether a task is still
-// in it, so that removing a task needs no search. Stale entries of Machine.queue are dropped
-// periodically (dropStaleEntries).
+// in it, so that removing a task needs no search. Stale entries of Machine.queue are removed from
+// time to time (dropStaleEntries).
 type queues struct {
 	machineOf        map[domain.TaskID]string // the machine in whose queue each task is
 	tasksDrawnToStay map[domain.TaskID]bool   // tasks for which the draw chose to wait in this shard
-	jobsDrawn        map[string]bool          // jobs for which the draw between shards was made
+	jobsDrawn        map[string]bool          // jobs for which the shard was drawn (drawShardOfJob)
 	lastDrawAt       time.Duration
 	lastStealAt      time.Duration
 	nextPlacement    monotime.Deadline
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -18,8 +18,8 @@
 // quotaClaim is the part of a team's limit that is held back for waiting jobs of the team.
 type quotaClaim struct {
 	quota.Claim
-	// The starving job goes ahead of gangs, too. This ends after some time, since the job may be
-	// impossible to place.
+	// aheadOfGangs is whether the starving job goes ahead of gangs, too. This ends after
+	// tuning.MaxGangBlock, since the job may be impossible to place.
 	aheadOfGangs bool
 }
 
@@ -114,8 +114,8 @@
 
 // quotaAllows reports whether one more task of a job whose tasks are placed one by one may start
 // within its team's limit: it must fit, and must leave the room claimed for other waiting jobs of
-// the team. Room that no waiting gang can use is not held back for gangs. If the
-// result is false, the wait reason of the job is recorded.
+// the team. Room that no waiting gang can use is not held back for gangs. If the result is false,
+// the wait reason of the job is recorded.
 func (c *Controller) quotaAllows(j *Job, d *draft, claims map[string]quotaClaim) bool {
 	if !c.isGuardEnabled(GuardQuota) {
 		return true
@@ -152,7 +152,7 @@
 }
 
 // avoidsShareChange reports whether a commit of the team's key failed by a conflict a short time
-// ago. Until that time is over the key is only changed where this is necessary.
+// ago. The key is then changed only if the draft's bookings don't fit this controller's share.
 func (c *Controller) avoidsShareChange(team string) bool {
 	return c.commits.checkAvoided(codec.PrefixTeam+team, c.now)
 }
@@ -168,9 +168,9 @@
 	return quota.Slack(limit, left, request, len(c.cfg.Controllers))
 }
 
-// adjustShare writes the team's key if this controller's bookings no longer fit its share, or
-// leave much of it unused. The request is that of the task that was booked or released. With the
-// zero request a change of the key that is already in the draft stays as it is.
+// adjustShare writes the team's key if this controller's bookings no longer fit its share, or leave
+// much of it unused. The request is that of the task that was booked or released. With the zero
+// request, a change of the key that is already in the draft stays as it is.
 func (d *draft) adjustShare(team string, request domain.Resources) {
 	c := d.c
 	if _, ok := d.shares[team]; ok && request == (domain.Resources{}) {
@@ -218,9 +218,9 @@
 // oneGPU is the request of a task of one GPU.
 var oneGPU = domain.Resources{GPU: 1000}
 
-// adjustShares returns the unused part of this controller's shares, which remains when other
-// controllers release its bookings. The leader also does so for the shares of controllers that
-// are not members.
+// adjustShares gives back the unused part of this controller's shares, which remains when other
+// controllers release its bookings. The leader also gives back unused parts of the shares of
+// controllers that are not members.
 func (d *draft) adjustShares() {
 	c := d.c
 	for _, team := range slices.Sorted(maps.Keys(c.cache.shares)) {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -15,8 +15,8 @@
 // reservationCandidate is a machine that may be reserved for a class of jobs.
 type reservationCandidate struct {
 	machine         *machineState
-	wait            float64 // seconds until it is empty; less for machines already reserved
-	isLowerPriority bool    // all tasks booked on it have lower priority than the class
+	wait            float64 // seconds until it is empty, less a bonus for machines already reserved
+	isLowerPriority bool    // all tasks booked on it have lower priority than the job to reserve it for
 }
 
 // classDemand is the number of machines that a class of jobs needs.
@@ -58,9 +58,9 @@
 	return demand
 }
 
-// reservationCandidates returns the machines that may be reserved for jobs of the same kind as
-// this one, ordered by the time until they are empty. The machines in before, which were
-// reserved last time, count as empty sooner by ReservationBonus.
+// reservationCandidates returns the machines that may be reserved for jobs of the same kind as this
+// one, ordered by the time until they are empty. The machines in before, which were reserved last
+// time, count as empty sooner by tuning.ReservationBonus seconds.
 func (c *Controller) reservationCandidates(spec *domain.JobSpec, machines []machineState, before map[string]bool) []reservationCandidate {
 	var candidates []reservationCandidate
 	for i := range machines {
@@ -83,8 +83,9 @@
 	return candidates
 }
 
-// mayReserve reports whether a machine's owner has received heartbeats from it lately, it is neither
-// cordoned nor reserved for another class, and could take a task of the job if it were empty.
+// mayReserve reports whether a machine may be reserved for the job: it sent a heartbeat lately, is
+// neither cordoned nor reserved for another class, and could take a task of the job if it were
+// empty.
 func (c *Controller) mayReserve(m *machineState, spec *domain.JobSpec) bool {
 	return m.isReporting && m.cordon.State == "" && !c.scaling.reserved[m.Name] &&
 		allowsMachine(spec, m.Type, m.Zone, m.Spot) && c.cache.machineType(m.Type).Capacity.Fits(spec.Request)
@@ -112,8 +113,8 @@
 }
 
 // reserveAfterGang reserves the idle candidates where a job that needs whole machines ran within
-// KeepReservedAfterGang: they have the image, and another such job is likely to follow soon. It
-// returns their number.
+// tuning.KeepReservedAfterGang: they have the image, and another such job is likely to follow soon.
+// It returns their number.
 func (s *scaling) reserveAfterGang(candidates []reservationCandidate, now time.Duration) int {
 	kept := 0
 	for i := range candidates {
@@ -260,15 +261,15 @@
 	return wanted
 }
 
-// withHeadroom returns the resources increased by HeadroomPercent.
+// withHeadroom returns the resources increased by tuning.HeadroomPercent.
 func withHeadroom(room domain.Resources) domain.Resources {
 	grow := func(x int64) int64 { return x + x*tuning.HeadroomPercent/100 }
 	return domain.Resources{CPU: grow(room.CPU), GPU: grow(room.GPU), Memory: grow(room.Memory)}
 }
 
-// logMachines logs a debug line about all machines every ScalingLogInterval: the number of tasks of
-// each, followed by letters: h if it is reserved, r if it rested before, d if it is cordoned, - if
-// no heartbeat was received from it lately, s if it is a spot machine.
+// logMachines logs a debug line about all machines every tuning.ScalingLogInterval: the number of
+// tasks of each, followed by letters: h if it is reserved, r if it rested before, d if it is
+// cordoned, - if no heartbeat was received from it lately, s if it is a spot machine.
 func (c *Controller) logMachines(machines []machineState, wantedByShard map[string]domain.Resources, rested map[string]bool) {
 	if !c.scaling.nextLog.HasPassed(c.now) {
 		return
@@ -302,9 +303,8 @@
 
 // endRestFor ends the rest of machines that waiting tasks need. The total of free resources is not
 // enough: a task may fit none of the remaining machines, or may not be allowed on the cheaper ones
-// because of its zone or machine type. Without this rule such jobs waited although there
-// were empty machines, until those were returned, and their claim on the team's limit delayed other
-// jobs, too.
+// because of its zone or machine type. Without this rule such jobs waited beside empty machines
+// until those were returned, and their claim on the team's limit delayed other jobs, too.
 func (c *Controller) endRestFor(candidates []restCandidate, pending []pendingWork) {
 	if len(c.scaling.resting) == 0 {
 		return
@@ -324,9 +324,9 @@
 	}
 }
 
-// placeOnCandidates places work on the candidates that rest, or on those that don't, depending on
-// the argument resting. It ends the rest of the candidates that it uses. The candidates' free
-// resources and the unplaced tasks of the work are reduced.
+// placeOnCandidates places work on the candidates that rest if resting is true, else on those that
+// don't rest. It ends the rest of the candidates that it uses, and reduces the candidates' free
+// resources and the number of unplaced tasks.
 func (c *Controller) placeOnCandidates(candidates []restCandidate, unplaced *shardWork, resting bool) {
 	for i := range candidates {
 		if unplaced.remaining == 0 {
--- a/internal/scheduler/run_times.go
+++ b/internal/scheduler/run_times.go
@@ -8,8 +8,8 @@
 )
 
 // recordRunTime adds the run time of a finished task, in seconds, to the smoothed run time of its
-// machine and to the smoothed ratio of actual to estimated run times of its class. Values
-// that are not positive numbers are ignored.
+// machine and to the smoothed ratio of actual to estimated run times of its class. Values that are
+// not positive numbers are ignored.
 func (q *queues) recordRunTime(m *Machine, spec *domain.JobSpec, seconds float64) {
 	if seconds <= 0 || math.IsNaN(seconds) {
 		return
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -12,10 +12,11 @@
 	"brassglade/internal/tuning"
 )
 
-// isLargeFleet reports whether the shards are so large that jobs are handed over and stolen as a
-// whole, as long as none of their tasks was booked. If tasks were handed over one by one, the tasks
-// of most jobs would wait in shards other than the one whose value holds their records, and
-// two controllers that commit to the same value at the same time repeatedly fail each other.
+// isLargeFleet reports whether there are so many machines or waiting tasks that jobs are handed
+// over and stolen as a whole, as long as none of their tasks was booked. If tasks were handed over
+// one by one, the tasks of most jobs would wait in shards other than the one whose value holds
+// their records, and two controllers that commit to the same value at the same time repeatedly fail
+// each other.
 func (c *Controller) isLargeFleet() bool {
 	c.countWaiting()
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
@@ -24,15 +25,15 @@
 // isUnstarted reports whether no task of the job was ever booked or handed over by itself.
 func isUnstarted(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
-// isNewlyReady reports whether the job became ready to start less than StealAfter ago. Such a job
-// first gets a chance in the shard that was chosen for it.
+// isNewlyReady reports whether the job became ready to start less than tuning.StealAfter ago. Such
+// a job first gets a chance in the shard that was chosen for it.
 func (c *Controller) isNewlyReady(j *Job) bool {
 	return c.now-time.Duration(j.readyAt) < tuning.StealAfter
 }
 
 // drawShardOfJob draws, once per job, whether an unstarted job stays in this shard or goes to
-// another one; each shard is weighted by its mean load. It reports whether the job goes, which
-// the next commit carries out. Jobs that were handed over before stay.
+// another one; each shard counts with its mean load. It reports whether the job goes to another
+// shard; the next commit then hands it over. Jobs that were handed over before stay.
 func (p *placementRun) drawShardOfJob(j *Job) bool {
 	c, spec := p.c, j.Header.Spec
 	if !isUnstarted(j) || j.Header.Handovers > 0 || c.queues.jobsDrawn[j.ID] || j.queuedHere > 0 || c.isNewlyReady(j) {
@@ -69,8 +70,7 @@
 	return false
 }
 
-// fitKey holds the properties of a job on which it depends whether a peer has a machine for its
-// tasks.
+// fitKey holds the properties of a job that decide whether a peer has a machine for its tasks.
 type fitKey struct {
 	request     domain.Resources
 	zone, types string
@@ -138,7 +138,7 @@
 }
 
 // backloggedMachines returns machines in whose queues a task has to wait until other tasks end, at
-// most MaxDrawTargets of them.
+// most tuning.MaxDrawTargets of them.
 func (c *Controller) backloggedMachines(machines []*Machine) []*Machine {
 	var backlogged []*Machine
 	for _, m := range machines {
@@ -168,8 +168,8 @@
 }
 
 // stealTo moves tasks from the queues of backlogged machines to the queue of an idle one, as long
-// as it has room and at most MaxHandovers of them. Each draw is among the queues, of which each
-// offers the first task that must wait there but can start on the idle machine.
+// as it has room, at most tuning.MaxStolenTasks of them. Each task is drawn from the first ones of
+// the queues that must wait there but can start on the idle machine.
 func (c *Controller) stealTo(m *Machine, free domain.Resources, from []*Machine) {
 	for n := 0; n < tuning.MaxStolenTasks; n++ {
 		var offers []policy.Choice
@@ -221,15 +221,15 @@
 	return claims[spec.Team].admits(spec, used, limit)
 }
 
-// stealableWork is a job and the other shards in which tasks of it wait.
+// stealableWork is the spec of a job, and the other shards in which its tasks wait.
 type stealableWork struct {
 	spec   *domain.JobSpec
 	shards map[string]bool
 }
 
 // stealRemote asks other shards for waiting tasks that fit machines with an empty queue and free
-// resources, in at most MaxStealRequests requests. In a large fleet it sends one request, for all
-// idle machines of the same kind.
+// resources, in at most tuning.MaxStealRequests requests. In a large fleet it sends one request,
+// for all idle machines of the same kind.
 func (c *Controller) stealRemote(machines []*Machine) {
 	work := c.stealableInOtherShards()
 	if len(work) == 0 {
@@ -266,7 +266,7 @@
 }
 
 // stealableInOtherShards returns the jobs with tasks that wait in other shards and that their
-// team's limit lets start, at most StealLots of them.
+// team's limit lets start, at most tuning.MaxStealJobs of them.
 func (c *Controller) stealableInOtherShards() []stealableWork {
 	var work []stealableWork
 	large, claims := c.isLargeFleet(), c.claims(nil)
@@ -287,9 +287,9 @@
 	return work
 }
 
-// otherShardsOf returns the other shards in which tasks of a job wait. Only the first StealLook
-// queued tasks of the job are examined: the last one may come after very many others, and may wait
-// in a shard that has no machine.
+// otherShardsOf returns the other shards in which tasks of a job wait. Only the first
+// tuning.MaxStealScan queued tasks of the job are examined: the last one may come after very many
+// others, and may wait in a shard that has no machine.
 func (c *Controller) otherShardsOf(j *Job) map[string]bool {
 	shards := map[string]bool{}
 	for i, seen := 0, 0; i < j.Header.TaskCount && seen < tuning.MaxStealScan; i++ {
@@ -370,7 +370,8 @@
 }
 
 // mayHandOverJob reports whether a job may go to the peer as a whole: it waits in this shard, none
-// of its tasks is in a machine's queue here, and it was handed over fewer than MaxHops times.
+// of its tasks is in a machine's queue here, and it was handed over fewer than tuning.MaxHops
+// times.
 func (s *stealResponse) mayHandOverJob(j *Job) bool {
 	c, spec := s.c, j.Header.Spec
 	if placedByLeader(spec) || !isUnstarted(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestStealJobs checks that in a large fleet whole jobs are handed over. The peer must have room for
-// at least half of the tasks, no task may be booked or queued, and the job must have been handed over
-// fewer than MaxHops times.
+// TestStealJobs checks that in a large fleet whole jobs are handed over. The peer must have room
+// for at least half of the tasks, no task may be booked or queued, and the job must have been
+// handed over fewer than tuning.MaxHops times.
 func TestStealJobs(t *testing.T) {
 	request := &StealRequest{Type: "box", Zone: "a", Room: domain.Resources{CPU: 5000}, MaxTasks: 100}
 	for _, test := range []struct {
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -16,9 +16,9 @@
 	load          float64          // expected delay of a new task, s
 	free          domain.Resources // not booked by any task
 	preemptible   domain.Resources // booked by preemptible tasks
-	queued        int64            // tasks in the machine's queue
+	queued        int64            // number of tasks in the machine's queue
 	pendingImages []string         // images that its tasks need and it hasn't fetched yet
-	roomIsScarce  bool             // waiting tasks of the shard need more than half of its free resources
+	roomIsScarce  bool             // waiting tasks of the shard need more than half of the free resources of its machines
 }
 
 // noTarget is the Ref of choices that are shards, or that have been removed from the draw.
@@ -62,7 +62,7 @@
 	}
 }
 
-// taskKind holds the properties of a task on which it depends whether a machine's queue takes it.
+// taskKind holds the properties of a task that decide whether a machine's queue takes it.
 type taskKind struct {
 	request     domain.Resources
 	preemptible bool // queued only where it can start at once
@@ -92,8 +92,8 @@
 }
 
 // targetsWithRoom returns the indices of the targets whose queues still take a task of a kind. The
-// result is cached in p.roomy and reduced by each call: when resources are scarce few targets
-// remain, while hundreds of jobs in one plan ask for them.
+// result is cached in p.targetsByKind, and each call drops targets that have become full: when
+// resources are scarce, few targets remain, while hundreds of jobs ask for them in one run.
 func (p *placementRun) targetsWithRoom(kind taskKind) []int {
 	indices, known := p.targetsByKind[kind]
 	if !known {
@@ -118,11 +118,11 @@
 // or are about to fetch it.
 func (p *placementRun) choices(j *Job, cached bool) []policy.Choice {
 	c, spec := p.c, j.Header.Spec
-	roomy := p.targetsWithRoom(c.kindOf(j))
+	withRoom := p.targetsWithRoom(c.kindOf(j))
 	cheapest := c.leastPrice(spec)
 	choices := []policy.Choice{}
-	c.Work.Targets += len(roomy)
-	for _, i := range roomy {
+	c.Work.Targets += len(withRoom)
+	for _, i := range withRoom {
 		target := &p.targets[i]
 		if !allowsMachine(spec, target.machine.Type, target.machine.Zone, target.machine.Spot) || target.machine.hasOnlyFailuresOf(j) {
 			continue
@@ -166,10 +166,10 @@
 	return fetch * (1 + tuning.ConcurrentFetchCost*others)
 }
 
-// packCost returns a cost in seconds by which draws prefer fuller and cheaper machines among those
-// where a task can start at once. The task runs as fast on any of them, but a machine that stays
-// empty can be returned to the cloud, and a full one fetches each image once for many tasks. The
-// cost is 0 where the task can't start at once and where resources are scarce.
+// packCost returns a cost, in seconds, by which draws prefer fuller and cheaper machines among
+// those where a task can start at once. The task runs as fast on any of them, but a machine that
+// stays empty can be returned to the cloud, and a full one fetches each image once for many tasks.
+// The cost is 0 where the task can't start at once and where resources are scarce.
 func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
 	slots := t.machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
 	room := t.roomFor(kind).CountFitting(spec.Request, tuning.MaxCountedSlots) - t.queued
--- a/internal/scheduler/targets_test.go
+++ b/internal/scheduler/targets_test.go
@@ -57,7 +57,7 @@
 			t.Fatalf("round %+v includes both jobs or neither", round)
 		}
 		if round.cached != (len(seen)%2 == 0) {
-			t.Errorf("round %d is cached: %t", len(seen), round.cached)
+			t.Errorf("round %d is limited to machines with the image: %t", len(seen), round.cached)
 		}
 		seen = append(seen, round.includes(late))
 	}
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -14,25 +14,25 @@
 // shard.
 type rankedJob struct {
 	job             *Job
-	withinGuarantee bool          // the job is within its team's guarantee and younger than GuaranteeWithin, or it starves
+	withinGuarantee bool          // the job is within its team's guarantee and not older than Settings.GuaranteeWithin, or it starves
 	timesLeft       []float64     // time left until each objective, first objective first, s
 	objective       int           // index of the objective that it is assigned to; len(timesLeft) if none
 	timing          tardiness.Job // work of the job for the whole fleet, and run time of a task from when it is queued
 }
 
-// jobsByUrgency returns the open jobs that shards place and that may have more tasks in queues.
+// jobsByUrgency returns the open jobs that shards place and that may put more tasks into queues.
 // Jobs within their team's guarantee and starving jobs come first, then jobs of higher priority;
 // jobs of equal priority are ordered such that as many as possible meet their objectives. It also
-// marks the jobs that can't meet any objective.
+// marks the jobs that can't meet any objective (Job.beyondObjectives).
 func (c *Controller) jobsByUrgency() []*Job {
 	order := c.rankableJobs()
 	assignObjectives(order)
 	sort.SliceStable(order, func(a, b int) bool { return order[a].goesBefore(order[b]) })
 	jobs := make([]*Job, 0, len(order))
-	for _, u := range order {
-		u.job.beyondObjectives = len(u.timesLeft) > 0 && u.objective >= len(u.timesLeft)
-		if u.job.queuedHere < min(u.job.counts.queued, tuning.QueuedPerJob) {
-			jobs = append(jobs, u.job)
+	for _, ranked := range order {
+		ranked.job.beyondObjectives = len(ranked.timesLeft) > 0 && ranked.objective >= len(ranked.timesLeft)
+		if ranked.job.queuedHere < min(ranked.job.counts.queued, tuning.QueuedPerJob) {
+			jobs = append(jobs, ranked.job)
 		}
 	}
 	return jobs
@@ -70,20 +70,20 @@
 }
 
 // timesLeft returns the time left until each objective of a job, in seconds. The objectives are the
-// DeadlineMultiples of the job's deadline, or of the deadline of a job that depends on it, and the
-// completion times that FinishWithin sets for the class of the job.
+// multiples (Settings.DeadlineMultiples) of the job's deadline, or of the deadline of a job that
+// depends on it, and the completion times that Settings.FinishWithin sets for the job's class.
 func (c *Controller) timesLeft(j *Job) []float64 {
-	var goals []float64
+	var timesLeft []float64
 	if j.deadlineSeconds > 0 {
 		left := time.Duration(j.deadlineAt - int64(c.now)).Seconds()
 		for _, multiple := range c.cfg.DeadlineMultiples {
-			goals = append(goals, left+(multiple-1)*j.deadlineSeconds)
+			timesLeft = append(timesLeft, left+(multiple-1)*j.deadlineSeconds)
 		}
 	}
 	for _, seconds := range c.cfg.FinishWithin[j.Header.Spec.Class] {
-		goals = append(goals, seconds-j.age(c.now).Seconds())
+		timesLeft = append(timesLeft, seconds-j.age(c.now).Seconds())
 	}
-	return goals
+	return timesLeft
 }
 
 // slots returns the number of tasks of the job that the known machines that take bookings can run
@@ -99,14 +99,14 @@
 	return float64(max(total, 1))
 }
 
-// onlyFailed reports whether no task of the job is done and at least DoubtAfter attempts have
-// failed. Such a job runs one task at a time, since a faulty job would otherwise take machines and
-// write capacity from other jobs.
+// onlyFailed reports whether no task of the job is done and at least tuning.ProbeAfterFailures
+// attempts have failed. Such a job runs one task at a time, since a faulty job would otherwise take
+// machines and write capacity from other jobs.
 func (j *Job) onlyFailed() bool { return j.counts.done == 0 && j.failures >= tuning.ProbeAfterFailures }
 
-// isStarving reports whether a job has been ready to start for longer than StarveAfter and has no
-// task that is booked or done. A job whose bookings all ended without a result starves like one
-// that was never booked.
+// isStarving reports whether a job has been ready to start for longer than tuning.StarvationAge and
+// has no task that is booked or done. A job whose bookings all ended without a result starves like
+// one that was never booked.
 func (c *Controller) isStarving(j *Job, placed placement) bool {
 	return placed.booked == 0 && placed.done == 0 && c.now-time.Duration(j.readyAt) > tuning.StarvationAge
 }
--- a/internal/scheduler/wait_reasons.go
+++ b/internal/scheduler/wait_reasons.go
@@ -45,16 +45,16 @@
 	j.waitReason = reason
 	team := j.Header.Spec.Team
 	limit, claim := c.cfg.Teams[team].Limit, claims[team]
-	var keptFor string
-	var kept domain.Resources
+	var heldBackFor string
+	var heldBack domain.Resources
 	switch reason {
 	case WaitsForGangs:
-		keptFor, kept = claim.FirstGang, claim.ReservedForGangs(limit)
+		heldBackFor, heldBack = claim.FirstGang, claim.ReservedForGangs(limit)
 	case WaitsForStarvingJob:
-		keptFor, kept = claim.StarvingJob, claim.StarvingRequest
+		heldBackFor, heldBack = claim.StarvingJob, claim.StarvingRequest
 	}
-	c.debug("job waits", "job", j.ID, "team", team, "reason", reason, "waiting", j.counts.queued,
-		"used", used, "limit", limit, "kept", kept, "kept_for", keptFor)
+	c.debug("job waits", "job", j.ID, "team", team, "reason", reason, "waiting_tasks", j.counts.queued,
+		"used", used, "limit", limit, "held_back", heldBack, "held_back_for", heldBackFor)
 }
 
 // WaitingTasksKey identifies a count of waiting tasks: those of one team that wait for one reason.
@@ -70,7 +70,7 @@
 }
 
 // waitingTasks returns the numbers of waiting tasks of jobs that this controller places. They are
-// counted anew every WaitCountInterval.
+// counted anew every tuning.WaitCountInterval.
 func (c *Controller) waitingTasks() map[WaitingTasksKey]int {
 	if !c.waits.next.HasPassed(c.now) {
 		return c.waits.byReason
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -42,10 +42,10 @@
 // for which room is held back, and that the tasks are counted under this reason.
 func TestWaitReasons(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		change  func(*Controller, *Machine)
-		reason  WaitReason
-		keptFor string
+		name        string
+		change      func(*Controller, *Machine)
+		reason      WaitReason
+		heldBackFor string
 	}{
 		{"another controller uses the limit", func(c *Controller, _ *Machine) {
 			c.cfg.Teams = map[string]domain.Quota{"red": {Limit: domain.Resources{CPU: 12000}}}
@@ -70,7 +70,7 @@
 			for range 2 {
 				c.planBookings(c.newDraft())
 			}
-			want := fmt.Sprint(jobName(2), " ", test.reason, " ", test.keptFor)
+			want := fmt.Sprint(jobName(2), " ", test.reason, " ", test.heldBackFor)
 			if lines := waitLines(c); len(lines) != 1 || lines[0] != want {
 				t.Errorf("logged %q, want %q once", lines, want)
 			}
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -87,12 +87,12 @@
 	}
 	c.advance(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.requested) > 0 {
-		t.Errorf("%d machines of the unreachable zone were drained", len(c.cordons.requested))
+		t.Errorf("%d machines of the unreachable zone were drained, want 0", len(c.cordons.requested))
 	}
 	// A tenth of the machines hang: these are to be drained as lost.
 	c.advance(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
 	if n := len(c.cordons.requested); n < 50 || n > 150 {
-		t.Errorf("%d of about 100 machines without heartbeats were drained", n)
+		t.Errorf("%d of about 100 machines without heartbeats were drained, want 50 to 150", n)
 	}
 }
 
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -109,7 +109,8 @@
 	return kind.zone
 }
 
-// isRentable reports whether a machine for the job's tasks may be rented in the zone now.
+// isRentable reports whether machines for a number of the job's tasks may be rented in the zone
+// now.
 func (c *Controller) isRentable(spec *domain.JobSpec, tasks int64, zone string) bool {
 	_, ok := c.cheapestKind(spec, int(tasks), zoneAllowance{zone: tasks})
 	return ok
