--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -134,10 +134,10 @@
 	}
 }
 
-// TestBookedGangKindStaysPlaceable checks that a gang that the first pass booked does not count as
+// TestBookedGangStaysPlaceable checks that a gang that the first pass booked does not count as
 // one that found no place: a gang with the same placement key must still be tried in the second
 // pass.
-func TestBookedGangKindStaysPlaceable(t *testing.T) {
+func TestBookedGangStaysPlaceable(t *testing.T) {
 	for guard, want := range map[Guard]int{"": 2, GuardDraft: 0} {
 		t.Run(fmt.Sprintf("without guard %q", guard), func(t *testing.T) {
 			c, j := twoZoneLeader(t, gangOfTwo)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestShardsKeepOwnMachinesAwake checks that in a large fleet each shard keeps the machines in use
+// TestShardsDoNotRestMachinesTheyNeed checks that in a large fleet each shard keeps the machines in use
 // that its own jobs need. When the need was compared with the sum over all shards, the shard with
 // a backlog lost machines to resting that it needed.
-func TestShardsKeepOwnMachinesAwake(t *testing.T) {
+func TestShardsDoNotRestMachinesTheyNeed(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
