--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -198,9 +198,9 @@
 	return last
 }
 
-// propagateUrgency passes a job's priority and deadline on to its direct and indirect
-// dependencies that are not over. The latest finish of a job is the earliest, over its
-// dependents, of their latest finish less their run time.
+// propagateUrgency passes a job's priority and deadline on to its direct and indirect dependencies
+// that are not over. A job's latest finish is the earliest, over its dependents with a deadline, of
+// the dependent's latest finish less the dependent's run time and tuning.StartLag.
 func (c *Controller) propagateUrgency(j *Job) {
 	jobs := latestFirst{j}
 	inHeap := map[*Job]bool{j: true}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -62,7 +62,7 @@
 		}
 		for i, want := range map[int]bool{3: false, 4: true, 5: true, 7: false} {
 			if j := c.cache.jobs[jobName(i)]; j.cancelled() != want || j.isFinal() != want {
-				t.Fatalf("job %d: cancelled = %v", i, j.cancelled())
+				t.Fatalf("job %d: cancelled = %v; cancelled or final is not as expected", i, j.cancelled())
 			}
 		}
 		c.apply(finalHeader(jobName(1), domain.StateDone, 30))
@@ -91,7 +91,7 @@
 	}
 	c.apply(finalHeader(jobName(0), domain.StateCancelled, n+10))
 	if j := c.cache.jobs[jobName(n-1)]; !j.cancelled() || len(c.cache.dependents) != 0 {
-		t.Errorf("the last job is in phase %d; %d jobs still have dependents listed", j.phase, len(c.cache.dependents))
+		t.Errorf("the last job is in phase %d, want cancelled; %d jobs still have dependents listed, want 0", j.phase, len(c.cache.dependents))
 	}
 	c = New(Settings{Controller: "c-0"}, "x")
 	var all []string
@@ -105,7 +105,7 @@
 			t.Fatal("priority not passed on to a dependency")
 		}
 		if got := c.cache.jobs[jobName(9999)].phase; got != phaseWaiting {
-			t.Fatalf("phase %d with %d dependencies done", got, i)
+			t.Fatalf("phase %d with %d dependencies done, want waiting", got, i)
 		}
 		c.apply(finalHeader(id, domain.StateDone, uint64(4000+i)))
 	}
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -268,8 +268,8 @@
 	return notRefused
 }
 
-// isUnwritable reports whether the value of a change is so large that it cannot be written as it
-// is, or must not grow.
+// isUnwritable reports whether the value of a change is so large that it can't be written any more,
+// or that it must not grow and the change may make it grow.
 func (d *draft) isUnwritable(change *taskChange) bool {
 	return (d.c.formats.limitsLowered || change.grows && d.c.cache.isFormatOn()) && d.c.isOversizedInPlan(change.key)
 }
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -26,7 +26,7 @@
 		d.copyCell(j, i)
 	}
 	// While a value is too large, jobs may leave it without a change of its revision (move,
-	// splitCell). Only their headers show it.
+	// splitCell). Only their headers show it, so the commit is conditional on the header, too.
 	if d.c.cache.oversized[source] {
 		d.addCondition(codec.KeyJob(j.ID))
 	}
@@ -47,10 +47,10 @@
 	agentEpoch    uint64
 }
 
-// place returns the machine as the place of a booking.
+// place returns the machine's name, zone and agent epoch, for a booking on the machine.
 func (m *Machine) place() bookingPlace { return bookingPlace{m.Name, m.Zone, m.agentEpoch} }
 
-// place returns the machine as the place of a booking.
+// place returns the machine's name, zone and agent epoch, for a booking on the machine.
 func (m *inventoryMachine) place() bookingPlace { return bookingPlace{m.name, m.zone, m.agentEpoch} }
 
 // book adds the booking of an attempt of task i to the draft.
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -53,10 +53,10 @@
 				t.Errorf("refused for reason %d, want %d", got, test.want)
 			}
 			if got := d.hasRoomToGrow(j, 0); got != (test.want == notRefused) {
-				t.Errorf("has room: %v", got)
+				t.Errorf("hasRoomToGrow returned %v, want true only without a refusal", got)
 			}
 			if full := c.commits.fullValues[pack]; full != test.full || c.planner.dirty != test.dirty {
-				t.Errorf("marked as full: %v; another plan requested: %v", full, c.planner.dirty)
+				t.Errorf("value marked as full: %v, another plan requested: %v", full, c.planner.dirty)
 			}
 		})
 	}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// book books the jobs in their order. It returns false if the draft is full, or if machines have
-// to become free for a gang that holds them back.
+// book books the jobs in their order. It returns false if the draft is full, or if the machines
+// that become free have to be left to a gang that holds them back.
 func (p *gangPass) book(jobs []*Job) bool {
 	for _, j := range jobs {
 		spec := j.Header.Spec
--- a/internal/scheduler/learner.go
+++ b/internal/scheduler/learner.go
@@ -112,7 +112,7 @@
 	if n := learner.arrivals.Step(delta, names) + learner.steals.Step(delta, names); n > 0 {
 		c.info("policy weights were too large or not finite and have been reset", "count", n)
 	}
-	c.debug("learning window ended", "imbalance", imbalance, "handovers", handovers, "delta", delta, "finished_tasks", learner.finishedTasks, "critic_weights", learner.critic.Weights())
+	c.debug("learning window ended", "imbalance", imbalance, "handovers", handovers, "temporal_difference", delta, "finished_tasks", learner.finishedTasks, "critic_weights", learner.critic.Weights())
 	if learner.sequence%tuning.ConsensusWindows == 0 {
 		learner.critic.AverageWith(c.peerCriticWeights())
 	}
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -104,7 +104,7 @@
 	d := c.newDraft()
 	c.planGangs(d)
 	if booked := len(d.changed); booked != 0 {
-		t.Errorf("%d further tasks are booked while the job is in two zones", booked)
+		t.Errorf("%d further tasks are booked while the job is in two zones, want 0", booked)
 	}
 	c.setTask(j, 0, domain.Task{State: domain.Done})
 	d = c.newDraft()
@@ -124,13 +124,13 @@
 	d.book(j, 1, bookingPlace{machine: "n-000001", zone: "b", agentEpoch: 1}, 1)
 	d.finish(j, 2)
 	if counts := placementOf(j, d); counts != (placement{queued: 4, booked: 1, done: 1}) {
-		t.Errorf("placement in the draft: %+v", counts)
+		t.Errorf("placement in the draft: %+v, want 4 queued, 1 booked, 1 done", counts)
 	}
 	if counts := placementOf(j, nil); counts != (placement{queued: 5, booked: 1}) {
-		t.Errorf("committed placement: %+v", counts)
+		t.Errorf("committed placement: %+v, want 5 queued, 1 booked", counts)
 	}
 	if got := fmt.Sprint(bookedZones(j, d), bookedZones(j, nil)); got != "map[b:1] map[a:1]" {
-		t.Errorf("booked tasks by zone, in the draft and committed: %s", got)
+		t.Errorf("booked tasks by zone, in the draft and committed: %s, want map[b:1] map[a:1]", got)
 	}
 }
 
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -7,8 +7,8 @@
 	"brassglade/internal/domain"
 )
 
-// planHandovers records the new shards of jobs and tasks that were handed over or stolen. Those
-// for which the draft has no room wait for the next plan.
+// planHandovers adds to the draft the new shards of jobs and tasks that are to be handed over or
+// were stolen. Those for which the draft has no room wait for the next plan.
 func (c *Controller) planHandovers(d *draft) {
 	if c.planJobHandovers(d) {
 		c.planTaskHandovers(d)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -98,14 +98,14 @@
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(header), ModRevision: 5})
 	c.peers.inventoryAt = monotime.Instant{}
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
-	awake := map[string]int{}
+	inUse := map[string]int{}
 	for _, m := range c.inventory() {
 		if !c.scaling.resting[m.name] {
-			awake[m.owner]++
+			inUse[m.owner]++
 		}
 	}
-	if awake["c-0"] < 300 {
-		t.Errorf("machines in use by shard: %v; c-0 needs 300", awake)
+	if inUse["c-0"] < 300 {
+		t.Errorf("machines that do not rest, by shard: %v; c-0 needs 300", inUse)
 	}
 }
 
@@ -183,7 +183,7 @@
 			}
 			c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
 			if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
-				t.Errorf("%d values are written again though the outcome is known", d.changes())
+				t.Errorf("%d values are written again though the outcome is known, want 0", d.changes())
 			}
 		})
 	}
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -77,7 +77,7 @@
 			}
 			for task, to := range c.planner.taskHandovers {
 				if to != test.from {
-					t.Errorf("task %v was handed over to %s", task, to)
+					t.Errorf("task %v is handed over to %s, want the peer that asked", task, to)
 				}
 			}
 		})
@@ -119,7 +119,7 @@
 				t.Errorf("job handed over: %t", got)
 			}
 			if len(c.planner.taskHandovers) > 0 {
-				t.Errorf("single tasks were handed over")
+				t.Errorf("single tasks were handed over, want whole jobs only")
 			}
 		})
 	}
--- a/internal/scheduler/targets_test.go
+++ b/internal/scheduler/targets_test.go
@@ -48,7 +48,7 @@
 // is one round for all jobs.
 func TestPlaceRounds(t *testing.T) {
 	if got := placeRounds(false); !slices.Equal(got, []placeRound{{}}) {
-		t.Errorf("rounds if resources are not scarce: %+v", got)
+		t.Errorf("rounds if resources are not scarce: %+v, want one round for all jobs", got)
 	}
 	inTime, late := &Job{}, &Job{beyondObjectives: true}
 	var seen []bool // by round, whether it includes the late job
@@ -62,7 +62,7 @@
 		seen = append(seen, round.includes(late))
 	}
 	if !slices.Equal(seen, []bool{false, false, true, true}) {
-		t.Errorf("rounds that include the late job: %v", seen)
+		t.Errorf("rounds that include the late job: %v, want the last two of four", seen)
 	}
 	if round := placeRounds(false)[0]; !round.includes(inTime) || !round.includes(late) {
 		t.Error("the only round does not include all jobs")
--- a/internal/scheduler/wait_reasons_test.go
+++ b/internal/scheduler/wait_reasons_test.go
@@ -98,6 +98,6 @@
 		t.Errorf("waiting tasks %v, want only those of job 1", got)
 	}
 	if j.waitReason != WaitsForNothing {
-		t.Errorf("a job without waiting tasks has wait reason %s", j.waitReason)
+		t.Errorf("a job without waiting tasks has wait reason %s, want none", j.waitReason)
 	}
 }
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestMachinesOfUnreachableZoneAreNotCordoned checks that machines are not drained as lost when their
-// whole zone is cut off, so that they all stop sending heartbeats together. In a scenario with 1,333
-// machines 771 were cordoned as lost and returned within 40 s, because machines that had just been
-// taken over counted as having sent heartbeats.
+// TestMachinesOfUnreachableZoneAreNotCordoned checks that machines are not drained as lost when
+// their whole zone is cut off, so that no heartbeats arrive from any of them. In a scenario with
+// 1,333 machines 771 were cordoned as lost and returned within 40 s, because machines that had just
+// been taken over counted as having sent heartbeats.
 func TestMachinesOfUnreachableZoneAreNotCordoned(t *testing.T) {
 	c := largeFleetLeader()
 	inB := func(name string) bool { return c.cfg.ZoneOf[name] == "b" || c.zoneOf(name) == "b" }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -98,8 +98,8 @@
 	return room
 }
 
-// cheapestZone returns the zone with the cheapest machines for some tasks of the job, or "" if no
-// machines can be rented now.
+// cheapestZone returns the zone with the cheapest machines for a number of tasks of the job, or ""
+// if no machines can be rented now.
 func (c *Controller) cheapestZone(spec *domain.JobSpec, tasks int64, zones []string) string {
 	allowed := zoneAllowance{}
 	for _, zone := range zones {
