--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -67,7 +67,7 @@
 	machines     []inventoryMachine // machines with room for a task of any of the jobs, in the inventory's order
 	claims       map[string]quotaClaim
 	unplaceable  map[placementKey]bool // gangs like these found no place in this pass
-	blockedTeams map[string]bool       // teams whose limit a gang that holds machines back waits for
+	blockedTeams map[string]bool       // teams with a gang that holds machines back and waits for the team's limit
 }
 
 // newGangPass returns a pass over the given machines, which have room.
@@ -148,8 +148,8 @@
 	return spec.Shape == domain.Gang && placementOf(j, p.draft).queued == spec.TaskCount
 }
 
-// quotaAllowsGang reports whether a team's limit has room for all tasks of a gang, so that the
-// gang waits for machines alone.
+// quotaAllowsGang reports whether a team's limit has room for all tasks of a gang, so that the gang
+// waits only for machines.
 func (p *gangPass) quotaAllowsGang(spec *domain.JobSpec) bool {
 	return quota.Within(p.draft.teamUsed(spec.Team).Plus(spec.Request, int64(spec.TaskCount)), p.c.cfg.Teams[spec.Team].Limit)
 }
@@ -243,7 +243,7 @@
 		attempt = max(attempt, j.Tasks[i].Attempt)
 	}
 	for _, picked := range picks {
-		d.hasRoomToGrow(j, picked.task) // has room; also lets the job leave an oversized pack
+		d.hasRoomToGrow(j, picked.task) // always true here; called since it lets the job leave an oversized pack
 		d.bookAssignment(j, picked, attempt+1, pass)
 	}
 	return true
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -87,7 +87,7 @@
 		}
 		if !free.Fits(spec.Request) {
 			c.recordWaitReason(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
-			return bookingCandidate{}, false // the queue waits for room for its first task
+			return bookingCandidate{}, false // the tasks behind it wait, too
 		}
 		return bookingCandidate{machine: m, task: id, job: j, withinGuarantee: d.isWithinGuarantee(spec)}, true
 	}
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -108,8 +108,8 @@
 }
 
 // isStillWanted reports whether a booking is still needed: its job is open, its gang was neither
-// stopped nor broken, and its machine is not about to be taken away, emptied, or used for a task
-// that preempts it.
+// stopped nor broken, its machine is not about to be taken away or emptied, and the task is not
+// being preempted.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	switch {
@@ -189,7 +189,7 @@
 }
 
 // hasRoomForEndOf reports whether the draft has room for the end of a cancelled job and has no copy
-// of its tasks. A job with many values needs room for half a transaction.
+// of its tasks. For a job with many values, room for half a transaction is enough.
 func (d *draft) hasRoomForEndOf(j *Job) bool {
 	limit := d.c.cfg.TransactionLimit
 	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), limit/2) <= limit && d.hasRoomForConditions(8)
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -13,12 +13,12 @@
 // in it, so that removing a task needs no search. Stale entries of Machine.queue are removed from
 // time to time (dropStaleEntries).
 type queues struct {
-	machineOf        map[domain.TaskID]string // the machine in whose queue each task is
-	tasksDrawnToStay map[domain.TaskID]bool   // tasks for which the draw chose to wait in this shard
-	jobsDrawn        map[string]bool          // jobs for which the shard was drawn (drawShardOfJob)
-	lastDrawAt       time.Duration
-	lastStealAt      time.Duration
-	nextPlacement    monotime.Deadline
+	machineOf        map[domain.TaskID]string  // the machine in whose queue each task is
+	tasksDrawnToStay map[domain.TaskID]bool    // tasks for which the draw chose to wait in this shard
+	jobsDrawn        map[string]bool           // jobs for which the shard was drawn (drawShardOfJob)
+	lastDrawAt       time.Duration             // when the last regular run of placeTasks began (beginPlacementRun)
+	lastStealAt      time.Duration             // when other shards were last asked for work
+	nextPlacement    monotime.Deadline         // when the next run of placeTasks may begin
 	pendingRunTime   float64                   // total run time of pending tasks, divided by the slots of a machine, s
 	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
 	meanLoad         float64                   // cached result of Controller.meanLoad, s
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -24,7 +24,7 @@
 }
 
 // judge returns quota.Admitted if one more task of a job stays within the team's limit and leaves
-// the room claimed by the team's waiting jobs, or else the reason why it doesn't.
+// the room claimed by the team's waiting jobs, and otherwise the reason why it may not start.
 func (q quotaClaim) judge(spec *domain.JobSpec, used, limit domain.Resources) quota.Verdict {
 	return q.Admit(quota.Task{Job: spec.ID, Request: spec.Request, PlacedByLeader: placedByLeader(spec)}, used, limit)
 }
@@ -215,7 +215,8 @@
 	return codec.TeamShares{ByController: maps.Clone(c.shares[team].ByController)}
 }
 
-// oneGPU is the request of a task of one GPU.
+// oneGPU is the request of a task of one GPU. adjustShares computes the slack with it, since it
+// follows no single task.
 var oneGPU = domain.Resources{GPU: 1000}
 
 // adjustShares gives back the unused part of this controller's shares, which remains when other
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -22,7 +22,7 @@
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
 }
 
-// isUnstarted reports whether no task of the job was ever booked or handed over by itself.
+// isUnstarted reports whether none of the job's tasks was ever booked or handed over singly.
 func isUnstarted(j *Job) bool { return j.Tasks == nil && j.counts.queued == j.Header.TaskCount }
 
 // isNewlyReady reports whether the job became ready to start less than tuning.StealAfter ago. Such
@@ -350,7 +350,8 @@
 	return allowsMachine(spec, s.request.Type, s.request.Zone, s.request.Spot)
 }
 
-// handOverJobs hands over whole jobs; the peer must have room for at least half of the tasks of each.
+// handOverJobs hands over whole jobs. The peer must have room for at least half of the tasks of
+// each job.
 func (s *stealResponse) handOverJobs() {
 	c := s.c
 	for _, j := range c.cache.openJobs {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -10,8 +10,7 @@
 	"brassglade/internal/tuning"
 )
 
-// rankedJob is a job with the properties that decide its place in the order of the pending jobs of a
-// shard.
+// rankedJob is a job with the properties that decide its place among the pending jobs of a shard.
 type rankedJob struct {
 	job             *Job
 	withinGuarantee bool          // the job is within its team's guarantee and not older than Settings.GuaranteeWithin, or it starves
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -45,8 +45,8 @@
 
 // zoneAllowance returns the allowance for the waiting tasks of a job, given the machines that run
 // or boot. For arrays it is nil, since their tasks end one by one and make room for the waiting
-// ones: with bounds for arrays, too, five scenarios of zone-bound arrays scored 0.68
-// instead of 0.71 (docs/incidents/production-wrong-place.md).
+// ones: with bounds for arrays, too, five scenarios of zone-bound arrays scored 0.68 instead of
+// 0.71 (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
 	if !zoneBound(spec) || spec.Shape == domain.Array {
