--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -53,10 +53,10 @@
 				t.Errorf("refused for reason %d, want %d", got, test.want)
 			}
 			if got := d.hasRoomToGrow(j, 0); got != (test.want == notRefused) {
-				t.Errorf("has room: %v", got)
+				t.Errorf("hasRoomToGrow returned %v, want true only without a refusal", got)
 			}
 			if full := c.commits.fullValues[pack]; full != test.full || c.planner.dirty != test.dirty {
-				t.Errorf("marked as full: %v; another plan requested: %v", full, c.planner.dirty)
+				t.Errorf("value marked as full: %v, another plan requested: %v", full, c.planner.dirty)
 			}
 		})
 	}
@@ -75,6 +75,6 @@
 	}
 	d.book(j, 0, bookingPlace{machine: "n-000001", zone: "a", agentEpoch: 1}, 1)
 	if d.headers[j.ID] == nil || d.headers[j.ID].Pack != "c-0/1" || d.keys[pack] || !d.conditions[pack] {
-		t.Errorf("headers %v, values %v, conditions %v", d.headers, d.keys, d.conditions)
+		t.Errorf("draft has headers %v, values %v and conditions %v; want a header with pack c-0/1, and the old pack only as a condition", d.headers, d.keys, d.conditions)
 	}
 }
--- a/internal/scheduler/plan_bookings.go
+++ b/internal/scheduler/plan_bookings.go
@@ -11,17 +11,17 @@
 
 // bookingCandidate is the first startable task in a machine's queue; the machine has room for it.
 type bookingCandidate struct {
-	machine *Machine
-	task    domain.TaskID
-	job     *Job
-	isOwed  bool // within its team's guarantee
+	machine         *Machine
+	task            domain.TaskID
+	job             *Job
+	withinGuarantee bool // the task is within its team's guarantee
 }
 
 // compareBookingCandidates orders candidates: those within their team's guarantee first, then by
 // priority, then in the order of acceptance.
 func compareBookingCandidates(a, b bookingCandidate) int {
 	return cmp.Or(
-		trueFirst(a.isOwed, b.isOwed),
+		trueFirst(a.withinGuarantee, b.withinGuarantee),
 		cmp.Compare(b.job.priority, a.job.priority),
 		cmp.Compare(a.job.Header.AcceptOrder, b.job.Header.AcceptOrder),
 	)
@@ -37,8 +37,8 @@
 	for range tuning.MaxBookingRounds {
 		var candidates []bookingCandidate
 		for _, m := range machines {
-			if head, ok := c.headOfQueue(d, m, claims); ok {
-				candidates = append(candidates, head)
+			if candidate, ok := c.firstBookable(d, m, claims); ok {
+				candidates = append(candidates, candidate)
 			}
 		}
 		if len(candidates) == 0 {
@@ -64,9 +64,9 @@
 	return machines
 }
 
-// headOfQueue returns the first task in a machine's queue that could start now. It returns false
-// if there is none, or if a task that may start does not fit yet and the others wait for it.
-func (c *Controller) headOfQueue(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
+// firstBookable returns the first task in a machine's queue that could start now. It returns false
+// if there is none, or if a task does not fit on the machine yet: those behind it then wait, too.
+func (c *Controller) firstBookable(d *draft, m *Machine, claims map[string]quotaClaim) (bookingCandidate, bool) {
 	free := c.cache.freeOn(m.Name, c.cache.machineType(m.Type).Capacity, d)
 	for _, id := range c.cache.queueByPriority(m) {
 		j := c.cache.jobs[id.Job]
@@ -87,9 +87,9 @@
 		}
 		if !free.Fits(spec.Request) {
 			c.recordWaitReason(j, WaitsForMachine, claims, d.teamUsed(spec.Team))
-			return bookingCandidate{}, false // the queue waits for room for its first task
+			return bookingCandidate{}, false // the tasks behind it wait, too
 		}
-		return bookingCandidate{machine: m, task: id, job: j, isOwed: d.isWithinGuarantee(spec)}, true
+		return bookingCandidate{machine: m, task: id, job: j, withinGuarantee: d.isWithinGuarantee(spec)}, true
 	}
 	return bookingCandidate{}, false
 }
@@ -135,8 +135,8 @@
 	return anyBooked
 }
 
-// isNearlyFull reports whether the draft has so little room for further bookings that trying them
-// all is not worth the time.
+// isNearlyFull reports whether the draft has so little room left that trying all remaining bookings
+// is not worth the time.
 func (d *draft) isNearlyFull() bool {
 	limit := d.c.cfg.TransactionLimit
 	return d.changes() >= limit-2 && limit > tuning.SmallTransaction || !d.hasRoomForConditions(3)
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -8,7 +8,7 @@
 	"brassglade/internal/domain"
 )
 
-// provenRelease is the release of a booking whose attempt is proven off its machine.
+// provenRelease is the release of a booking whose attempt is proven stopped (isProvenStopped).
 type provenRelease struct {
 	machine  *Machine
 	task     domain.TaskID
@@ -54,7 +54,7 @@
 			continue
 		}
 		m := c.heartbeats.machines[name]
-		for _, id := range c.provenOffTasks(m) {
+		for _, id := range c.provenStoppedTasks(m) {
 			j := c.cache.jobs[id.Job]
 			proven := c.releaseOf(m, j, id)
 			if !proven.reported && c.willResendStart(m, j, id) {
@@ -70,8 +70,8 @@
 	return releases, byValue
 }
 
-// provenOffTasks returns the tasks booked on a machine that are proven off it, sorted.
-func (c *Controller) provenOffTasks(m *Machine) []domain.TaskID {
+// provenStoppedTasks returns the tasks booked on a machine that are proven stopped, sorted.
+func (c *Controller) provenStoppedTasks(m *Machine) []domain.TaskID {
 	var ids []domain.TaskID
 	for id := range c.cache.bookedOn[m.Name] {
 		if j := c.cache.jobs[id.Job]; j.Header.Spec != nil && c.isProvenStopped(m, id, j.task(id.Index)) {
@@ -81,8 +81,8 @@
 	return sortTasks(ids)
 }
 
-// releaseOf returns the release of a task that is proven off its machine, with the machine's last
-// report on it.
+// releaseOf returns the release of a task that is proven stopped, with the machine's last report on
+// it.
 func (c *Controller) releaseOf(m *Machine, j *Job, id domain.TaskID) provenRelease {
 	task := j.task(id.Index)
 	report, known := m.reported[id]
@@ -108,8 +108,8 @@
 }
 
 // isStillWanted reports whether a booking is still needed: its job is open, its gang was neither
-// stopped nor broken, and its machine is not about to be taken away, emptied, or used for a task
-// that preempts it.
+// stopped nor broken, its machine is not about to be taken away or emptied, and the task is not
+// being preempted.
 func (c *Controller) isStillWanted(m *Machine, j *Job, id domain.TaskID) bool {
 	task := j.task(id.Index)
 	switch {
@@ -126,9 +126,10 @@
 }
 
 // takeLargestReleasesTurn reports whether the values with the most releases go first in this plan.
-// If more values wait for releases than fit one commit, a backlog that is spread over many values
-// would otherwise use up all changes of a second for two or three releases each. This alternates
-// with the order by machine, so that no value is left out.
+// They do in every second plan of a large fleet if more values wait for releases than one commit
+// can change: in the order of machines, a backlog that is spread over many values would use up all
+// changes of a second with two or three releases for each. The plans between go by machine, so that
+// no value is left out.
 func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
 	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
 	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
@@ -173,8 +174,8 @@
 	}
 }
 
-// coversValueOf reports whether the draft is for the value that holds the job's tasks. A value of
-// another shard is remembered for a later draft.
+// coversValueOf reports whether the draft may change the value that holds the job's tasks. If it is
+// another shard's value and the draft is not for it, it is remembered for a later draft.
 func (d *draft) coversValueOf(j *Job) bool {
 	if !d.c.isForeign(j) {
 		return d.foreignKey == ""
@@ -188,7 +189,7 @@
 }
 
 // hasRoomForEndOf reports whether the draft has room for the end of a cancelled job and has no copy
-// of its tasks. A job with many values needs room for half a transaction.
+// of its tasks. For a job with many values, room for half a transaction is enough.
 func (d *draft) hasRoomForEndOf(j *Job) bool {
 	limit := d.c.cfg.TransactionLimit
 	return len(d.copiedCells[j.ID]) == 0 && d.changes()+1+min(j.Header.CellCount(), limit/2) <= limit && d.hasRoomForConditions(8)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -12,7 +12,7 @@
 )
 
 // controllerWithQueues returns a controller, one of five, that may act. It has idle machines with
-// tasks of one large job in their queues, and the smallest transactions in use.
+// tasks of one large job in their queues, and settings with the smallest transactions in use.
 func controllerWithQueues(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := actingController()
@@ -47,11 +47,11 @@
 	}
 	c.planBookings(d)
 	if booked := len(d.changed); booked < 100 {
-		t.Errorf("%d of 120 tasks are booked", booked)
+		t.Errorf("%d of 120 tasks are booked, want at least 100", booked)
 	}
 	transaction := d.transaction()
 	if len(transaction.Conditions) > 16 || len(transaction.Puts) > 4 || c.hasValueTooLarge(transaction) {
-		t.Errorf("%d conditions, %d changes, too large %v", len(transaction.Conditions), len(transaction.Puts), c.hasValueTooLarge(transaction))
+		t.Errorf("%d conditions, want at most 16; %d changes, want at most 4; has a value that is too large: %v", len(transaction.Conditions), len(transaction.Puts), c.hasValueTooLarge(transaction))
 	}
 }
 
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestShardsKeepOwnMachinesAwake checks that in a large fleet each shard keeps the machines in use
+// TestShardsDoNotRestMachinesTheyNeed checks that in a large fleet each shard keeps the machines in use
 // that its own jobs need. When the need was compared with the sum over all shards, the shard with
 // a backlog lost machines to resting that it needed.
-func TestShardsKeepOwnMachinesAwake(t *testing.T) {
+func TestShardsDoNotRestMachinesTheyNeed(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
 		for i := range p.machines {
@@ -98,14 +98,14 @@
 	c.apply(domain.KeyValue{Key: codec.KeyJob(jobName(1)), Value: codec.Encode(header), ModRevision: 5})
 	c.peers.inventoryAt = monotime.Instant{}
 	c.planResting(c.machines(), c.pendingWork(c.machines()))
-	awake := map[string]int{}
+	inUse := map[string]int{}
 	for _, m := range c.inventory() {
 		if !c.scaling.resting[m.name] {
-			awake[m.owner]++
+			inUse[m.owner]++
 		}
 	}
-	if awake["c-0"] < 300 {
-		t.Errorf("machines in use by shard: %v; c-0 needs 300", awake)
+	if inUse["c-0"] < 300 {
+		t.Errorf("machines that do not rest, by shard: %v; c-0 needs 300", inUse)
 	}
 }
 
@@ -183,7 +183,7 @@
 			}
 			c.onCommit(CommitAnswered{ID: third.ID, Result: domain.Committed, Revision: 200})
 			if d := c.newDraft(); c.commits.inDoubt.key != "" || d.changes() > 0 {
-				t.Errorf("%d values are written again though the outcome is known", d.changes())
+				t.Errorf("%d values are written again though the outcome is known, want 0", d.changes())
 			}
 		})
 	}
@@ -226,7 +226,7 @@
 			}
 			c.planReservations(c.machines(), pending)
 			if got := len(c.scaling.reserved) > 0; got != reserved {
-				t.Errorf("%d machines are reserved", len(c.scaling.reserved))
+				t.Errorf("%d machines are reserved; want some for the gang, none for the array", len(c.scaling.reserved))
 			}
 		})
 	}
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -77,16 +77,16 @@
 			}
 			for task, to := range c.planner.taskHandovers {
 				if to != test.from {
-					t.Errorf("task %v was handed over to %s", task, to)
+					t.Errorf("task %v is handed over to %s, want the peer that asked", task, to)
 				}
 			}
 		})
 	}
 }
 
-// TestStealJobs checks that in a large fleet whole jobs are handed over. The peer must have room for
-// at least half of the tasks, no task may be booked or queued, and the job must have been handed over
-// fewer than MaxHops times.
+// TestStealJobs checks that in a large fleet whole jobs are handed over. The peer must have room
+// for at least half of the tasks, no task may be booked or queued, and the job must have been
+// handed over fewer than tuning.MaxHops times.
 func TestStealJobs(t *testing.T) {
 	request := &StealRequest{Type: "box", Zone: "a", Room: domain.Resources{CPU: 5000}, MaxTasks: 100}
 	for _, test := range []struct {
@@ -119,7 +119,7 @@
 				t.Errorf("job handed over: %t", got)
 			}
 			if len(c.planner.taskHandovers) > 0 {
-				t.Errorf("single tasks were handed over")
+				t.Errorf("single tasks were handed over, want whole jobs only")
 			}
 		})
 	}
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestMachinesOfUnreachableZoneAreNotCordoned checks that machines are not drained as lost when their
-// whole zone is cut off, so that they all stop sending heartbeats together. In a scenario with 1,333
-// machines 771 were cordoned as lost and returned within 40 s, because machines that had just been
-// taken over counted as having sent heartbeats.
+// TestMachinesOfUnreachableZoneAreNotCordoned checks that machines are not drained as lost when
+// their whole zone is cut off, so that no heartbeats arrive from any of them. In a scenario with
+// 1,333 machines 771 were cordoned as lost and returned within 40 s, because machines that had just
+// been taken over counted as having sent heartbeats.
 func TestMachinesOfUnreachableZoneAreNotCordoned(t *testing.T) {
 	c := largeFleetLeader()
 	inB := func(name string) bool { return c.cfg.ZoneOf[name] == "b" || c.zoneOf(name) == "b" }
@@ -87,12 +87,12 @@
 	}
 	c.advance(30*time.Second, func(string) bool { return true })
 	if len(c.cordons.requested) > 0 {
-		t.Errorf("%d machines of the unreachable zone were drained", len(c.cordons.requested))
+		t.Errorf("%d machines of the unreachable zone were drained, want 0", len(c.cordons.requested))
 	}
 	// A tenth of the machines hang: these are to be drained as lost.
 	c.advance(time.Minute, func(name string) bool { return ownership.Hash(name)%10 != 0 })
 	if n := len(c.cordons.requested); n < 50 || n > 150 {
-		t.Errorf("%d of about 100 machines without heartbeats were drained", n)
+		t.Errorf("%d of about 100 machines without heartbeats were drained, want 50 to 150", n)
 	}
 }
 
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -45,8 +45,8 @@
 
 // zoneAllowance returns the allowance for the waiting tasks of a job, given the machines that run
 // or boot. For arrays it is nil, since their tasks end one by one and make room for the waiting
-// ones: with bounds for arrays, too, five scenarios of zone-bound arrays scored 0.68
-// instead of 0.71 (docs/incidents/production-wrong-place.md).
+// ones: with bounds for arrays, too, five scenarios of zone-bound arrays scored 0.68 instead of
+// 0.71 (docs/incidents/production-wrong-place.md).
 func (c *Controller) zoneAllowance(j *Job, waiting int, machines []machineState) zoneAllowance {
 	spec := j.Header.Spec
 	if !zoneBound(spec) || spec.Shape == domain.Array {
@@ -98,8 +98,8 @@
 	return room
 }
 
-// cheapestZone returns the zone with the cheapest machines for some tasks of the job, or "" if no
-// machines can be rented now.
+// cheapestZone returns the zone with the cheapest machines for a number of tasks of the job, or ""
+// if no machines can be rented now.
 func (c *Controller) cheapestZone(spec *domain.JobSpec, tasks int64, zones []string) string {
 	allowed := zoneAllowance{}
 	for _, zone := range zones {
@@ -109,7 +109,8 @@
 	return kind.zone
 }
 
-// isRentable reports whether a machine for the job's tasks may be rented in the zone now.
+// isRentable reports whether machines for a number of the job's tasks may be rented in the zone
+// now.
 func (c *Controller) isRentable(spec *domain.JobSpec, tasks int64, zone string) bool {
 	_, ok := c.cheapestKind(spec, int(tasks), zoneAllowance{zone: tasks})
 	return ok
