--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership tracks one controller's membership of its deployment: its lease, the
 // member key that it writes under that lease, and when the state service last confirmed that
-// the view known to the controller is still current. A controller may act only while it holds
-// all three.
+// the view known to the controller is still current. A controller may act only while lease and
+// view were confirmed recently and the view lists this process (MayAct).
 //
 // The package is a pure state machine. Monotonic time comes in as an argument, requests that
 // are due are returned as values, and responses come in through the methods named after them;
@@ -35,7 +35,7 @@
 // Config is the part of the settings that membership needs.
 type Config struct {
 	FenceAge time.Duration // the controller may act only while confirmations are younger
-	ReadRate float64       // requests per second that it plans to make; 0: no bound
+	ReadRate float64       // requests per second that it plans to make; 0: no limit
 }
 
 // Member is the membership state of one controller. No request is made before the deadline
@@ -55,9 +55,9 @@
 	confirming         bool                  // a confirmation was sent and has no response yet
 	confirmationSentAt time.Duration         // when the last confirmation was sent
 	nextConfirmation   monotime.Deadline     // for sending a confirmation
-	awaitingCache      []pendingConfirmation // oldest first
+	awaitingCache      []pendingConfirmation // responses that the cache has not caught up with, oldest first
 	viewConfirmedAt    monotime.Instant      // when the newest counted confirmation of the view was sent
-	readIndex          monotime.Instant      // when the newest read index reached was requested
+	readIndex          monotime.Instant      // when the newest read index that the cache has reached was requested
 	watchSentAt        monotime.Instant      // of the watch being applied; unset: none, or unknown
 	stateReachable     bool                  // the last confirmation got a response
 	stateAnsweredAt    monotime.Instant      // when the last confirmation that got a response was sent
@@ -83,7 +83,8 @@
 // controllers.
 func (m *Member) Incarnation() string { return m.incarnation }
 
-// CacheLoaded records that the cache holds a complete snapshot from now on.
+// CacheLoaded records that the cache holds a complete snapshot from now on. Before that, no
+// confirmation is sent and the controller may not act.
 func (m *Member) CacheLoaded() { m.synced = true }
 
 // IsSynced reports whether the cache holds a complete snapshot.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -51,7 +51,7 @@
 	m.ConfirmationAnswered(time.Millisecond, true, 10)
 	m.CacheReached(10)
 	if !m.MayAct(time.Millisecond, ownIncarnation) {
-		t.Fatal("may not act")
+		t.Fatal("may not act although lease and view are confirmed")
 	}
 	return m
 }
@@ -157,7 +157,7 @@
 
 func TestHasMemberKey(t *testing.T) {
 	if m := memberInState(t, MemberKeyWritten); !m.HasMemberKey(ownIncarnation) || m.HasMemberKey(earlierIncarnation) || m.HasMemberKey("") {
-		t.Error("the member key counts exactly if the cache has this incarnation")
+		t.Error("the member key must count if the cache has this incarnation under it, and only then")
 	}
 	if memberInState(t, MemberKeyWriting).HasMemberKey(ownIncarnation) {
 		t.Error("the member key counts before it is written")
@@ -275,7 +275,7 @@
 			t.Errorf("%s: not sent at %v", name, test.due)
 		}
 		if m.StartConfirmation(time.Hour, test.reader) {
-			t.Errorf("%s: a second one is sent while the first is in flight", name)
+			t.Errorf("%s: a second confirmation is sent while the first is in flight", name)
 		}
 	}
 	m := confirmedAtZero(t)
@@ -331,7 +331,7 @@
 		m.CacheReached(10)
 	}
 	if len(m.awaitingCache) != tuning.MaxPendingConfirmations {
-		t.Errorf("%d confirmations kept", len(m.awaitingCache))
+		t.Errorf("%d confirmations are kept", len(m.awaitingCache))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
 		t.Error("a dropped confirmation counts")
@@ -370,11 +370,11 @@
 func TestStateReachability(t *testing.T) {
 	m := newMember()
 	if m.HasRecentStateResponse(0) || m.IsStateReachable() {
-		t.Error("reachable before any answer")
+		t.Error("reachable before any response")
 	}
 	m = confirmedAtZero(t)
 	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableAge-1) || m.HasRecentStateResponse(tuning.UsableAge) {
-		t.Error("a response must count until it is as old as tuning.UsableFor")
+		t.Error("a response must count until it is as old as tuning.UsableAge")
 	}
 	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -11,17 +11,17 @@
 func (m *Member) IsReady() bool { return m.ready }
 
 // HasRecentStateResponse reports whether the state service responded to a confirmation sent
-// less than tuning.UsableFor ago.
+// less than tuning.UsableAge ago.
 func (m *Member) HasRecentStateResponse(now time.Duration) bool {
 	return m.stateAnsweredAt.Within(tuning.UsableAge, now)
 }
 
-// BecomeReady records that this controller can take requests.
+// BecomeReady records that this controller can take requests, which makes it ready at once.
 func (m *Member) BecomeReady() { m.ready, m.anotherBetterSince = true, monotime.Instant{} }
 
 // MaybeBecomeUnready records that a ready controller can't take requests now. The controller
 // becomes unready only after another one has been the better choice without interruption for
-// longer than tuning.StepBack: in an outage that affects all controllers, leaving the load
+// longer than tuning.UnreadyDelay: in an outage that affects all controllers, leaving the load
 // balancer would help no user.
 func (m *Member) MaybeBecomeUnready(now time.Duration, anotherIsBetter bool) {
 	switch {
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -36,8 +36,8 @@
 	return k
 }
 
-// Deadline is the monotonic time before which something must not be done. The zero Deadline
-// has passed.
+// Deadline is the monotonic time before which something must not be done. The zero value is a
+// deadline that has passed.
 type Deadline struct {
 	at time.Duration
 }
@@ -48,5 +48,5 @@
 // Set moves the deadline to monotonic time t.
 func (d *Deadline) Set(t time.Duration) { d.at = t }
 
-// BringForward moves the deadline to monotonic time t unless it is earlier already.
+// BringForward moves the deadline to monotonic time t if t is earlier.
 func (d *Deadline) BringForward(t time.Duration) { d.at = min(d.at, t) }
--- a/internal/monotime/monotime_test.go
+++ b/internal/monotime/monotime_test.go
@@ -30,9 +30,9 @@
 	}
 	d.BringForward(5 * time.Second)
 	if !d.HasPassed(3 * time.Second) {
-		t.Error("BringForward delayed the deadline")
+		t.Error("BringForward made the deadline later")
 	}
 	if d.BringForward(time.Second); !d.HasPassed(time.Second) {
-		t.Error("BringForward did not move the deadline forward")
+		t.Error("BringForward did not make the deadline earlier")
 	}
 }
--- a/internal/scheduler/cache.go
+++ b/internal/scheduler/cache.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// insertOpen inserts a job into openJobs, which are sorted by order of acceptance, then by name.
+// insertOpen inserts a job into openJobs, which is sorted by order of acceptance, then by name.
 func (c *cache) insertOpen(j *Job) {
 	place := sort.Search(len(c.openJobs), func(i int) bool {
 		other := c.openJobs[i]
--- a/internal/scheduler/cache_apply.go
+++ b/internal/scheduler/cache_apply.go
@@ -28,7 +28,7 @@
 
 // reportUnreadable logs a value that no version of this software writes.
 func (c *Controller) reportUnreadable(key string, err error) {
-	c.error("unreadable value", "key", key, "err", err.Error())
+	c.error("unreadable value", "key", key, "error", err.Error())
 }
 
 // applyValue updates the part of the cache that the key belongs to. It reports whether the value
@@ -63,8 +63,8 @@
 	return true, nil
 }
 
-// decodeOrZero decodes a value; for a deleted one, nil, it returns the zero page, which means the
-// same.
+// decodeOrZero decodes a page. For a deleted page (nil) it returns the zero page: an empty page
+// and a missing one mean the same.
 func decodeOrZero[Page any](value []byte) (page Page, err error) {
 	if value == nil {
 		return page, nil
@@ -218,7 +218,7 @@
 }
 
 // removeDroppedCordons removes the cordons that were on the old page and are not among the
-// current ones: their machines have been gone for a long time.
+// current ones. A page drops only the machines that have been gone longest (trimCordonPage).
 func (c *cache) removeDroppedCordons(old codec.CordonPage, current map[string]domain.Cordon) {
 	for machine := range old.Draining {
 		if _, ok := current[machine]; !ok {
--- a/internal/scheduler/cache_jobs.go
+++ b/internal/scheduler/cache_jobs.go
@@ -64,9 +64,9 @@
 	return j
 }
 
-// carryOverSpec fills in what is not stored in the new header's spec: the job's name, and its
-// list of dependencies, which the previous header has. If the new header has no spec any more, it
-// removes the job's bookings from the cache instead.
+// carryOverSpec fills in the fields of the new header's spec that are not stored with it: the
+// job's name, and the list of dependencies, which it copies from the previous header. If the new
+// header has no spec any more, it removes the job's bookings from the cache instead.
 func (c *Controller) carryOverSpec(j *Job, header *codec.JobHeader, isNew bool) {
 	if header.Spec != nil {
 		header.Spec.ID = j.ID
@@ -111,7 +111,7 @@
 }
 
 // setTask sets a cached task and updates the counts and indexes. Cached tasks are changed nowhere
-// else. Machines whose bookings change are marked as touched.
+// else. Machines whose bookings change are added to heartbeats.toReview.
 func (c *Controller) setTask(j *Job, i int, task domain.Task) {
 	old := j.task(i)
 	if old == task {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -60,8 +60,8 @@
 	return false
 }
 
-// hasRoomForSmallTask reports whether a small task (tuning.SmallTaskShare) fits on m. Such a
-// task may be submitted any moment.
+// hasRoomForSmallTask reports whether a small task (tuning.SmallTaskDivisor) fits on m. Such a
+// task may be submitted at any moment.
 func (c *cache) hasRoomForSmallTask(m *Machine) bool {
 	capacity := c.machineType(m.Type).Capacity
 	small := domain.Resources{
@@ -93,7 +93,7 @@
 		pending.agentEpoch == m.agentEpoch && !c.cache.isReturned(pending.machine)
 }
 
-// logCommands logs for each start and stop the ground on which it is sent: the epoch of the
+// logCommands logs each start and stop with the state that it is based on: the epoch of the
 // view, the revision of the cache, and how many seconds ago the view was confirmed.
 func (c *Controller) logCommands(m *Machine, commands []domain.Command) {
 	for _, command := range commands {
@@ -113,7 +113,7 @@
 	return slices.Concat(stops, forgets, c.startsFor(m, sequence))
 }
 
-// commandsForReported returns the stops of live tasks that m reports, and the commands to
+// commandsForReported returns the stops for live tasks that m reports, and the commands to
 // forget ended ones. An ended task is forgotten only once its outcome is committed: an agent
 // that has forgotten the attempt would run the task again if the start were sent again.
 func (c *Controller) commandsForReported(m *Machine) (stops, forgets []domain.Command) {
@@ -154,7 +154,7 @@
 	startAllowed          startRefusal = iota
 	alreadyReported                    // the machine reports the attempt
 	gangStopped                        // the job's header stops this attempt of the gang on all machines
-	agentEpochDiffers                  // booked for another agent epoch than the machine's current one
+	agentEpochDiffers                  // booked for an agent epoch that is not the machine's current one
 	jobClosed                          // the job is cancelled or over
 	releaseAttempted                   // its release may still be committed (invariant 4 of docs/design.md)
 	machineBeingPreempted              // the cloud has announced that it takes the machine back
@@ -265,9 +265,10 @@
 	return spec.Shape == domain.Gang && spec.TaskCount > 1
 }
 
-// isGangIntact reports whether all tasks of the task's attempt of a gang are booked or done;
-// it is true for jobs that are no gang. A task of a gang runs only while its gang is intact;
-// otherwise the remaining tasks are stopped, and a new attempt starts all of them.
+// isGangIntact reports whether each task of a gang is done or booked for the same attempt as
+// the given task. It returns true for jobs that are not a gang of several tasks. A task of a
+// gang runs only while its gang is intact; otherwise the remaining tasks are stopped, and a new
+// attempt starts all of them.
 func isGangIntact(j *Job, task domain.Task) bool {
 	if j.Header.Spec.Shape != domain.Gang || j.Header.Spec.TaskCount == 1 {
 		return true
@@ -281,9 +282,9 @@
 }
 
 // answerPendingHeartbeats answers the pending heartbeats for which no command is expected any
-// more, or whose time is up. Hundreds may be pending and events are frequent, so after an
-// event only those heartbeats are reviewed that it concerns, and all of them once per
-// planInterval.
+// more, or whose answerBy has come. Hundreds may be pending and events are frequent, so an
+// event causes a review of only those heartbeats that it concerns, and all of them are reviewed
+// once per planInterval.
 func (c *Controller) answerPendingHeartbeats() {
 	names := c.heartbeatsToReview()
 	c.Work.PendingHeartbeats += len(names)
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -21,7 +21,7 @@
 	taskCommit       *pendingCommit            // the one task commit in flight; nil: none
 	nextTaskCommit   monotime.Deadline         // no task commit before then; set after one that was refused or is in doubt
 	minRevision      uint64                    // the cache must reach this revision before the next task commit
-	inDoubt          inDoubtCommit             // excludes a task commit whose outcome is unknown
+	inDoubt          inDoubtCommit             // value by which later task commits exclude one whose outcome is unknown
 	rate             float64                   // present rate of task commits, changes a second
 	tokens           float64                   // changes that may be made now; negative after urgent commits
 	tokensAt         time.Duration             // when tokens were last refilled
@@ -152,8 +152,8 @@
 	return false
 }
 
-// isTaskAvoided reports whether the value with task i of a job is left out after a conflict. If
-// so, it requests another plan, so that the task is considered again.
+// isTaskAvoided reports whether task commits leave out the value with task i of a job after a
+// conflict. If so, it requests another plan, so that the task is considered again.
 func (c *Controller) isTaskAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
@@ -165,8 +165,9 @@
 	return true
 }
 
-// avoidConflictedKeys leaves the keys that failed in a conflict out of task commits for a short,
-// random time, so that one contested value doesn't fail all other changes of this controller.
+// avoidConflictedKeys leaves the teams' shares, packs, chunks and cells that failed in a conflict
+// out of task commits for a short, random time, so that one contested value doesn't fail all
+// other changes of this controller.
 func (c *Controller) avoidConflictedKeys(failed []string) {
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
--- a/internal/scheduler/commits_test.go
+++ b/internal/scheduler/commits_test.go
@@ -37,7 +37,7 @@
 				t.Errorf("rate %g, %g tokens; want %g, %g", state.rate, state.tokens, test.wantRate, test.wantTokens)
 			}
 			if state.isLeaderRate != test.isLeader || state.tokensAt != time.Minute+test.elapsed {
-				t.Errorf("leader's rate %v at %v", state.isLeaderRate, state.tokensAt)
+				t.Errorf("leader's rate: %v, tokens refilled at %v", state.isLeaderRate, state.tokensAt)
 			}
 		})
 	}
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -20,7 +20,7 @@
 	Events            int            // steps
 	PendingHeartbeats int            // pending heartbeats examined
 	Machines          int            // machines examined one by one (reviewMachines)
-	Targets           int            // machines compared as places for tasks
+	Targets           int            // machines compared when places for tasks are chosen
 	TooLarge          int            // values that the state service refused for their size
 	Bookings          [passCount]int // tasks booked in committed plans, by the pass that chose their machine
 }
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -58,8 +58,8 @@
 		FencingToken uint64           // the view's epoch, with 200
 		Commands     []domain.Command // with 200
 	}
-	// SendCommands sends commands that stop tasks directly to an agent whose next heartbeat would
-	// come too late. It may be dropped. Response, if it was sent: CommandsAnswered.
+	// SendCommands sends stops of tasks directly to an agent, for work that can't wait for the
+	// agent's next heartbeat. It may be dropped. Response, if it was sent: CommandsAnswered.
 	SendCommands struct {
 		Machine, Addr            string
 		FencingToken, AgentEpoch uint64
--- a/internal/scheduler/foreign_values.go
+++ b/internal/scheduler/foreign_values.go
@@ -4,7 +4,8 @@
 
 // isForeign reports whether the value that holds the job's tasks belongs to another shard, whose
 // controller writes it a few times a second. Tasks of such jobs run on machines of this shard
-// after machines changed owners: hundreds of them after a zone was cut off.
+// after machines changed owners: hundreds of them after a zone was cut off. Only large fleets
+// treat such values differently.
 func (c *Controller) isForeign(j *Job) bool {
 	if j.Header.Inline || placedByLeader(j.Header.Spec) || !c.isLargeFleet() {
 		return false
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -110,7 +110,7 @@
 	restarted := New(Settings{Controller: "c-2"}, "z")
 	restarted.loadSnapshot(SnapshotLoaded{Revision: 1000, Items: []domain.KeyValue{{Key: "b/format", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 950}}})
 	if !restarted.cache.isFormatOn() {
-		t.Error("the format is off after a restart")
+		t.Error("the format is not on after a restart")
 	}
 }
 
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -124,7 +124,7 @@
 			c.confirmNow()
 			c.reviewMachines()
 			if m.abandonedEpoch != 1 {
-				t.Fatal("not abandoned")
+				t.Fatal("the agent epoch is not abandoned after its lease")
 			}
 			status, _ := heartbeatAnswer(c, m, 2, -1)
 			return status == 503
@@ -151,10 +151,10 @@
 	} {
 		t.Run(string(guard), func(t *testing.T) {
 			if !holds(t, "") {
-				t.Errorf("the protected property does not hold with the guard")
+				t.Errorf("the protected property does not hold while the guard is enabled")
 			}
 			if holds(t, guard) {
-				t.Errorf("the protected property holds without the guard")
+				t.Errorf("the protected property holds although the guard is disabled")
 			}
 		})
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -17,7 +17,7 @@
 	machines          map[string]*Machine          // by name; changed by addMachine and dropMachine alone
 	sortedNames       []string                     // names of machines, sorted; nil: to be rebuilt
 	pending           map[string]*pendingHeartbeat // by machine
-	toReview          map[string]bool              // machines whose pending heartbeats recent events concern
+	toReview          map[string]bool              // machines whose pending heartbeats, if any, recent events concern
 	nextReview        monotime.Deadline            // when all pending heartbeats are reviewed next
 	nextMachineReview monotime.Deadline            // when all machines are reviewed next
 }
@@ -86,8 +86,8 @@
 	c.answerHeartbeat(pending)
 }
 
-// refusalByController returns why this controller may not answer the machine, whichever tasks
-// the heartbeat lists; heartbeatAccepted if it may.
+// refusalByController returns why this controller may not answer the machine at all;
+// heartbeatAccepted if it may.
 func (c *Controller) refusalByController(heartbeat *domain.Heartbeat) heartbeatRefusal {
 	switch {
 	case !c.mayAct():
@@ -156,7 +156,7 @@
 // a direct response to commands (isHeartbeat is false).
 func (c *Controller) recordHeartbeat(m *Machine, heartbeat *domain.Heartbeat, isHeartbeat bool) {
 	if m.Addr == "" || m.Type == "" {
-		c.debug("machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+		c.debug("first report of machine received", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
 	if m.hasReported && heartbeat.AgentEpoch > m.agentEpoch {
 		c.info("machine lost its lease", "machine", m.Name, "agent_epoch", heartbeat.AgentEpoch)
@@ -175,7 +175,7 @@
 		return
 	}
 	if m.preemptionAt < 0 {
-		c.info("preemption notice", "machine", m.Name, "in_s", heartbeat.PreemptionNotice)
+		c.info("preemption notice received", "machine", m.Name, "in_s", heartbeat.PreemptionNotice)
 		c.dequeueAll(m.Name)
 	}
 	m.preemptionAt = c.now + time.Duration(heartbeat.PreemptionNotice*float64(time.Second))
@@ -254,7 +254,7 @@
 
 // hasMachineLeaseExpired reports whether m's lease has expired for certain: its duration has
 // passed since the last moment at which any controller can have renewed it. A new agent epoch
-// counts as renewed when it was first heard of. Otherwise a new epoch that is not yet
+// counts as renewed when its first report was received. Otherwise a new epoch that is not yet
 // answered would be abandoned because the last answer to the previous epoch is old, and its
 // live tasks would later be started elsewhere.
 func (c *Controller) hasMachineLeaseExpired(m *Machine) bool {
@@ -289,8 +289,9 @@
 	return zone
 }
 
-// isTooFewForPartition reports whether the zone has too few silent machines for its silence
-// to suggest a network partition.
+// isTooFewForPartition reports whether so few machines are silent that no network partition is
+// assumed: the zone has at most tuning.FewZoneMachines, and in all zones together no more
+// machines are silent than respond; or a single machine is silent and none responds.
 func (r *silenceReview) isTooFewForPartition(zone *zoneSilence) bool {
 	return zone.machines <= tuning.FewZoneMachines && r.silent <= r.responding || r.silent == 1 && r.responding == 0
 }
@@ -386,16 +387,17 @@
 	c.sendDirectStops(m)
 }
 
-// drainSilent drains the machines that are silent, unless so many are silent at a time that a
-// network partition is more likely than lost machines: all machines of this controller, or
-// all those of one zone. Draining these would return hundreds of machines with their images,
-// although they come back when the partition ends.
+// drainSilent drains the machines that are silent, except in zones where more machines are
+// silent than send heartbeats on time. If all machines of a controller or of one zone fall
+// silent together, a network partition is more likely than lost machines. Draining these would
+// return hundreds of machines with their images, although they come back when the partition
+// ends.
 //
 // When a partition begins, the machines whose last heartbeats are oldest reach the limit
 // first, while the others still count as responding. So the silent machines of a zone are
 // compared with those whose heartbeats are not even late. When the partition ends, machines
-// come back one after the other, so a zone is left alone until tuning.SilentCut after it last
-// looked partitioned.
+// come back one after the other, so no machine of the zone is drained until
+// tuning.PartitionSilenceTimeout after the zone last looked partitioned.
 func (c *Controller) drainSilent(review *silenceReview) {
 	for _, name := range slices.Sorted(maps.Keys(review.zones)) {
 		zone := review.zones[name]
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -9,9 +9,9 @@
 )
 
 // TestNewAgentEpochIsNotAbandonedForTheOldOne: after an outage longer than the lease, a
-// machine returns in a new agent epoch. The lease of that epoch counts from when the epoch
-// was first heard of, not from the last answer to the old one, or the new epoch would be
-// abandoned at once.
+// machine returns in a new agent epoch. The lease of that epoch must count from its first
+// report, not from the last answer to the old epoch, or the new epoch would be abandoned at
+// once.
 func TestNewAgentEpochIsNotAbandonedForTheOldOne(t *testing.T) {
 	c := New(Settings{Controller: "c-0", WorkerLease: 20 * time.Second, FenceAge: 7 * time.Second}, "x")
 	m := newMachine("n-1")
@@ -64,10 +64,10 @@
 		return &domain.Heartbeat{Machine: m.Name, Type: "box", Zone: "a", AgentEpoch: 1, Sequence: 2, FencingToken: 1, PreemptionNotice: -1}
 	}
 	if got := c.refusalByController(newest()); got != heartbeatAccepted {
-		t.Errorf("heartbeat refused for reason %d", got)
+		t.Errorf("heartbeat refused by the controller for reason %d", got)
 	}
 	if got := c.refusalByMachine(m, newest()); got != heartbeatAccepted {
-		t.Errorf("heartbeat refused for reason %d", got)
+		t.Errorf("heartbeat refused by the machine's state for reason %d", got)
 	}
 	stale := newest()
 	stale.Sequence = 1
@@ -96,9 +96,9 @@
 
 // TestIsProvenStopped checks what proves that an attempt is stopped: the end that its machine
 // reports, a later agent epoch, an abandoned agent epoch, the return of the machine, and a
-// heartbeat that should list the attempt if its start had arrived, but doesn't. No proof are
-// a direct response to commands, and a heartbeat after which another controller's answer may
-// still arrive.
+// heartbeat that would list the attempt if its start had arrived, but doesn't. A direct
+// response to commands proves nothing, nor does a heartbeat after which another controller's
+// answer may still arrive.
 func TestIsProvenStopped(t *testing.T) {
 	id := domain.TaskID{Job: jobName(1), Index: 0}
 	c, m := withBookedTask(t, "")
@@ -134,7 +134,7 @@
 	} {
 		t.Run(test.what, func(t *testing.T) {
 			if got := provenAfter(test.change, test.isHeartbeat); got != test.proven {
-				t.Errorf("proven stopped: %v", got)
+				t.Errorf("proven stopped: %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -142,8 +142,9 @@
 
 // anotherCanTakeRequests reports whether another controller would serve users better while
 // this one takes no requests. That is so if a peer reports that the state service responds to
-// it. It is also so if no peer is heard from at all: then this controller is the one that is
-// cut off, since in an outage of the state service alone the peers still exchange messages.
+// it, or if no message of any peer was received within tuning.PeerFresh: then this controller
+// is the one that is cut off, since in an outage of the state service alone the peers still
+// exchange messages.
 func (c *Controller) anotherCanTakeRequests() bool {
 	hasPeer := false
 	for _, peer := range c.peers.byName {
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -145,7 +145,7 @@
 
 // tasksWaitingAhead counts the waiting tasks in a shard that go, or may go, ahead of the
 // tasks of a job. Tasks of jobs that are too late for any objective don't count, and
-// preemptible tasks count only for a preemptible job. When all of them counted, the shards
+// preemptible tasks count only for a preemptible job. When all of these counted, the shards
 // that got the preemptible work of a team without quota were given no other work for minutes,
 // and a fifth of the machines ran nothing else.
 func (c *Controller) tasksWaitingAhead(shard string, spec *domain.JobSpec) int64 {
@@ -321,8 +321,8 @@
 	return machines
 }
 
-// isAlive reports whether a machine has sent a report within tuning.Silent, in an agent epoch
-// that is not abandoned, and has not been returned to the cloud.
+// isAlive reports whether a machine has sent a report within tuning.SilenceTimeout, in an agent
+// epoch that is not abandoned, and has not been returned to the cloud.
 func (c *Controller) isAlive(m *Machine) bool {
 	return m.hasReported && c.now-m.lastReportAt <= tuning.SilenceTimeout &&
 		!c.cache.isReturned(m.Name) && m.agentEpoch > m.abandonedEpoch
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -82,7 +82,7 @@
 // it.
 type waiter struct {
 	requestID  uint64
-	jobID      string        // of the job
+	jobID      string
 	receivedAt time.Duration // when the request came
 	submission *JobSubmitted // nil for a query or a cancellation
 	refusal    refusal       // answer to the submission unless it repeats an accepted one; "": none
@@ -151,7 +151,7 @@
 	c.requests.waiting = nil
 }
 
-// expireWaiters answers the requests that have waited longer than tuning.PollPatience that
+// expireWaiters answers the requests that have waited longer than tuning.QueryTimeout that
 // the state service is slow.
 func (c *Controller) expireWaiters() {
 	remaining := c.requests.waiting[:0]
@@ -187,8 +187,9 @@
 	c.cancelJob(cancellation.RequestID, cancellation.ID)
 }
 
-// cancelJob commits the cancellation of a job and answers the user. If the cache lacks the
-// job it answers that there is none, so a read index must have been reached.
+// cancelJob commits the cancellation of a job and answers the user. For a job that the cache
+// lacks it answers that there is none, so it may be called for such a job only after a read
+// index.
 func (c *Controller) cancelJob(requestID uint64, id string) {
 	j := c.cache.jobs[id]
 	if j == nil {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -20,7 +20,7 @@
 	WorkerLease       time.Duration // an agent that gets no answer for this long stops its tasks
 	CancelWithin      time.Duration // from a cancellation by a user until no task of the job runs
 	GangPeerWait      time.Duration // a gang's task ends if it lacks its peers for this long (gang_peer_s)
-	FenceAge          time.Duration // greatest age of a confirmation with which the controller may act
+	FenceAge          time.Duration // the controller may act only while its confirmations are younger than this
 	InstanceListLag   time.Duration // how far the cloud's list of instances may be out of date
 
 	ValueLimit        int // bytes; the lowest limit on a value's size, now or in future: all values are written within it
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// overridesStaySmall has all machines of the other controller send their heartbeats here.
+// overridesStaySmall has all machines of the other controller send their heartbeats to this one.
 func overridesStaySmall(t *testing.T, c *Controller) {
 	for i := 0; i < fleetSize; i++ {
 		machine := fmt.Sprintf("n-%06d", 5000+i)
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -331,10 +331,10 @@
 	complete = true
 	lastChange := max(c.modRevisions[split.source], c.modRevisions[codec.KeyJob(j.ID)])
 	for _, cell := range split.cells {
-		// If there are too many cells for one commit, earlier commits wrote those that are newer
-		// than the last change of source and header. The commit that names the cells is
-		// conditional on source and header, so that no late commit of cells can have changed one
-		// of them meanwhile. This takes fewer conditions than one for each cell.
+		// If there are too many cells for one commit, earlier commits have already written the
+		// cells that are newer than the last change of source and header. The commit that names
+		// the cells is conditional on source and header, so no late commit of cells can have
+		// changed a cell meanwhile. This takes fewer conditions than one for each cell.
 		if len(split.cells) > room && c.modRevisions[cell.Key] > lastChange {
 			continue
 		}
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -11,9 +11,9 @@
 	"brassglade/internal/tuning"
 )
 
-// onJobSubmitted handles a submission. One whose ID was already accepted is answered with the
-// state of that job, whatever else it says. So a submission may be refused only after a read
-// index has shown that there is no such job.
+// onJobSubmitted handles a submission. If a job with its ID was already accepted, the answer is
+// the state of that job, whatever else the submission says. So a submission may be refused only
+// after a read index has shown that there is no such job.
 func (c *Controller) onJobSubmitted(submission JobSubmitted) {
 	if c.cache.jobs[submission.ID] != nil && submission.ID != "" {
 		c.onJobQueried(JobQueried{submission.RequestID, submission.ID})
@@ -167,8 +167,9 @@
 	open      []string // IDs of the jobs that are not over, sorted, without duplicates
 }
 
-// checkDependencies checks the jobs that a submission depends on by the cache, and by found,
-// the headers of jobs that the cache may lack.
+// checkDependencies looks up the jobs that a submission depends on in the cache and, if the
+// cache lacks one, among the headers in found, and returns what their states mean for the new
+// job.
 func (c *cache) checkDependencies(named []string, found map[string]*codec.JobHeader) dependencyCheck {
 	ids := slices.Clone(named)
 	slices.Sort(ids)
@@ -252,7 +253,7 @@
 		header.AcceptedAtMS = c.wallMS()
 	}
 	// The tasks of a gang are booked together, so its chunks need room for all of them booked. In
-	// other jobs, bookings wait while their chunk is full (draft.room).
+	// other jobs, bookings wait while their chunk is full (draft.hasRoomToGrow).
 	size := tuning.ChunkBytes
 	if spec.Shape == domain.Gang {
 		size = tuning.TaskBytes
@@ -267,9 +268,9 @@
 }
 
 // packFor returns the pack of a shard that stores a new job's tasks: the first one with room
-// for all tasks of its jobs as booked. Two controllers may fill the same pack at a time; then
-// some bookings wait until other tasks end (draft.room). It returns false if the job needs
-// values of its own.
+// for all tasks of its jobs that are not done, as if they were booked. Two controllers may fill
+// the same pack at the same time; then some bookings wait until other tasks end
+// (draft.hasRoomToGrow). It returns false if the job needs values of its own.
 func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
 	each := tuning.BookedBytes
 	if c.cache.isFormatOn() {
--- a/internal/scheduler/task_ends.go
+++ b/internal/scheduler/task_ends.go
@@ -7,8 +7,8 @@
 	"brassglade/internal/tuning"
 )
 
-// recordTaskEnd updates failure counts, pauses and run times by the end of a task on a
-// machine, once that end is committed.
+// recordTaskEnd has the failure counts, pauses and run times updated for the end of a task on a
+// machine, once the draft that contains the end is committed.
 func (c *Controller) recordTaskEnd(d *draft, m *Machine, j *Job, id domain.TaskID, report domain.TaskReport) {
 	spec := j.Header.Spec // taken now: once the job is over, the committed header has no spec
 	startedAt, ran := m.runningSince[attemptID{id, report.Attempt}]
@@ -40,8 +40,8 @@
 // machine, since the error doesn't show which of them is at fault.
 func (m *Machine) recordError(j *Job, now time.Duration) {
 	m.countFailure(j.ID, now)
-	// Until it shows which of them is at fault, the machine gets fewer tasks that it could
-	// fail.
+	// Until it is known which of them is at fault, the machine gets fewer tasks, so that fewer
+	// can fail there.
 	m.noBookingsUntil = now + min(time.Duration(m.failureSum())*tuning.RefusedPause, tuning.MaxErrorRowPause)
 	if !j.isPaused(now) { // errors of its tasks during a pause count as the same try
 		j.failures++
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -22,9 +22,9 @@
 	adoptedAt          time.Duration            // when the present view came with the watch
 	redirects          map[string][]redirect    // heartbeats redirected to their owners, by machine
 	lastRedirect       map[string]heartbeatID   // latest redirected heartbeat, by machine
-	notServingSince    map[string]time.Duration // by controller; while it is a member but not serving
-	allPeersFreshSince monotime.Instant         // since when messages of all serving peers arrive
-	zoneSilentAt       map[string]time.Duration // by zone; when most of its machines were last silent
+	notServingSince    map[string]time.Duration // controller -> since when it has been a member that does not serve
+	allPeersFreshSince monotime.Instant         // since when the last message of every serving peer has been recent
+	zoneSilentAt       map[string]time.Duration // zone -> when more of its machines were last silent than on time
 	ownersView         *domain.View             // the view that ownerByMachine was computed for
 	ownerByMachine     map[string]string
 	overrideChanges    map[string]overrideChange // by machine
@@ -41,7 +41,7 @@
 
 // --- adopting a view ---
 
-// adoptView makes a view that came with the watch the present one.
+// adoptView replaces the present view by one that came with the watch.
 func (c *Controller) adoptView(view *domain.View) {
 	old := c.cache.view
 	c.cache.view, c.views.adoptedAt = view, c.now
