--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -19,13 +19,13 @@
 
 // Grant requests a lease with the given TTL. The result isn't OK if the request failed or its
 // outcome is unknown; a lease that was granted all the same then expires unused.
-func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseGranted {
+func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseAnswered {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	lease, err := c.grant(leaseRequest{TTLMilliseconds: e.TTL.Milliseconds()})
 	if err != nil {
-		return scheduler.LeaseGranted{}
+		return scheduler.LeaseAnswered{}
 	}
-	return scheduler.LeaseGranted{OK: true, LeaseID: lease.LeaseID}
+	return scheduler.LeaseAnswered{OK: true, LeaseID: lease.LeaseID}
 }
 
 func (c *Client) grant(request leaseRequest) (leaseResponse, error) {
--- a/internal/kvstore/leases_test.go
+++ b/internal/kvstore/leases_test.go
@@ -16,7 +16,7 @@
 		sent = method + " " + path + " " + body
 		return status, response
 	})
-	if got, want := c.Grant(scheduler.GrantLease{TTL: 5 * time.Second}), (scheduler.LeaseGranted{OK: true, LeaseID: 12}); got != want {
+	if got, want := c.Grant(scheduler.GrantLease{TTL: 5 * time.Second}), (scheduler.LeaseAnswered{OK: true, LeaseID: 12}); got != want {
 		t.Errorf("granted %+v, want %+v", got, want)
 	}
 	if want := `POST /grants {"LifeMs":5000}`; sent != want {
@@ -41,7 +41,7 @@
 		})
 	}
 	status = 503
-	if got := c.Grant(scheduler.GrantLease{TTL: time.Second}); got != (scheduler.LeaseGranted{}) {
+	if got := c.Grant(scheduler.GrantLease{TTL: time.Second}); got != (scheduler.LeaseAnswered{}) {
 		t.Errorf("status 503: granted %+v, want none", got)
 	}
 }
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -54,9 +54,9 @@
 	return due
 }
 
-// LeaseGranted records the response to the request for a lease. id is that of the lease, if
+// LeaseAnswered records the response to the request for a lease. id is that of the lease, if
 // granted.
-func (m *Member) LeaseGranted(now time.Duration, granted bool, id uint64) {
+func (m *Member) LeaseAnswered(now time.Duration, granted bool, id uint64) {
 	if !granted {
 		m.nextRenewal.Set(now + tuning.ConfirmationRetry)
 		m.lease = LeaseNone
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -27,7 +27,7 @@
 	m.CacheLoaded()
 	steps := []func(){
 		func() { m.MaintainLease(0, "") },
-		func() { m.LeaseGranted(0, true, 5) },
+		func() { m.LeaseAnswered(0, true, 5) },
 		func() { m.MaintainLease(0, "") },
 		func() { m.MemberKeyAnswered(0, true) },
 	}
@@ -65,8 +65,8 @@
 		event       func(m *Member)
 		nextRequest time.Duration // when a lease or renewal is next requested; < 0: not checked
 	}{
-		"lease granted":                                     {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseGranted(now, true, 7) }, tuning.LeaseRenewalInterval},
-		"lease refused":                                     {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseGranted(now, false, 0) }, now + tuning.ConfirmationRetry},
+		"lease granted":                                     {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseAnswered(now, true, 7) }, tuning.LeaseRenewalInterval},
+		"lease refused":                                     {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseAnswered(now, false, 0) }, now + tuning.ConfirmationRetry},
 		"member key written":                                {MemberKeyWriting, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
 		"member key refused":                                {MemberKeyWriting, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(time.Second, false) }, time.Second + tuning.ConfirmationRetry},
 		"late member key response without a lease":          {LeaseNone, LeaseNone, func(m *Member) { m.MemberKeyAnswered(now, true) }, 0},
@@ -105,7 +105,7 @@
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{}) {
 		t.Errorf("requests while a lease is requested: %+v", due)
 	}
-	m.LeaseGranted(time.Minute, true, 5)
+	m.LeaseAnswered(time.Minute, true, 5)
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{WriteMemberKey: true, Renew: true}) || m.LeaseID() != 5 {
 		t.Errorf("requests after a late grant: %+v of lease %d", due, m.LeaseID())
 	}
@@ -147,7 +147,7 @@
 	}
 	m := newMember() // the cache is not loaded, so what it shows must not count
 	m.MaintainLease(0, "")
-	m.LeaseGranted(0, true, 5)
+	m.LeaseAnswered(0, true, 5)
 	m.MaintainLease(0, "")
 	m.MemberKeyAnswered(0, true)
 	if m.MaintainLease(grace, ""); m.Lease() != MemberKeyWritten {
@@ -391,11 +391,11 @@
 	m := newMember()
 	m.CacheLoaded()
 	m.MaintainLease(0, "")
-	m.LeaseGranted(time.Second, false, 0)
+	m.LeaseAnswered(time.Second, false, 0)
 	if due := m.MaintainLease(granted, ""); !due.Grant {
 		t.Fatal("a lease that was refused is not requested again")
 	}
-	m.LeaseGranted(granted+time.Second, true, 5)
+	m.LeaseAnswered(granted+time.Second, true, 5)
 	for i := time.Duration(1); i <= 3; i++ {
 		at := granted + i*tuning.LeaseRenewalInterval
 		if m.MaintainLease(at-1, ownIncarnation).Renew || !m.MaintainLease(at, ownIncarnation).Renew {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -29,19 +29,19 @@
 	lastChanges      int                       // number of changes in the last task commit
 	affectedMachines map[string]bool           // machines whose bookings the task commit in flight changes
 	avoidUntil       map[string]time.Duration  // key -> time until which task commits leave it out
-	oversizedInPlan  map[string]bool           // results of isOversized during the present plan, by key
+	mustShrinkInPlan map[string]bool           // results of mustShrinkValue during the present plan, by key
 	fullValues       map[string]bool           // keys of values that had no room for a booking
 }
 
 // newCommits returns the state for a rate in changes a second, with one second's worth of tokens.
 func newCommits(rate float64) commits {
 	return commits{
-		pending:         map[uint64]*pendingCommit{},
-		avoidUntil:      map[string]time.Duration{},
-		oversizedInPlan: map[string]bool{},
-		fullValues:      map[string]bool{},
-		rate:            rate,
-		tokens:          rate,
+		pending:          map[uint64]*pendingCommit{},
+		avoidUntil:       map[string]time.Duration{},
+		mustShrinkInPlan: map[string]bool{},
+		fullValues:       map[string]bool{},
+		rate:             rate,
+		tokens:           rate,
 	}
 }
 
@@ -267,15 +267,15 @@
 	return false
 }
 
-// isOversizedInPlan is isOversized, evaluated once per plan and key.
-func (c *Controller) isOversizedInPlan(key string) bool {
+// mustShrinkValueInPlan is mustShrinkValue, evaluated once per plan and key.
+func (c *Controller) mustShrinkValueInPlan(key string) bool {
 	if !c.cache.oversized[key] {
 		return false
 	}
-	oversized, known := c.commits.oversizedInPlan[key]
+	mustShrink, known := c.commits.mustShrinkInPlan[key]
 	if !known {
-		oversized = c.isOversized(key)
-		c.commits.oversizedInPlan[key] = oversized
+		mustShrink = c.mustShrinkValue(key)
+		c.commits.mustShrinkInPlan[key] = mustShrink
 	}
-	return oversized
+	return mustShrink
 }
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -99,8 +99,8 @@
 		c.onCommit(e)
 	case KeysRead:
 		c.onKeysRead(e)
-	case LeaseGranted:
-		c.onLeaseGranted(e)
+	case LeaseAnswered:
+		c.onLeaseAnswered(e)
 	case LeaseRenewalAnswered:
 		c.onLeaseRenewal(e)
 	case HeartbeatReceived:
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -269,7 +269,7 @@
 // isUnwritable reports whether the value of a change is so large that it cannot be written as it
 // is, or must not grow.
 func (d *draft) isUnwritable(change *taskChange) bool {
-	return (d.c.formats.limitsLowered || change.grows && d.c.cache.isFormatOn()) && d.c.isOversizedInPlan(change.key)
+	return (d.c.formats.limitsLowered || change.grows && d.c.cache.isFormatOn()) && d.c.mustShrinkValueInPlan(change.key)
 }
 
 // isFullValue reports whether the value has no room for one more booking.
--- a/internal/scheduler/draft_test.go
+++ b/internal/scheduler/draft_test.go
@@ -35,7 +35,7 @@
 			d.growth[pack] = c.cfg.ValueLimit - tuning.PackSlack
 		}, refusedFullValue, true, false},
 		"oversized value, no other pack with room for the job": {func(c *Controller, _ *draft) {
-			c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
+			c.cache.oversized[pack], c.commits.mustShrinkInPlan[pack] = true, true
 			j := c.cache.jobs[jobName(1)]
 			j.Tasks = make([]domain.Task, 400)
 			for i := range j.Tasks {
@@ -68,7 +68,7 @@
 	const pack = codec.PrefixPack + "c-0/0"
 	c := actingController()
 	c.apply(openJob(t, 1, 2, 1, 1000))
-	c.cache.oversized[pack], c.commits.oversizedInPlan[pack] = true, true
+	c.cache.oversized[pack], c.commits.mustShrinkInPlan[pack] = true, true
 	j, d := c.cache.jobs[jobName(1)], c.newDraft()
 	if !d.hasRoomToGrow(j, 0) {
 		t.Fatal("the draft has no room for the change")
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -42,7 +42,7 @@
 		ID   uint64
 		Keys []string
 	}
-	// GrantLease requests a lease. Response: LeaseGranted.
+	// GrantLease requests a lease. Response: LeaseAnswered.
 	GrantLease struct{ TTL time.Duration }
 	// RenewLease extends a lease by its TTL from now. Response: LeaseRenewalAnswered.
 	RenewLease struct{ LeaseID uint64 }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -51,8 +51,8 @@
 		OK    bool              // false: some key could not be read, and Items is empty
 		Items []domain.KeyValue // of the keys that exist
 	}
-	// LeaseGranted answers GrantLease.
-	LeaseGranted struct {
+	// LeaseAnswered answers GrantLease.
+	LeaseAnswered struct {
 		OK      bool // false: no lease, as far as known; one may have been granted and expire unused
 		LeaseID uint64
 	}
@@ -138,7 +138,7 @@
 func (ConfirmationAnswered) isEvent() {}
 func (CommitAnswered) isEvent()       {}
 func (KeysRead) isEvent()             {}
-func (LeaseGranted) isEvent()         {}
+func (LeaseAnswered) isEvent()        {}
 func (LeaseRenewalAnswered) isEvent() {}
 func (HeartbeatReceived) isEvent()    {}
 func (CommandsAnswered) isEvent()     {}
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -259,7 +259,7 @@
 	}
 	for turn := 0; len(c.cache.oversized) > 0 && turn < 40; turn++ {
 		d := c.newDraft()
-		clear(c.commits.oversizedInPlan)
+		clear(c.commits.mustShrinkInPlan)
 		c.planSplits(d)
 		transaction := d.transaction()
 		checkLimits(t, transaction.Puts)
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -38,7 +38,7 @@
 func TestMemberKeyRetryDelay(t *testing.T) {
 	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0"}, FenceAge: 7 * time.Second}, "x")
 	c.Step(0, Tick{})
-	c.Step(time.Millisecond, LeaseGranted{OK: true, LeaseID: 1})
+	c.Step(time.Millisecond, LeaseAnswered{OK: true, LeaseID: 1})
 	writes := 0
 	for milliseconds := 2; milliseconds < 300; milliseconds++ {
 		now := time.Duration(milliseconds) * time.Millisecond
--- a/internal/scheduler/membership.go
+++ b/internal/scheduler/membership.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// onLeaseGranted handles the response to GrantLease.
-func (c *Controller) onLeaseGranted(answer LeaseGranted) {
+// onLeaseAnswered handles the response to GrantLease.
+func (c *Controller) onLeaseAnswered(answer LeaseAnswered) {
 	before := c.membership.Lease()
-	c.membership.LeaseGranted(c.now, answer.OK, answer.LeaseID)
+	c.membership.LeaseAnswered(c.now, answer.OK, answer.LeaseID)
 	c.logLeaseChange(before)
 }
 
--- a/internal/scheduler/membership_test.go
+++ b/internal/scheduler/membership_test.go
@@ -13,7 +13,7 @@
 	m, now := &c.membership, c.now-1
 	m.RenewalAnswered(now, membership.LeaseGone)
 	m.MaintainLease(now, m.Incarnation())
-	m.LeaseGranted(now, true, 1)
+	m.LeaseAnswered(now, true, 1)
 	m.MaintainLease(now, m.Incarnation())
 	m.MemberKeyAnswered(now, true)
 	c.confirmViewAt(now)
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -57,7 +57,7 @@
 	}
 	c.planner.nextPlan.Set(c.now + c.planInterval())
 	c.planner.dirty = false
-	clear(c.commits.oversizedInPlan)
+	clear(c.commits.mustShrinkInPlan)
 	d := c.newDraft() // forgets the in-doubt commit if its outcome is known by now
 	if c.takeSplitTurn() {
 		c.planSplits(d)
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -202,7 +202,7 @@
 	d.finished[j.ID] = true
 	for i := 0; i < j.Header.TaskCount && d.changes() < c.cfg.TransactionLimit; i = j.Header.CellEnd(i) {
 		key := j.Header.ValueKey(j.ID, i)
-		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.isOversizedInPlan(key) {
+		if j.Header.Inline || j.Tasks == nil || c.cache.modRevisions[key] == 0 || d.keys[key] || c.mustShrinkValueInPlan(key) {
 			continue
 		}
 		d.addRewrite(key)
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -91,7 +91,7 @@
 // shrinkPack moves jobs out of a pack that is too large, the longest texts first, or splits the
 // job that fits no other pack.
 func (c *Controller) shrinkPack(d *draft, key, pack string) (planned bool) {
-	if !c.isOversized(key) {
+	if !c.mustShrinkValue(key) {
 		d.addRewrite(key) // without the jobs that left it
 		return true
 	}
--- a/internal/scheduler/value_sizes.go
+++ b/internal/scheduler/value_sizes.go
@@ -69,9 +69,10 @@
 	return len(c.chunkOf(map[string][]domain.Task{j.ID: j.Tasks}).Texts[j.ID])
 }
 
-// isOversized reports whether a value can't be written at its present size: it is too large, and
-// would be so even without the texts of jobs that moved or ended.
-func (c *Controller) isOversized(key string) bool {
+// mustShrinkValue reports whether a value has to be made smaller before it can be written: it is
+// too large, and would be so even without the texts of jobs that moved or ended. It returns false
+// while mayShrinkValues does.
+func (c *Controller) mustShrinkValue(key string) bool {
 	if !c.cache.oversized[key] || !c.mayShrinkValues() {
 		return false
 	}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -28,7 +28,7 @@
 	case scheduler.ReadKeys:
 		askState(p, func() any { return c.state.read(p.name, e) }, scheduler.KeysRead{ID: e.ID})
 	case scheduler.GrantLease:
-		askState(p, func() any { return c.state.grant(p.name, e.TTL) }, scheduler.LeaseGranted{})
+		askState(p, func() any { return c.state.grant(p.name, e.TTL) }, scheduler.LeaseAnswered{})
 	case scheduler.RenewLease:
 		askState(p, func() any { return c.state.renew(p.name, e.LeaseID) }, scheduler.LeaseRenewalAnswered{})
 	case scheduler.ListMachineTypes:
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -273,11 +273,11 @@
 // grant creates a lease and returns the response.
 func (s *stateService) grant(process string, ttl time.Duration) any {
 	if s.rejectsRequest(process) {
-		return scheduler.LeaseGranted{}
+		return scheduler.LeaseAnswered{}
 	}
 	s.lastLease++
 	s.leases[s.lastLease] = &stateLease{ttl, s.cluster.Now + ttl}
-	return scheduler.LeaseGranted{OK: true, LeaseID: s.lastLease}
+	return scheduler.LeaseAnswered{OK: true, LeaseID: s.lastLease}
 }
 
 // renew extends a lease by its TTL from now and returns the response.
