--- a/internal/scheduler/cache_snapshot.go
+++ b/internal/scheduler/cache_snapshot.go
@@ -19,8 +19,9 @@
 	c.cache.loadingSnapshot = true
 	for _, item := range snapshot.Items {
 		// The pages are read one after another. What changed after the first page was read comes
-		// with the watch, in order. If such a chunk were applied here before its header, it would
-		// be dropped, and its recorded revision would make apply ignore it later, too.
+		// with the watch, in order. If a chunk that changed since were applied here without its
+		// header, it would be dropped, and because its revision is recorded, apply would ignore it
+		// when the watch delivers it.
 		if item.ModRevision <= snapshot.Revision || !c.isGuardEnabled(GuardSnapshot) {
 			c.apply(item)
 		}
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -16,10 +16,10 @@
 // Lanes are the priorities within the budget of requests to the state service, most urgent first:
 // a commit waits while one in a more urgent lane is waiting.
 const (
-	LaneView = iota
-	LaneUser
-	LaneTask
-	LaneIdle
+	LaneView = iota // views, leases, member keys, formats, watches and snapshots
+	LaneUser        // requests of users, and machine types
+	LaneTask        // task commits and cordons
+	LaneIdle        // records of learning windows
 )
 
 // To the state service.
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestFormatEnabledOnceAllAnnounced: a controller announces the new format only behind a view
-// with its incarnation. Only the leader turns the format on, after every controller of the
+// TestFormatEnabledOnceAllAnnounced: a controller announces the new format only under a view
+// that lists its incarnation. Only the leader turns the format on, after every controller of the
 // settings, not only of the view, has announced it. The format stays on after a restart.
 func TestFormatEnabledOnceAllAnnounced(t *testing.T) {
 	c := actingController()
@@ -87,7 +87,7 @@
 	}
 	c.cache.view.Members = map[string]string{"c-0": "an earlier incarnation"}
 	if keys := announce(); len(keys) > 0 {
-		t.Fatalf("%v is written behind a view that doesn't have this incarnation", keys)
+		t.Fatalf("%v is written under a view that doesn't list this incarnation", keys)
 	}
 	c.cache.view.Members = c.cache.members
 	if keys := announce(); !slices.Equal(keys, []string{"b/format/c-0"}) {
@@ -170,7 +170,7 @@
 	checkLimits(t, []domain.Put{{Key: codec.KeyView, Value: codec.Encode(view)}})
 }
 
-// cordonPageFitsAgain tests a page of 400 draining machines, one of which becomes gone.
+// cordonPageFitsAgain tests a page of 400 draining machines, one of which is then marked as gone.
 func cordonPageFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	page := codec.CordonPage{Draining: map[string]string{}}
@@ -189,7 +189,7 @@
 	}
 }
 
-// machineTypesFitAgain tests forty machine types.
+// machineTypesFitAgain tests forty machine types, all of which must stay known.
 func machineTypesFitAgain(t *testing.T) {
 	c := withLoweredLimits()
 	var types []domain.MachineType
@@ -207,7 +207,7 @@
 	}
 }
 
-// windowFitsAgain tests a learning window of 2,000 loads.
+// windowFitsAgain tests a learning window of 2,000 loads, some of which must be left.
 func windowFitsAgain(t *testing.T) {
 	c := withLoweredLimits()
 	record := codec.WindowRecord{CriticWeights: make([]float64, 4)}
--- a/internal/scheduler/guards.go
+++ b/internal/scheduler/guards.go
@@ -43,7 +43,7 @@
 	// the watch (invariant 12).
 	GuardSnapshot Guard = "page"
 	// GuardBook books the tasks queued on a machine as soon as there is room. Without it
-	// tasks starve.
+	// tasks would wait forever although machines have room.
 	GuardBook Guard = "book"
 	// GuardReadIndex delays the answer about a state that may still change until the cache
 	// has reached a read index (invariant 11).
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -252,11 +252,11 @@
 	return m.reportsEnded(attempt) || m.neverReceived(attempt)
 }
 
-// hasMachineLeaseExpired reports whether m's lease has expired for certain: its duration has
-// passed since the last moment at which any controller can have renewed it. A new agent epoch
-// counts as renewed when its first report was received. Otherwise a new epoch that is not yet
-// answered would be abandoned because the last answer to the previous epoch is old, and its
-// live tasks would later be started elsewhere.
+// hasMachineLeaseExpired reports whether m's lease has expired for certain: its duration, with
+// a margin for differences between clocks, has passed since the last moment at which any
+// controller can have renewed it. A new agent epoch counts as renewed when its first report was
+// received. Otherwise a new epoch that is not yet answered would be abandoned because the last
+// answer to the previous epoch is old, and its live tasks would later be started elsewhere.
 func (c *Controller) hasMachineLeaseExpired(m *Machine) bool {
 	renewedAt := max(m.ownedSince+c.cfg.FenceAge, m.answeredAt, m.epochSeenAt)
 	lease := c.cfg.WorkerLease + c.cfg.WorkerLease/1000
@@ -325,6 +325,7 @@
 
 // adoptBookedMachines adds this controller's machines that are known by their bookings alone,
 // because no heartbeat of theirs has been received since this controller became their owner.
+// They count as silent tuning.TakeoverSilence later than other machines.
 func (c *Controller) adoptBookedMachines() {
 	for name := range c.cache.bookedOn {
 		if c.heartbeats.machines[name] == nil && c.owns(name) {
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -30,7 +30,7 @@
 // cached values, by key.
 func (s *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
 	if s.inDoubt.key != "" {
-		return // this commit writes the value of the first one in doubt, too
+		return // this commit writes the value of the first one in doubt as well, so the value excludes both
 	}
 	found := map[string]uint64{}
 	for _, condition := range lost.Conditions {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -12,7 +12,7 @@
 type Job struct {
 	ID     string
 	Header *codec.JobHeader // the last committed one; never changed in place
-	Tasks  []domain.Task    // as committed; nil while no task record was written: all are queued
+	Tasks  []domain.Task    // as committed; nil: none was written yet, so all are queued, or the job is over
 
 	counts     placement // tasks by state
 	queuedHere int       // tasks in queues of this controller's machines
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -18,9 +18,9 @@
 type peers struct {
 	byName         map[string]*peerState
 	nextGossip     monotime.Deadline
-	inventory      []inventoryMachine
-	inventoryAt    monotime.Instant
-	inventoryEpoch uint64
+	inventory      []inventoryMachine    // result of the last call of inventory that made a new list
+	inventoryAt    monotime.Instant      // when that list was made; unset: never
+	inventoryEpoch uint64                // epoch of the view under which it was made
 	machinesByKind map[machineKind]int64 // number of machines in the inventory that are not reserved
 
 	waitingCountedAt          monotime.Instant // when the following counts of waiting tasks were made
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -16,17 +16,17 @@
 // views is the state that this controller uses to propose views, and what it derives from the
 // present view.
 type views struct {
-	proposing          bool
-	nextProposal       monotime.Deadline        // no proposal before then
-	nextReview         monotime.Deadline        // no check whether a view is needed before then
-	adoptedAt          time.Duration            // when the present view came with the watch
-	redirects          map[string][]redirect    // heartbeats redirected to their owners, by machine
-	lastRedirect       map[string]heartbeatID   // latest redirected heartbeat, by machine
-	notServingSince    map[string]time.Duration // controller -> since when it has been a member that does not serve
-	allPeersFreshSince monotime.Instant         // since when the last message of every serving peer has been recent
-	zoneSilentAt       map[string]time.Duration // zone -> when more of its machines were last silent than on time
-	ownersView         *domain.View             // the view that ownerByMachine was computed for
-	ownerByMachine     map[string]string
+	proposing          bool                      // a proposal is in flight
+	nextProposal       monotime.Deadline         // no proposal before then
+	nextReview         monotime.Deadline         // no check whether a view is needed before then
+	adoptedAt          time.Duration             // when the present view came with the watch
+	redirects          map[string][]redirect     // heartbeats redirected to their owners, by machine
+	lastRedirect       map[string]heartbeatID    // latest redirected heartbeat, by machine
+	notServingSince    map[string]time.Duration  // controller -> since when it has been a member that does not serve
+	allPeersFreshSince monotime.Instant          // since when the last message of every serving peer has been recent
+	zoneSilentAt       map[string]time.Duration  // zone -> when more of its machines were last silent than on time
+	ownersView         *domain.View              // the view that ownerByMachine was computed for
+	ownerByMachine     map[string]string         // machine -> owner under ownersView
 	overrideChanges    map[string]overrideChange // by machine
 	overrideSeenAt     map[string]time.Duration  // when an override was first seen, by machine
 }
@@ -175,8 +175,8 @@
 	}
 }
 
-// excludeUnreachable takes owners that many machines can't reach out of service, except the last
-// serving controller.
+// excludeUnreachable takes owners that many machines can't reach out of service, unless no other
+// controller would serve.
 func (c *Controller) excludeUnreachable(proposal *viewProposal, owners map[string]bool) {
 	for owner := range owners {
 		if len(proposal.next.Serving) > 1 && slices.Contains(proposal.next.Serving, owner) {
