--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -170,13 +170,13 @@
 func TestMayAct(t *testing.T) {
 	renewAt := func(m *Member, sent, answered time.Duration) {
 		if due := m.MaintainLease(sent, ownIncarnation); !due.Renew {
-			t.Fatalf("no renewal at %v", sent)
+			t.Fatalf("no renewal is due at %v", sent)
 		}
 		m.RenewalAnswered(answered, Renewed)
 	}
 	confirmAt := func(m *Member, sent, answered time.Duration) {
 		if !m.StartConfirmation(sent, monotime.Instant{}) {
-			t.Fatalf("no confirmation at %v", sent)
+			t.Fatalf("no confirmation is due at %v", sent)
 		}
 		m.ConfirmationAnswered(answered, true, 10)
 		m.CacheReached(10)
@@ -268,11 +268,11 @@
 		m := confirmedAtZero(t)
 		test.event(m)
 		if m.StartConfirmation(test.due-1, test.reader) {
-			t.Errorf("%s: sent before %v", name, test.due)
+			t.Errorf("%s: a confirmation is sent before %v", name, test.due)
 			continue
 		}
 		if !m.StartConfirmation(test.due, test.reader) {
-			t.Errorf("%s: not sent at %v", name, test.due)
+			t.Errorf("%s: no confirmation is sent at %v", name, test.due)
 		}
 		if m.StartConfirmation(time.Hour, test.reader) {
 			t.Errorf("%s: a second confirmation is sent while the first is in flight", name)
@@ -282,10 +282,10 @@
 	m.StartConfirmation(2*time.Second, none)
 	m.ConfirmationAnswered(3*time.Second, true, 10)
 	if m.StartConfirmation(3*time.Second+gap, monotime.At(2*time.Second-1)) {
-		t.Error("sent for a reader that the previous confirmation serves")
+		t.Error("a confirmation is sent for a reader that the previous one serves")
 	}
 	if newMember().StartConfirmation(0, none) {
-		t.Error("sent without a view to confirm")
+		t.Error("a confirmation is sent before the cache is loaded")
 	}
 	slow := New(Config{FenceAge: fenceAge, ReadRate: 1}, ownIncarnation)
 	second := float64(time.Second)
@@ -346,7 +346,7 @@
 func TestReadiness(t *testing.T) {
 	m := newMember()
 	if m.IsReady() {
-		t.Error("ready at the start")
+		t.Error("ready before BecomeReady")
 	}
 	m.BecomeReady()
 	const start = time.Minute
@@ -359,7 +359,7 @@
 		t.Error("becomes unready although the other controller's advantage was interrupted")
 	}
 	if m.MaybeBecomeUnready(start+3*tuning.UnreadyDelay+1, true); m.IsReady() {
-		t.Error("doesn't become unready")
+		t.Error("stays ready although another controller was better for longer than tuning.UnreadyDelay")
 	}
 	m.BecomeReady()
 	if m.MaybeBecomeUnready(start+9*tuning.UnreadyDelay, true); !m.IsReady() {
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -41,7 +41,7 @@
 			c.planner.assumeMaxBookingBytes = false
 			for _, p := range d.transaction().Puts {
 				if largest = max(largest, len(p.Value)); len(p.Value) > c.cfg.ValueLimit {
-					t.Fatalf("round %d: %s has %d bytes", round, p.Key, len(p.Value))
+					t.Fatalf("round %d: %s has %d bytes, more than the limit of a value", round, p.Key, len(p.Value))
 				}
 				c.apply(domain.KeyValue{Key: p.Key, Value: p.Value, ModRevision: step})
 			}
--- a/internal/scheduler/formats_test.go
+++ b/internal/scheduler/formats_test.go
@@ -42,7 +42,7 @@
 	c := New(Settings{Controller: "c-0", Controllers: []string{"c-0", "c-1", "c-2"}, ValueLimit: 2048, CurrentValueLimit: 4096, TransactionLimit: 4}, "x")
 	c.loadSnapshot(previousVersionValues(t))
 	if view := c.cache.view; view == nil || view.Epoch != 2 || view.Leader != "c-0" || len(view.Serving) != 3 || len(c.cache.members) != 3 {
-		t.Errorf("view %+v", view)
+		t.Errorf("the view is not as written: %+v", view)
 	}
 	if len(c.cache.machineTypes) != 1 || c.cache.machineTypes[0].Capacity.GPU != 4000 || c.cache.cordons["n-000001"].State != domain.CordonGone ||
 		c.cache.shares["blue"].ByController["c-2"].GPU != 24000 || c.cache.windows["c-2"].Loads[1] != 30 {
@@ -60,15 +60,15 @@
 	} {
 		j := c.cache.jobs[id]
 		if j.phase != want.phase || j.counts.queued != want.queued || j.counts.booked != want.booked || j.counts.done != want.done {
-			t.Errorf("%s: phase %d, %d queued, %d booked, %d done", id, j.phase, j.counts.queued, j.counts.booked, j.counts.done)
+			t.Errorf("%s is not as written: phase %d, %d queued, %d booked, %d done", id, j.phase, j.counts.queued, j.counts.booked, j.counts.done)
 		}
 	}
 	want := domain.Task{State: domain.Booked, Attempt: 1, Machine: "n-000010", AgentEpoch: 1, Shard: "c-0", Zone: "b"}
 	if got := c.cache.jobs["job-000001"].task(6); got != want {
-		t.Errorf("task 6: %+v", got)
+		t.Errorf("task 6 of job-000001 is not as written: %+v", got)
 	}
 	if got := c.cache.jobs["job-000001"].task(2); got != (domain.Task{Shard: "c-2"}) {
-		t.Errorf("task 2: %+v", got)
+		t.Errorf("task 2 of job-000001 is not as written: %+v", got)
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	c.cache.view.Members = c.cache.members
 	if keys := announce(); !slices.Equal(keys, []string{"b/format/c-0"}) {
-		t.Fatalf("wrote %v", keys)
+		t.Fatalf("wrote %v, want the announcement of c-0", keys)
 	}
 	c.apply(domain.KeyValue{Key: "b/format/c-1", Value: codec.Encode(codec.Format{Version: 2}), ModRevision: 900})
 	if keys := announce(); len(keys) > 0 || c.cache.isFormatOn() {
@@ -104,7 +104,7 @@
 	}
 	c.cache.view.Leader = "c-0"
 	if keys := announce(); !slices.Equal(keys, []string{"b/format"}) || !c.cache.isFormatOn() {
-		t.Fatalf("wrote %v", keys)
+		t.Fatalf("the leader wrote %v, want that the format is on", keys)
 	}
 	// A restarted controller reads from the key-value store that the format is on.
 	restarted := New(Settings{Controller: "c-2"}, "z")
@@ -143,11 +143,11 @@
 func checkLimits(t *testing.T, puts []domain.Put) {
 	t.Helper()
 	if len(puts) > loweredTransactionLimit {
-		t.Errorf("%d changes", len(puts))
+		t.Errorf("%d changes, more than the lowered limit", len(puts))
 	}
 	for _, put := range puts {
 		if len(put.Value) > loweredValueLimit {
-			t.Errorf("%s has %d bytes", put.Key, len(put.Value))
+			t.Errorf("%s has %d bytes, more than the lowered limit", put.Key, len(put.Value))
 		}
 	}
 }
@@ -203,7 +203,7 @@
 	}
 	commitAll(t, c)
 	if len(c.cache.machineTypes) != 40 {
-		t.Errorf("%d types are known", len(c.cache.machineTypes))
+		t.Errorf("%d machine types are known, want 40", len(c.cache.machineTypes))
 	}
 }
 
@@ -217,7 +217,7 @@
 	value := c.encodeWindow(record)
 	checkLimits(t, []domain.Put{{Key: codec.PrefixWindow + "c-0", Value: value}})
 	if len(value) < 700 {
-		t.Error("too few loads are left")
+		t.Error("too few loads are left in the learning window")
 	}
 }
 
@@ -234,7 +234,7 @@
 	d.header(c.cache.jobs["job-000001"])
 	checkLimits(t, d.transaction().Puts)
 	if spec := d.headers["job-000001"].Spec; !allowsMachine(spec, "box", "a", false) || allowsMachine(spec, "type-7", "a", false) && c.cache.machineType("type-7") != nil {
-		t.Errorf("types %v", spec.MachineTypes)
+		t.Errorf("wrong machine types after the list was shortened: %v", spec.MachineTypes)
 	}
 }
 
@@ -264,7 +264,7 @@
 		transaction := d.transaction()
 		checkLimits(t, transaction.Puts)
 		if len(transaction.Conditions) > 16 {
-			t.Errorf("%d conditions", len(transaction.Conditions))
+			t.Errorf("%d conditions, want at most 16", len(transaction.Conditions))
 		}
 		for _, put := range transaction.Puts {
 			stored[put.Key] = put.Value
@@ -275,7 +275,7 @@
 		}
 	}
 	if len(c.cache.oversized) > 0 {
-		t.Errorf("still too large: %v", c.cache.oversized)
+		t.Errorf("values still too large after 40 plans: %v", c.cache.oversized)
 	}
 	reader := New(Settings{Controller: "c-1", ValueLimit: 2048}, "y")
 	snapshot := SnapshotLoaded{Revision: 99}
@@ -304,7 +304,7 @@
 	c.apply(domain.KeyValue{Key: codec.PrefixPack + "c-0/0", Value: codec.Encode(pack), ModRevision: 50})
 	c.apply(domain.KeyValue{Key: codec.PrefixTask + jobName(50) + "/0", Value: codec.Encode(chunk), ModRevision: 51})
 	if len(c.cache.oversized) != 2 || c.cache.jobs[jobName(50)].counts.booked != 139 {
-		t.Fatalf("too large: %v", c.cache.oversized)
+		t.Fatalf("too large are %v, want one pack and one chunk", c.cache.oversized)
 	}
 }
 
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -42,7 +42,7 @@
 		for id, pending := range c.commits.pending {
 			for _, put := range pending.transaction.Puts {
 				if len(put.Value) > c.cfg.ValueLimit {
-					t.Fatalf("%s has %d bytes", put.Key, len(put.Value))
+					t.Fatalf("%s has %d bytes, more than the limit of a value", put.Key, len(put.Value))
 				}
 			}
 			c.onCommit(CommitAnswered{ID: id, Result: domain.Committed, Revision: uint64(round + 1)})
@@ -77,10 +77,10 @@
 	c.peers.byName["c-1"] = &peerState{receivedAt: c.now, machines: make([]PeerMachine, fleetSize)}
 	view := c.desiredView()
 	if view == nil || len(view.OwnerOverrides) < 50 {
-		t.Fatalf("no overrides: %+v", view)
+		t.Fatalf("fewer than 50 overrides: %+v", view)
 	}
 	if bytes := len(codec.Encode(view)); bytes > c.cfg.ValueLimit {
-		t.Errorf("the view has %d bytes", bytes)
+		t.Errorf("the view has %d bytes, more than the limit of a value", bytes)
 	}
 }
 
