--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -27,7 +27,7 @@
 	m.CacheLoaded()
 	steps := []func(){
 		func() { m.MaintainLease(0, "") },
-		func() { m.LeaseGranted(0, true, 5) },
+		func() { m.LeaseAnswered(0, true, 5) },
 		func() { m.MaintainLease(0, "") },
 		func() { m.MemberKeyAnswered(0, true) },
 	}
@@ -51,7 +51,7 @@
 	m.ConfirmationAnswered(time.Millisecond, true, 10)
 	m.CacheReached(10)
 	if !m.MayAct(time.Millisecond, ownIncarnation) {
-		t.Fatal("may not act")
+		t.Fatal("may not act although lease and view are confirmed")
 	}
 	return m
 }
@@ -65,8 +65,8 @@
 		event       func(m *Member)
 		nextRequest time.Duration // when a lease or renewal is next requested; < 0: not checked
 	}{
-		"lease granted":                                     {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseGranted(now, true, 7) }, tuning.LeaseRenewalInterval},
-		"lease refused":                                     {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseGranted(now, false, 0) }, now + tuning.ConfirmationRetry},
+		"lease granted":                                     {LeaseRequested, LeaseHeld, func(m *Member) { m.LeaseAnswered(now, true, 7) }, tuning.LeaseRenewalInterval},
+		"lease refused":                                     {LeaseRequested, LeaseNone, func(m *Member) { m.LeaseAnswered(now, false, 0) }, now + tuning.ConfirmationRetry},
 		"member key written":                                {MemberKeyWriting, MemberKeyWritten, func(m *Member) { m.MemberKeyAnswered(now, true) }, -1},
 		"member key refused":                                {MemberKeyWriting, LeaseHeld, func(m *Member) { m.MemberKeyAnswered(time.Second, false) }, time.Second + tuning.ConfirmationRetry},
 		"late member key response without a lease":          {LeaseNone, LeaseNone, func(m *Member) { m.MemberKeyAnswered(now, true) }, 0},
@@ -105,7 +105,7 @@
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{}) {
 		t.Errorf("requests while a lease is requested: %+v", due)
 	}
-	m.LeaseGranted(time.Minute, true, 5)
+	m.LeaseAnswered(time.Minute, true, 5)
 	if due := m.MaintainLease(time.Minute, ""); due != (LeaseRequests{WriteMemberKey: true, Renew: true}) || m.LeaseID() != 5 {
 		t.Errorf("requests after a late grant: %+v of lease %d", due, m.LeaseID())
 	}
@@ -147,7 +147,7 @@
 	}
 	m := newMember() // the cache is not loaded, so what it shows must not count
 	m.MaintainLease(0, "")
-	m.LeaseGranted(0, true, 5)
+	m.LeaseAnswered(0, true, 5)
 	m.MaintainLease(0, "")
 	m.MemberKeyAnswered(0, true)
 	if m.MaintainLease(grace, ""); m.Lease() != MemberKeyWritten {
@@ -157,7 +157,7 @@
 
 func TestHasMemberKey(t *testing.T) {
 	if m := memberInState(t, MemberKeyWritten); !m.HasMemberKey(ownIncarnation) || m.HasMemberKey(earlierIncarnation) || m.HasMemberKey("") {
-		t.Error("the member key counts exactly if the cache has this incarnation")
+		t.Error("the member key must count if the cache has this incarnation under it, and only then")
 	}
 	if memberInState(t, MemberKeyWriting).HasMemberKey(ownIncarnation) {
 		t.Error("the member key counts before it is written")
@@ -170,13 +170,13 @@
 func TestMayAct(t *testing.T) {
 	renewAt := func(m *Member, sent, answered time.Duration) {
 		if due := m.MaintainLease(sent, ownIncarnation); !due.Renew {
-			t.Fatalf("no renewal at %v", sent)
+			t.Fatalf("no renewal is due at %v", sent)
 		}
 		m.RenewalAnswered(answered, Renewed)
 	}
 	confirmAt := func(m *Member, sent, answered time.Duration) {
 		if !m.StartConfirmation(sent, monotime.Instant{}) {
-			t.Fatalf("no confirmation at %v", sent)
+			t.Fatalf("no confirmation is due at %v", sent)
 		}
 		m.ConfirmationAnswered(answered, true, 10)
 		m.CacheReached(10)
@@ -268,24 +268,24 @@
 		m := confirmedAtZero(t)
 		test.event(m)
 		if m.StartConfirmation(test.due-1, test.reader) {
-			t.Errorf("%s: sent before %v", name, test.due)
+			t.Errorf("%s: a confirmation is sent before %v", name, test.due)
 			continue
 		}
 		if !m.StartConfirmation(test.due, test.reader) {
-			t.Errorf("%s: not sent at %v", name, test.due)
+			t.Errorf("%s: no confirmation is sent at %v", name, test.due)
 		}
 		if m.StartConfirmation(time.Hour, test.reader) {
-			t.Errorf("%s: a second one is sent while the first is in flight", name)
+			t.Errorf("%s: a second confirmation is sent while the first is in flight", name)
 		}
 	}
 	m := confirmedAtZero(t)
 	m.StartConfirmation(2*time.Second, none)
 	m.ConfirmationAnswered(3*time.Second, true, 10)
 	if m.StartConfirmation(3*time.Second+gap, monotime.At(2*time.Second-1)) {
-		t.Error("sent for a reader that the previous confirmation serves")
+		t.Error("a confirmation is sent for a reader that the previous one serves")
 	}
 	if newMember().StartConfirmation(0, none) {
-		t.Error("sent without a view to confirm")
+		t.Error("a confirmation is sent before the cache is loaded")
 	}
 	slow := New(Config{FenceAge: fenceAge, ReadRate: 1}, ownIncarnation)
 	second := float64(time.Second)
@@ -331,7 +331,7 @@
 		m.CacheReached(10)
 	}
 	if len(m.awaitingCache) != tuning.MaxPendingConfirmations {
-		t.Errorf("%d confirmations kept", len(m.awaitingCache))
+		t.Errorf("%d confirmations are kept", len(m.awaitingCache))
 	}
 	if m.CacheReached(104); m.HasReadIndex(1) {
 		t.Error("a dropped confirmation counts")
@@ -346,7 +346,7 @@
 func TestReadiness(t *testing.T) {
 	m := newMember()
 	if m.IsReady() {
-		t.Error("ready at the start")
+		t.Error("ready before BecomeReady")
 	}
 	m.BecomeReady()
 	const start = time.Minute
@@ -359,7 +359,7 @@
 		t.Error("becomes unready although the other controller's advantage was interrupted")
 	}
 	if m.MaybeBecomeUnready(start+3*tuning.UnreadyDelay+1, true); m.IsReady() {
-		t.Error("doesn't become unready")
+		t.Error("stays ready although another controller was better for longer than tuning.UnreadyDelay")
 	}
 	m.BecomeReady()
 	if m.MaybeBecomeUnready(start+9*tuning.UnreadyDelay, true); !m.IsReady() {
@@ -370,11 +370,11 @@
 func TestStateReachability(t *testing.T) {
 	m := newMember()
 	if m.HasRecentStateResponse(0) || m.IsStateReachable() {
-		t.Error("reachable before any answer")
+		t.Error("reachable before any response")
 	}
 	m = confirmedAtZero(t)
 	if !m.IsStateReachable() || !m.HasRecentStateResponse(tuning.UsableAge-1) || m.HasRecentStateResponse(tuning.UsableAge) {
-		t.Error("a response must count until it is as old as tuning.UsableFor")
+		t.Error("a response must count until it is as old as tuning.UsableAge")
 	}
 	m.StartConfirmation(2*time.Second, monotime.Instant{})
 	m.ConfirmationFailed(2 * time.Second)
@@ -391,11 +391,11 @@
 	m := newMember()
 	m.CacheLoaded()
 	m.MaintainLease(0, "")
-	m.LeaseGranted(time.Second, false, 0)
+	m.LeaseAnswered(time.Second, false, 0)
 	if due := m.MaintainLease(granted, ""); !due.Grant {
 		t.Fatal("a lease that was refused is not requested again")
 	}
-	m.LeaseGranted(granted+time.Second, true, 5)
+	m.LeaseAnswered(granted+time.Second, true, 5)
 	for i := time.Duration(1); i <= 3; i++ {
 		at := granted + i*tuning.LeaseRenewalInterval
 		if m.MaintainLease(at-1, ownIncarnation).Renew || !m.MaintainLease(at, ownIncarnation).Renew {
--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -21,7 +21,7 @@
 	taskCommit       *pendingCommit            // the one task commit in flight; nil: none
 	nextTaskCommit   monotime.Deadline         // no task commit before then; set after one that was refused or is in doubt
 	minRevision      uint64                    // the cache must reach this revision before the next task commit
-	inDoubt          inDoubtCommit             // excludes a task commit whose outcome is unknown
+	inDoubt          inDoubtCommit             // value by which later task commits exclude one whose outcome is unknown
 	rate             float64                   // present rate of task commits, changes a second
 	tokens           float64                   // changes that may be made now; negative after urgent commits
 	tokensAt         time.Duration             // when tokens were last refilled
@@ -29,19 +29,19 @@
 	lastChanges      int                       // number of changes in the last task commit
 	affectedMachines map[string]bool           // machines whose bookings the task commit in flight changes
 	avoidUntil       map[string]time.Duration  // key -> time until which task commits leave it out
-	oversizedInPlan  map[string]bool           // results of isOversized during the present plan, by key
+	mustShrinkInPlan map[string]bool           // results of mustShrinkValue during the present plan, by key
 	fullValues       map[string]bool           // keys of values that had no room for a booking
 }
 
 // newCommits returns the state for a rate in changes a second, with one second's worth of tokens.
 func newCommits(rate float64) commits {
 	return commits{
-		pending:         map[uint64]*pendingCommit{},
-		avoidUntil:      map[string]time.Duration{},
-		oversizedInPlan: map[string]bool{},
-		fullValues:      map[string]bool{},
-		rate:            rate,
-		tokens:          rate,
+		pending:          map[uint64]*pendingCommit{},
+		avoidUntil:       map[string]time.Duration{},
+		mustShrinkInPlan: map[string]bool{},
+		fullValues:       map[string]bool{},
+		rate:             rate,
+		tokens:           rate,
 	}
 }
 
@@ -152,8 +152,8 @@
 	return false
 }
 
-// isTaskAvoided reports whether the value with task i of a job is left out after a conflict. If
-// so, it requests another plan, so that the task is considered again.
+// isTaskAvoided reports whether task commits leave out the value with task i of a job after a
+// conflict. If so, it requests another plan, so that the task is considered again.
 func (c *Controller) isTaskAvoided(j *Job, i int) bool {
 	if len(c.commits.avoidUntil) == 0 {
 		return false
@@ -165,8 +165,9 @@
 	return true
 }
 
-// avoidConflictedKeys leaves the keys that failed in a conflict out of task commits for a short,
-// random time, so that one contested value doesn't fail all other changes of this controller.
+// avoidConflictedKeys leaves the teams' shares, packs, chunks and cells that failed in a conflict
+// out of task commits for a short, random time, so that one contested value doesn't fail all
+// other changes of this controller.
 func (c *Controller) avoidConflictedKeys(failed []string) {
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
@@ -266,15 +267,15 @@
 	return false
 }
 
-// isOversizedInPlan is isOversized, evaluated once per plan and key.
-func (c *Controller) isOversizedInPlan(key string) bool {
+// mustShrinkValueInPlan is mustShrinkValue, evaluated once per plan and key.
+func (c *Controller) mustShrinkValueInPlan(key string) bool {
 	if !c.cache.oversized[key] {
 		return false
 	}
-	oversized, known := c.commits.oversizedInPlan[key]
+	mustShrink, known := c.commits.mustShrinkInPlan[key]
 	if !known {
-		oversized = c.isOversized(key)
-		c.commits.oversizedInPlan[key] = oversized
+		mustShrink = c.mustShrinkValue(key)
+		c.commits.mustShrinkInPlan[key] = mustShrink
 	}
-	return oversized
+	return mustShrink
 }
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -20,7 +20,7 @@
 	Events            int            // steps
 	PendingHeartbeats int            // pending heartbeats examined
 	Machines          int            // machines examined one by one (reviewMachines)
-	Targets           int            // machines compared as places for tasks
+	Targets           int            // machines compared when places for tasks are chosen
 	TooLarge          int            // values that the state service refused for their size
 	Bookings          [passCount]int // tasks booked in committed plans, by the pass that chose their machine
 }
@@ -99,8 +99,8 @@
 		c.onCommit(e)
 	case KeysRead:
 		c.onKeysRead(e)
-	case LeaseGranted:
-		c.onLeaseGranted(e)
+	case LeaseAnswered:
+		c.onLeaseAnswered(e)
 	case LeaseRenewalAnswered:
 		c.onLeaseRenewal(e)
 	case HeartbeatReceived:
@@ -139,7 +139,7 @@
 	if !c.membership.IsSynced() {
 		return // nothing below may be decided on an incomplete cache
 	}
-	c.gossip()                  // sent even if this controller may not act: peers detect by it which controllers are cut off
+	c.gossip()                  // sent even if this controller may not act: peers detect cut-off controllers by missing messages
 	c.updateReadiness()         // sets the answer of GET /up; may come anywhere
 	c.announceFormat()          // rare and small, so that it may take its tokens before the plan
 	c.writeCordons()            // before planCommit: bookings depend on the pages of cordons
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -16,10 +16,10 @@
 // Lanes are the priorities within the budget of requests to the state service, most urgent first:
 // a commit waits while one in a more urgent lane is waiting.
 const (
-	LaneView = iota
-	LaneUser
-	LaneTask
-	LaneIdle
+	LaneView = iota // views, leases, member keys, formats, watches and snapshots
+	LaneUser        // requests of users, and machine types
+	LaneTask        // task commits and cordons
+	LaneIdle        // records of learning windows
 )
 
 // To the state service.
@@ -42,7 +42,7 @@
 		ID   uint64
 		Keys []string
 	}
-	// GrantLease requests a lease. Response: LeaseGranted.
+	// GrantLease requests a lease. Response: LeaseAnswered.
 	GrantLease struct{ TTL time.Duration }
 	// RenewLease extends a lease by its TTL from now. Response: LeaseRenewalAnswered.
 	RenewLease struct{ LeaseID uint64 }
@@ -58,8 +58,8 @@
 		FencingToken uint64           // the view's epoch, with 200
 		Commands     []domain.Command // with 200
 	}
-	// SendCommands sends commands that stop tasks directly to an agent whose next heartbeat would
-	// come too late. It may be dropped. Response, if it was sent: CommandsAnswered.
+	// SendCommands sends stops of tasks directly to an agent, for work that can't wait for the
+	// agent's next heartbeat. It may be dropped. Response, if it was sent: CommandsAnswered.
 	SendCommands struct {
 		Machine, Addr            string
 		FencingToken, AgentEpoch uint64
