--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -42,8 +42,8 @@
 // ChunkValue is the value of b/task/ID/K (a chunk), b/task/ID/K/S (a cell of a chunk) and
 // b/pack/NODE/K (a pack). It is also part of the header of jobs whose tasks are kept inline. It
 // holds the tasks of one or several jobs as one short text for each job. The texts are short
-// because every change rewrites the whole value, and the key-value store limits both the size of a
-// value and the rate of writes. Tasks are numbered from the first one of the chunk or cell. A text
+// because every change rewrites the whole value, and the state service limits both the size of a
+// value and the rate of changes. Tasks are numbered from the first one of the chunk or cell. A text
 // lists runs of tasks in the same state, and then the bookings by machine.
 //
 // The verbose form, without a version:
--- a/internal/codec/doc.go
+++ b/internal/codec/doc.go
@@ -1,4 +1,4 @@
-// Package codec defines the stored formats: the keys of the key-value store, the records stored
+// Package codec defines the stored formats: the keys in the state service, the records stored
 // under them, and the short texts that hold tasks. Formats of earlier versions stay readable. No
 // format is written that a version which may still run beside this one would misread.
 //
--- a/internal/codec/job_header_test.go
+++ b/internal/codec/job_header_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if far.IsSplit(16) || !far.IsSplit(17) || far.IsSplit(18) || far.IsSplit(99) || len((&JobHeader{}).SplitChunks) != 0 {
-		t.Errorf("wrong bits of split chunks: %b", far.SplitChunks)
+		t.Errorf("WithSplitChunk set the wrong bits: %b", far.SplitChunks)
 	}
 }
 
--- a/internal/codec/keys.go
+++ b/internal/codec/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Keys and key prefixes in the key-value store. The package comment lists the value of each.
+// Keys and key prefixes in the state service. The package comment lists the value of each.
 const (
 	Root               = "b/" // prefix of all keys
 	KeyView            = "b/view"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -102,7 +102,7 @@
 	Learn   *bool `yaml:"learn"`   // whether placement learns from its results; nil: true
 	Metrics bool  `yaml:"metrics"` // serve metrics for Prometheus at GET /metrics
 	// Spare is the number of machines kept ready for a class whose tasks should start in less
-	// time than a machine takes to boot; nil: tuning.Spare.
+	// time than a machine takes to boot; nil: tuning.SpareMachines.
 	Spare *int `yaml:"spare" validate:"omitempty,gte=0,lte=50"`
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	}
 	settings := s.SchedulerSettings(nil, 1)
 	if len(settings.Controllers) != 2 || settings.Teams["t"].Limit.GPU != 8000 || settings.StartWithin["x"] != 20 || len(settings.DeadlineMultiples) != 1 || settings.ValueLimit != 8192 {
-		t.Errorf("scheduler settings %+v", settings)
+		t.Errorf("wrong scheduler settings: %+v", settings)
 	}
 	if settings.FenceAge.Seconds()+settings.WorkerLease.Seconds() >= settings.CancelWithin.Seconds() {
 		t.Errorf("FenceAge %v and WorkerLease %v don't fit into CancelWithin %v", settings.FenceAge, settings.WorkerLease, settings.CancelWithin)
@@ -48,7 +48,7 @@
 	}
 	// cancel_s must be longer than the fence age, the lease and the margins together.
 	if _, err := Parse([]byte(strings.Replace(validSettings, `"cancel_s":56`, `"cancel_s":32`, 1))); err == nil || !strings.Contains(err.Error(), "cancel_s") {
-		t.Errorf("cancel_s too short: error %v", err)
+		t.Errorf("settings with a cancel_s that is too short: error %v", err)
 	}
 }
 
--- a/internal/domain/job.go
+++ b/internal/domain/job.go
@@ -36,7 +36,7 @@
 	DependencyText       string    `json:"aw,omitempty"` // jobs that it depends on, if they are few (codec.JoinJobNames)
 	DependencyListName   string    `json:"at,omitempty"` // tag of the keys that hold a longer list of them
 	DependencyListPieces int       `json:"an,omitempty"` // number of these keys
-	Dependencies         []string  `json:"-"`            // all jobs that it depends on, as submitted or as read from the store
+	Dependencies         []string  `json:"-"`            // all jobs that it depends on, as submitted or as read from the state service
 }
 
 // JobState is the committed state of a job.
--- a/internal/domain/machine.go
+++ b/internal/domain/machine.go
@@ -48,5 +48,5 @@
 	DrainFaulty       = "sick"   // tasks fail on it because of the machine: of several jobs, or many of one job
 	DrainFailed       = "failed" // the cloud reports the status InstanceFailed
 	DrainStuck        = "stuck"  // booting takes too long, or the leader has known of no heartbeat for too long
-	DrainUnresponsive = "deaf"   // sends heartbeats, but ignores the responses
+	DrainUnresponsive = "deaf"   // sends heartbeats, but the answers to them have no effect
 )
--- a/internal/domain/transaction.go
+++ b/internal/domain/transaction.go
@@ -1,6 +1,6 @@
 package domain
 
-// KeyValue is an entry of the key-value store.
+// KeyValue is a key of the state service with its value.
 type KeyValue struct {
 	Key         string
 	Value       []byte // nil: the key was deleted
@@ -35,6 +35,6 @@
 const (
 	Committed CommitResult = iota
 	Conflict               // not executed: a condition did not hold
-	Refused                // not executed: the store rejected the request (status 429, 503 or 400)
+	Refused                // not executed: the state service rejected the request (status 429, 503 or 400)
 	InDoubt                // outcome unknown: it may have been executed, or may be executed later
 )
--- a/internal/httpclient/rate_limiter_test.go
+++ b/internal/httpclient/rate_limiter_test.go
@@ -38,7 +38,7 @@
 			limiter := NewRateLimiter(5, 10)
 			limiter.requestCredit, limiter.changeCredit = x.requestCredit, x.changeCredit
 			if got := limiter.hasCredit(x.lane, x.changes); got != x.want {
-				t.Errorf("may be sent: %v", got)
+				t.Errorf("hasCredit is %v", got)
 			}
 		})
 	}
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -27,13 +27,13 @@
 	var got []scheduler.Event
 	since, err := c.loadSnapshot(func(e scheduler.Event) { got = append(got, e) })
 	if err != nil || since != 5 || len(got) != 1 || len(got[0].(scheduler.SnapshotLoaded).Items) != 2 {
-		t.Fatalf("since %d, %v, %+v", since, err, got)
+		t.Fatalf("snapshot of revision %d, error %v, emitted %+v", since, err, got)
 	}
 	clock := func() time.Duration { return 3 * time.Second }
 	next, stale := c.fetchChanges(since, clock, func(e scheduler.Event) { got = append(got, e) })
 	w := got[1].(scheduler.WatchAdvanced)
 	if next != 8 || stale || w.Sent != clock() || len(w.Items) != 2 || w.Items[0].Key != "b/j" || w.Items[1].Value != nil {
-		t.Errorf("next %d, stale %v, %+v", next, stale, w)
+		t.Errorf("watch: next %d, stale %v, emitted %+v", next, stale, w)
 	}
 	if _, stale := c.fetchChanges(next, clock, func(scheduler.Event) {}); !stale {
 		t.Error("status 410 of a watch did not require a new snapshot")
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -6,8 +6,8 @@
 	"brassglade/internal/domain"
 )
 
-// TestOnlyMachinesOfALeavingControllerChangeOwner also checks that each controller owns about an
-// equal share of the machines.
+// TestOnlyMachinesOfALeavingControllerChangeOwner checks that a machine keeps its owner when
+// another controller leaves, and that each controller owns about an equal share of the machines.
 func TestOnlyMachinesOfALeavingControllerChangeOwner(t *testing.T) {
 	three, two := &domain.View{Serving: []string{"a", "b", "c"}}, &domain.View{Serving: []string{"a", "c"}}
 	count := map[string]int{}
@@ -16,7 +16,7 @@
 		owner := OfMachine(three, nil, machine, "")
 		count[owner]++
 		if after := OfMachine(two, nil, machine, ""); owner != "b" && after != owner {
-			t.Fatalf("%s changed owner from %s to %s", machine, owner, after)
+			t.Fatalf("%s changed owner from %s, which still serves, to %s", machine, owner, after)
 		}
 	}
 	for _, controller := range three.Serving {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -98,7 +98,7 @@
 // TestImbalance checks the thesis' cost: the differences of all ordered pairs, divided by N-1.
 func TestImbalance(t *testing.T) {
 	if got := Imbalance([]float64{1, 4, 6}); got != 2*(3+5+2)/2.0 {
-		t.Errorf("imbalance %g", got)
+		t.Errorf("wrong imbalance %g", got)
 	}
 	if Imbalance([]float64{5}) != 0 || Imbalance([]float64{2, 2, 2}) != 0 {
 		t.Error("balanced loads have an imbalance")
@@ -165,7 +165,7 @@
 		t.Errorf("error %g of a critic with zero weights, want -2", delta)
 	}
 	if reset := c.Step(-2); reset != nil || !slices.Equal(c.Weights(), []float64{tuning.CriticRate * -2, tuning.CriticRate * -2 * 0.5, 0, 0}) {
-		t.Errorf("weights %v, reset %v", c.Weights(), reset)
+		t.Errorf("after an error of -2: weights %v, reset %v", c.Weights(), reset)
 	}
 	value := c.Weights()[0]
 	if got, want := c.TemporalDifference(0, []float64{1, 0, 0, 0}), tuning.Gamma*value-(value+0.5*c.Weights()[1]); math.Abs(got-want) > 1e-12 {
@@ -184,7 +184,7 @@
 	c := Critic{weights: []float64{1, 2, 3, 4}}
 	c.AverageWith([][]float64{{3, 2, 1, 0}, {99}, nil})
 	if !slices.Equal(c.Weights(), []float64{2, 2, 2, 2}) {
-		t.Errorf("weights %v", c.Weights())
+		t.Errorf("wrong weights after averaging: %v", c.Weights())
 	}
 }
 
@@ -203,7 +203,7 @@
 func TestFeatures(t *testing.T) {
 	features, imbalance := Features([]float64{1, 3})
 	if imbalance != 2 || !slices.Equal(features, []float64{1, 2 * tuning.LoadScale, 2 * tuning.LoadScale, 3 * tuning.LoadScale}) {
-		t.Errorf("features %v, imbalance %g", features, imbalance)
+		t.Errorf("wrong features %v or imbalance %g", features, imbalance)
 	}
 	if features, imbalance := Features(nil); imbalance != 0 || !slices.Equal(features, []float64{1, 0, 0, 0}) {
 		t.Errorf("without machines: features %v, imbalance %g", features, imbalance)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -34,7 +34,7 @@
 // Slack returns how much of a team's limit each controller reserves beyond its bookings, so that in a
 // large cluster few commits have to change the team's key. The parameter unreserved is the part of
 // the limit that no controller has reserved; the slack shrinks with it. The slack is 0 if it would be
-// less than tuning.SlackTasks tasks like the requested one.
+// less than tuning.MinSlackTasks tasks like the requested one.
 func Slack(limit, unreserved, request domain.Resources, controllers int) domain.Resources {
 	n := int64(controllers)
 	return domain.Resources{
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -25,7 +25,7 @@
 		{"nothing used", domain.Resources{}, cpus(8), true},
 	} {
 		if got := Within(x.use, x.limit); got != x.want {
-			t.Errorf("%s: %t", x.name, got)
+			t.Errorf("%s: Within is %t", x.name, got)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 		{"all limited, amount over the limit", domain.Resources{CPU: 1, GPU: 1, Memory: 1}, all},
 	} {
 		if got := OnlyLimited(all, x.limit); got != x.want {
-			t.Errorf("%s: %+v", x.name, got)
+			t.Errorf("%s: OnlyLimited returned %+v", x.name, got)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 	}{
 		{"a fraction of an equal share of the limit", cpus(1200), cpus(1200), cpus(1), cpus(1200 / share)},
 		{"half of an equal share of what is unreserved", cpus(1200), cpus(120), cpus(1), cpus(120 / (2 * controllers))},
-		{"exactly SlackTasks tasks", domain.Resources{CPU: least * share}, domain.Resources{CPU: least * share}, cpus(1), domain.Resources{CPU: least}},
-		{"a thousandth less than SlackTasks tasks", domain.Resources{CPU: least*share - 1}, domain.Resources{CPU: least * share}, cpus(1), domain.Resources{}},
+		{"exactly MinSlackTasks tasks", domain.Resources{CPU: least * share}, domain.Resources{CPU: least * share}, cpus(1), domain.Resources{CPU: least}},
+		{"a thousandth less than MinSlackTasks tasks", domain.Resources{CPU: least*share - 1}, domain.Resources{CPU: least * share}, cpus(1), domain.Resources{}},
 		{"limit of a few tasks", cpus(8), cpus(8), cpus(1), domain.Resources{}},
 		{"nothing unreserved", cpus(1200), domain.Resources{}, cpus(1), domain.Resources{}},
 		{"more reserved than the limit", cpus(1200), cpus(-60), domain.Resources{}, domain.Resources{}},
@@ -90,7 +90,7 @@
 		{"no limit", starving, "small", cpus(99), domain.Resources{}, true},
 	} {
 		if got := x.claim.LeavesRoomForStarvingJob(x.job, x.used, x.limit); got != x.want {
-			t.Errorf("%s: %t", x.name, got)
+			t.Errorf("%s: LeavesRoomForStarvingJob is %t", x.name, got)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 			Task{Job: "gang", Request: cpus(1), PlacedByLeader: true}, cpus(4), cpus(8), false},
 	} {
 		if got := x.claim.Allows(x.task, x.used, x.limit); got != x.want {
-			t.Errorf("%s: %t", x.name, got)
+			t.Errorf("%s: Allows is %t", x.name, got)
 		}
 	}
 }
--- a/internal/scheduler/cordons_test.go
+++ b/internal/scheduler/cordons_test.go
@@ -91,6 +91,6 @@
 	}
 	c.cordons.requested["m"] = domain.Cordon{State: domain.CordonDrain, Reason: domain.DrainFailed}
 	if !c.beginCordonRound() {
-		t.Error("the cordon of a failed machine waits")
+		t.Error("the cordon of a failed machine isn't written at once")
 	}
 }
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -17,8 +17,8 @@
 	return h.sortedNames
 }
 
-// addMachine adds a machine. Only addMachine and dropMachine change the set of machines, since
-// they invalidate the cached names.
+// addMachine adds a machine. Only addMachine and dropMachine may change the set of machines: they
+// discard the cached names, which would otherwise be outdated.
 func (h *heartbeats) addMachine(name string) *Machine {
 	m := newMachine(name)
 	h.machines[name], h.sortedNames = m, nil
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -94,8 +94,8 @@
 }
 
 // withIncarnation returns a controller's name with its incarnation in the view.
-func (c *cache) withIncarnation(node string) string {
-	return node + "/" + c.view.Members[node]
+func (c *cache) withIncarnation(controller string) string {
+	return controller + "/" + c.view.Members[controller]
 }
 
 // isRecent reports whether the redirect still counts for an owner, given with its incarnation.
@@ -210,10 +210,10 @@
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
 }
 
-// isPeerFresh reports whether this controller received a message of the given controller
+// isPeerFresh reports whether this controller received a message from the given controller
 // recently.
-func (c *Controller) isPeerFresh(node string) bool {
-	peer := c.peers.byName[node]
+func (c *Controller) isPeerFresh(controller string) bool {
+	peer := c.peers.byName[controller]
 	return peer != nil && c.now-peer.receivedAt <= tuning.PeerFresh
 }
 
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -365,9 +365,9 @@
 	return best, found
 }
 
-// mayRent reports whether a kind of machine may be rented for a job now. For preemptible work
-// that allows spot machines only spot machines are rented; on ordinary machines it uses the room
-// that other work leaves.
+// mayRent reports whether a kind of machine may be rented for a job now. If preemptible work may
+// run on spot machines, no other machines are rented for it: on those it uses only the room that
+// other work leaves.
 func (s *scaling) mayRent(spec *domain.JobSpec, kind machineKind, now time.Duration) bool {
 	if spec.Zone != "" && kind.zone != spec.Zone || now < s.rentalPauses[kind].until {
 		return false
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -145,7 +145,7 @@
 // return.
 type machineState struct {
 	domain.Instance
-	isReporting bool             // a controller has received its heartbeat lately
+	isReporting bool             // a controller has received its heartbeat recently
 	cordon      domain.Cordon    // committed cordon; zero: none
 	free        domain.Resources // committed free resources
 	tasks       int              // number of booked tasks
@@ -270,7 +270,7 @@
 // silenceContext holds other possible causes of a machine's silence, to determine whether the
 // machine itself is at fault.
 type silenceContext struct {
-	peersFresh bool            // all controllers exchange messages
+	peersFresh bool            // all serving controllers sent a message recently, so that the machine's owner would have named it
 	leaving    map[string]bool // machines that the cloud takes back soon
 	cutOff     map[string]bool // zones that are cut off
 }
@@ -325,8 +325,8 @@
 }
 
 // isSilent reports whether a running machine without tasks is silent for no known other cause: no
-// controller receives its heartbeats although all controllers exchange messages, the cloud isn't
-// taking it back, and its zone isn't cut off.
+// controller receives its heartbeats although all serving controllers sent a message recently, the
+// cloud isn't taking it back, and its zone isn't cut off.
 func (r *silenceContext) isSilent(m *machineState) bool {
 	return r.peersFresh && m.Status == domain.InstanceRunning && !m.isReporting && m.tasks == 0 && !r.leaving[m.Name] && !r.cutOff[m.Zone]
 }
@@ -372,7 +372,7 @@
 	case c.scaling.reserved[m.Name]:
 		return tuning.ReservedIdleTimeout
 	case c.scaling.resting[m.Name] && c.isLargeFleet():
-		return tuning.RestingIdleTimeout // exceeds the headroom, which grows with the fleet
+		return tuning.RestingIdleTimeout // not needed: the headroom without it grows with the fleet
 	case m.Spot:
 		return tuning.SpotIdleTimeout
 	}
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -85,7 +85,7 @@
 	// and attempts. BookedBytes is the usual size.
 	TaskBytes   = 28
 	BookedBytes = 9
-	// TaskBytesShort and BookedBytesShort apply to the shorter format: the size that a booking
+	// TaskBytesShort and BookedBytesShort apply to the compact form: the size that a booking
 	// is planned to add, and the usual size.
 	TaskBytesShort   = 10
 	BookedBytesShort = 6
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -54,8 +54,8 @@
 	// deployments: each change of the view fails all commits under way.
 	OverridePause = 3 * time.Second
 	// MaxOverrideChanges is the number of changes of a machine's override within
-	// OverrideChangeWindow after which the override is left alone: then the machine itself
-	// can't be reached, and its owners are not at fault.
+	// OverrideChangeWindow after which the override isn't changed again for now: the machine
+	// itself can't be reached then, and its owners are not at fault.
 	MaxOverrideChanges   = 2
 	OverrideChangeWindow = 60 * time.Second
 	// RedirectCount is the weight of a worker's redirects to the same owner within
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -74,8 +74,8 @@
 	IdleTimeout = 20 * time.Second
 	// SpotIdleTimeout is the same for spot machines, which cost a fraction of the price.
 	SpotIdleTimeout = 60 * time.Second
-	// RestingIdleTimeout is the same for resting machines of large deployments: these exceed
-	// the headroom, which grows with the deployment.
+	// RestingIdleTimeout is the same for resting machines of large deployments. It is short,
+	// since the headroom is kept free without these machines and grows with the deployment.
 	RestingIdleTimeout = 8 * time.Second
 	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of
 	// it and therefore can't share another.
@@ -83,8 +83,9 @@
 	// BootTimeoutFactor is the multiple of a machine type's boot time after which a machine
 	// that is still booting is given up.
 	BootTimeoutFactor = 3.0
-	// NoHeartbeatTimeout is how long a running machine may send no heartbeat to any controller,
-	// while all controllers exchange messages, before it is returned.
+	// NoHeartbeatTimeout is how long a running machine may send no heartbeat to any controller
+	// before it is returned. The time counts only while the leader receives messages of all
+	// serving controllers.
 	NoHeartbeatTimeout = 45 * time.Second
 	// ZoneOutageTimeout is how long most of a zone's machines may send no heartbeat before
 	// these machines are nevertheless judged one by one.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -11,8 +11,8 @@
 	// ReplyEffectDelay is the shortest time after a reply at which a heartbeat is expected to
 	// show its effect: a worker's heartbeats are at least half a second apart.
 	ReplyEffectDelay = 400 * time.Millisecond
-	// MaxLostReplies is the number of consecutive heartbeats without an effect of the replies
-	// before them from which a machine counts as unreachable for replies.
+	// MaxLostReplies is the number of consecutive heartbeats that show no effect of the replies
+	// before them after which replies are taken not to reach the machine.
 	MaxLostReplies = 2
 	// StopRepeat is the pause between stops that are sent directly to one machine.
 	StopRepeat = 2 * time.Second
