--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -17,7 +17,7 @@
 	r := rand.New(rand.NewPCG(5, 6))
 	for round := 0; round < 40; round++ {
 		c := actingController()
-		n := (c.cfg.ValueLimit - tuning.PackSlack) / tuning.ChunkBytes
+		n := (c.cfg.ValueLimit - tuning.PackSlack) / tuning.ChunkTaskBytes
 		id := jobName(1)
 		c.apply(domain.KeyValue{Key: codec.KeyJob(id), Value: codec.Encode(codec.JobHeader{State: domain.StateOpen, TaskCount: n, ChunkSize: n, Shard: "c-0", AcceptOrder: 3,
 			Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, TaskCount: n}}), ModRevision: 3})
--- a/internal/scheduler/draft_tasks.go
+++ b/internal/scheduler/draft_tasks.go
@@ -82,7 +82,7 @@
 // is not in use yet.
 func (c *Controller) bookingBytes() int {
 	if c.cache.isFormatOn() && !c.planner.assumeMaxBookingBytes {
-		return tuning.TaskBytesShort
+		return tuning.CompactTaskBytes
 	}
 	return tuning.TaskBytes
 }
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -105,9 +105,9 @@
 
 // unreachableResult is what the redirects show about unreachable owners.
 type unreachableResult struct {
-	owners    map[string]bool // owners that many machines can't reach
-	machines  map[string]bool // machines that this controller should own instead
-	otherZone []string        // machines of this zone that can't reach owners in other zones
+	owners      map[string]bool // owners that many machines can't reach
+	machines    map[string]bool // machines that this controller should own instead
+	acrossZones []string        // machines of this zone that can't reach owners in other zones
 }
 
 // cutOffMachine is a machine that can't reach its owner.
@@ -133,7 +133,7 @@
 			result.owners[owner] = true
 		case acrossZones && !c.isPeerFresh(owner):
 			for _, machine := range machines {
-				result.otherZone = append(result.otherZone, machine.name)
+				result.acrossZones = append(result.acrossZones, machine.name)
 			}
 		default:
 			for _, machine := range machines {
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -253,7 +253,7 @@
 	}
 	// The tasks of a gang are booked together, so its chunks need room for all of them booked. In
 	// other jobs, bookings wait while their chunk is full (draft.room).
-	size := tuning.ChunkBytes
+	size := tuning.ChunkTaskBytes
 	if spec.Shape == domain.Gang {
 		size = tuning.TaskBytes
 	}
@@ -273,7 +273,7 @@
 func (c *Controller) packFor(spec *domain.JobSpec, shard string) (string, bool) {
 	each := tuning.BookedBytes
 	if c.cache.isFormatOn() {
-		each = tuning.BookedBytesShort
+		each = tuning.CompactBookedBytes
 	}
 	cost := func(tasks int) int { return tuning.TaskBytes + tasks*each }
 	most := c.cfg.ValueLimit * tuning.PackPercent / 100
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -191,7 +191,7 @@
 // needed while zones are cut off from each other: overrides have room for only some of the
 // machines that can't reach their owners, and each override would be a change of the view.
 func (c *Controller) chooseZoned(proposal *viewProposal, lost *unreachableResult) {
-	proposal.next.OwnedByZone = proposal.present.OwnedByZone && !c.zonesReconnected() || len(lost.otherZone) >= tuning.MinMachinesCutOff
+	proposal.next.OwnedByZone = proposal.present.OwnedByZone && !c.zonesReconnected() || len(lost.acrossZones) >= tuning.MinMachinesCutOff
 	if proposal.next.OwnedByZone != proposal.present.OwnedByZone {
 		proposal.changed = true
 	}
@@ -199,7 +199,7 @@
 		clear(lost.machines)
 		return
 	}
-	for _, machine := range lost.otherZone {
+	for _, machine := range lost.acrossZones {
 		lost.machines[machine] = true
 	}
 }
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -85,13 +85,13 @@
 	// and attempts. BookedBytes is the usual size.
 	TaskBytes   = 28
 	BookedBytes = 9
-	// TaskBytesShort and BookedBytesShort apply to the compact form: the size that a booking
+	// CompactTaskBytes and CompactBookedBytes apply to the compact form: the size that a booking
 	// is planned to add, and the usual size.
-	TaskBytesShort   = 10
-	BookedBytesShort = 6
-	// ChunkBytes is the planned size of one task of a job that has chunks of its own: most
+	CompactTaskBytes   = 10
+	CompactBookedBytes = 6
+	// ChunkTaskBytes is the planned size of one task of a job that has chunks of its own: most
 	// tasks share a machine with others. Bookings wait while a chunk is full.
-	ChunkBytes = 16
+	ChunkTaskBytes = 16
 	// ReleaseBytes is the most by which a release lengthens a chunk, since it splits a run of
 	// equal tasks.
 	ReleaseBytes = 12
