--- a/internal/domain/machine.go
+++ b/internal/domain/machine.go
@@ -47,6 +47,6 @@
 	DrainLost         = "lost"   // its owner has received no heartbeat for a long time
 	DrainFaulty       = "sick"   // tasks fail on it because of the machine: of several jobs, or many of one job
 	DrainFailed       = "failed" // the cloud reports the status InstanceFailed
-	DrainStuck        = "stuck"  // booting takes too long, or the leader has known of no heartbeat for too long
+	DrainStuck        = "stuck"  // boots for too long, or runs but no controller has received its heartbeat for too long
 	DrainUnresponsive = "deaf"   // sends heartbeats, but the answers to them have no effect
 )
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -10,7 +10,7 @@
 
 // TestSnapshotAndWatch checks that a snapshot reads all pages and returns the revision of the
 // first, so that a watch from there also reports what changed while later pages were read.
-// Status 410 of a watch requires a new snapshot.
+// Changes are emitted by revision, and status 410 of a watch requires a new snapshot.
 func TestSnapshotAndWatch(t *testing.T) {
 	c := newTestClient(t, func(_, p, _ string) (int, string) {
 		switch {
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -200,8 +200,8 @@
 		!slices.ContainsFunc(machines, func(machine cutOffMachine) bool { return machine.zone != ownZone })
 }
 
-// isUnreachableForMany reports whether count machines, of those from which the owner last
-// reported heartbeats, are so many that an owner that they can't reach should not serve.
+// isUnreachableForMany reports whether the owner should not serve because count machines can't
+// reach it: it compares count with the number of machines in the owner's last message.
 func (p *peers) isUnreachableForMany(owner string, count int) bool {
 	owned := 0
 	if peer := p.byName[owner]; peer != nil {
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -393,7 +393,7 @@
 	scaling := &c.scaling
 	rental, ok := scaling.rentals[answer.RentalID]
 	if !ok {
-		return // from an earlier term as leader; the list will show its machines
+		return // requested in an earlier term as leader; the cloud's list will show its machines
 	}
 	if !answer.OK && !answer.NoCapacity {
 		// The outcome is unknown, or the request was refused for the moment: it is sent again
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -372,7 +372,7 @@
 	case c.scaling.reserved[m.Name]:
 		return tuning.ReservedIdleTimeout
 	case c.scaling.resting[m.Name] && c.isLargeFleet():
-		return tuning.RestingIdleTimeout // not needed: the headroom without it grows with the fleet
+		return tuning.RestingIdleTimeout // the other machines have the headroom, which grows with the fleet
 	case m.Spot:
 		return tuning.SpotIdleTimeout
 	}
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -101,7 +101,7 @@
 
 // Precedence of jobs that wait for long.
 const (
-	// StarvationAge is the age from which a job none of whose tasks has started takes
+	// StarvationAge is the age from which a job without a booked or done task takes
 	// precedence: even the largest jobs must start within four minutes.
 	StarvationAge = 150 * time.Second
 	// GangStarvationAge is the age from which a gang of several tasks keeps later jobs from
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -75,7 +75,7 @@
 	// SpotIdleTimeout is the same for spot machines, which cost a fraction of the price.
 	SpotIdleTimeout = 60 * time.Second
 	// RestingIdleTimeout is the same for resting machines of large deployments. It is short,
-	// since the headroom is kept free without these machines and grows with the deployment.
+	// since the other machines have the headroom, which grows with the deployment.
 	RestingIdleTimeout = 8 * time.Second
 	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of
 	// it and therefore can't share another.
