--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -376,11 +376,11 @@
 		}
 		return
 	}
-	if m.lastHeartbeatAt < 0 || c.now-m.lastHeartbeatAt > review.limit {
+	if m.ownedReportAt < 0 || c.now-m.ownedReportAt > review.limit {
 		return
 	}
 	review.responding++
-	if c.now-m.lastHeartbeatAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
+	if c.now-m.ownedReportAt <= c.cfg.HeartbeatInterval+c.cfg.HeartbeatInterval/4 {
 		zone.onTime++
 	}
 	c.sendDirectStops(m)
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -17,16 +17,16 @@
 
 	// The machine's newest report: a heartbeat or a direct answer.
 
-	hasReported     bool                                // this controller has received a report
-	agentEpoch      uint64                              // lease of the agent to which the report belongs
-	sequence        uint64                              // number of the report within its agent epoch
-	fencingToken    uint64                              // highest epoch of a view under which the agent was answered
-	reported        map[domain.TaskID]domain.TaskReport // every task in the report
-	byHeartbeat     bool                                // the report was a heartbeat, not a direct answer
-	lastReportAt    time.Duration                       // when the report arrived, or the end of a grace period
-	lastHeartbeatAt time.Duration                       // as lastReportAt, but < 0 until a report arrives in this ownership
-	epochSeenAt     time.Duration                       // when agentEpoch was first seen here
-	preemptionAt    time.Duration                       // when the cloud takes the machine back; < 0: no notice
+	hasReported   bool                                // this controller has received a report
+	agentEpoch    uint64                              // lease of the agent to which the report belongs
+	sequence      uint64                              // number of the report within its agent epoch
+	fencingToken  uint64                              // highest epoch of a view under which the agent was answered
+	reported      map[domain.TaskID]domain.TaskReport // every task in the report
+	byHeartbeat   bool                                // the report was a heartbeat, not a direct answer
+	lastReportAt  time.Duration                       // when the report arrived, or the end of a grace period
+	ownedReportAt time.Duration                       // as lastReportAt, but < 0 until a report arrives in this ownership
+	epochSeenAt   time.Duration                       // when agentEpoch was first seen here
+	preemptionAt  time.Duration                       // when the cloud takes the machine back; < 0: no notice
 
 	// abandonedEpoch is the highest abandoned agent epoch; all epochs up to it are abandoned too.
 	// Their tasks may run elsewhere, so that these epochs are never answered again.
@@ -62,7 +62,7 @@
 // newMachine returns a machine without any report.
 func newMachine(name string) *Machine {
 	return &Machine{
-		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, lastHeartbeatAt: -1,
+		Name: name, reported: map[domain.TaskID]domain.TaskReport{}, preemptionAt: -1, answeredAt: -1, ownedReportAt: -1,
 		startsSent: map[attemptID]uint64{}, failures: map[string]failureCount{}, images: map[string]time.Duration{},
 		runningSince: map[attemptID]time.Duration{},
 	}
@@ -116,7 +116,7 @@
 		m.epochSeenAt = now
 	}
 	m.hasReported, m.agentEpoch, m.sequence, m.fencingToken = true, heartbeat.AgentEpoch, heartbeat.Sequence, heartbeat.FencingToken
-	m.lastReportAt, m.lastHeartbeatAt, m.byHeartbeat = now, now, isHeartbeat
+	m.lastReportAt, m.ownedReportAt, m.byHeartbeat = now, now, isHeartbeat
 }
 
 // forgetEnded removes the attempts from runningSince that the newest report no longer contains.
--- a/internal/scheduler/ownership.go
+++ b/internal/scheduler/ownership.go
@@ -112,7 +112,7 @@
 	}
 	m.ownedEpoch, m.ownedSince, m.answeredAt = c.cache.view.Epoch, c.now, -1
 	m.lastReportAt = c.now + tuning.TakeoverSilence
-	m.lostReplies, m.sentToken, m.lastHeartbeatAt = 0, 0, -1
+	m.lostReplies, m.sentToken, m.ownedReportAt = 0, 0, -1
 	m.abandonedEpoch = 0 // may be outdated, since another owner has acted meanwhile
 	clear(m.startsSent)
 }
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -56,7 +56,7 @@
 		}
 		for name, m := range c.heartbeats.machines { // every 5 s, at a different time for each machine
 			if at := time.Duration(ownership.Hash(name)%10) * 500 * time.Millisecond; heard(name) && c.owns(name) && c.now%(5*time.Second) == at {
-				m.lastReportAt, m.lastHeartbeatAt = c.now, c.now
+				m.lastReportAt, m.ownedReportAt = c.now, c.now
 			}
 		}
 		c.reviewMachines()
