--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -32,7 +32,7 @@
 	// free before a new machine has booted and fetched its image.
 	TurnoverCredit = 0.3
 	// SpareMachines is how many machines are kept ready for a class whose tasks should start
-	// sooner than a machine boots. The settings file can override it.
+	// sooner than a machine boots. The operators' settings file can override it.
 	SpareMachines = 1
 	// SpareStartFactor is the multiple of the time for boot and fetch below which the intended
 	// start time of a class's tasks must lie for machines to be kept ready for the class.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -84,7 +84,8 @@
 	// which nothing can be saved.
 	PreemptionSaveSlackSeconds = 4
 	// SmallTaskDivisor is the divisor of a machine's resources that gives the size up to which a
-	// task is small. The next small task may arrive at any moment.
+	// task is small. The reply to a machine with room for a small task is held, since such a task
+	// may be submitted at any moment.
 	SmallTaskDivisor = 8
 	// ForgetMachineAfter is how long a machine that is gone or belongs to another controller
 	// is remembered.
