--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -107,7 +107,7 @@
 // the error of the request itself.
 func bodyOrError(response httpclient.Response, err error) ([]byte, error) {
 	if err != nil {
-		return nil, fmt.Errorf("state service: %w", err)
+		return nil, fmt.Errorf("request to the state service: %w", err)
 	}
 	return response.Body, statusError(response.Status)
 }
--- a/internal/policy/actor.go
+++ b/internal/policy/actor.go
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// Probabilities returns softmax(W x + B - cost), where x are the loads, W the weights and B the biases.
-// The caller has already left out the choices that can't be taken.
+// Probabilities returns the probability of each choice: softmax(W x + B - cost), where x are the loads,
+// W the weights and B the biases. The caller has already left out the choices that can't be taken.
 func (a *Actor) Probabilities(choices []Choice) []float64 {
 	logits := make([]float64, len(choices))
 	largest := math.Inf(-1)
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -39,7 +39,7 @@
 	}
 	pages := paginateMachineTypes(types, c.cfg.ValueLimit)
 	if len(pages) > c.cfg.TransactionLimit {
-		c.error("machine types exceed the pages of one transaction", "pages", len(pages))
+		c.error("machine types need more pages than one transaction can write", "pages", len(pages))
 		pages = pages[:c.cfg.TransactionLimit]
 	}
 	pages[0].More = len(pages) - 1
