--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -94,8 +94,8 @@
 }
 
 // withIncarnation returns a controller's name with its incarnation in the view.
-func (c *cache) withIncarnation(node string) string {
-	return node + "/" + c.view.Members[node]
+func (c *cache) withIncarnation(controller string) string {
+	return controller + "/" + c.view.Members[controller]
 }
 
 // isRecent reports whether the redirect still counts for an owner, given with its incarnation.
@@ -105,9 +105,9 @@
 
 // unreachableResult is what the redirects show about unreachable owners.
 type unreachableResult struct {
-	owners    map[string]bool // owners that many machines can't reach
-	machines  map[string]bool // machines that this controller should own instead
-	otherZone []string        // machines of this zone that can't reach owners in other zones
+	owners      map[string]bool // owners that many machines can't reach
+	machines    map[string]bool // machines that this controller should own instead
+	acrossZones []string        // machines of this zone that can't reach owners in other zones
 }
 
 // cutOffMachine is a machine that can't reach its owner.
@@ -133,7 +133,7 @@
 			result.owners[owner] = true
 		case acrossZones && !c.isPeerFresh(owner):
 			for _, machine := range machines {
-				result.otherZone = append(result.otherZone, machine.name)
+				result.acrossZones = append(result.acrossZones, machine.name)
 			}
 		default:
 			for _, machine := range machines {
@@ -200,8 +200,8 @@
 		!slices.ContainsFunc(machines, func(machine cutOffMachine) bool { return machine.zone != ownZone })
 }
 
-// isUnreachableForMany reports whether count machines, of those from which the owner last
-// reported heartbeats, are so many that an owner that they can't reach should not serve.
+// isUnreachableForMany reports whether the owner should not serve because count machines can't
+// reach it: it compares count with the number of machines in the owner's last message.
 func (p *peers) isUnreachableForMany(owner string, count int) bool {
 	owned := 0
 	if peer := p.byName[owner]; peer != nil {
@@ -210,10 +210,10 @@
 	return count >= tuning.UnreachableMachines && 100*count > tuning.UnreachablePercent*owned
 }
 
-// isPeerFresh reports whether this controller received a message of the given controller
+// isPeerFresh reports whether this controller received a message from the given controller
 // recently.
-func (c *Controller) isPeerFresh(node string) bool {
-	peer := c.peers.byName[node]
+func (c *Controller) isPeerFresh(controller string) bool {
+	peer := c.peers.byName[controller]
 	return peer != nil && c.now-peer.receivedAt <= tuning.PeerFresh
 }
 
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -11,8 +11,8 @@
 	// ReplyEffectDelay is the shortest time after a reply at which a heartbeat is expected to
 	// show its effect: a worker's heartbeats are at least half a second apart.
 	ReplyEffectDelay = 400 * time.Millisecond
-	// MaxLostReplies is the number of consecutive heartbeats without an effect of the replies
-	// before them from which a machine counts as unreachable for replies.
+	// MaxLostReplies is the number of consecutive heartbeats that show no effect of the replies
+	// before them after which replies are taken not to reach the machine.
 	MaxLostReplies = 2
 	// StopRepeat is the pause between stops that are sent directly to one machine.
 	StopRepeat = 2 * time.Second
@@ -84,7 +84,8 @@
 	// which nothing can be saved.
 	PreemptionSaveSlackSeconds = 4
 	// SmallTaskDivisor is the divisor of a machine's resources that gives the size up to which a
-	// task is small. The next small task may arrive at any moment.
+	// task is small. The reply to a machine with room for a small task is held, since such a task
+	// may be submitted at any moment.
 	SmallTaskDivisor = 8
 	// ForgetMachineAfter is how long a machine that is gone or belongs to another controller
 	// is remembered.
