--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -28,7 +28,7 @@
 
 // Backend passes requests to the scheduler's event loop.
 type Backend interface {
-	// Request queues a request for the event loop, which assigns the request's number and
+	// Request queues a request for the event loop, which assigns the request's ID and
 	// creates the event with newEvent, and waits for the scheduler's reply. ok is false if
 	// the queue is full or no reply came in time.
 	Request(fromWorker bool, newEvent func(requestID uint64) scheduler.Event) (reply scheduler.Effect, ok bool)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -61,10 +61,10 @@
 			w := httptest.NewRecorder()
 			New(&fakeBackend{reply: x.reply}, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(x.method, x.path, strings.NewReader(x.body)))
 			if w.Code != x.code || w.Body.String() != x.want || w.Header().Get("Retry-After") != x.retry {
-				t.Errorf("%d %s, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
+				t.Errorf("got status %d, body %s, Retry-After %q", w.Code, w.Body, w.Header().Get("Retry-After"))
 			}
 			if contentType := w.Header().Get("Content-Type"); contentType != "application/json" {
-				t.Errorf("Content-Type %q", contentType)
+				t.Errorf("Content-Type %q, want application/json", contentType)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 	w := httptest.NewRecorder()
 	New(f, 0, nil).Handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/jobs", strings.NewReader(`{"NameId":"job-000412"}`)))
 	if e, ok := f.event.(scheduler.JobSubmitted); !ok || e.ID != "job-000412" || e.Spec != nil || w.Code != 200 {
-		t.Errorf("event %+v, status %d", f.event, w.Code)
+		t.Errorf("event %+v, status %d; want a submission with the ID and no spec, status 200", f.event, w.Code)
 	}
 }
 
@@ -97,25 +97,25 @@
 		s.ConnState(nil, http.StateNew)
 		w := do(http.MethodGet, "/v1/jobs/job-000412", "")
 		if code := map[bool]int{true: 503, false: 200}[open > 92]; w.Code != code {
-			t.Fatalf("%d connections: status %d", open, w.Code)
+			t.Fatalf("%d connections: query got status %d", open, w.Code)
 		}
 		if w.Code == 503 && w.Header().Get("Retry-After") == "" {
-			t.Error("no Retry-After")
+			t.Error("status 503 without Retry-After")
 		}
 		if closed := w.Header().Get("Connection") == "close"; closed != (open > 70) {
-			t.Fatalf("%d connections: connection closed %v", open, closed)
+			t.Fatalf("%d connections: response asks to close the connection: %v", open, closed)
 		}
 	}
 	f.reply = scheduler.HeartbeatReply{Status: 200, FencingToken: 7}
 	if w := do(http.MethodPost, "/checkin", `{"Bracket":"n-1","Shift":1}`); w.Code != 200 {
-		t.Errorf("worker: status %d", w.Code)
+		t.Errorf("heartbeat with few sockets left: status %d, want 200", w.Code)
 	}
 	for i := 0; i < 40; i++ {
 		s.ConnState(nil, http.StateClosed)
 	}
 	f.reply = scheduler.UserReply{Status: 200, ID: "job-000412", State: "running"}
 	if w := do(http.MethodGet, "/v1/jobs/job-000412", ""); w.Code != 200 {
-		t.Errorf("after 40 connections closed: status %d", w.Code)
+		t.Errorf("query after 40 connections closed: status %d, want 200", w.Code)
 	}
 }
 
--- a/internal/api/worker_test.go
+++ b/internal/api/worker_test.go
@@ -18,7 +18,7 @@
 	for _, b := range []string{"", "{}", `{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job","Try":1,"Status":"running"}]}`,
 		`{"Bracket":"n","Shift":1,"Pieces":[{"Piece":"job-1/0","Try":1,"Status":"dancing"}]}`} {
 		if _, err := ParseHeartbeat([]byte(b)); !errors.Is(err, errMalformedHeartbeat) {
-			t.Errorf("%q: error %v", b, err)
+			t.Errorf("%q: error %v, want errMalformedHeartbeat", b, err)
 		}
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// runAsync runs a function on a new goroutine and puts the event that it returns into the loop.
+// runAsync runs a function on a new goroutine and adds the event that it returns to the loop's
+// queue.
 func (n *Node) runAsync(do func() scheduler.Event) {
 	go func() { n.enqueueEvent(do()) }()
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// handleRequest assigns a number to a request and passes its event to the scheduler.
+// handleRequest assigns an ID to a request and passes its event to the scheduler.
 func (n *Node) handleRequest(r request) {
 	n.lastRequestID++
 	n.pendingReplies[n.lastRequestID] = r.reply
@@ -90,7 +90,7 @@
 		n.metrics.ObserveEvent(event)
 		defer func() { n.metrics.SetStatus(n.controller.Status()) }()
 	}
-	var frame []byte // the message to all peers, which is encoded once; nil: not yet encoded
+	var frame []byte // the step's message to all peers, encoded once for all of them; nil: not encoded yet
 	for _, effect := range n.controller.Step(n.now(), event) {
 		if n.metrics != nil {
 			n.metrics.ObserveEffect(effect)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -13,7 +13,7 @@
 	n := &Node{userRequests: make(chan request), workerRequests: make(chan request, 1), pendingReplies: map[uint64]chan scheduler.Effect{}}
 	newEvent := func(requestID uint64) scheduler.Event { return scheduler.JobQueried{RequestID: requestID} }
 	if reply, ok := n.Request(false, newEvent); ok || reply != nil {
-		t.Errorf("reply %v, ok %v from a full queue", reply, ok)
+		t.Errorf("reply %v, ok %v from a full queue; want none", reply, ok)
 	}
 	go func() {
 		r := <-n.workerRequests
@@ -23,6 +23,6 @@
 	}()
 	reply, ok := n.Request(true, newEvent)
 	if heartbeatReply, isHeartbeatReply := reply.(scheduler.HeartbeatReply); !ok || !isHeartbeatReply || heartbeatReply.Status != 200 {
-		t.Errorf("reply %+v, ok %v", reply, ok)
+		t.Errorf("reply %+v, ok %v; want the reply with status 200", reply, ok)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,8 +46,8 @@
 	workerRequests chan request
 	done           <-chan struct{} // closed to end the loop
 
-	// The state of the loop, used by its goroutine only: the requests that wait for a reply,
-	// by request number.
+	// The state of the loop, used by its goroutine only: the channels of the requests that wait
+	// for a reply, by request ID.
 	pendingReplies map[uint64]chan scheduler.Effect
 	lastRequestID  uint64
 
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -2,8 +2,8 @@
 
 import "brassglade/internal/scheduler"
 
-// isBroadcast reports whether a step sends the same message to all peers. Only messages with a
-// steal request are meant for one peer.
+// isBroadcast reports whether a message goes to all peers alike. Only a message with a steal
+// request is meant for one peer.
 func isBroadcast(e scheduler.SendPeerMessage) bool { return e.Message.Steal == nil }
 
 // sendFrame queues a frame for a peer. It does nothing if the settings don't name that peer.
@@ -13,7 +13,8 @@
 	}
 }
 
-// receivePeerMessage puts a peer's message into the loop.
+// receivePeerMessage adds a peer's message to the loop's queue of events. It waits while the queue
+// is full.
 func (n *Node) receivePeerMessage(from string, m scheduler.PeerMessage) {
 	n.enqueueEvent(scheduler.PeerMessageReceived{From: from, Message: m})
 }
--- a/internal/node/workers_test.go
+++ b/internal/node/workers_test.go
@@ -43,7 +43,7 @@
 				Commands: []domain.Command{{Kind: domain.StopTask, Task: domain.TaskID{Job: "job-000412", Index: 4}, Attempt: 2, GraceSeconds: 1.5}},
 			})
 			if got.Machine != "n-1" || got.OK != x.ok || (got.Heartbeat != nil) != x.heartbeat {
-				t.Errorf("got %+v", got)
+				t.Errorf("result %+v", got)
 			}
 			if x.heartbeat && got.Heartbeat.Sequence != 9 {
 				t.Errorf("heartbeat %+v", got.Heartbeat)
@@ -67,7 +67,7 @@
 	for i := range 3 * tuning.MaxWorkerClients {
 		w.client(strings.Repeat("x", i+1))
 		if len(w.byAddress) > tuning.MaxWorkerClients+1 {
-			t.Fatalf("%d clients", len(w.byAddress))
+			t.Fatalf("%d clients are kept, want at most one more than tuning.MaxWorkerClients", len(w.byAddress))
 		}
 	}
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -140,7 +140,7 @@
 // decoder reads the parts of one message.
 type decoder struct {
 	frameBytes int
-	strings    map[string]string // types, zones and images, which are the same for hundreds of machines
+	strings    map[string]string // interned types, zones and images, which are the same for hundreds of machines
 }
 
 // capacity limits a vector's announced length to what the frame can hold, so that damaged bytes
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -43,7 +43,7 @@
 	go func() {
 		ended <- Serve(ln, func(from string, m scheduler.PeerMessage) {
 			if from != "c-1" {
-				t.Errorf("from %q", from)
+				t.Errorf("message from %q, want c-1", from)
 			}
 			epochs <- m.Epoch
 		})
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	if err := receive(t, ended); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("Serve ended with %v", err)
+		t.Errorf("Serve ended with %v, want net.ErrClosed", err)
 	}
 }
 
@@ -80,14 +80,14 @@
 	}
 	var ack [2]byte
 	if n, err := c.Read(ack[:]); err != nil || n != 1 || ack[0] != 1 {
-		t.Errorf("acknowledgement % x, error %v", ack[:n], err)
+		t.Errorf("acknowledgement % x, error %v; want the byte 01", ack[:n], err)
 	}
 	// The length of a frame that is too long ends the connection.
 	if _, err := c.Write(binary.LittleEndian.AppendUint32(nil, maxFrameBytes+1)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := c.Read(ack[:]); n != 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("after a frame that is too long: read %d bytes, error %v", n, err)
+		t.Errorf("after a frame that is too long: read %d bytes, error %v; want the connection closed", n, err)
 	}
 }
 
@@ -98,6 +98,6 @@
 	l.Send([]byte{1})
 	l.Send([]byte{2})
 	if got := receive(t, l.frames); got[0] != 1 || len(l.frames) != 0 {
-		t.Errorf("first frame %v, %d more queued", got, len(l.frames))
+		t.Errorf("first frame %v, %d more queued; want frame 1 and no more", got, len(l.frames))
 	}
 }
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -25,11 +25,11 @@
 func TestLargestMessageFitsFrame(t *testing.T) {
 	p := Encode("bracket-1", newLoadMessage(2000))
 	if len(p) > maxFrameBytes/2 {
-		t.Errorf("a message of 2,000 machines takes %d bytes", len(p))
+		t.Errorf("a message of 2,000 machines takes %d bytes, want at most half of the largest frame", len(p))
 	}
 	_, m, err := Decode(p)
 	if err != nil || len(m.Machines) != 2000 || len(m.Machines[1999].Images) != 6 {
-		t.Errorf("%d machines, %v", len(m.Machines), err)
+		t.Errorf("decoded %d machines, error %v; want 2,000 with six images each", len(m.Machines), err)
 	}
 }
 
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestCheckerReportsMissingGuards disables one guard of the scheduler at a time. With one of the
-// seeds 1 to 20 the checker must then report that the rule which the guard protects is broken.
+// seeds 1 to 20 the checker must then report a violation of the rule that the guard protects.
 func TestCheckerReportsMissingGuards(t *testing.T) {
 	withPipelines := func(guard string) func(uint64) string {
 		return func(seed uint64) string { return pipelineScenario(seed, guard) }
@@ -32,8 +32,8 @@
 				"at 2 submit job-000002 array 12 red run=12\nat 30 cloud down for=150\n"+
 				"at 31 cut c-%d state hold for=90\nuntil 300\n", seed, seed%3)
 		}},
-		// No question of a user can be answered during the outage. "blind" makes the checker report
-		// this although there is a fault.
+		// No query of a user can be answered during the outage. "blind" makes the checker report this
+		// although there is a fault.
 		{"", ruleForgotten, func(uint64) string {
 			return "blind\nat 2 submit job-000001 array 2 blue run=200\nat 20 state down for=100\nuntil 150\n"
 		}},
@@ -56,7 +56,7 @@
 		}
 	}
 	if slices.ContainsFunc(c.Violations, func(s string) bool { return strings.Contains(s, "job-000002") || strings.Contains(s, "team red") }) {
-		t.Errorf("%v", c.Violations)
+		t.Errorf("violations by the gang or its team: %v", c.Violations)
 	}
 }
 
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -12,8 +12,8 @@
 	name  string
 	play  func(*rand.Rand) string
 	want  []string // occurrences without which the faults did not overlap
-	guard string   // a rule must break when this guard is disabled; empty: none is disabled
-	rule  string   // the rule that breaks without the guard
+	guard string   // guard to disable in further runs, where rule must be violated; empty: none
+	rule  string   // the rule that the guard protects
 }
 
 // refusalThenOutage returns script lines in which the state service refuses one controller while
@@ -365,9 +365,9 @@
 	return fmt.Sprintf("seed %d\n", seed) + dropGuardLine(drop) + m.play(rand.New(rand.NewPCG(seed, 31)))
 }
 
-// TestCombinedFaults plays each combination of faults with three seeds. No rule may break, all
-// jobs must come to their end, and the faults must really have overlapped. Where the combination
-// names a guard, some seed must break its rule when that guard is disabled.
+// TestCombinedFaults plays each combination of faults with three seeds. No rule may be violated, all
+// jobs must reach a final state, and the faults must really have overlapped. If the combination
+// names a guard, some seed must violate its rule when that guard is disabled.
 func TestCombinedFaults(t *testing.T) {
 	for _, m := range faultCombinations {
 		t.Run(m.name, func(t *testing.T) {
@@ -381,7 +381,7 @@
 }
 
 // expectFaultsCombine plays three seeds of the combination and requires a clean run of each, and
-// each wanted occurrence in at least one of them.
+// each occurrence in want in at least one of them.
 func (m *faultCombination) expectFaultsCombine(t *testing.T) {
 	t.Helper()
 	occurrences := map[string]int{}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -25,8 +25,8 @@
 // shouldInject reports whether a fault is active and to be injected now, which is drawn at random
 // if its probability is below 1.
 func (c *Cluster) shouldInject(name string) bool {
-	t, isActive := c.faults[name]
-	return isActive && c.Now < t.until && (t.probability >= 1 || c.rng.Float64() < t.probability)
+	f, isActive := c.faults[name]
+	return isActive && c.Now < f.until && (f.probability >= 1 || c.rng.Float64() < f.probability)
 }
 
 // occurred counts an occurrence by its description. Tests check the counts to be sure that faults
@@ -80,7 +80,7 @@
 
 func ignoreReply(scheduler.Effect) {}
 
-// hang makes a machine unresponsive for a while. Calls deferred meanwhile run when it ends.
+// hang makes a machine unresponsive for a duration. The calls deferred meanwhile run at its end.
 func (w *worker) hang(duration time.Duration) {
 	w.cluster.log("%s hangs", w.name)
 	w.isHung = true
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -125,7 +125,7 @@
 // TestFleetUpgrade replaces the seven controllers of a cluster of 2,000 machines one by one,
 // within a budget of 18 changes a second. The limits of the state service fall to 2 KiB a value
 // and 4 changes a transaction while the values that the previous version wrote are still being
-// made smaller. No rule may break, few transactions may be refused for their size, tasks must go
+// made smaller. No rule may be violated, few transactions may be refused for their size, tasks must go
 // on starting, pipelines must run, and in the end no value of a job may be too large.
 func TestFleetUpgrade(t *testing.T) {
 	settings := largeSettings(7, 500, func(s *scheduler.Settings) {
@@ -262,7 +262,7 @@
 
 // TestFleetZoneBound requires, with 1,000 and with 4,000 machines, that no task starts in a zone
 // that its job rules out, that heartbeats go on being accepted and that the zone-bound jobs run.
-// With GuardDraft disabled the rule must break. This is played with 1,000 machines alone, whose
+// With GuardDraft disabled the rule must be violated. This is played with 1,000 machines alone, whose
 // zones are nearly full: the larger cluster has room for each array.
 func TestFleetZoneBound(t *testing.T) {
 	for _, x := range []struct {
@@ -285,9 +285,9 @@
 			if answers.up < 4*x.fill*95/100 || !answers.isNearlyAll() || leaders < 4 || ran < 3000 || c.occurrences["late transaction that changed something"] == 0 {
 				t.Errorf("%d of %d machines had a heartbeat accepted, %d changes of leader, %d tasks of zone-bound arrays ran; or no late transaction changed anything", answers.answered, answers.up, leaders, ran)
 			}
-			isBroken := slices.ContainsFunc(c.Violations, func(b string) bool { return strings.HasPrefix(b, "wrong_place") })
-			if want := x.drop != ""; isBroken != want || !want && len(c.Violations) > 0 {
-				t.Errorf("%d violations: %.300s", len(c.Violations), fmt.Sprint(c.Violations))
+			isViolated := slices.ContainsFunc(c.Violations, func(v string) bool { return strings.HasPrefix(v, "wrong_place") })
+			if want := x.drop != ""; isViolated != want || !want && len(c.Violations) > 0 {
+				t.Errorf("%d violations, want some of wrong_place only with the guard disabled: %.300s", len(c.Violations), fmt.Sprint(c.Violations))
 			}
 		})
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -23,7 +23,8 @@
 	return c
 }
 
-// expectCleanRun requires that no rule was broken and that all accepted jobs came to their end.
+// expectCleanRun requires a run without violations, after which all accepted jobs except services
+// have a final state.
 func expectCleanRun(t *testing.T, c *Cluster, format string, args ...any) {
 	t.Helper()
 	if len(c.Violations) > 0 || len(c.Unfinished()) > 0 {
@@ -31,8 +32,8 @@
 	}
 }
 
-// expectNoViolation requires that no rule was broken. It prints only the first violation, since
-// it is meant for large clusters.
+// expectNoViolation requires a run without violations. It prints only the first violation, since a
+// large cluster may have very many.
 func expectNoViolation(t *testing.T, c *Cluster) {
 	t.Helper()
 	if len(c.Violations) > 0 {
@@ -40,8 +41,8 @@
 	}
 }
 
-// expectSomeSeedBreaks requires that the script of one of the seeds 1 to 20 breaks a rule, as it
-// must without the guard that protects the rule.
+// expectSomeSeedBreaks requires that the script of one of the seeds 1 to 20 leads to a violation of a
+// rule. The script disables the guard that protects the rule.
 func expectSomeSeedBreaks(t *testing.T, rule, guard string, script func(seed uint64) string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 20; seed++ {
@@ -49,12 +50,12 @@
 			return
 		}
 	}
-	t.Errorf("without guard %s no seed broke rule %s", guard, rule)
+	t.Errorf("without guard %s none of the seeds 1 to 20 violated rule %s", guard, rule)
 }
 
 // hasViolation reports whether a violation begins with the given text.
 func (c *Cluster) hasViolation(prefix string) bool {
-	return slices.ContainsFunc(c.Violations, func(b string) bool { return strings.HasPrefix(b, prefix) })
+	return slices.ContainsFunc(c.Violations, func(v string) bool { return strings.HasPrefix(v, prefix) })
 }
 
 // isFormatOn reports whether the state service records that all controllers know the new format.
--- a/internal/simulation/loads_test.go
+++ b/internal/simulation/loads_test.go
@@ -61,8 +61,8 @@
 }
 
 // zoneBoundLoad returns script lines that submit n arrays, gangs and services whose tasks must
-// all be in one zone, or at most half of them in each. They are larger than the room that a zone
-// mostly has.
+// all be in one zone, or at most half of them in each. They need more room than one zone usually
+// has free.
 func zoneBoundLoad(r *rand.Rand, n, within int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
@@ -187,7 +187,7 @@
 			TaskCount: 30 + i%5*40, Request: domain.Resources{CPU: 2000, GPU: 1000, Memory: 4000}, Spot: true, Image: fmt.Sprintf("img-%d", i%8), ImageGB: 2,
 			EstimatedRuntime: 30, CheckpointInterval: 10, CheckpointCost: 2, OneZone: i%3 != 0, Spread: i%3 == 0}
 		switch i % 4 {
-		case 1: // tasks that need a whole machine each: one zone seldom has so many empty ones
+		case 1: // tasks that need a whole machine each: one zone rarely has that many idle machines
 			spec.TaskCount = 10 + i%7*5
 			spec.Request = domain.Resources{CPU: 12000, GPU: 4000, Memory: 40000}
 		case 3:
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// step passes an event to the scheduler and applies the effects, or defers them while frozen.
+// step passes an event to the scheduler and applies the effects. A frozen process withholds the
+// effects of its first step that has any, and from then on only collects events.
 func (p *controllerProcess) step(event scheduler.Event) {
 	if p.controller == nil {
 		return
@@ -101,7 +102,7 @@
 	}
 }
 
-// timedStep runs a step of the scheduler and measures its time if timesSteps is set.
+// timedStep runs a step of the scheduler and measures its time if measuresSteps is set.
 func (p *controllerProcess) timedStep(event scheduler.Event) []scheduler.Effect {
 	if !p.cluster.measuresSteps {
 		return p.controller.Step(p.clock(), event)
@@ -146,8 +147,8 @@
 	}
 }
 
-// request passes a request to the scheduler; done is called with the effect that answers it. A
-// request to a process that is not running is never answered.
+// request passes a request to the scheduler; done is called with the reply. A request to a process
+// that is not running gets no reply.
 func (p *controllerProcess) request(event func(requestID uint64) scheduler.Event, done func(scheduler.Effect)) {
 	if p.controller == nil {
 		return
@@ -157,7 +158,7 @@
 	p.step(event(p.lastRequest))
 }
 
-// reply passes the answer to a request to its callback, once.
+// reply passes a reply to the callback of its request, and forgets the callback.
 func (p *controllerProcess) reply(requestID uint64, e scheduler.Effect) {
 	if done := p.pendingReplies[requestID]; done != nil {
 		delete(p.pendingReplies, requestID)
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -132,8 +132,8 @@
 	return b.String()
 }
 
-// TestRandomScenarios plays random scenarios of overlapping faults. No rule may break, and every
-// accepted job must come to its end.
+// TestRandomScenarios plays random scenarios of overlapping faults. No rule may be violated, and
+// every accepted job must reach a final state.
 func TestRandomScenarios(t *testing.T) {
 	t.Parallel()
 	// The last three seeds broke ran_twice before controllers distinguished new sessions of
@@ -143,7 +143,7 @@
 }
 
 // TestRandomZoneScenarios plays zone-bound jobs during overlapping faults. No task may start in a
-// zone that the other tasks of its job rule out, and all jobs must come to their end. In
+// zone that the other tasks of its job rule out, and all jobs must reach a final state. In
 // production two arrays ran in two zones each: docs/incidents/production-wrong-place.md.
 func TestRandomZoneScenarios(t *testing.T) {
 	t.Parallel()
@@ -161,12 +161,12 @@
 		starts += c.TaskStarts()
 	}
 	if starts < atLeast {
-		t.Errorf("only %d tasks started", starts)
+		t.Errorf("only %d tasks started in all scenarios together", starts)
 	}
 }
 
-// TestRandomPipelines plays random pipelines during overlapping faults. No rule may break, and
-// every pipeline must come to its end.
+// TestRandomPipelines plays random pipelines during overlapping faults. No rule may be violated,
+// and every job of a pipeline must reach a final state.
 func TestRandomPipelines(t *testing.T) {
 	t.Parallel()
 	seeds := []uint64{201, 202, 203, 204, 205, 206, 207, 208}
@@ -174,8 +174,8 @@
 }
 
 // TestRandomUpgrades replaces the previous version during faults, while the limits of the state
-// service fall and pipelines are submitted. No rule may break, few transactions may be refused as
-// too large, and the new format must be turned on.
+// service fall and pipelines are submitted. No rule may be violated, few transactions may be
+// refused as too large, and the new format must be turned on.
 func TestRandomUpgrades(t *testing.T) {
 	t.Parallel()
 	refused, shrunk := 0, 0
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -29,7 +29,7 @@
 //	at T cancel ID
 //	at T crash CONTROLLER back=S     at T crash all back=S
 //	at T cutzone Z drop|hold for=S   (separates the controllers and machines of a zone from all others)
-//	at T cut A B drop|hold for=S     (A and B: a controller, state, cloud, users, a machine; B also * for all machines)
+//	at T cut A B drop|hold for=S     (A and B: a controller, state, cloud, users, a machine; B also * for the machines n-000001 to n-000060)
 //	at T state down for=S            at T state refuse CONTROLLER for=S
 //	at T cloud down for=S
 //	at T hang MACHINE for=S          (does nothing for a while)
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -17,8 +17,8 @@
 	options map[string]string
 }
 
-// newAction parses the words of an action. It replaces "leader" by the name of the current leader,
-// also in the slice passed.
+// newAction parses the words of an action. It replaces the word "leader" by the name of the current
+// leader, in place: the caller's slice changes, too.
 func (c *Cluster) newAction(words []string) action {
 	a := action{words, map[string]string{}}
 	for i, word := range words {
--- a/internal/simulation/shapes_test.go
+++ b/internal/simulation/shapes_test.go
@@ -35,7 +35,7 @@
 }
 
 // expectAllTasksRun plays a scenario with one job and requires that each of its tasks ran, that
-// no rule was broken, and that the job came to its end if it has one.
+// no rule was violated, and that the job reached a final state unless it is a service.
 func expectAllTasksRun(t *testing.T, job string, tasks int) {
 	t.Helper()
 	c := mustPlay(t, "seed 7\nat 1 submit job-000001 "+job+"\nuntil 100\n")
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// confirm returns the response to a query whether a key still has the given revision.
+// confirm returns the response to a request that asks whether a key still has the given revision.
 func (s *stateService) confirm(process string, e scheduler.ConfirmView) any {
 	if s.rejectsRequest(process) {
 		return scheduler.ConfirmationAnswered{}
--- a/internal/simulation/team_without_quota_test.go
+++ b/internal/simulation/team_without_quota_test.go
@@ -51,7 +51,7 @@
 			job := fmt.Sprintf("job-%06d", 100+i)
 			starts := c.firstRunTimes(job)
 			if len(starts) < 2 || starts[1]-float64(60+8*i) > 15 {
-				t.Errorf("seed %d: %s ran at %v, submitted at %d", seed, job, starts, 60+8*i)
+				t.Errorf("seed %d: tasks of %s first ran at %v s, want two within 15 s of the submission at %d s", seed, job, starts, 60+8*i)
 			}
 		}
 		expectCleanRun(t, c, "seed %d", seed)
@@ -78,7 +78,7 @@
 	others := c.TaskStarts() - before - ofArray
 	t.Logf("starts of other jobs in 20 s: %d before the array, %d beside it; %d tasks of the array started in 40 s", othersAlone, others/2, ofArray)
 	if others < othersAlone || ofArray < 1000 {
-		t.Errorf("beside the array %d tasks of other jobs started in 40 s, %d in 20 s before it; %d tasks of the array, want at least 1000", others, othersAlone, ofArray)
+		t.Errorf("beside the array %d tasks of other jobs started in 40 s, want at least the %d of 20 s before it; %d tasks of the array, want at least 1000", others, othersAlone, ofArray)
 	}
 	expectNoViolation(t, c)
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -15,9 +15,9 @@
 		isLeaderFirst  bool
 		crashesAtStart bool
 	}{
-		{"first", true, false},
-		{"last", false, false},
-		{"twice", true, true},
+		{"leader first", true, false},
+		{"leader last", false, false},
+		{"leader first, each crashes at its start", true, true},
 	} {
 		t.Run(x.order, func(t *testing.T) {
 			c := newCluster(31, Settings(), 0, true)
@@ -79,7 +79,7 @@
 
 // TestLateWritesDuringUpgrade has transactions carried out late, or their responses lost, while
 // the previous version is replaced, values are made smaller and the limits of the state service
-// fall. No rule may break, and some late transaction must have changed something.
+// fall. No rule may be violated, and some late transaction must have changed something.
 func TestLateWritesDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	late := 0
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -91,7 +91,7 @@
 	requests := after - before
 	t.Logf("%d polls answered, %d failed, %d requests to the state service", answered, failed, requests)
 	if answered < 2000 || 50*failed > answered || 2*requests > answered {
-		t.Errorf("%d polls answered, %d failed, %d requests to the state service", answered, failed, requests)
+		t.Errorf("%d polls answered, want at least 2000; %d failed, want at most one in 50 of these; %d requests to the state service, want at most half as many", answered, failed, requests)
 	}
 	expectCleanRun(t, c, "poll storm")
 }
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -7,17 +7,17 @@
 
 // TestZoneBoundJobsGetMachines has jobs wait while the free machines are in zones that they can't
 // use. Machines must be rented where the jobs can run. Once, the unusable room was counted as
-// room for these jobs: the gangs never began, and the services never got their last tasks.
+// room for these jobs: the gangs never started, and the services never got their last tasks.
 func TestZoneBoundJobsGetMachines(t *testing.T) {
 	for name, x := range map[string]struct {
 		warm map[string]int // machines that are already rented, by zone
 		job  string
 		n    int
 	}{
-		"gang spread, room in one zone":        {map[string]int{"a": 4}, "gang 4 blue run=20 gpu=4 spread", 4},
-		"gang together, room split":            {map[string]int{"a": 2, "b": 2}, "gang 4 blue run=20 gpu=4 onezone", 4},
-		"service spread, room in one zone":     {map[string]int{"a": 4}, "service 4 blue run=20 gpu=4 spread", 4},
-		"service together, two of five placed": {map[string]int{"a": 2, "b": 2}, "service 5 blue run=20 gpu=4 onezone", 5},
+		"spread gang, room in one zone":        {map[string]int{"a": 4}, "gang 4 blue run=20 gpu=4 spread", 4},
+		"one-zone gang, room split over zones": {map[string]int{"a": 2, "b": 2}, "gang 4 blue run=20 gpu=4 onezone", 4},
+		"spread service, room in one zone":     {map[string]int{"a": 4}, "service 4 blue run=20 gpu=4 spread", 4},
+		"one-zone service, two of five placed": {map[string]int{"a": 2, "b": 2}, "service 5 blue run=20 gpu=4 onezone", 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -46,6 +46,6 @@
 		"at 20 submit job-000002 gang 3 red run=20 gpu=4\n"+
 		"at 30 submit job-000003 array 4 red run=10 gpu=1 spot\nat 600 cancel job-000001\nuntil 800\n")
 	if runs := c.firstRunTimes("job-000003"); len(runs) != 4 || runs[3] > 240 {
-		t.Errorf("ran at %v, submitted at 30", runs)
+		t.Errorf("the array's tasks first ran at %v s, want all four by 240 s; submitted at 30 s", runs)
 	}
 }
