--- a/internal/simulation/checker_placement.go
+++ b/internal/simulation/checker_placement.go
@@ -21,7 +21,7 @@
 		for _, id := range w.taskIDs() {
 			job := c.jobs[id.Job]
 			if w.tasks[id].isOnMachine() && c.isCancelOverdue(job) && !job.hasViolation(c, ruleRanCancelled) {
-				c.violated(ruleRanCancelled, "%v on %s", id, w.name)
+				c.violated(ruleRanCancelled, "%v is on %s after the time limit of its cancellation", id, w.name)
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 			c.occurred("a team at its limit")
 		}
 		if used[team].GPU > limit.GPU {
-			c.violated(ruleQuota, "%s uses %d of %d", team, used[team].GPU, limit.GPU)
+			c.violated(ruleQuota, "%s uses %d thousandths of a GPU, limit %d", team, used[team].GPU, limit.GPU)
 		}
 	}
 }
@@ -78,7 +78,7 @@
 // checkDependenciesDone (too_early) checks that all dependencies of a starting job are done.
 func (w *worker) checkDependenciesDone(id domain.TaskID, job *jobRecord) {
 	if !w.cluster.dependenciesDone(job) {
-		w.cluster.violated(ruleTooEarly, "%s/%d on %s before what it awaits is done", id.Job, id.Index, w.name)
+		w.cluster.violated(ruleTooEarly, "%s/%d starts on %s before its dependencies are done", id.Job, id.Index, w.name)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	c.occurred("start after a cancellation was told")
 	if late > c.settings.FenceAge+replyAgeLimit {
-		c.violated(ruleLateStart, "%s/%d on %s %.1f s after its user was told cancelled", id.Job, id.Index, w.name, late.Seconds())
+		c.violated(ruleLateStart, "%s/%d starts on %s %.1f s after its user was told of the cancellation", id.Job, id.Index, w.name, late.Seconds())
 	}
 }
 
@@ -112,7 +112,7 @@
 // and in the zone that the job names, if any.
 func (w *worker) checkPlace(id domain.TaskID, job *jobRecord) {
 	if !w.isAllowed(&job.spec) {
-		w.cluster.violated(ruleWrongPlace, "%s/%d on %s", id.Job, id.Index, w.name)
+		w.cluster.violated(ruleWrongPlace, "%s/%d on %s, which its job's spot or zone rule excludes", id.Job, id.Index, w.name)
 	}
 }
 
@@ -126,7 +126,7 @@
 // overdue.
 func (w *worker) checkNotCancelled(id domain.TaskID, job *jobRecord) {
 	if w.cluster.isCancelOverdue(job) {
-		w.cluster.violated(ruleRanCancelled, "%s/%d starts on %s", id.Job, id.Index, w.name)
+		w.cluster.violated(ruleRanCancelled, "%s/%d starts on %s after the time limit of its cancellation", id.Job, id.Index, w.name)
 	}
 }
 
@@ -149,12 +149,12 @@
 			if other.zone == w.zone {
 				here++
 			} else if job.spec.OneZone {
-				w.cluster.violated(ruleWrongPlace, "%s/%d in zone %s, %d in %s", id.Job, id.Index, w.zone, otherID.Index, other.zone)
+				w.cluster.violated(ruleWrongPlace, "%s/%d in zone %s, but task %d in zone %s", id.Job, id.Index, w.zone, otherID.Index, other.zone)
 			}
 		}
 	}
 	if most := mostInZone(&job.spec); job.spec.Spread && int64(here) > most {
-		w.cluster.violated(ruleWrongPlace, "%s/%d is number %d in zone %s, of %d allowed", id.Job, id.Index, here, w.zone, most)
+		w.cluster.violated(ruleWrongPlace, "%s/%d is task number %d of its job in zone %s, at most %d are allowed", id.Job, id.Index, here, w.zone, most)
 	}
 }
 
--- a/internal/simulation/checker_progress.go
+++ b/internal/simulation/checker_progress.go
@@ -25,7 +25,7 @@
 func (c *Cluster) checkAnswered(id string, job *jobRecord) {
 	since := c.Now - max(job.answeredAt, c.faultsOverAt)
 	if since > 75*time.Second && !job.hasViolation(c, ruleForgotten) {
-		c.violated(ruleForgotten, "%s: no answer for %.0f s", id, since.Seconds())
+		c.violated(ruleForgotten, "%s: no successful response for %.0f s", id, since.Seconds())
 	}
 }
 
@@ -40,7 +40,7 @@
 	}
 	waited := c.Now - max(job.acceptedAt, job.readyAt, c.faultsOverAt)
 	if waited > 4*time.Minute && !job.hasViolation(c, ruleStarved) {
-		c.violated(ruleStarved, "%s has not begun", id)
+		c.violated(ruleStarved, "%s has not started", id)
 	}
 }
 
--- a/internal/simulation/checker_room.go
+++ b/internal/simulation/checker_room.go
@@ -66,7 +66,7 @@
 		}
 		room := c.sustainedRoom(job)
 		if room.usable(&job.spec, placed[id]) >= job.minTasksToStart() && !job.hasViolation(c, ruleLeftWaiting) {
-			c.violated(ruleLeftWaiting, "%s waits beside room for it", id)
+			c.violated(ruleLeftWaiting, "%s waits although there is room for it", id)
 		}
 	}
 }
--- a/internal/simulation/checker_state.go
+++ b/internal/simulation/checker_state.go
@@ -15,6 +15,6 @@
 		return
 	}
 	if !asPreviousVersion(put.Key, put.Value).isLossless {
-		s.cluster.violated(ruleMisread, "%s: %s", put.Key, put.Value)
+		s.cluster.violated(ruleMisread, "the previous version would lose a part of %s: %s", put.Key, put.Value)
 	}
 }
--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -40,7 +40,7 @@
 // response requested after it was accepted.
 func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	if job.accepted && asked >= job.acceptedAt {
-		c.violated(ruleForgotten, "%s got %d", id, reply.Status)
+		c.violated(ruleForgotten, "%s is accepted, but a request about it got %d", id, reply.Status)
 	}
 }
 
@@ -54,10 +54,10 @@
 // checkAcceptable (invented, taken) checks that an accepted job was submitted and can run.
 func (c *Cluster) checkAcceptable(id string, job *jobRecord, reply scheduler.UserReply) {
 	if !job.isSubmitted {
-		c.violated(ruleInvented, "%s", id)
+		c.violated(ruleInvented, "%s is accepted, but no user submitted it", id)
 	}
 	if job.isInvalid {
-		c.violated(ruleTaken, "%s can't run, yet it got %d", id, reply.Status)
+		c.violated(ruleTaken, "%s can't run, but a request about it got %d", id, reply.Status)
 	}
 }
 
@@ -87,14 +87,14 @@
 // reported reports another state.
 func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
 	if job.finalState != "" && reply.State != job.finalState && asked >= job.finalStateAt {
-		c.violated(ruleWentBack, "%s: %s after %s", id, reply.State, job.finalState)
+		c.violated(ruleWentBack, "%s reported %s after %s", id, reply.State, job.finalState)
 	}
 }
 
 // checkDone (not_done) checks that all tasks of a job reported done ran to completion.
 func (c *Cluster) checkDone(id string, job *jobRecord) {
 	if !job.isDone() {
-		c.violated(ruleNotDone, "%s: %d of %d", id, len(job.done), job.spec.TaskCount)
+		c.violated(ruleNotDone, "%s reported done after %d of its %d tasks", id, len(job.done), job.spec.TaskCount)
 	}
 }
 
@@ -102,7 +102,7 @@
 // directly or through a dependency.
 func (c *Cluster) checkCancelAsked(id string, job *jobRecord) {
 	if !c.wasCancelRequested(job) {
-		c.violated(ruleWentBack, "%s cancelled though nobody asked", id)
+		c.violated(ruleWentBack, "%s reported cancelled without a request", id)
 	}
 }
 
@@ -112,7 +112,7 @@
 	c.anyDependency(job, func(dependency *jobRecord) bool {
 		isOverdue := c.isCancelOverdue(dependency)
 		if isOverdue && !job.hasViolation(c, ruleOrphaned) {
-			c.violated(ruleOrphaned, "%s is %s though %s is cancelled", id, reply.State, dependency.spec.ID)
+			c.violated(ruleOrphaned, "%s reported %s though its dependency %s is cancelled", id, reply.State, dependency.spec.ID)
 		}
 		return isOverdue
 	})
