--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -13,14 +13,14 @@
 	stateCancelled = "cancelled"
 )
 
-// checkReply checks a response about a job, requested at time asked, against the rules on responses
-// to users. A response may still report an older state if it was requested before its user
-// learned the newer one.
-func (c *Cluster) checkReply(id string, reply scheduler.UserReply, asked time.Duration) {
+// checkReply checks the response to a request about a job, sent at requestedAt, against the rules
+// on responses to users. A response may still report an older state if the request was sent before
+// the user learned of the newer one.
+func (c *Cluster) checkReply(id string, reply scheduler.UserReply, requestedAt time.Duration) {
 	job := c.jobs[id]
 	switch reply.Status {
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-		c.checkKnown(id, job, reply, asked)
+		c.checkKnown(id, job, reply, requestedAt)
 		c.checkRefusal(id, job, reply)
 	case http.StatusOK, http.StatusCreated:
 		c.checkAcceptable(id, job, reply)
@@ -29,7 +29,7 @@
 			job.acceptedAt = c.Now
 		}
 		job.accepted, job.answeredAt = true, c.Now
-		c.checkState(id, job, reply, asked)
+		c.checkState(id, job, reply, requestedAt)
 		if isNew {
 			c.sendQueryBurst(id)
 		}
@@ -38,8 +38,8 @@
 
 // checkKnown (forgotten) checks that an accepted job is not rejected as unknown or invalid by a
 // response requested after it was accepted.
-func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	if job.accepted && asked >= job.acceptedAt {
+func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	if job.accepted && requestedAt >= job.acceptedAt {
 		c.violated(ruleForgotten, "%s is accepted, but a request about it got %d", id, reply.Status)
 	}
 }
@@ -62,8 +62,8 @@
 }
 
 // checkState checks the state of a job reported to its user, and records the first final state.
-func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	c.checkFinalStateStays(id, job, reply, asked)
+func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	c.checkFinalStateStays(id, job, reply, requestedAt)
 	switch reply.State {
 	case stateDone:
 		c.checkDone(id, job)
@@ -85,8 +85,8 @@
 
 // checkFinalStateStays (went_back) checks that no response requested after a final state was
 // reported reports another state.
-func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	if job.finalState != "" && reply.State != job.finalState && asked >= job.finalStateAt {
+func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	if job.finalState != "" && reply.State != job.finalState && requestedAt >= job.finalStateAt {
 		c.violated(ruleWentBack, "%s reported %s after %s", id, reply.State, job.finalState)
 	}
 }
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -49,30 +49,30 @@
 }
 
 // ask sends a request to a service and passes the response to the scheduler as an event, or
-// noAnswer if no response of type A arrives within the limit. It drops the response if the process
+// noResponse if no response of type A arrives within the limit. It drops the response if the process
 // has ended or restarted meanwhile.
-func ask[A scheduler.Event](p *controllerProcess, service string, limit time.Duration, serve func(reply func(any)), noAnswer A) {
+func ask[A scheduler.Event](p *controllerProcess, service string, limit time.Duration, serve func(reply func(any)), noResponse A) {
 	generation := p.generation
-	p.cluster.call(p.name, service, limit, serve, func(answer any) {
+	p.cluster.call(p.name, service, limit, serve, func(response any) {
 		if p.generation != generation {
 			return
 		}
-		event, ok := answer.(A)
+		event, ok := response.(A)
 		if !ok {
-			event = noAnswer
+			event = noResponse
 		}
 		p.step(event)
 	})
 }
 
 // askState sends a request to the state service, whose response may be delayed by a fault.
-func askState[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
-	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.replyWithDelay(reply, serve()) }, noAnswer)
+func askState[A scheduler.Event](p *controllerProcess, serve func() any, noResponse A) {
+	ask(p, participantState, tuning.StateTimeout, func(reply func(any)) { p.cluster.replyWithDelay(reply, serve()) }, noResponse)
 }
 
 // askCloud sends a request to the cloud provider.
-func askCloud[A scheduler.Event](p *controllerProcess, serve func() any, noAnswer A) {
-	ask(p, participantCloud, tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noAnswer)
+func askCloud[A scheduler.Event](p *controllerProcess, serve func() any, noResponse A) {
+	ask(p, participantCloud, tuning.CloudTimeout, func(reply func(any)) { reply(serve()) }, noResponse)
 }
 
 func (p *controllerProcess) sendToPeer(e scheduler.SendPeerMessage) {
@@ -92,9 +92,9 @@
 		return
 	}
 	generation := p.generation
-	p.cluster.call(p.name, w.name, tuning.DirectCommandTimeout, func(reply func(any)) { w.receiveCommands(e, reply) }, func(answer any) {
+	p.cluster.call(p.name, w.name, tuning.DirectCommandTimeout, func(reply func(any)) { w.receiveCommands(e, reply) }, func(response any) {
 		event := scheduler.CommandsAnswered{Machine: e.Machine}
-		if heartbeat, ok := answer.(domain.Heartbeat); ok {
+		if heartbeat, ok := response.(domain.Heartbeat); ok {
 			event.Heartbeat = &heartbeat
 		}
 		if p.generation == generation {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -36,13 +36,13 @@
 }
 
 // replyWithDelay passes on a response, after a random delay while the fault "slow" is active.
-func (c *Cluster) replyWithDelay(reply func(any), answer any) {
+func (c *Cluster) replyWithDelay(reply func(any), response any) {
 	if slow := c.faults["slow"]; c.Now < slow.until {
 		c.occurred("slow answer")
-		c.after(time.Duration(c.rng.Int64N(int64(slow.maxDelay))), func() { reply(answer) })
+		c.after(time.Duration(c.rng.Int64N(int64(slow.maxDelay))), func() { reply(response) })
 		return
 	}
-	reply(answer)
+	reply(response)
 }
 
 // trackLeader records the leader of a new view. If it changed, the recorded heartbeats are sent to
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -63,15 +63,15 @@
 // once at the sender, with the response, or with nil if none arrives within the limit.
 func (c *Cluster) call(from, to string, limit time.Duration, serve func(reply func(any)), done func(any)) {
 	isDone := false
-	finish := func(answer any) {
+	finish := func(response any) {
 		if !isDone {
 			isDone = true
-			done(answer)
+			done(response)
 		}
 	}
 	c.send(from, to, func() {
-		serve(func(answer any) {
-			c.send(to, from, func() { finish(answer) })
+		serve(func(response any) {
+			c.send(to, from, func() { finish(response) })
 		})
 	})
 	c.after(limit, func() { finish(nil) })
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -173,11 +173,11 @@
 		return
 	}
 	c := p.cluster
-	c.call(p.name, participantState, 2*tuning.StateTimeout, func(reply func(any)) { reply(c.state.snapshot(p.name)) }, func(answer any) {
+	c.call(p.name, participantState, 2*tuning.StateTimeout, func(reply func(any)) { reply(c.state.snapshot(p.name)) }, func(response any) {
 		if p.generation != generation {
 			return
 		}
-		loaded, ok := answer.(scheduler.SnapshotLoaded)
+		loaded, ok := response.(scheduler.SnapshotLoaded)
 		if !ok {
 			c.after(tuning.ConfirmationRetry, func() { p.loadSnapshot(generation) })
 			return
@@ -195,12 +195,12 @@
 	}
 	c := p.cluster
 	sent := p.clock()
-	c.call(p.name, participantState, tuning.WatchWait+tuning.StateTimeout, func(reply func(any)) { c.state.watch(p.name, p.watchRevision, reply) }, func(answer any) {
+	c.call(p.name, participantState, tuning.WatchWait+tuning.StateTimeout, func(reply func(any)) { c.state.watch(p.name, p.watchRevision, reply) }, func(response any) {
 		if p.generation != generation {
 			return
 		}
 		pause := tuning.ConfirmationRetry
-		if advanced, ok := answer.(scheduler.WatchAdvanced); ok {
+		if advanced, ok := response.(scheduler.WatchAdvanced); ok {
 			p.watchRevision = max(p.watchRevision, advanced.Revision)
 			advanced.Sent = sent
 			p.step(advanced)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -32,7 +32,7 @@
 
 // requestAnywhere sends a request to a random running controller, as through a load balancer. done
 // gets the reply, with status 0 if none arrived, and the time of the request.
-func (c *Cluster) requestAnywhere(request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
+func (c *Cluster) requestAnywhere(request userRequest, done func(reply scheduler.UserReply, requestedAt time.Duration)) {
 	var running []*controllerProcess
 	for _, p := range c.processes {
 		if p.controller != nil {
@@ -47,13 +47,13 @@
 }
 
 // requestAt sends a request to one controller; done is called as by requestAnywhere.
-func (c *Cluster) requestAt(p *controllerProcess, request userRequest, done func(reply scheduler.UserReply, asked time.Duration)) {
-	asked := c.Now
+func (c *Cluster) requestAt(p *controllerProcess, request userRequest, done func(reply scheduler.UserReply, requestedAt time.Duration)) {
+	requestedAt := c.Now
 	c.call(participantUsers, p.name, 2*time.Second, func(reply func(any)) {
 		p.request(request, func(e scheduler.Effect) { reply(e) })
-	}, func(answer any) {
-		reply, _ := answer.(scheduler.UserReply)
-		done(reply, asked)
+	}, func(response any) {
+		reply, _ := response.(scheduler.UserReply)
+		done(reply, requestedAt)
 	})
 }
 
@@ -72,8 +72,8 @@
 		}
 	}
 	job.isSubmitted = true
-	c.requestAnywhere(submission(spec.ID, spec), func(reply scheduler.UserReply, asked time.Duration) {
-		c.checkReply(spec.ID, reply, asked)
+	c.requestAnywhere(submission(spec.ID, spec), func(reply scheduler.UserReply, requestedAt time.Duration) {
+		c.checkReply(spec.ID, reply, requestedAt)
 		if reply.Status == http.StatusOK || reply.Status == http.StatusCreated {
 			c.log("%s accepted", spec.ID)
 			c.poll(spec.ID)
@@ -86,8 +86,8 @@
 // poll queries a job every 5 s, or every 0.5 s during the fault "storm", until its user is told a
 // final state.
 func (c *Cluster) poll(id string) {
-	c.requestAnywhere(query(id), func(reply scheduler.UserReply, asked time.Duration) {
-		c.checkReply(id, reply, asked)
+	c.requestAnywhere(query(id), func(reply scheduler.UserReply, requestedAt time.Duration) {
+		c.checkReply(id, reply, requestedAt)
 		pause := 5 * time.Second
 		if c.shouldInject("storm") {
 			pause /= 10
@@ -104,8 +104,8 @@
 func (c *Cluster) Cancel(id string) {
 	job := c.jobs[id]
 	job.cancelRequested = true
-	c.requestAnywhere(cancellation(id), func(reply scheduler.UserReply, asked time.Duration) {
-		c.checkReply(id, reply, asked)
+	c.requestAnywhere(cancellation(id), func(reply scheduler.UserReply, requestedAt time.Duration) {
+		c.checkReply(id, reply, requestedAt)
 		if job.finalState == "" {
 			c.after(time.Second, func() { c.Cancel(id) })
 		}
@@ -129,22 +129,22 @@
 				request = submission(id, repeated)
 			}
 			c.after(time.Duration(c.rng.IntN(40*(k+1)))*time.Millisecond, func() {
-				c.requestAt(p, request, func(reply scheduler.UserReply, asked time.Duration) {
-					c.checkBurstReply(id, reply, asked)
+				c.requestAt(p, request, func(reply scheduler.UserReply, requestedAt time.Duration) {
+					c.checkBurstReply(id, reply, requestedAt)
 				})
 			})
 		}
 	}
 }
 
-func (c *Cluster) checkBurstReply(id string, reply scheduler.UserReply, asked time.Duration) {
+func (c *Cluster) checkBurstReply(id string, reply scheduler.UserReply, requestedAt time.Duration) {
 	if reply.Status == http.StatusOK {
 		c.occurred("answer to a close look")
 	}
 	if reply.Status == http.StatusCreated {
 		c.violated(ruleTaken, "%s accepted twice", id)
 	}
-	c.checkReply(id, reply, asked)
+	c.checkReply(id, reply, requestedAt)
 }
 
 // cancelRunningJobs cancels up to count running jobs within 200 ms. If hang is positive, up to eight
@@ -212,8 +212,8 @@
 // requestChecked sends a request about a job to any controller and checks the reply before it calls
 // done.
 func (c *Cluster) requestChecked(id string, request userRequest, done func(scheduler.UserReply)) {
-	c.requestAnywhere(request, func(reply scheduler.UserReply, asked time.Duration) {
-		c.checkReply(id, reply, asked)
+	c.requestAnywhere(request, func(reply scheduler.UserReply, requestedAt time.Duration) {
+		c.checkReply(id, reply, requestedAt)
 		done(reply)
 	})
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -181,10 +181,10 @@
 				reply(e)
 			}
 		})
-	}, func(answer any) {
+	}, func(response any) {
 		w.whenResponsive(func() {
 			w.awaitsReply = false
-			reply, _ := answer.(scheduler.HeartbeatReply)
+			reply, _ := response.(scheduler.HeartbeatReply)
 			w.handleHeartbeatReply(reply, sent, agentEpoch)
 		})
 	})
