--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(x.guard, func(t *testing.T) {
 			t.Parallel()
-			expectSomeSeedBreaks(t, x.rule, x.guard, x.script)
+			expectSomeSeedViolates(t, x.rule, x.guard, x.script)
 		})
 	}
 }
--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -68,7 +68,7 @@
 	case stateDone:
 		c.checkDone(id, job)
 	case stateCancelled:
-		c.checkCancelAsked(id, job)
+		c.checkCancelRequested(id, job)
 		if job.cancelReportedAt < 0 {
 			job.cancelReportedAt = c.Now
 		}
@@ -98,9 +98,9 @@
 	}
 }
 
-// checkCancelAsked (went_back) checks that a job reported cancelled was cancelled by a user,
+// checkCancelRequested (went_back) checks that a job reported cancelled was cancelled by a user,
 // directly or through a dependency.
-func (c *Cluster) checkCancelAsked(id string, job *jobRecord) {
+func (c *Cluster) checkCancelRequested(id string, job *jobRecord) {
 	if !c.wasCancelRequested(job) {
 		c.violated(ruleWentBack, "%s reported cancelled without a request", id)
 	}
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -374,7 +374,7 @@
 			t.Parallel()
 			m.expectFaultsCombine(t)
 			if m.guard != "" {
-				expectSomeSeedBreaks(t, m.rule, m.guard, func(seed uint64) string { return m.script(seed, m.guard) })
+				expectSomeSeedViolates(t, m.rule, m.guard, func(seed uint64) string { return m.script(seed, m.guard) })
 			}
 		})
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// expectSomeSeedBreaks requires that the script of one of the seeds 1 to 20 leads to a violation of a
+// expectSomeSeedViolates requires that the script of one of the seeds 1 to 20 leads to a violation of a
 // rule. The script disables the guard that protects the rule.
-func expectSomeSeedBreaks(t *testing.T, rule, guard string, script func(seed uint64) string) {
+func expectSomeSeedViolates(t *testing.T, rule, guard string, script func(seed uint64) string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 20; seed++ {
 		if mustPlay(t, script(seed)).hasViolation(rule) {
