--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -46,9 +46,9 @@
 	c.log("BROKEN %s", violation)
 }
 
-// StartChecks starts the checks that run every second, and the monitor that stands for the
-// agents' checks of their gangs' other members. Further checks run when a task starts, a user
-// receives a response or the state service receives a transaction.
+// StartChecks starts the checks that run every second, and the monitor that ends tasks of
+// incomplete gangs, as the agents of a real cluster do. Further checks run when a task starts, a
+// user receives a response or the state service receives a transaction.
 func (c *Cluster) StartChecks() {
 	c.everySecond(c.checkRunningTasks)
 	c.everySecond(c.checkProgress)
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -34,10 +34,10 @@
 	jobs          map[string]*jobRecord // by ID
 
 	marketCapacity          int  // machines of each zone and kind (spot or not) that can be rented
-	initialTransactionLimit int  // changes per transaction before the limit is lowered; 0: TransactionLimit
+	initialTransactionLimit int  // changes per transaction before the limit is lowered; 0: Settings.TransactionLimit
 	startsAsPreviousVersion bool // all controllers start as the previous version
 
-	faults             map[string]fault   // by name, and that of the one controller or zone affected, if any
+	faults             map[string]fault   // by name, with the controller or zone appended if only that one is affected
 	faultsOverAt       time.Duration      // end of the last fault; time until then does not count as a delay
 	noFaultGrace       bool               // faults don't change faultsOverAt, for tests of the checker
 	recordedHeartbeats []domain.Heartbeat // heartbeats to be replayed to every controller at the next change of leader
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -18,11 +18,10 @@
 // detector: it has nothing to find in a simulated cluster, which runs in one goroutine, and would
 // make them take ten times as long. `make test` runs them without it.
 
-// TestFleetRestarts restarts all controllers of a cluster of 2,000 machines at once, just after
-// an outage of the state service. No lease of a machine may be lost, and no value or transaction
-// may be larger than the state service accepts, which the simulation checks. Before that, the
-// work for each event must not grow with the number of machines: pending heartbeats were once all
-// examined again for each event, forty times as often as now.
+// TestFleetRestarts restarts all controllers of a cluster of 2,000 machines at once after an outage
+// of the state service. No machine may lose its lease, and no value or transaction may be too large.
+// Before that, the work for each event must not grow with the number of machines: pending
+// heartbeats were once all examined again for each event, forty times as often as now.
 func TestFleetRestarts(t *testing.T) {
 	c := fleetCluster(500)
 	c.submitLargeLoad(260, time.Millisecond)
@@ -122,11 +121,10 @@
 	expectNoViolation(t, c)
 }
 
-// TestFleetUpgrade replaces the seven controllers of a cluster of 2,000 machines one by one,
-// within a budget of 18 changes a second. The limits of the state service fall to 2 KiB a value
-// and 4 changes a transaction while the values that the previous version wrote are still being
-// made smaller. No rule may be violated, few transactions may be refused for their size, tasks must go
-// on starting, pipelines must run, and in the end no value of a job may be too large.
+// TestFleetUpgrade replaces the seven controllers of a cluster of 2,000 machines one by one, within
+// 18 changes a second. The limits fall to 2 KiB a value and 4 changes a transaction while values of
+// the previous version are still being made smaller. No rule may be violated, few transactions
+// refused for their size; tasks and pipelines must go on, and no value of a job stay too large.
 func TestFleetUpgrade(t *testing.T) {
 	settings := largeSettings(7, 500, func(s *scheduler.Settings) {
 		s.CurrentValueLimit, s.ValueLimit, s.TransactionLimit = 4096, 2048, 4
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// expectSomeSeedViolates requires that the script of one of the seeds 1 to 20 leads to a violation of a
-// rule. The script disables the guard that protects the rule.
+// expectSomeSeedViolates requires that the script of one of the seeds 1 to 20 leads to a violation
+// of a rule. The script disables the guard that protects the rule.
 func expectSomeSeedViolates(t *testing.T, rule, guard string, script func(seed uint64) string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 20; seed++ {
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestFailingJobsDontCordonMachines plays jobs that fail on every machine until they are
-// cancelled, beside other jobs and one sick machine. No machine but the sick one may be cordoned
-// as sick, and that one must be found with two of three seeds. The other jobs must be served, and
-// the failing ones must be retried ever less often.
+// cancelled, beside other jobs and one sick machine. Only that machine may be cordoned as sick,
+// and it must be with at least two of three seeds. The other jobs must be served, and the failing
+// ones must be retried ever less often.
 func TestFailingJobsDontCordonMachines(t *testing.T) {
 	found := 0
 	for _, seed := range []uint64{1, 2, 3} {
@@ -18,7 +18,7 @@
 		sick := c.cordonsFor("sick")
 		attempts, ofGoodJobs := c.countFailedAttempts("n-000001")
 		if len(sick) > 1 || len(sick) == 1 && !strings.Contains(sick[0], "n-000001") || len(sick) == 0 && ofGoodJobs >= 4 {
-			t.Errorf("seed %d: machines cordoned as sick: %v", seed, sick)
+			t.Errorf("seed %d: machines cordoned as sick: %v; want n-000001 at most, and not none after four failed attempts of other jobs on it", seed, sick)
 		}
 		found += len(sick)
 		if attempts > 700 {
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -6,7 +6,7 @@
 	"brassglade/internal/domain"
 )
 
-// causePeers is the cause of an end due to missing members of the gang.
+// causePeers is the cause reported when a task is ended because its gang lacks members.
 const causePeers = "peers"
 
 // task is an attempt at a task on a machine.
