--- a/internal/simulation/checker_users.go
+++ b/internal/simulation/checker_users.go
@@ -13,14 +13,14 @@
 	stateCancelled = "cancelled"
 )
 
-// checkReply checks a response about a job, requested at time asked, against the rules on responses
-// to users. A response may still report an older state if it was requested before its user
-// learned the newer one.
-func (c *Cluster) checkReply(id string, reply scheduler.UserReply, asked time.Duration) {
+// checkReply checks the response to a request about a job, sent at requestedAt, against the rules
+// on responses to users. A response may still report an older state if the request was sent before
+// the user learned of the newer one.
+func (c *Cluster) checkReply(id string, reply scheduler.UserReply, requestedAt time.Duration) {
 	job := c.jobs[id]
 	switch reply.Status {
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-		c.checkKnown(id, job, reply, asked)
+		c.checkKnown(id, job, reply, requestedAt)
 		c.checkRefusal(id, job, reply)
 	case http.StatusOK, http.StatusCreated:
 		c.checkAcceptable(id, job, reply)
@@ -29,7 +29,7 @@
 			job.acceptedAt = c.Now
 		}
 		job.accepted, job.answeredAt = true, c.Now
-		c.checkState(id, job, reply, asked)
+		c.checkState(id, job, reply, requestedAt)
 		if isNew {
 			c.sendQueryBurst(id)
 		}
@@ -38,9 +38,9 @@
 
 // checkKnown (forgotten) checks that an accepted job is not rejected as unknown or invalid by a
 // response requested after it was accepted.
-func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	if job.accepted && asked >= job.acceptedAt {
-		c.violated(ruleForgotten, "%s got %d", id, reply.Status)
+func (c *Cluster) checkKnown(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	if job.accepted && requestedAt >= job.acceptedAt {
+		c.violated(ruleForgotten, "%s is accepted, but a request about it got %d", id, reply.Status)
 	}
 }
 
@@ -54,21 +54,21 @@
 // checkAcceptable (invented, taken) checks that an accepted job was submitted and can run.
 func (c *Cluster) checkAcceptable(id string, job *jobRecord, reply scheduler.UserReply) {
 	if !job.isSubmitted {
-		c.violated(ruleInvented, "%s", id)
+		c.violated(ruleInvented, "%s is accepted, but no user submitted it", id)
 	}
 	if job.isInvalid {
-		c.violated(ruleTaken, "%s can't run, yet it got %d", id, reply.Status)
+		c.violated(ruleTaken, "%s can't run, but a request about it got %d", id, reply.Status)
 	}
 }
 
 // checkState checks the state of a job reported to its user, and records the first final state.
-func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	c.checkFinalStateStays(id, job, reply, asked)
+func (c *Cluster) checkState(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	c.checkFinalStateStays(id, job, reply, requestedAt)
 	switch reply.State {
 	case stateDone:
 		c.checkDone(id, job)
 	case stateCancelled:
-		c.checkCancelAsked(id, job)
+		c.checkCancelRequested(id, job)
 		if job.cancelReportedAt < 0 {
 			job.cancelReportedAt = c.Now
 		}
@@ -85,24 +85,24 @@
 
 // checkFinalStateStays (went_back) checks that no response requested after a final state was
 // reported reports another state.
-func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, asked time.Duration) {
-	if job.finalState != "" && reply.State != job.finalState && asked >= job.finalStateAt {
-		c.violated(ruleWentBack, "%s: %s after %s", id, reply.State, job.finalState)
+func (c *Cluster) checkFinalStateStays(id string, job *jobRecord, reply scheduler.UserReply, requestedAt time.Duration) {
+	if job.finalState != "" && reply.State != job.finalState && requestedAt >= job.finalStateAt {
+		c.violated(ruleWentBack, "%s reported %s after %s", id, reply.State, job.finalState)
 	}
 }
 
 // checkDone (not_done) checks that all tasks of a job reported done ran to completion.
 func (c *Cluster) checkDone(id string, job *jobRecord) {
 	if !job.isDone() {
-		c.violated(ruleNotDone, "%s: %d of %d", id, len(job.done), job.spec.TaskCount)
+		c.violated(ruleNotDone, "%s reported done after %d of its %d tasks", id, len(job.done), job.spec.TaskCount)
 	}
 }
 
-// checkCancelAsked (went_back) checks that a job reported cancelled was cancelled by a user,
+// checkCancelRequested (went_back) checks that a job reported cancelled was cancelled by a user,
 // directly or through a dependency.
-func (c *Cluster) checkCancelAsked(id string, job *jobRecord) {
+func (c *Cluster) checkCancelRequested(id string, job *jobRecord) {
 	if !c.wasCancelRequested(job) {
-		c.violated(ruleWentBack, "%s cancelled though nobody asked", id)
+		c.violated(ruleWentBack, "%s reported cancelled without a request", id)
 	}
 }
 
@@ -112,7 +112,7 @@
 	c.anyDependency(job, func(dependency *jobRecord) bool {
 		isOverdue := c.isCancelOverdue(dependency)
 		if isOverdue && !job.hasViolation(c, ruleOrphaned) {
-			c.violated(ruleOrphaned, "%s is %s though %s is cancelled", id, reply.State, dependency.spec.ID)
+			c.violated(ruleOrphaned, "%s reported %s though its dependency %s is cancelled", id, reply.State, dependency.spec.ID)
 		}
 		return isOverdue
 	})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -25,8 +25,8 @@
 // shouldInject reports whether a fault is active and to be injected now, which is drawn at random
 // if its probability is below 1.
 func (c *Cluster) shouldInject(name string) bool {
-	t, isActive := c.faults[name]
-	return isActive && c.Now < t.until && (t.probability >= 1 || c.rng.Float64() < t.probability)
+	f, isActive := c.faults[name]
+	return isActive && c.Now < f.until && (f.probability >= 1 || c.rng.Float64() < f.probability)
 }
 
 // occurred counts an occurrence by its description. Tests check the counts to be sure that faults
@@ -36,13 +36,13 @@
 }
 
 // replyWithDelay passes on a response, after a random delay while the fault "slow" is active.
-func (c *Cluster) replyWithDelay(reply func(any), answer any) {
+func (c *Cluster) replyWithDelay(reply func(any), response any) {
 	if slow := c.faults["slow"]; c.Now < slow.until {
 		c.occurred("slow answer")
-		c.after(time.Duration(c.rng.Int64N(int64(slow.maxDelay))), func() { reply(answer) })
+		c.after(time.Duration(c.rng.Int64N(int64(slow.maxDelay))), func() { reply(response) })
 		return
 	}
-	reply(answer)
+	reply(response)
 }
 
 // trackLeader records the leader of a new view. If it changed, the recorded heartbeats are sent to
@@ -80,7 +80,7 @@
 
 func ignoreReply(scheduler.Effect) {}
 
-// hang makes a machine unresponsive for a while. Calls deferred meanwhile run when it ends.
+// hang makes a machine unresponsive for a duration. The calls deferred meanwhile run at its end.
 func (w *worker) hang(duration time.Duration) {
 	w.cluster.log("%s hangs", w.name)
 	w.isHung = true
