--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -46,6 +46,6 @@
 		"at 20 submit job-000002 gang 3 red run=20 gpu=4\n"+
 		"at 30 submit job-000003 array 4 red run=10 gpu=1 spot\nat 600 cancel job-000001\nuntil 800\n")
 	if runs := c.firstRunTimes("job-000003"); len(runs) != 4 || runs[3] > 240 {
-		t.Errorf("the array's tasks first ran at %v s, want all four by 240 s; submitted at 30 s", runs)
+		t.Errorf("ran at %v, submitted at 30", runs)
 	}
 }
