--- a/Makefile
+++ b/Makefile
@@ -14,8 +14,8 @@
 	go tool -modfile=tools/go.mod golangci-lint run ./...
 	go tool staticcheck -checks all $$(go list ./... | grep -v /peer/fb)
 	go tool revive -config revive.toml -exclude internal/peer/fb/... ./cmd/... ./internal/...
-# Digests of all that leaves the controllers in fixed scenarios. A change that is to leave behaviour
-# alone prints the same as the commit before it; SHARE=8 plays one scenario in eight.
+# Digests of all output of the controllers in fixed scenarios. A change that must not change
+# behaviour prints the same digests as the commit before it; SHARE=8 plays one scenario in eight.
 SHARE = 1
 digest:
 	@go test ./internal/simulation -run '^$$' -bench '^BenchmarkDigest$$' -benchtime 1x -digest.share $(SHARE) | grep ^digest
