--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// ConfirmSoon ends the pause before the next confirmation, which is then sent at once if it is
-// due (StartConfirmation).
+// ConfirmSoon ends the pause before the next confirmation, which is then sent immediately if it
+// is due (StartConfirmation).
 func (m *Member) ConfirmSoon(now time.Duration) { m.nextConfirmation.BringForward(now) }
 
 // ConfirmationAnswered records the state service's response to a confirmation. sameView reports
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -15,7 +15,7 @@
 	Renew          bool // renew LeaseID
 }
 
-// LeaseID returns the ID of the lease granted last.
+// LeaseID returns the ID of the latest lease that the state service granted.
 func (m *Member) LeaseID() uint64 { return m.leaseID }
 
 // Lease returns the state of the lease and the member key.
@@ -54,8 +54,8 @@
 	return due
 }
 
-// LeaseAnswered records the response to the request for a lease. id is that of the lease, if
-// granted.
+// LeaseAnswered records the response to the request for a lease. id is the ID of the lease
+// if it was granted.
 func (m *Member) LeaseAnswered(now time.Duration, granted bool, id uint64) {
 	if !granted {
 		m.nextRenewal.Set(now + tuning.ConfirmationRetry)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// TestRefusedMemberKeyWaits checks that a refused member key is not retried at once, since an
+// TestRefusedMemberKeyWaits checks that a refused member key is not retried immediately, since an
 // expired lease refuses it every time, and that the renewal, which would show that the lease
 // has expired, is due no later than the retry.
 func TestRefusedMemberKeyWaits(t *testing.T) {
@@ -247,7 +247,7 @@
 	}
 }
 
-// TestConfirmationSchedule checks that the first confirmation is due at once and then one
+// TestConfirmationSchedule checks that the first confirmation is due immediately and then one
 // each interval, sooner for waiting readers, and that only one is in flight at a time.
 func TestConfirmationSchedule(t *testing.T) {
 	const gap, retry = tuning.MinConfirmationGap, tuning.ConfirmationRetry
--- a/internal/membership/readiness.go
+++ b/internal/membership/readiness.go
@@ -16,7 +16,7 @@
 	return m.stateAnsweredAt.Within(tuning.UsableAge, now)
 }
 
-// BecomeReady records that this controller can take requests, which makes it ready at once.
+// BecomeReady records that this controller can take requests, which makes it ready immediately.
 func (m *Member) BecomeReady() { m.ready, m.anotherBetterSince = true, monotime.Instant{} }
 
 // MaybeBecomeUnready records that a ready controller can't take requests now. The controller
--- a/internal/scheduler/controller.go
+++ b/internal/scheduler/controller.go
@@ -32,7 +32,7 @@
 	cfg     Settings
 	rng     *rand.Rand    // for all random draws; seeded
 	now     time.Duration // monotonic time of the present step
-	effects []Effect      // produced so far in the present step
+	effects []Effect      // produced in the present step
 
 	membership membership.Member
 	views      views
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -33,8 +33,8 @@
 }
 
 // heartbeatAnswer sends a heartbeat of the machine with the given sequence, preemption notice
-// and reported tasks, has it answered at once, and returns the status and the kinds of the
-// commands in the answer.
+// and reported tasks, has it answered without delay, and returns the status and the kinds of
+// the commands in the answer.
 func heartbeatAnswer(c *Controller, m *Machine, sequence uint64, notice float64, reports ...domain.TaskReport) (status int, kinds []domain.CommandKind) {
 	c.effects = nil
 	c.confirmNow()
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -47,7 +47,7 @@
 
 // addLoad adds tasks that were passed to the peer and that its reported load doesn't include
 // yet. seconds is the sum of their run times. About four tasks are assumed to run on a
-// machine at once.
+// machine at the same time.
 func (p *peerState) addLoad(seconds float64) {
 	if n := len(p.machines); n > 0 {
 		p.load += seconds / float64(4*n)
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -13,7 +13,7 @@
 	waiting         []waiter                // for a read index, in the order in which they came
 	accepting       map[string]bool         // IDs of jobs whose submission is being committed
 	lookups         map[uint64]JobSubmitted // submissions whose dependencies are being read, by ID of the read
-	dependencyLists int                     // lists of dependencies stored in pieces so far
+	dependencyLists int                     // number of the latest list of dependencies stored in pieces
 }
 
 func newRequests() requests {
--- a/internal/scheduler/size_test.go
+++ b/internal/scheduler/size_test.go
@@ -86,8 +86,8 @@
 
 // TestRefusedCommitRefundsTokens: the key-value store doesn't count what it refuses. Without the
 // refund, a leader whose commits of eight changes were refused seven times of sixteen spent a
-// second's worth of tokens on each of them, and gangs waited beside eighty idle machines that
-// were reserved for them.
+// second's worth of tokens on each of them, and gangs waited while eighty idle machines were
+// reserved for them.
 func TestRefusedCommitRefundsTokens(t *testing.T) {
 	c := New(Settings{Controller: "c-0", WriteRate: 8}, "x")
 	transaction := domain.Transaction{Puts: make([]domain.Put, 8)}
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -268,7 +268,7 @@
 	split := c.newCellSplit(j, i)
 	d.addCondition(split.source)
 	d.addCondition(codec.KeyJob(j.ID))
-	room := c.cfg.TransactionLimit - 1 // beside the header
+	room := c.cfg.TransactionLimit - 1 // the header takes one change
 	removesSource := !c.cache.oversized[split.source]
 	if removesSource {
 		room--
--- a/internal/scheduler/submissions.go
+++ b/internal/scheduler/submissions.go
@@ -32,8 +32,8 @@
 		return
 	}
 	if len(submission.Spec.Dependencies) > 0 {
-		// A controller of a version without dependencies would start the job at once, so the
-		// user has to retry until all controllers support them.
+		// A controller whose version lacks support for dependencies would start the job
+		// immediately, so the user has to retry until all controllers support them.
 		if !c.cache.isFormatOn() {
 			c.retryLater(submission.RequestID, dependenciesNotEnabled)
 			return
@@ -46,8 +46,8 @@
 	}
 }
 
-// refuseMalformed refuses a submission that can't be read: at once if not even the job's ID
-// can be read, else after a read index.
+// refuseMalformed refuses a submission that can't be read: immediately if not even the job's
+// ID can be read, else after a read index.
 func (c *Controller) refuseMalformed(submission JobSubmitted) {
 	if submission.ID == "" {
 		c.refuse(submission.RequestID, StatusMalformed, "", malformed)
@@ -110,8 +110,8 @@
 // --- submissions that name jobs they depend on ---
 
 // lookUpDependencies checks that the jobs that a submission depends on were accepted. Those
-// in the cache were. Another controller may have accepted the others a moment ago, so the
-// state service is asked for these, if there are at most tuning.MaxLookups; if there are
+// in the cache were. Another controller may have accepted the others a moment ago, so they
+// are read from the state service if there are at most tuning.MaxLookups of them; if there are
 // more, the submission waits for a read index. Only a read index shows that a job was never
 // accepted: the cache then has everything that was accepted before the submission came.
 func (c *Controller) lookUpDependencies(submission JobSubmitted) {
@@ -219,8 +219,9 @@
 }
 
 // storeDependencies stores in the job's spec the IDs of the jobs that it depends on and that
-// are not over, if the list is short. A longer list is split into pieces beside the header,
-// and the spec refers to them; the changes that write the pieces are returned.
+// are not over, if the list is short. A longer list is split into pieces, which are stored
+// as values of their own, and the spec refers to them; the changes that write the pieces are
+// returned.
 func (c *Controller) storeDependencies(id string, spec *domain.JobSpec, open []string) []domain.Put {
 	inHeader := codec.JoinJobNames(open, tuning.DependenciesInHeader)
 	if len(inHeader) == 0 {
