--- a/internal/scheduler/commits.go
+++ b/internal/scheduler/commits.go
@@ -9,9 +9,9 @@
 	"brassglade/internal/tuning"
 )
 
-// commits is the state of writing to the key-value store: the transactions in flight, the one in
-// doubt, keys that the next task commit leaves out, and how many changes a second this controller
-// may still make.
+// commits is the state of writing to the key-value store: the transactions in flight, the task
+// commit whose outcome is unknown (in doubt), the keys that task commits leave out for a time, and
+// the rate of changes that this controller may make.
 //
 // A task commit moves tasks between states. At most one is in flight. It is drafted in draft.go,
 // filled by the stages of a plan (plan.go), and sent and completed in this file.
@@ -101,9 +101,9 @@
 // was refused lately; 0: no limit.
 func (c *Controller) fullWriteRate() float64 { return c.cfg.WriteRate * c.writeWeight() }
 
-// refill adds the tokens that accrued since the last call, up to one second's worth. A rate that
-// was reduced by refusals grows back to the full one, in changes a second. A controller that
-// becomes the leader, or stops being it, starts at its full rate.
+// refill adds the tokens that accrued since the last call, up to one second's worth. full is the
+// controller's full rate in changes a second; a rate that was reduced by refusals grows back to
+// it. A controller that becomes the leader, or stops being it, starts at its full rate.
 func (s *commits) refill(now time.Duration, full float64, isLeader bool) {
 	seconds := (now - s.tokensAt).Seconds()
 	if s.isLeaderRate != isLeader {
@@ -143,7 +143,8 @@
 	return ok && now < until
 }
 
-// checkAvoided is isKeyAvoided, but also deletes the entry of a key whose time is over.
+// checkAvoided reports whether task commits leave a key out at present, as isKeyAvoided does. It
+// also changes the state: if the key's entry in avoidUntil has expired, it deletes the entry.
 func (s *commits) checkAvoided(key string, now time.Duration) bool {
 	if s.isKeyAvoided(key, now) {
 		return true
@@ -166,8 +167,8 @@
 }
 
 // avoidConflictedKeys leaves the teams' shares, packs, chunks and cells that failed in a conflict
-// out of task commits for a short, random time, so that one contested value doesn't fail all
-// other changes of this controller.
+// out of task commits for a short, random time. Otherwise one value that several controllers
+// change could make the commits with all other changes of this controller fail.
 func (c *Controller) avoidConflictedKeys(failed []string) {
 	for _, key := range failed {
 		switch kind, _ := codec.ParseKey(key); kind {
@@ -185,8 +186,9 @@
 	return s.taskCommit == nil && c.mayAct() && s.nextTaskCommit.HasPassed(c.now) && c.cache.revision >= s.minRevision && s.hasCredit(c.cfg.WriteRate)
 }
 
-// commitDraft sends a draft as the task commit. From then on no start of an attempt that the
-// draft releases may be sent to an agent, because the commit may be carried out late.
+// commitDraft sends a draft as the task commit. The draft may release attempts of tasks from their
+// machines. From then on, no start of such an attempt may be sent to an agent, because the commit
+// may be carried out late.
 func (c *Controller) commitDraft(d *draft) {
 	transaction := d.transaction()
 	for _, attempt := range d.releases {
--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -141,7 +141,9 @@
 			return c.neverRunsReason(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A controller that was cut off may lack a job that another one has accepted, so it must
-		// not answer that the job is unknown before a read index.
+		// not answer that the job is unknown before a read index. This is a second case for
+		// GuardReadIndex: the space makes its key in the map a different one, and is removed
+		// again before the guard is disabled.
 		GuardReadIndex + " ": func(t *testing.T, disabled Guard) bool {
 			c := actingController()
 			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(disabled)))
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -388,17 +388,21 @@
 	c.sendDirectStops(m)
 }
 
-// drainSilent drains the machines that are silent, except in zones where more machines are
-// silent than send heartbeats on time. If all machines of a controller or of one zone fall
-// silent together, a network partition is more likely than lost machines. Draining these would
-// return hundreds of machines with their images, although they come back when the partition
-// ends.
+// drainSilent drains the machines that are silent, except in zones that look partitioned: those
+// where more machines are silent than send heartbeats on time. If all machines of a controller
+// or of one zone fall silent together, a network partition is more likely than lost machines.
+// The machines come back when the partition ends. Draining them would return hundreds of machines
+// with their images.
 //
-// When a partition begins, the machines whose last heartbeats are oldest reach the limit
-// first, while the others still count as responding. So the silent machines of a zone are
-// compared with those whose heartbeats are not even late. When the partition ends, machines
-// come back one after the other, so no machine of the zone is drained until
-// tuning.PartitionSilenceTimeout after the zone last looked partitioned.
+// The silent machines of a zone are compared with those whose heartbeats are not even late,
+// not with all that count as responding. When a partition begins, the machines whose last
+// heartbeats are oldest reach the limit first, and the others still count as responding.
+//
+// No machine of a zone is drained until tuning.PartitionSilenceTimeout after the zone last
+// looked partitioned. When a partition ends, the machines come back one after the other.
+//
+// Neither exception applies if too few machines are silent for a partition
+// (isTooFewForPartition).
 func (c *Controller) drainSilent(review *silenceReview) {
 	for _, name := range slices.Sorted(maps.Keys(review.zones)) {
 		zone := review.zones[name]
--- a/internal/scheduler/in_doubt.go
+++ b/internal/scheduler/in_doubt.go
@@ -20,14 +20,14 @@
 	modRevision uint64 // revision of the value on which the commit was conditional
 }
 
-// isOutcomeKnown reports whether the value has changed since: either the commit was carried out,
-// or it never will be.
+// isOutcomeKnown reports whether the value's revision is no longer the one on which the commit was
+// conditional. The commit was then carried out, or it never will be, since its condition fails.
 func (v inDoubtCommit) isOutcomeKnown(modRevisions map[string]uint64) bool {
 	return modRevisions[v.key] != v.modRevision
 }
 
-// markInDoubt records a task commit that got no response; modRevisions are the revisions of the
-// cached values, by key.
+// markInDoubt records a task commit that got no response, and chooses the value by which later
+// task commits exclude it. modRevisions are the revisions of the cached values, by key.
 func (s *commits) markInDoubt(lost domain.Transaction, modRevisions map[string]uint64) {
 	if s.inDoubt.key != "" {
 		return // this commit writes the value of the first one in doubt as well, so the value excludes both
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -126,9 +126,15 @@
 
 // roomScore returns how well a controller's shard suits a job, higher being better. load is
 // the shard's mean load; room and slots are those of roomByShard. The tasks that wait in the
-// shard are subtracted from its room, since they are not booked yet. In a large fleet, shards
-// without enough room are compared by the shortage per slot: otherwise all jobs would go to
-// the shard whose backlog happens to be shortest.
+// shard are subtracted from its room, since they are not booked yet. There are three scales:
+//   - In a small fleet, the score is 1000 for each task of the job that there is room for, less
+//     the load in seconds.
+//   - In a large fleet, the score of a shard without room for the whole job is the room per
+//     slot. It is negative if more tasks wait than there is room for. If shards were compared by
+//     the shortage itself, all jobs would go to the shard whose backlog happens to be shortest.
+//   - In a large fleet, the score of a shard with room for the whole job is 1e6, which ranks it
+//     above those without, less the tasks that wait in it. A fraction below 1, derived from the
+//     job's ID and the controller, distinguishes shards where equally many tasks wait.
 func (c *Controller) roomScore(controller string, spec *domain.JobSpec, load float64, room, slots int64) float64 {
 	left, tasks := room-c.tasksWaitingAhead(controller, spec), int64(spec.TaskCount)
 	switch {
--- a/internal/scheduler/splits.go
+++ b/internal/scheduler/splits.go
@@ -227,11 +227,13 @@
 	return changes
 }
 
-// move moves a job to another pack. The job's header names the new pack, which gets the job's
-// tasks in the same commit. The old pack's entry of the job is ignored from then on, so the old
-// pack need not be written, but the commit is conditional on it. Because the revision of the old
-// pack doesn't change, a change of a job in a value that is too large is also conditional on the
-// job's header (openCell).
+// move moves a job to another pack. One commit changes the job's header, which then names the new
+// pack, and writes the job's tasks to the new pack. From then on, the old pack's entry of the job
+// is ignored, so the old pack need not be written. The commit is conditional on it, though.
+//
+// If the old pack is not written, its revision doesn't show that the job has left it; only the
+// job's header does. For this reason, a change of a job in a value that is too large is
+// conditional on the job's header as well as on the value (openCell).
 func (d *draft) move(j *Job, pack string) {
 	if _, ok := d.moved[j.ID]; ok {
 		return
@@ -331,10 +333,11 @@
 	complete = true
 	lastChange := max(c.modRevisions[split.source], c.modRevisions[codec.KeyJob(j.ID)])
 	for _, cell := range split.cells {
-		// If there are too many cells for one commit, earlier commits have already written the
-		// cells that are newer than the last change of source and header. The commit that names
-		// the cells is conditional on source and header, so no late commit of cells can have
-		// changed a cell meanwhile. This takes fewer conditions than one for each cell.
+		// If there are too many cells for one commit, a cell that is newer than the last change
+		// of source and header was written by an earlier commit and is not written again. It
+		// needs no condition of its own, which saves conditions: the commit that names the cells
+		// is conditional on source and header, as are the commits that write cells, so no late
+		// commit of cells can have changed a cell meanwhile.
 		if len(split.cells) > room && c.modRevisions[cell.Key] > lastChange {
 			continue
 		}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -205,8 +205,9 @@
 }
 
 // zonesReconnected reports whether the zones are connected again: messages of all serving
-// controllers have arrived for a while, and the view is not new. Only the leader may decide this,
-// so that a controller that is cut off from its peers alone does not.
+// controllers have kept arriving for longer than tuning.MinZonedTime, and the view is older than
+// that. Only the leader may decide this, so that a single controller that is cut off from its
+// peers does not.
 func (c *Controller) zonesReconnected() bool {
 	if !c.hasRecentMessageFromAllPeers() {
 		c.views.allPeersFreshSince = monotime.Instant{}
