--- a/internal/scheduler/guard_test.go
+++ b/internal/scheduler/guard_test.go
@@ -33,8 +33,8 @@
 }
 
 // heartbeatAnswer sends a heartbeat of the machine with the given sequence, preemption notice
-// and reported tasks, has it answered at once, and returns the status and the kinds of the
-// commands in the answer.
+// and reported tasks, has it answered without delay, and returns the status and the kinds of
+// the commands in the answer.
 func heartbeatAnswer(c *Controller, m *Machine, sequence uint64, notice float64, reports ...domain.TaskReport) (status int, kinds []domain.CommandKind) {
 	c.effects = nil
 	c.confirmNow()
@@ -141,7 +141,9 @@
 			return c.neverRunsReason(&domain.JobSpec{Team: "red", Shape: domain.Array, TaskCount: 1, Request: domain.Resources{GPU: 1}}) != ""
 		},
 		// A controller that was cut off may lack a job that another one has accepted, so it must
-		// not answer that the job is unknown before a read index.
+		// not answer that the job is unknown before a read index. This is a second case for
+		// GuardReadIndex: the space makes its key in the map a different one, and is removed
+		// again before the guard is disabled.
 		GuardReadIndex + " ": func(t *testing.T, disabled Guard) bool {
 			c := actingController()
 			c.cfg.DisabledGuard = Guard(strings.TrimSpace(string(disabled)))
