--- a/internal/scheduler/cordons.go
+++ b/internal/scheduler/cordons.go
@@ -12,7 +12,7 @@
 	"brassglade/internal/tuning"
 )
 
-// cordons holds the cordons that this controller wants to write. Written cordons are in the
+// cordons holds the cordons that this controller has yet to write. Written cordons are in the
 // cache. A machine drains first, and is gone once the cloud has confirmed its return.
 type cordons struct {
 	requested   map[string]domain.Cordon // by machine
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestJobAgesAfterRestart checks that a controller that loads a snapshot takes the ages of jobs from
-// the times in the headers, so that it orders jobs as the other controllers do.
+// TestJobAgesAfterRestart checks that a controller that loads a snapshot takes the ages of jobs
+// from the times in the headers, so that it orders jobs as the other controllers do.
 func TestJobAgesAfterRestart(t *testing.T) {
 	wall := int64(1_700_000_000_000)
 	header := codec.JobHeader{State: domain.StateOpen, TaskCount: 1, ChunkSize: 1, AcceptOrder: 2, AcceptedAtMS: wall - 90_000, Spec: &domain.JobSpec{Class: "c", Shape: domain.Array, TaskCount: 1, Deadline: 100, DependencyText: "000001"}}
@@ -214,8 +214,9 @@
 }
 
 // TestThousandsOfDependencies checks that a submission may name thousands of jobs. Their list is
-// stored in pieces beside the header, which is written last. Another controller that reads the
-// header before the pieces finds the same dependencies, and the job waits until all pieces arrived.
+// stored in pieces under keys of their own, and the header is written last. Another controller that
+// reads the header before the pieces finds the same dependencies, and the job waits until all
+// pieces arrived.
 func TestThousandsOfDependencies(t *testing.T) {
 	c := actingController()
 	var needs []string
--- a/internal/scheduler/faults.go
+++ b/internal/scheduler/faults.go
@@ -33,8 +33,8 @@
 }
 
 // shouldReflectReply reports whether a heartbeat would show the effect of the last answer if that
-// answer had arrived. Heartbeats that a network partition held back arrive all at once, and none
-// of them can show an answer given a moment ago.
+// answer had arrived. Heartbeats that a network partition held back all arrive at the same time,
+// and none of them can show an answer given a moment ago.
 func (m *Machine) shouldReflectReply(heartbeat *domain.Heartbeat, now time.Duration) bool {
 	return m.isInEpoch(heartbeat.AgentEpoch) && m.answeredAt >= 0 && now-m.answeredAt >= tuning.ReplyEffectDelay
 }
@@ -87,7 +87,7 @@
 
 // countsAgainstMachine reports whether a job's errors on a machine may be the machine's fault. j
 // is nil if the job isn't known any more. If some task of the job was done anywhere, the errors
-// count at once. Otherwise they count after the job had time for attempts elsewhere, unless it
+// count immediately. Otherwise they count after the job had time for attempts elsewhere, unless it
 // fails there too.
 func (c *Controller) countsAgainstMachine(j *Job, failures failureCount) bool {
 	if j == nil || j.cancelled() {
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -12,8 +12,8 @@
 	"brassglade/internal/tuning"
 )
 
-// planGangs books the tasks of jobs for which the leader reserves machines: gangs as a whole or not
-// at all, other jobs task by task within their zone rules. It makes two passes. The first one
+// planGangs books the tasks of jobs for which the leader reserves machines: all tasks of a gang or
+// none, other jobs task by task within their zone rules. It makes two passes. The first one
 // considers only jobs whose image is on a machine with room, since fetching an image takes a large
 // fraction of a run and uses the team's limit for as long; the second considers all jobs.
 func (c *Controller) planGangs(d *draft) {
@@ -349,8 +349,8 @@
 	return max(0, tuning.MaxTasksPerPlan-max(0, inDraft))
 }
 
-// zoneAssignments are the assignments made so far for a job's tasks to machines of one zone, or
-// of any.
+// zoneAssignments are the assignments that a plan has already made of a job's tasks to machines of
+// one zone, or of any zone.
 type zoneAssignments struct {
 	*machineChooser
 	zone        string // "": any
--- a/internal/scheduler/known_machines.go
+++ b/internal/scheduler/known_machines.go
@@ -46,7 +46,8 @@
 	return leader != nil && leader.reserved[name]
 }
 
-// isEvicting reports whether the leader wants a machine emptied for work of higher priority.
+// isEvicting reports whether the leader has marked a machine to be emptied for work of higher
+// priority.
 func (c *Controller) isEvicting(name string) bool {
 	if c.isLeader() {
 		return c.scaling.evicting[name]
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -218,7 +218,7 @@
 }
 
 // chooseOverrides keeps the present overrides that still have a reason, and makes this controller
-// the owner of the wanted machines. The view must stay below the size limit of a value, or it
+// the owner of the machines in wanted. The view must stay below the size limit of a value, or it
 // could never change again. The number of overrides is therefore limited, and machines beyond the
 // limit wait. Overrides beyond it in a view written under larger limits are dropped: any
 // controller may own a machine after a change of epoch.
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -99,7 +99,7 @@
 type placementRun struct {
 	c             *Controller
 	targets       []target
-	largeFleet    bool // jobs are handed over as a whole
+	largeFleet    bool // a job is handed over with all its tasks
 	teams         *teamHeadroom
 	targetsByKind map[taskKind][]int // by kind of task, indices of the targets whose queues still take one
 }
@@ -218,7 +218,7 @@
 func (p *placementRun) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
-	// A task is handed over at most once, so that it cannot move from shard to shard for ever.
+	// A task is handed over at most once, so that it cannot move from shard to shard endlessly.
 	if j.task(id.Index).Shard == "" && !c.queues.tasksDrawnToStay[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Controller, Load: c.meanLoad(), Ref: noTarget})
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -5,12 +5,12 @@
 )
 
 // This file alone determines where a job's tasks are, as seen from a draft or, with a nil draft,
-// as committed. Every rule on the tasks of a job as a whole uses it:
+// as committed. Every rule that concerns all tasks of a job together uses it:
 //
 //   - A committed booking counts as it is in the cache until its release is committed. Only a
 //     booking whose attempt is proven stopped is released (isProvenStopped).
 //   - A change in the draft counts in place of the committed record: one plan may look at a job
-//     several times, and its commit is carried out as a whole or not at all.
+//     several times, and its commit is carried out completely or not at all.
 //   - An in-doubt commit of this controller does not count. It and the draft exclude each other
 //     (in_doubt.go): if that commit was carried out, the draft's will not be.
 //   - Commits of other leaders count once they are in the cache. Those of earlier leaders were
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -19,7 +19,7 @@
 	lastForeignValue      string                   // key of the one that was changed last
 	firstReleaseMachine   string                   // machine whose releases come first in the next plan
 	taskHandovers         map[domain.TaskID]string // by task to be handed over: the shard that gets it
-	jobHandovers          map[string]string        // by job to be handed over as a whole: the shard that gets it
+	jobHandovers          map[string]string        // by job to be handed over with all its tasks: the shard that gets it
 	pendingReleases       map[attemptID]bool       // attempts that a commit releases; no start of them may be sent
 	preempted             map[attemptID]bool       // bookings to be stopped for tasks that wait on the same machine
 }
@@ -79,7 +79,7 @@
 		return
 	}
 	if c.cache.isFormatOn() && !c.planner.assumeMaxBookingBytes && c.hasValueTooLarge(d.transaction()) {
-		// Plan again at once, with the largest size of a booking.
+		// Plan again immediately, with the largest size of a booking.
 		c.planner.assumeMaxBookingBytes, c.planner.dirty = true, true
 		c.planner.nextPlan.Set(c.now)
 		return
@@ -135,7 +135,7 @@
 var planStages = [...]planStage{
 	// Gangs on machines about to be taken away have only seconds left to save their progress.
 	{(*draft).allowAll, (*Controller).planGangStops},
-	// A gang needs many machines at once, so it is placed before other jobs take some of them.
+	// A gang needs many machines at the same time, so it is placed before other jobs take some of them.
 	// Two changes are left for releases, which make room for everything else.
 	{(*draft).reserveTwoChanges, (*Controller).planGangs},
 	// Large arrays alternate between going before and after other jobs' tasks.
--- a/internal/scheduler/plan_handovers.go
+++ b/internal/scheduler/plan_handovers.go
@@ -37,8 +37,8 @@
 	return true
 }
 
-// canHandOverJob reports whether a job may still be handed over to a shard as a whole: none of its
-// tasks was booked, queued or handed over since that was decided, and the shard's controller
+// canHandOverJob reports whether a job may still be handed over to a shard with all its tasks: none
+// of them was booked, queued or handed over since that was decided, and the shard's controller
 // still serves.
 func (c *Controller) canHandOverJob(j *Job, to string) bool {
 	return j != nil && j.Header.State == domain.StateOpen && isUnstarted(j) && j.queuedHere == 0 &&
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -36,9 +36,9 @@
 		Spec: &domain.JobSpec{Class: "c", Team: "red", Shape: domain.Array, Priority: domain.Priority(priority), TaskCount: tasks, Request: domain.Resources{CPU: cpu}, EstimatedRuntime: 10, Spot: true}})}
 }
 
-// TestSmallTransactionsBookMany guards against idle machines beside a backlog where a commit has 4
-// changes and 16 conditions. When six conditions were reserved for each further change and 28 bytes
-// planned for each booking, half of 1,168 machines were idle.
+// TestSmallTransactionsBookMany guards against machines that stay idle while tasks wait, where a
+// commit has 4 changes and 16 conditions. When six conditions were reserved for each further change
+// and 28 bytes planned for each booking, half of 1,168 machines were idle.
 func TestSmallTransactionsBookMany(t *testing.T) {
 	c := controllerWithQueues(t, 30)
 	d := c.newDraft()
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestShardsDoNotRestMachinesTheyNeed checks that in a large fleet each shard keeps the machines in use
-// that its own jobs need. When the need was compared with the sum over all shards, the shard with
-// a backlog lost machines to resting that it needed.
+// TestShardsDoNotRestMachinesTheyNeed checks that in a large fleet each shard keeps the machines in
+// use that its own jobs need. When the need was compared with the sum over all shards, the shard
+// with a backlog lost machines to resting that it needed.
 func TestShardsDoNotRestMachinesTheyNeed(t *testing.T) {
 	c := largeFleetLeader()
 	for _, p := range c.peers.byName {
@@ -144,10 +144,10 @@
 	return false
 }
 
-// TestInDoubtCommitsExcludeEachOther guards against a broken team limit. A commit without a response
-// may be carried out after newer ones of the same controller. Two commits that change different
-// values, each within the controller's share of the limit, together broke it; later commits
-// therefore write a value of the first one again. The team's key is not in them, since it
+// TestInDoubtCommitsExcludeEachOther guards against a broken team limit. A commit without a
+// response may be carried out after newer ones of the same controller. Two commits that change
+// different values, each within the controller's share of the limit, together broke it; later
+// commits therefore write a value of the first one again. The team's key is not in them, since it
 // lost a conflict just now and the share has room.
 func TestInDoubtCommitsExcludeEachOther(t *testing.T) {
 	for kind, test := range map[string]struct {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// preempt marks an attempt on m to be stopped and has the stop command sent to the machine at once.
-// It does nothing if the attempt is already being stopped.
+// preempt marks an attempt on m to be stopped and has the stop command sent to the machine
+// immediately. It does nothing if the attempt is already being stopped.
 func (c *Controller) preempt(m *Machine, attempt attemptID) {
 	if c.planner.preempted[attempt] {
 		return
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -17,7 +17,7 @@
 	tasksDrawnToStay map[domain.TaskID]bool    // tasks for which the draw chose to wait in this shard
 	jobsDrawn        map[string]bool           // jobs for which the shard was drawn (drawShardOfJob)
 	lastDrawAt       time.Duration             // when the last regular run of placeTasks began (beginPlacementRun)
-	lastStealAt      time.Duration             // when other shards were last asked for work
+	lastStealAt      time.Duration             // when this shard last asked other shards for tasks to steal
 	nextPlacement    monotime.Deadline         // when the next run of placeTasks may begin
 	pendingRunTime   float64                   // total run time of pending tasks, divided by the slots of a machine, s
 	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -303,8 +303,8 @@
 
 // endRestFor ends the rest of machines that waiting tasks need. The total of free resources is not
 // enough: a task may fit none of the remaining machines, or may not be allowed on the cheaper ones
-// because of its zone or machine type. Without this rule such jobs waited beside empty machines
-// until those were returned, and their claim on the team's limit delayed other jobs, too.
+// because of its zone or machine type. Without this rule such jobs waited although machines were
+// empty, until those were returned, and their claim on the team's limit delayed other jobs, too.
 func (c *Controller) endRestFor(candidates []restCandidate, pending []pendingWork) {
 	if len(c.scaling.resting) == 0 {
 		return
--- a/internal/scheduler/steal.go
+++ b/internal/scheduler/steal.go
@@ -13,10 +13,10 @@
 )
 
 // isLargeFleet reports whether there are so many machines or waiting tasks that jobs are handed
-// over and stolen as a whole, as long as none of their tasks was booked. If tasks were handed over
-// one by one, the tasks of most jobs would wait in shards other than the one whose value holds
-// their records, and two controllers that commit to the same value at the same time repeatedly fail
-// each other.
+// over and stolen with all their tasks, as long as none of their tasks was booked. If tasks were
+// handed over one by one, the tasks of most jobs would wait in shards other than the one whose
+// value holds their records, and two controllers that commit to the same value at the same time
+// repeatedly fail each other.
 func (c *Controller) isLargeFleet() bool {
 	c.countWaiting()
 	return c.machineCount() > tuning.LargeFleetMachines || c.peers.waitingTotal > tuning.LargeBacklogTasks
@@ -193,9 +193,9 @@
 	}
 }
 
-// firstToSteal returns the first task in the queue of one machine that can't start there at once,
-// but could on another machine with the given free resources. The second result is false if
-// there is no such task.
+// firstToSteal returns the first task in the queue of one machine that can't start there
+// immediately, but could on another machine with the given free resources. The second result is
+// false if there is no such task.
 func (c *Controller) firstToSteal(from, to *Machine, freeThere domain.Resources) (domain.TaskID, bool) {
 	free := c.cache.freeOn(from.Name, c.cache.machineType(from.Type).Capacity, nil)
 	for _, id := range from.queue {
@@ -205,7 +205,7 @@
 		spec := c.cache.jobs[id.Job].Header.Spec
 		if free.Fits(spec.Request) {
 			free = free.Plus(spec.Request, -1)
-			continue // it can start there at once
+			continue // it can start there immediately
 		}
 		if c.canStart(id, to, freeThere) {
 			return id, true
@@ -319,13 +319,13 @@
 	return offers
 }
 
-// stealResponse collects what is handed over to a peer that asked for work.
+// stealResponse collects what is handed over to a peer that asked for tasks.
 type stealResponse struct {
 	c         *Controller
 	to        string // name of the peer
 	request   *StealRequest
 	room      domain.Resources // part of the requested resources that is not yet filled
-	taskCount int              // tasks handed over so far
+	taskCount int              // tasks already handed over
 	claims    map[string]quotaClaim
 }
 
@@ -340,7 +340,7 @@
 		response.handOverJobs()
 		return
 	}
-	// Tasks in no queue first, then those that can't start at once where they queue.
+	// Tasks in no queue first, then those that can't start immediately where they queue.
 	response.handOverUnplaced()
 	response.handOverQueued()
 }
@@ -370,9 +370,9 @@
 	}
 }
 
-// mayHandOverJob reports whether a job may go to the peer as a whole: it waits in this shard, none
-// of its tasks is in a machine's queue here, and it was handed over fewer than tuning.MaxHops
-// times.
+// mayHandOverJob reports whether a job may go to the peer with all its tasks: it waits in this
+// shard, none of its tasks is in a machine's queue here, and it was handed over fewer than
+// tuning.MaxHops times.
 func (s *stealResponse) mayHandOverJob(j *Job) bool {
 	c, spec := s.c, j.Header.Spec
 	if placedByLeader(spec) || !isUnstarted(j) || j.queuedHere > 0 || c.planner.jobHandovers[j.ID] != "" {
@@ -397,7 +397,8 @@
 	}
 }
 
-// handOverQueued hands over tasks that can't start at once on the machine in whose queue they are.
+// handOverQueued hands over tasks that can't start immediately on the machine in whose queue they
+// are.
 func (s *stealResponse) handOverQueued() {
 	c := s.c
 	for _, name := range c.heartbeats.machineNames() {
@@ -420,9 +421,10 @@
 	}
 }
 
-// handOverTask hands over one task if it still waits, the peer may run it and has asked for enough
-// resources. Tasks that their team's limit or a claim on it keeps from starting are not handed
-// over, since they would only take up room that another task could use.
+// handOverTask hands over one task if it still waits, the peer may run it, and what remains of the
+// resources that the peer requested is enough for it. Tasks that their team's limit or a claim on
+// it keeps from starting are not handed over, since they would only take up room that another task
+// could use.
 func (s *stealResponse) handOverTask(id domain.TaskID) {
 	c, j := s.c, s.c.cache.jobs[id.Job]
 	if j == nil || s.taskCount >= s.request.MaxTasks || c.planner.taskHandovers[id] != "" || !c.isWaiting(j, id.Index) {
--- a/internal/scheduler/steal_test.go
+++ b/internal/scheduler/steal_test.go
@@ -9,8 +9,8 @@
 	"brassglade/internal/domain"
 )
 
-// newStealController returns an acting controller with one peer and the given number of idle machines
-// of its own.
+// newStealController returns an acting controller with one peer and the given number of idle
+// machines of its own.
 func newStealController(t *testing.T, machines int) *Controller {
 	t.Helper()
 	c := actingController()
@@ -25,9 +25,9 @@
 	return c
 }
 
-// TestStealResponse checks that a peer that asks for work gets the tasks for which it has room: first
-// those in no queue, then those that would have to wait in the queue of their machine, but never
-// those that can start at once.
+// TestStealResponse checks that a peer that asks for work gets the tasks for which it has room:
+// first those in no queue, then those that would have to wait in the queue of their machine, but
+// never those that can start immediately.
 func TestStealResponse(t *testing.T) {
 	id := func(job, index int) domain.TaskID { return domain.TaskID{Job: jobName(job), Index: index} }
 	for _, test := range []struct {
@@ -63,7 +63,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newStealController(t, 1)
 			m := c.heartbeats.machines["n-000000"]
-			c.apply(openJob(t, 1, 3, 1, 6000)) // queued on the machine: two can start at once, one has to wait
+			c.apply(openJob(t, 1, 3, 1, 6000)) // queued on the machine: two can start immediately, one has to wait
 			c.apply(openJob(t, 2, 2, 1, 1000)) // in no queue
 			for i := 0; i < 3; i++ {
 				c.enqueue(id(1, i), m)
@@ -126,7 +126,7 @@
 }
 
 // TestStealLocal checks that an idle machine takes tasks that have to wait in the queue of another
-// machine, and leaves those that can start there at once.
+// machine, and leaves those that can start there immediately.
 func TestStealLocal(t *testing.T) {
 	c := newStealController(t, 2)
 	backlogged, idle := c.heartbeats.machines["n-000000"], c.heartbeats.machines["n-000001"]
--- a/internal/scheduler/targets.go
+++ b/internal/scheduler/targets.go
@@ -65,7 +65,7 @@
 // taskKind holds the properties of a task that decide whether a machine's queue takes it.
 type taskKind struct {
 	request     domain.Resources
-	preemptible bool // queued only where it can start at once
+	preemptible bool // queued only where it can start immediately
 }
 
 // kindOf returns the kind of a job's tasks. Preemptible tasks of a starving job may wait in queues
@@ -81,8 +81,8 @@
 
 // isFull reports whether the machine's queue takes no more tasks of a kind. Queues are short:
 // tasks that can't start soon remain among the pending jobs of the shard, where the order can still
-// change. A preemptible task is queued only where it can start at once: if it waited in the queue,
-// it would start before other tasks that arrive later.
+// change. A preemptible task is queued only where it can start immediately: if it waited in the
+// queue, it would start before other tasks that arrive later.
 func (t *target) isFull(kind taskKind) bool {
 	depth := int64(tuning.QueueDepth)
 	if kind.preemptible {
@@ -153,8 +153,8 @@
 }
 
 // fetchCost returns the expected delay by the fetch of a job's image, in seconds. Fetches share the
-// machine's bandwidth: a further image also delays the other fetches, while an image that is already
-// being fetched counts as half fetched.
+// machine's bandwidth: a further image also delays the other fetches, while an image that is
+// already being fetched counts as half fetched.
 func (t *target) fetchCost(spec *domain.JobSpec) float64 {
 	if spec.Image == "" || t.machineType.FetchGBPerS <= 0 || t.hasImage(spec.Image) {
 		return 0
@@ -167,9 +167,9 @@
 }
 
 // packCost returns a cost, in seconds, by which draws prefer fuller and cheaper machines among
-// those where a task can start at once. The task runs as fast on any of them, but a machine that
-// stays empty can be returned to the cloud, and a full one fetches each image once for many tasks.
-// The cost is 0 where the task can't start at once and where resources are scarce.
+// those where a task can start immediately. The task runs as fast on any of them, but a machine
+// that stays empty can be returned to the cloud, and a full one fetches each image once for many
+// tasks. The cost is 0 where the task can't start immediately and where resources are scarce.
 func (q *queues) packCost(t *target, spec *domain.JobSpec, kind taskKind, cheapest float64) float64 {
 	slots := t.machineType.Capacity.CountFitting(spec.Request, tuning.MaxCountedSlots)
 	room := t.roomFor(kind).CountFitting(spec.Request, tuning.MaxCountedSlots) - t.queued
@@ -230,10 +230,10 @@
 	return images
 }
 
-// leastLoaded returns the choices with the lowest sum of load and cost, at most limit of them and in
-// the given order, without those whose Ref is noTarget. With hundreds of machines in a shard the
-// softmax gives the other choices almost no probability, while the computing time and the size
-// of the gradient of a draw grow with the square of the number of choices.
+// leastLoaded returns the choices with the lowest sum of load and cost, at most limit of them and
+// in the given order, without those whose Ref is noTarget. With hundreds of machines in a shard the
+// softmax gives the other choices almost no probability, while the computing time and the size of
+// the gradient of a draw grow with the square of the number of choices.
 func leastLoaded(all []policy.Choice, limit int) []policy.Choice {
 	var choices []policy.Choice
 	for i := range all {
--- a/internal/scheduler/urgency.go
+++ b/internal/scheduler/urgency.go
@@ -42,7 +42,7 @@
 // wait or run.
 func (c *Controller) rankableJobs() []*rankedJob {
 	var jobs []*rankedJob
-	accepted := map[string]domain.Resources{} // by team: requests of all tasks, not yet done, of its jobs so far
+	accepted := map[string]domain.Resources{} // by team: requests of all unfinished tasks of its jobs that the loop has visited
 	for _, j := range c.cache.openJobs {
 		spec := j.Header.Spec
 		guarantee := c.cfg.Teams[spec.Team].Guarantee
@@ -86,7 +86,7 @@
 }
 
 // slots returns the number of tasks of the job that the known machines that take bookings can run
-// at once if they are empty; at least 1.
+// at the same time if they are empty; at least 1.
 func (c *Controller) slots(spec *domain.JobSpec) float64 {
 	c.inventory() // updates machinesByKind
 	total := int64(0)
@@ -160,5 +160,5 @@
 	}
 }
 
-// isAssignedTo reports whether the job is assigned to the objective with this index, counted from 0.
+// isAssignedTo reports whether the job is assigned to the objective with this index, from 0 up.
 func (u *rankedJob) isAssignedTo(i int) bool { return u.objective == i && i < len(u.timesLeft) }
--- a/internal/scheduler/zone_partition_test.go
+++ b/internal/scheduler/zone_partition_test.go
@@ -13,8 +13,8 @@
 	"brassglade/internal/tuning"
 )
 
-// largeFleetLeader returns the leader of a fleet of 2,000 machines in two zones. Its settings have the
-// smallest sizes of values and transactions in use.
+// largeFleetLeader returns the leader of a fleet of 2,000 machines in two zones. Its settings have
+// the smallest sizes of values and transactions in use.
 func largeFleetLeader() *Controller {
 	controllers := []string{"c-0", "c-1", "c-2", "c-3"}
 	c := New(Settings{Controller: "c-0", Controllers: controllers, Zones: []string{"a", "b"}, ValueLimit: 4096, TransactionLimit: 8,
@@ -96,10 +96,10 @@
 	}
 }
 
-// TestZonePartitionSplitsOwnership checks the case that hundreds of machines at once can't reach
-// owners in another zone, which are too many for the list of overrides. One change of the view then
-// assigns machines to the controllers of their own zone, until all controllers receive each other's
-// messages again.
+// TestZonePartitionSplitsOwnership checks the case that hundreds of machines can't reach owners in
+// another zone at the same time, which are too many for the list of overrides. One change of the
+// view then assigns machines to the controllers of their own zone, until all controllers receive
+// each other's messages again.
 func TestZonePartitionSplitsOwnership(t *testing.T) {
 	c := largeFleetLeader()
 	sameZone := func(name string) bool { return c.cfg.ZoneOf[name] != "b" }
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestOverrideChangesAreRateLimited checks that overrides are added in few changes of the view, since
-// each change fails all commits under way. When zones could not reach each other, thirteen views in
-// four seconds added overrides.
+// TestOverrideChangesAreRateLimited checks that overrides are added in few changes of the view,
+// since each change fails all commits under way. When zones could not reach each other, thirteen
+// views in four seconds added overrides.
 func TestOverrideChangesAreRateLimited(t *testing.T) {
 	c := largeFleetLeader()
 	redirectMachines := func() {
@@ -183,9 +183,10 @@
 	}
 }
 
-// TestDelayedHeartbeatsDontCountAsIgnoredReplies checks heartbeats that a network partition delayed,
-// so that they arrive all at once. None of them can reflect the answer to the one before. Because
-// they were counted, 31 machines were cordoned as not receiving answers, and returned.
+// TestDelayedHeartbeatsDontCountAsIgnoredReplies checks heartbeats that a network partition
+// delayed, so that they all arrive at the same time. None of them can reflect the answer to the one
+// before. Because they were counted, 31 machines were cordoned as not receiving answers, and
+// returned.
 func TestDelayedHeartbeatsDontCountAsIgnoredReplies(t *testing.T) {
 	c := largeFleetLeader()
 	m := c.heartbeats.machines[c.heartbeats.machineNames()[0]]
@@ -210,8 +211,8 @@
 }
 
 // TestValuesOfOtherShardsAreCommittedSeparately checks that outcomes of tasks whose records are in
-// values of other shards go into separate commits, one value each. When they were in one commit with
-// the other changes, that commit failed each time the owner of the value wrote first: after a
+// values of other shards go into separate commits, one value each. When they were in one commit
+// with the other changes, that commit failed each time the owner of the value wrote first: after a
 // zone returned, none of its controllers' commits succeeded for the rest of the scenario.
 func TestValuesOfOtherShardsAreCommittedSeparately(t *testing.T) {
 	c := largeFleetLeader()
@@ -241,8 +242,8 @@
 	}
 }
 
-// addEndedTasks adds a job in each of the packs. One task of each job has ended on a machine of this
-// controller, a different one for each job. It returns the revision of the cache.
+// addEndedTasks adds a job in each of the packs. One task of each job has ended on a machine of
+// this controller, a different one for each job. It returns the revision of the cache.
 func (c *Controller) addEndedTasks(packs ...string) uint64 {
 	var own []string
 	for _, name := range c.heartbeats.machineNames() {
--- a/internal/tuning/commits.go
+++ b/internal/tuning/commits.go
@@ -33,11 +33,11 @@
 	// second.
 	RateDecrease = 0.85
 	RateRecovery = 0.01
-	// LeaderWeight is the leader's share of the changes in large deployments, as a multiple
+	// LeaderWeight is the leader's share of the changes in large fleets, as a multiple
 	// of an equal share: gangs and cordons need about as many changes as its own shard.
 	LeaderWeight = 1.7
 	// ThrottledRetries is how often a user's change that the state service throttled (429)
-	// is sent again, each time after ThrottledPause. The state service grants the credit for
+	// is sent again, each time after ThrottledPause. The state service adds the credit for
 	// one change in less time than that.
 	ThrottledRetries = 2
 	ThrottledPause   = 60 * time.Millisecond
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -2,6 +2,6 @@
 // unit and the reason for its value. It contains no figure that is specific to one deployment;
 // those come from the settings file.
 //
-// A "large deployment" has more than LargeFleetMachines machines or LargeBacklogTasks waiting
+// A "large fleet" has more than LargeFleetMachines machines or LargeBacklogTasks waiting
 // tasks.
 package tuning
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -47,7 +47,7 @@
 	// OverrideBytes is the largest size of one override. Both are in bytes.
 	ViewBytes     = 1200
 	OverrideBytes = 32
-	// OverrideLifetime is the age beyond which large deployments drop an override when the
+	// OverrideLifetime is the age beyond which large fleets drop an override when the
 	// view changes for another reason, since the cause of the override may be gone.
 	OverrideLifetime = 60 * time.Second
 	// OverridePause is the shortest time between changes of overrides alone in large
@@ -64,7 +64,7 @@
 	RedirectWindow = 14 * time.Second
 	RedirectCount  = 2
 	// RedirectPersistence is how long the redirects of a worker must go on before large
-	// deployments move it. It is longer than the owner's lease, whose end moves all of the
+	// fleets move it. It is longer than the owner's lease, whose end moves all of the
 	// owner's workers.
 	RedirectPersistence = LeaseTTL + 1500*time.Millisecond
 	// MinRedirectSpan is the shortest time between two requests of a worker that tried its
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -22,8 +22,8 @@
 	// LargeJobTasks is the number of tasks from which the leader places a job.
 	LargeJobTasks = 1000
 	// LargeFleetMachines is the number of machines that have sent a heartbeat, and
-	// LargeBacklogTasks the number of waiting tasks, above which a deployment counts as large:
-	// jobs are passed on and stolen as a whole there.
+	// LargeBacklogTasks the number of waiting tasks, above which a fleet counts as large:
+	// jobs are handed over and stolen with all their tasks there.
 	LargeFleetMachines = 150
 	LargeBacklogTasks  = 600
 )
@@ -62,8 +62,8 @@
 	PriorityIdle = 0
 	// QueuedPerJob is the largest number of tasks of one job in machines' queues at a time.
 	QueuedPerJob = 128
-	// QueueDepth is how many tasks a machine's queue takes beyond those that fit at once. The
-	// rest remain among the pending jobs of the shard.
+	// QueueDepth is how many tasks a machine's queue takes beyond those that fit at the same
+	// time. The rest remain among the pending jobs of the shard.
 	QueueDepth = 1
 	// MaxDrawTargets is the largest number of machines from which one task's target is drawn.
 	MaxDrawTargets = 16
@@ -93,7 +93,7 @@
 	MaxStealScan = 256
 	// MaxStolenTasks is the largest number of tasks of one steal.
 	MaxStolenTasks = 8
-	// MaxHops is how often a job may change its shard as a whole, and StealAfter how long it
+	// MaxHops is how often a job may change its shard with all its tasks, and StealAfter how long it
 	// stays in the shard to which it was sent before others may ask for it.
 	MaxHops    = 3
 	StealAfter = 3 * time.Second
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -22,7 +22,7 @@
 	// whose connections stay open.
 	CloseConnectionsPercent = 70
 	// RefuseUsersPercent is the share of the process's sockets in use, in percent, above which
-	// users are told at once to come back later. The rest is for workers and for this
+	// users immediately get the response to come back later. The rest is for workers and for this
 	// controller's own connections.
 	RefuseUsersPercent = 92
 	// ServerIdleTimeout closes an idle connection; workers send requests more often.
--- a/internal/tuning/scaling.go
+++ b/internal/tuning/scaling.go
@@ -44,8 +44,9 @@
 	RateWindow   = 60 * time.Second
 )
 
-// Reservations, for gangs and other jobs that the leader places as a whole, and resting
-// machines, on which shards queue nothing so that they become empty.
+// Reservations, for gangs and other jobs whose tasks the leader places together, and resting
+// machines. A resting machine is one on which shards queue no tasks, so that it becomes empty and
+// can be returned to the cloud.
 const (
 	// KeepReservedAfterGang is how long a machine stays reserved after such a job ran there.
 	KeepReservedAfterGang = 10 * time.Second
@@ -74,8 +75,8 @@
 	IdleTimeout = 20 * time.Second
 	// SpotIdleTimeout is the same for spot machines, which cost a fraction of the price.
 	SpotIdleTimeout = 60 * time.Second
-	// RestingIdleTimeout is the same for resting machines of large deployments. It is short,
-	// since the other machines have the headroom, which grows with the deployment.
+	// RestingIdleTimeout is the same for resting machines of large fleets. It is short,
+	// since the other machines have the headroom, which grows with the fleet.
 	RestingIdleTimeout = 8 * time.Second
 	// ReservedIdleTimeout is the same for a machine whose type serves tasks that need all of
 	// it and therefore can't share another.
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -40,7 +40,7 @@
 
 // Cordons.
 const (
-	// CordonInterval is the pause between commits of cordons in large deployments, so that
+	// CordonInterval is the pause between commits of cordons in large fleets, so that
 	// each commit contains many.
 	CordonInterval = 1500 * time.Millisecond
 	// IdleCordonInterval is the same when only idle machines are to be cordoned.
@@ -77,7 +77,7 @@
 
 // Times for saving, and what counts as small.
 const (
-	// SaveSlackSeconds is added to the time that a task needs for saving when it is told to
+	// SaveSlackSeconds is added to the time that a task needs for saving when it is commanded to
 	// save and stop, since the command takes a moment to arrive.
 	SaveSlackSeconds = 2
 	// PreemptionSaveSlackSeconds is the same before the cloud takes the machine back, after
