--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -46,7 +46,7 @@
 	return phaseWaiting
 }
 
-// updatePhases brings the phase of a job up to date, and then the phases of its direct and
+// updatePhases updates the phase of a job, and then the phases of its direct and
 // indirect dependents. It uses a work list instead of recursion, since users' pipelines may be
 // of any length, and follows each dependency once.
 func (c *Controller) updatePhases(j *Job) {
--- a/internal/scheduler/draft.go
+++ b/internal/scheduler/draft.go
@@ -26,8 +26,8 @@
 	shares   map[string]codec.TeamShares // by team, shares of its limit to write
 	rawPuts  []domain.Put                // cells of a value that is being split, already encoded
 	finished map[string]bool             // jobs that are over, whose tasks are removed
-	leaving  map[string]string           // by job in an oversized pack: the pack it moves to with its next change
-	moved    map[string]string           // by job that this draft moves: the pack it moves to
+	leaving  map[string]string           // by job in an oversized pack: the pack to which it moves once this draft changes one of its tasks
+	moved    map[string]string           // by job that this draft moves to another pack: that pack
 
 	conditions map[string]bool // keys whose values must not change before the commit
 
--- a/internal/scheduler/overrides.go
+++ b/internal/scheduler/overrides.go
@@ -182,12 +182,15 @@
 	return sum
 }
 
-// arePersistent reports whether the redirects have gone on long enough to count in a large fleet.
-// After a controller ends, all machines of its shard try other controllers before its lease
-// expires, and the view without it follows shortly. Moving the machines one by one before that
-// would change the view repeatedly and leave their tasks in other shards' packs. Controllers also
-// see a new view at different times and redirect a machine to each other meanwhile. A machine has
-// therefore lost its owner only if it came back after trying the owner without success.
+// arePersistent reports whether a machine's redirects have gone on long enough to show, in a large
+// fleet, that it can't reach its owner. There are two other causes of redirects:
+//
+//   - After a controller ends, all machines of its shard try other controllers before its lease
+//     expires, and the view without it follows shortly. Moving the machines one by one before that
+//     would change the view repeatedly and leave their tasks in other shards' packs.
+//   - Controllers see a new view at different times and redirect a machine to each other meanwhile.
+//
+// Redirects therefore count only if the machine came back after it tried its owner without success.
 func (s redirectSum) arePersistent(now time.Duration) bool {
 	return now-s.first >= tuning.RedirectPersistence && s.last-s.first >= tuning.MinRedirectSpan
 }
--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -118,8 +118,8 @@
 	return run
 }
 
-// placeJob puts tasks of one job into queues, or has the job handed over to another shard as a
-// whole.
+// placeJob puts tasks of one job into queues, or has the job handed over to another shard with
+// all its tasks.
 func (p *placementRun) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Controller
@@ -185,9 +185,10 @@
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
 }
 
-// addPendingLoad adds to the shard's load the run time of what stays pending for now: one task,
-// or in a large fleet all other tasks of the job. Jobs that are late for all objectives do not
-// count.
+// addPendingLoad adds to the shard's load what stays pending of a job for now: one task, or
+// in a large fleet all other tasks of the job. Each task counts with its run time divided by the
+// number of such tasks that an empty machine can run at the same time. Jobs that are late for all
+// objectives do not count.
 func (p *placementRun) addPendingLoad(j *Job) {
 	spec := j.Header.Spec
 	machineType := p.c.anyFittingType(spec)
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -7,14 +7,18 @@
 )
 
 // planner is the state that is kept from one plan to the next.
+//
+// The fields whose names end in Turn alternate. splitTurn, largeArraysTurn and largestReleasesTurn
+// hold the turn of the latest plan that used them; the next such plan inverts them first.
+// foreignTurn holds the turn of the next plan, which inverts it after it has used it.
 type planner struct {
 	dirty                 bool                     // a new plan is needed: something changed, or the last draft had no room for it
 	nextPlan              monotime.Deadline        // when the next plan may be made, planInterval after the last one
-	largeArraysTurn       bool                     // large arrays go before other jobs' tasks in this plan; alternates
-	largestReleasesTurn   bool                     // values with the most releases may go first in this plan; alternates
+	largeArraysTurn       bool                     // latest plan: large arrays went before other jobs' tasks
+	largestReleasesTurn   bool                     // latest plan: values with the most releases could go first
 	assumeMaxBookingBytes bool                     // the next draft plans with the largest size of a booking
-	splitTurn             bool                     // this commit is to split a value, if there is one to split; alternates
-	foreignTurn           bool                     // the next commit may be for a value of another shard; alternates
+	splitTurn             bool                     // latest plan: its commit was to split a value, if there was one to split
+	foreignTurn           bool                     // next plan: its commit may be for a value of another shard
 	foreignValues         map[string]bool          // other shards' values that wait for a change by this controller
 	lastForeignValue      string                   // key of the one that was changed last
 	firstReleaseMachine   string                   // machine whose releases come first in the next plan
@@ -42,15 +46,22 @@
 }
 
 // planCommit plans and sends the next task commit if there is something to commit. It plans only
-// when a commit can be sent at once: if a plan had to wait for the write rate, commits of other
+// when a commit can be sent immediately: if a plan had to wait for the write rate, commits of other
 // controllers would change its values in the meantime and make it fail.
 //
-// A commit is for one of three things, in turns: a value that has to be split, one value of another
-// shard, or everything that this shard's values need. Values of this shard and of another are never
-// changed in the same commit: a change of the other shard's value by its own controller fails the
-// whole commit, and with several such values in each commit a controller can lose every time, for
-// minutes. While a commit is in doubt, every draft writes one of its values again (in_doubt.go), so
-// no draft is empty, and this shard's values wait until the outcome is known.
+// There are three kinds of commit, which take turns:
+//
+//   - one that splits a value that has to be split,
+//   - one that changes one value of another shard,
+//   - one that makes all changes that this shard's values need.
+//
+// Values of this shard and of another are never changed in the same commit. If the other shard's
+// controller changes its value first, the whole commit fails. With several such values in each
+// commit, all commits of a controller can fail for minutes.
+//
+// While the outcome of a commit is unknown, every draft writes one of that commit's values again
+// (in_doubt.go). No draft is then empty, so the changes of this shard's values, which are planned
+// only after an empty draft, wait until the outcome is known.
 func (c *Controller) planCommit() {
 	if !c.planner.dirty || !c.planner.nextPlan.HasPassed(c.now) || !c.canCommitTasks() {
 		return
--- a/internal/scheduler/plan_releases.go
+++ b/internal/scheduler/plan_releases.go
@@ -128,8 +128,8 @@
 // takeLargestReleasesTurn reports whether the values with the most releases go first in this plan.
 // They do in every second plan of a large fleet if more values wait for releases than one commit
 // can change: in the order of machines, a backlog that is spread over many values would use up all
-// changes of a second with two or three releases for each. The plans between go by machine, so that
-// no value is left out.
+// changes of a second with two or three releases for each. The plans in between follow the order of
+// machines, so that no value is left out.
 func (c *Controller) takeLargestReleasesTurn(d *draft, values int) bool {
 	c.planner.largestReleasesTurn = !c.planner.largestReleasesTurn
 	return c.planner.largestReleasesTurn && values > d.maxChanges-d.changes() && c.isLargeFleet()
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -19,7 +19,7 @@
 	lastDrawAt       time.Duration             // when the last regular run of placeTasks began (beginPlacementRun)
 	lastStealAt      time.Duration             // when this shard last asked other shards for tasks to steal
 	nextPlacement    monotime.Deadline         // when the next run of placeTasks may begin
-	pendingRunTime   float64                   // total run time of pending tasks, divided by the slots of a machine, s
+	pendingRunTime   float64                   // load of the tasks pending in the shard, s (addPendingLoad)
 	runTimeRatios    map[string]*smoothedValue // actual by estimated run time, by class of job
 	meanLoad         float64                   // cached result of Controller.meanLoad, s
 	meanLoadTakenAt  monotime.Instant
@@ -92,8 +92,9 @@
 	m.queue = nil
 }
 
-// placedByLeader reports whether the leader places the tasks of a job together; the tasks of other
-// jobs are placed one by one by the shards.
+// placedByLeader reports whether the leader places the tasks of a job: of gangs, of jobs with a zone
+// rule (OneZone, Spread) and of jobs with at least tuning.LargeJobTasks tasks. The tasks of other
+// jobs are placed one by one by the controllers of the shards.
 func placedByLeader(spec *domain.JobSpec) bool {
 	return spec.Shape == domain.Gang || spec.OneZone || spec.Spread || spec.TaskCount >= tuning.LargeJobTasks
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -79,8 +79,11 @@
 	return claims
 }
 
-// addTaskClaim adds the claim of a job whose tasks are placed one by one to the claim of its team.
-// It reports whether the job claims anything; nearly all jobs don't.
+// addTaskClaim adds to the team's claim what is held back for a job whose tasks are placed one by
+// one. A job without a booked or done task that is older than tuning.MaxClaimAge no longer waits
+// for the team's gangs, unless one of them is starving. For the first starving job that is not
+// paused, room for one task is kept within the team's limit. It reports whether either
+// applies; for nearly all jobs neither does.
 func (c *Controller) addTaskClaim(claim *quotaClaim, j *Job, placed placement) (added bool) {
 	age := j.age(c.now)
 	if placed.booked+placed.done == 0 && age > tuning.MaxClaimAge {
@@ -98,7 +101,9 @@
 	return added
 }
 
-// addLeaderPlacedClaim adds the claim of a job that the leader places to the claim of its team.
+// addLeaderPlacedClaim adds to the team's claim what concerns a job that the leader places: its
+// booked resources and, if it is a gang with waiting tasks, one more waiting gang. The claim keeps
+// the ID of the first waiting gang and the resources of all its tasks together.
 func (c *Controller) addLeaderPlacedClaim(claim *quotaClaim, j *Job, placed placement) {
 	spec := j.Header.Spec
 	if placed.queued > 0 && spec.Shape == domain.Gang {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -163,10 +163,11 @@
 	free    domain.Resources
 }
 
-// shardWork is the waiting work of one job, for which resting machines may be needed again.
+// shardWork is the part of one job's waiting tasks for which no candidate has room yet. Resting
+// machines may be needed again for it.
 type shardWork struct {
 	spec      *domain.JobSpec
-	shard     string // "" (any) unless the fleet is large
+	shard     string // shard whose machines may run them; "" (any) unless the fleet is large
 	remaining int64  // tasks not yet placed
 }
 
@@ -267,9 +268,15 @@
 	return domain.Resources{CPU: grow(room.CPU), GPU: grow(room.GPU), Memory: grow(room.Memory)}
 }
 
-// logMachines logs a debug line about all machines every tuning.ScalingLogInterval: the number of
-// tasks of each, followed by letters: h if it is reserved, r if it rested before, d if it is
-// cordoned, - if no heartbeat was received from it lately, s if it is a spot machine.
+// logMachines logs a debug line, "machine states", about all machines every
+// tuning.ScalingLogInterval. It gives the number of tasks of each machine, followed by the letters
+// that apply to it:
+//
+//	h  reserved
+//	r  resting before the present decision
+//	d  cordoned (draining or gone)
+//	-  no heartbeat received lately
+//	s  spot machine
 func (c *Controller) logMachines(machines []machineState, wantedByShard map[string]domain.Resources, rested map[string]bool) {
 	if !c.scaling.nextLog.HasPassed(c.now) {
 		return
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -40,7 +40,7 @@
 	nextDecision monotime.Deadline
 	reserved     map[string]bool   // kept for jobs that need a whole machine
 	evicting     map[string]bool   // reserved machines whose other tasks are to be evicted now
-	resting      map[string]bool   // no new tasks, since the cheaper machines suffice
+	resting      map[string]bool   // shards queue no tasks on these, so that they become empty and can be returned
 	nextLog      monotime.Deadline // for the debug message about all machines
 
 	// Observations on which the decisions are based.
