--- a/internal/scheduler/place_tasks.go
+++ b/internal/scheduler/place_tasks.go
@@ -99,7 +99,7 @@
 type placementRun struct {
 	c             *Controller
 	targets       []target
-	largeFleet    bool // jobs are handed over as a whole
+	largeFleet    bool // a job is handed over with all its tasks
 	teams         *teamHeadroom
 	targetsByKind map[taskKind][]int // by kind of task, indices of the targets whose queues still take one
 }
@@ -118,8 +118,8 @@
 	return run
 }
 
-// placeJob puts tasks of one job into queues, or has the job handed over to another shard as a
-// whole.
+// placeJob puts tasks of one job into queues, or has the job handed over to another shard with
+// all its tasks.
 func (p *placementRun) placeJob(j *Job, round placeRound) {
 	c := p.c
 	isHome := c.cache.shardOf(j) == c.cfg.Controller
@@ -185,9 +185,10 @@
 	return c.queues.machineOf[id] == "" && c.planner.taskHandovers[id] == ""
 }
 
-// addPendingLoad adds to the shard's load the run time of what stays pending for now: one task,
-// or in a large fleet all other tasks of the job. Jobs that are late for all objectives do not
-// count.
+// addPendingLoad adds to the shard's load what stays pending of a job for now: one task, or
+// in a large fleet all other tasks of the job. Each task counts with its run time divided by the
+// number of such tasks that an empty machine can run at the same time. Jobs that are late for all
+// objectives do not count.
 func (p *placementRun) addPendingLoad(j *Job) {
 	spec := j.Header.Spec
 	machineType := p.c.anyFittingType(spec)
@@ -218,7 +219,7 @@
 func (p *placementRun) place(j *Job, id domain.TaskID, choices []policy.Choice) bool {
 	c, spec := p.c, j.Header.Spec
 	offers := leastLoaded(choices, tuning.MaxDrawTargets)
-	// A task is handed over at most once, so that it cannot move from shard to shard for ever.
+	// A task is handed over at most once, so that it cannot move from shard to shard endlessly.
 	if j.task(id.Index).Shard == "" && !c.queues.tasksDrawnToStay[id] && !p.largeFleet {
 		if len(offers) == 0 {
 			offers = append(offers, policy.Choice{Name: c.cfg.Controller, Load: c.meanLoad(), Ref: noTarget})
