--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -93,7 +93,7 @@
 
 func (e statusError) Error() string { return fmt.Sprintf("unexpected HTTP status %d", int(e)) }
 
-// Client sends requests to the cloud. Its methods may be called by several goroutines at once.
+// Client sends requests to the cloud. Its methods may be called by several goroutines concurrently.
 // Each waits until the rate limiter admits the request and then up to tuning.CloudTimeout for
 // each response.
 type Client struct {
--- a/internal/codec/doc.go
+++ b/internal/codec/doc.go
@@ -1,6 +1,6 @@
 // Package codec defines the stored formats: the keys in the state service, the records stored
 // under them, and the short texts that hold tasks. Formats of earlier versions stay readable. No
-// format is written that a version which may still run beside this one would misread.
+// format is written that an earlier version would misread while it may still run in the cluster.
 //
 // Keys and the types of their values:
 //
--- a/internal/domain/resources.go
+++ b/internal/domain/resources.go
@@ -18,7 +18,7 @@
 	return request.CPU <= r.CPU && request.GPU <= r.GPU && request.Memory <= r.Memory
 }
 
-// CountFitting returns how many times a request fits into r at once, from 0 to most.
+// CountFitting returns how many copies of a request fit into r together, from 0 to most.
 func (r Resources) CountFitting(request Resources, most int64) int64 {
 	count := most
 	for _, pair := range [3]struct{ room, request int64 }{{r.CPU, request.CPU}, {r.GPU, request.GPU}, {r.Memory, request.Memory}} {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -68,7 +68,7 @@
 }
 
 // Client sends requests to the state service. Its methods may be called by several
-// goroutines at once. Each waits until the rate limiter admits the request and then, except
+// goroutines concurrently. Each waits until the rate limiter admits the request and then, except
 // for Watch, up to tuning.StateTimeout for each response.
 type Client struct {
 	http       *httpclient.Client
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -18,7 +18,7 @@
 }
 
 // Grant requests a lease with the given TTL. The result isn't OK if the request failed or its
-// outcome is unknown; a lease that was granted all the same then expires unused.
+// outcome is unknown; a lease that was created nevertheless then expires unused.
 func (c *Client) Grant(e scheduler.GrantLease) scheduler.LeaseAnswered {
 	c.limiter.Wait(scheduler.LaneView, 0)
 	lease, err := c.grant(leaseRequest{TTLMilliseconds: e.TTL.Milliseconds()})
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -105,8 +105,9 @@
 }
 
 // isAckOverdue reports whether a frame has lacked its acknowledgement for longer than
-// tuning.PeerAckTimeout. It must be called before each frame is sent, since it updates
-// oldestUnackedAt: one acknowledgement since that time counts for all frames sent so far.
+// tuning.PeerAckTimeout. It has a side effect and must be called before each frame is sent: if an
+// acknowledgement has arrived since oldestUnackedAt, all frames sent until now count as
+// acknowledged, and oldestUnackedAt is set to now, when the next frame is sent.
 func (c *ackedConn) isAckOverdue(now time.Time) bool {
 	if c.lastAckAt.Load() >= c.oldestUnackedAt.UnixNano() {
 		c.oldestUnackedAt = now
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -91,7 +91,7 @@
 type Task struct {
 	Job            string
 	Request        domain.Resources
-	PlacedByLeader bool // belongs to a job that the leader places as a whole
+	PlacedByLeader bool // belongs to a job whose tasks the leader places all together
 }
 
 // LeavesRoomForStarvingJob reports whether a limit has room for a task of the starving job in addition
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestCheckerReportsWaitingJobs disables the booking of queued tasks. The checker must report
-// that the array waits beside room for it, and that its class and team are not served, but
+// that the array waits although a machine has room for it, and that its class and team are not served, but
 // nothing about the gang, which the leader books.
 func TestCheckerReportsWaitingJobs(t *testing.T) {
 	c := mustPlay(t, "drop book\nat 2 submit job-000001 array 2 blue run=20\nat 2 submit job-000002 gang 1 red run=20\nuntil 300\n")
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -380,8 +380,8 @@
 	}
 }
 
-// expectFaultsCombine plays three seeds of the combination and requires a clean run of each, and
-// each occurrence in want in at least one of them.
+// expectFaultsCombine plays three seeds of the combination and requires that each run is clean and that
+// each of the occurrences listed in want happens in at least one run.
 func (m *faultCombination) expectFaultsCombine(t *testing.T) {
 	t.Helper()
 	occurrences := map[string]int{}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// playTeamWithoutQuota plays an array of idle priority of the team without quota beside jobs of
-// teams with guarantees.
+// playTeamWithoutQuota plays an array of idle priority of the team without quota together with
+// jobs of teams with guarantees.
 func playTeamWithoutQuota(seed uint64, d *digest) {
 	c := clusterWithTeamWithoutQuota(seed, 4)
 	c.onEffect = d.add
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -18,7 +18,7 @@
 // detector: it has nothing to find in a simulated cluster, which runs in one goroutine, and would
 // make them take ten times as long. `make test` runs them without it.
 
-// TestFleetRestarts restarts all controllers of a cluster of 2,000 machines at once after an outage
+// TestFleetRestarts restarts all controllers of a cluster of 2,000 machines together after an outage
 // of the state service. No machine may lose its lease, and no value or transaction may be too large.
 // Before that, the work for each event must not grow with the number of machines: pending
 // heartbeats were once all examined again for each event, forty times as often as now.
@@ -52,7 +52,7 @@
 		}
 		p.crash(downtime)
 	}
-	// Two more crashes during the election; both controllers are back at once.
+	// Two more crashes during the election; both controllers are back immediately.
 	c.after(4200*time.Millisecond, func() { c.processes[0].crash(100 * time.Millisecond) })
 	c.after(4700*time.Millisecond, func() { c.processes[2].crash(100 * time.Millisecond) })
 	c.Run(crashedAt + 12*time.Second)
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -13,7 +13,7 @@
 	"brassglade/internal/scheduler"
 )
 
-// mustPlay plays a script and fails the test at once if the script can't be parsed.
+// mustPlay plays a script and fails the test immediately if the script can't be parsed.
 func mustPlay(t *testing.T, script string) *Cluster {
 	t.Helper()
 	c, err := Play(script)
--- a/internal/simulation/random_fault_pairs_test.go
+++ b/internal/simulation/random_fault_pairs_test.go
@@ -79,8 +79,8 @@
 }
 
 // TestRandomFaultPairs plays random pairs of faults, five pairs a scenario, while users query all
-// controllers after each change that they learn of. With the last two seeds, jobs were once left
-// waiting beside room for them.
+// controllers after each change that they learn of. With the last two seeds, jobs once kept
+// waiting although machines had room for them.
 func TestRandomFaultPairs(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 138, 229} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/random_scenarios_test.go
+++ b/internal/simulation/random_scenarios_test.go
@@ -147,7 +147,7 @@
 // production two arrays ran in two zones each: docs/incidents/production-wrong-place.md.
 func TestRandomZoneScenarios(t *testing.T) {
 	t.Parallel()
-	// With the last three seeds, jobs once waited for ever for machines in zones that they can't use.
+	// With the last three seeds, jobs once waited without end for machines in zones that they can't use.
 	seeds := []uint64{301, 302, 303, 304, 305, 306, 307, 308, 309, 310, 311, 312, 1058, 1110, 1254}
 	expectStarts(t, 1500, expectCleanRuns(t, seeds, func(seed uint64) string { return zoneScenario(seed, "") }))
 }
--- a/internal/simulation/scaling_test.go
+++ b/internal/simulation/scaling_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestLateAndMissingMachines has the machines of a zone come up late, or never, while jobs wait.
+// TestLateAndMissingMachines makes the machines of a zone come up late, or never, while jobs wait.
 // Machines that never come up must be returned, no more may be rented than the jobs need, and
 // jobs that may run in another zone must do so.
 func TestLateAndMissingMachines(t *testing.T) {
--- a/internal/simulation/script_actions.go
+++ b/internal/simulation/script_actions.go
@@ -63,7 +63,7 @@
 // actionKind describes a kind of action.
 type actionKind struct {
 	play func(*Cluster, action) error
-	// The action is something that users do, not a fault, so that the checker grants no extra
+	// The action is something that users do, not a fault, so that the checker allows no extra
 	// time for it.
 	isUserAction bool
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// mustPlayAction plays one action of a script now and fails the test at once if it can not be
-// played.
+// mustPlayAction plays one action of a script now and fails the test immediately if it can't
+// be played.
 func mustPlayAction(t *testing.T, c *Cluster, action string) {
 	t.Helper()
 	if err := c.playAction(strings.Fields(action)); err != nil {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// poll queries a job every 5 s, or every 0.5 s during the fault "storm", until its user is told a
-// final state.
+// poll queries a job every 5 s, or every 0.5 s during the fault "storm", until its user gets a
+// reply with a final state.
 func (c *Cluster) poll(id string) {
 	c.requestAnywhere(query(id), func(reply scheduler.UserReply, requestedAt time.Duration) {
 		c.checkReply(id, reply, requestedAt)
@@ -99,8 +99,8 @@
 	})
 }
 
-// Cancel cancels a job, retrying every second until its user is told a final state. The job must
-// exist.
+// Cancel cancels a job, retrying every second until its user gets a reply with a final state. The
+// job must exist.
 func (c *Cluster) Cancel(id string) {
 	job := c.jobs[id]
 	job.cancelRequested = true
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestFailingJobsDontCordonMachines plays jobs that fail on every machine until they are
-// cancelled, beside other jobs and one sick machine. Only that machine may be cordoned as sick,
+// cancelled, together with other jobs and one sick machine. Only that machine may be cordoned as sick,
 // and it must be with at least two of three seeds. The other jobs must be served, and the failing
 // ones must be retried ever less often.
 func TestFailingJobsDontCordonMachines(t *testing.T) {
--- a/internal/simulation/worker_tasks.go
+++ b/internal/simulation/worker_tasks.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// runTask starts running a task. The task finishes after the job's runtime, or at once if it was
-// finished before; tasks of services don't finish.
+// runTask starts running a task. The task finishes after the job's runtime, or immediately if it
+// was finished before; tasks of services don't finish.
 func (w *worker) runTask(id domain.TaskID, t *task, job *jobRecord) {
 	job.hasStarted = true
 	t.state = domain.ReportedRunning
@@ -215,7 +215,7 @@
 	return n
 }
 
-// gangAttempt identifies an attempt at a gang as a whole.
+// gangAttempt identifies an attempt to run all tasks of a gang together.
 type gangAttempt struct {
 	job     string
 	attempt uint64
--- a/internal/simulation/zones_test.go
+++ b/internal/simulation/zones_test.go
@@ -40,7 +40,7 @@
 
 // TestSmallJobBesideSpreadService runs a service spread over zones and submits a gang and a small
 // array of the same team, whose limit has no room for the gang. Neither may keep the array
-// waiting beside room for it.
+// waiting while a machine has room for it.
 func TestSmallJobBesideSpreadService(t *testing.T) {
 	c := mustPlay(t, "seed 3\nat 1 submit job-000001 service 4 red run=1 gpu=1 spread\n"+
 		"at 20 submit job-000002 gang 3 red run=20 gpu=4\n"+
