--- a/internal/api/user.go
+++ b/internal/api/user.go
@@ -142,9 +142,9 @@
 	return spec
 }
 
-// roundedThousandths converts an amount to thousandths, rounded to the nearest integer.
-// domain.Thousandths adds 0.5 and truncates instead; the results differ where that sum isn't
-// exact in floating point.
+// roundedThousandths converts an amount of a submitted job to thousandths, rounded to the nearest
+// integer. Amounts in the settings and from the cloud are converted by domain.Thousandths, which adds
+// 0.5 and truncates; the results differ where that sum isn't exact in floating point.
 func roundedThousandths(amount float64) int64 { return int64(math.Round(amount * 1000)) }
 
 func (h *handler) submitJob(c echo.Context) error {
--- a/internal/codec/chunk.go
+++ b/internal/codec/chunk.go
@@ -43,26 +43,32 @@
 // b/pack/NODE/K (a pack). It is also part of the header of jobs whose tasks are kept inline. It
 // holds the tasks of one or several jobs as one short text for each job. The texts are short
 // because every change rewrites the whole value, and the state service limits both the size of a
-// value and the rate of changes. Tasks are numbered from the first one of the chunk or cell. A text
-// lists runs of tasks in the same state, and then the bookings by machine.
+// value and the rate of changes.
 //
-// The verbose form, without a version:
+// A text lists runs of tasks in the same state, and then the bookings of the booked tasks by machine.
+// Tasks are numbered in the order of the runs, from the first one of the chunk or cell. In the
+// following, z, p and s stand for indices into Names, of a zone, a controller and a shard;
+// e is an agent epoch, and a the number of an attempt, or of the attempts so far for a queued task.
+// Bookings omit e and a if both are 1.
 //
-//	?5        five queued tasks      ?1,a,p   one queued task, a attempts so far, passed to shard p
-//	!3        three done             *4       four booked
-//	|n-000231,z,p,e,a:8-10.12   tasks 8, 9, 10 and 12 are booked on that machine in zone z
-//	                            by controller p, agent epoch e, attempt a
+// The verbose form, without a version, is about twice as long as the compact one:
 //
-// Items are separated by semicolons; z and p are indices into Names; e and a are omitted if both
-// are 1.
+//	?5                          run of five queued tasks without earlier attempts or a shard
+//	?1,a,s                      run of one queued task that has had a attempts, passed to shard s
+//	!3                          run of three done tasks
+//	*4                          run of four booked tasks
+//	;                           between two runs, and between two bookings
+//	|                           between the runs and the bookings
+//	n-000231,z,p,e,a:8-10.12    booking: tasks 8, 9, 10 and 12 are booked on that machine in zone z
+//	                            by controller p, with agent epoch e, as attempt a
 //
-// In the compact form, version 2, a count of one is omitted, runs have no separator, and bookings
-// are grouped by zone, controller, agent epoch and attempt:
+// In the compact form, version 2, a count of 1 is omitted, runs follow each other without a separator,
+// and bookings are grouped by zone, controller, agent epoch and attempt:
 //
-//	?5!3*4?            five queued, three done, four booked, one queued
-//	/z,p,e,a|231:8-10.12|232:9   on the machines MachinePrefix+"231" and MachinePrefix+"232"
-//
-// A compact text is about half as long as a verbose one.
+//	?5!3*4?                     five queued, three done, four booked, one queued
+//	/z,p,e,a                    start of a group of bookings
+//	|231:8-10.12                the tasks booked on the machine MachinePrefix+"231" of the group
+//	|232:9                      the task booked on the machine MachinePrefix+"232" of the group
 type ChunkValue struct {
 	Version       int               `json:"v,omitempty"` // compactVersion, or 0 for the verbose form
 	MachinePrefix string            `json:"p,omitempty"` // compact form: common prefix of the machine names
--- a/internal/httpclient/rate_limiter.go
+++ b/internal/httpclient/rate_limiter.go
@@ -104,12 +104,15 @@
 	return changes <= 0 || l.changeCredit >= l.requiredCredit(lane, changes)
 }
 
-// requiredCredit returns the change credit that a request with changes needs. A request in a
-// lane that isn't urgent needs credit for all its changes, but at most tuning.TaskCredit
+// requiredCredit returns the change credit that a request with changes needs.
+//
+// In an urgent lane (views and users), a request may be sent while the debt is at most
+// tuning.UrgentDebtSeconds' worth, so that it doesn't wait for the transactions of other lanes,
+// which wait until the debt is paid off.
+//
+// In any other lane, a request needs credit for all its changes, but at most tuning.TaskCredit
 // seconds' worth, because a transaction may have more changes than the bucket holds; the rest
-// becomes debt, which is paid off afterwards. Requests in the urgent lanes (views and users)
-// are sent down to a debt of tuning.UrgentDebtSeconds' worth, so that they don't wait for the
-// transactions of other lanes, which wait until the debt is paid off.
+// becomes debt, which is paid off afterwards.
 func (l *RateLimiter) requiredCredit(lane, changes int) float64 {
 	if lane < tuning.UrgentLanes {
 		return -tuning.UrgentDebtSeconds * l.changeRate
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -64,14 +64,13 @@
 	ReservedForGangs               // the remaining room is reserved for waiting gangs
 )
 
-// Claim describes the part of a team's limit that is held back from other tasks for waiting jobs.
+// Claim states for which waiting jobs of a team a part of the team's limit is held back from other
+// tasks: for gangs, and for one starving job.
 type Claim struct {
-	// The number of waiting gangs, the ID of the first one, the resources of all its tasks
-	// together, and what is booked for all jobs of the team that the leader places.
-	WaitingGangs   int
-	FirstGang      string
-	GangRequest    domain.Resources
-	PlacedByLeader domain.Resources
+	WaitingGangs   int              // number of waiting gangs
+	FirstGang      string           // ID of the first waiting gang
+	GangRequest    domain.Resources // all tasks of the first waiting gang together
+	PlacedByLeader domain.Resources // booked for all jobs of the team that the leader places
 	// GangStarving is set if one of the gangs has waited for so long that, of the tasks that are
 	// placed one by one, only those of the starving job go ahead of it.
 	GangStarving bool
@@ -115,10 +114,10 @@
 	return ReservedForGangs
 }
 
-// Allows reports whether one more task leaves room for the starving job and, unless it may go ahead of
-// the waiting gangs, for all booked and waiting gangs or as many of them as the limit has room for.
-// So other tasks may use the room that no gang can use. Allows doesn't check that the task itself is
-// within the limit.
+// Allows reports whether one more task leaves enough of the limit to the waiting jobs. It must leave
+// room for a task of the starving job. Unless it may go ahead of the waiting gangs, it must also leave
+// room for all booked and waiting gangs, or for as many of them as the limit has room for; other tasks
+// may use the room that no gang can use. Allows doesn't check that the task itself is within the limit.
 func (c Claim) Allows(task Task, used, limit domain.Resources) bool {
 	withTask := used.Plus(task.Request, 1)
 	if !c.LeavesRoomForStarvingJob(task.Job, withTask, limit) {
@@ -130,8 +129,9 @@
 	return c.gangsThatFit(withTask.Plus(c.PlacedByLeader, -1), limit) >= c.maxConcurrentGangs(limit)
 }
 
-// maxConcurrentGangs returns how many gangs like the first waiting one the team could have booked at
-// once. It is the number of booked and waiting ones, or less if the limit has no room for so many.
+// maxConcurrentGangs returns how many gangs the team could have booked at the same time: the number of
+// booked and waiting ones, or as many as the limit has room for if that is less. All gangs count as if
+// they were as large as the first waiting one.
 func (c Claim) maxConcurrentGangs(limit domain.Resources) int64 {
 	gangs := c.PlacedByLeader.CountFitting(c.GangRequest, tuning.MaxCountedGangs) + int64(c.WaitingGangs)
 	return min(gangs, c.gangsThatFit(domain.Resources{}, limit))
