--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -24,16 +24,17 @@
 		{"needs", ruleTooEarly, withPipelines("needs")},
 		{"cascade", ruleOrphaned, withPipelines("cascade")},
 		{"draft", ruleWrongPlace, func(seed uint64) string { return zoneScenario(seed, "draft") }},
-		// An owner gets no response from the state service while its machines still reach it, for
-		// longer than the fence age and a lease. The cloud is down, since its instance list
-		// would prove whether the machines are gone.
+		// For longer than the fence age and a lease together, a controller gets no response from the
+		// state service, while the machines that it owns still reach it. The cloud is down, since its
+		// instance list would prove whether the machines are gone.
 		{"fence", ruleRanTwice, func(seed uint64) string {
 			return fmt.Sprintf("seed %d\ndrop fence\nat 2 submit job-000001 array 12 blue run=150\n"+
 				"at 2 submit job-000002 array 12 red run=12\nat 30 cloud down for=150\n"+
 				"at 31 cut c-%d state hold for=90\nuntil 300\n", seed, seed%3)
 		}},
-		// No query of a user can be answered during the outage. "blind" makes the checker report this
-		// although there is a fault.
+		// No guard is disabled here: the checker must report a rule violated by a fault alone. No query
+		// of a user can be answered while the state service is down, and "blind" makes the checker
+		// report this although there is a fault.
 		{"", ruleForgotten, func(uint64) string {
 			return "blind\nat 2 submit job-000001 array 2 blue run=200\nat 20 state down for=100\nuntil 150\n"
 		}},
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -17,7 +17,7 @@
 // Cluster is a simulated deployment.
 type Cluster struct {
 	Now        time.Duration // virtual time since the start
-	Trace      []string      // log of what happened, one line each, for readers and golden traces
+	Trace      []string      // log of the run, one line for each thing that happened, for readers and golden traces
 	Violations []string      // violations of the checker's rules, each as "RULE: description"
 
 	settings     scheduler.Settings
@@ -29,25 +29,25 @@
 	processes     []*controllerProcess
 	state         *stateService
 	cloud         *cloud
-	workers       []*worker             // in the order of their rental, including those that are gone
+	workers       []*worker             // in the order of their rental; those that are gone stay
 	workersByName map[string]*worker    // all machines rented so far, by name
 	jobs          map[string]*jobRecord // by ID
 
-	marketCapacity          int  // machines of each zone and kind (spot or not) that can be rented
-	initialTransactionLimit int  // changes per transaction before the limit is lowered; 0: Settings.TransactionLimit
+	marketCapacity          int  // how many machines of each zone and kind (spot or not) can be rented
+	initialTransactionLimit int  // changes per transaction until the action "limits"; 0: Settings.TransactionLimit
 	startsAsPreviousVersion bool // all controllers start as the previous version
 
-	faults             map[string]fault   // by name, with the controller or zone appended if only that one is affected
-	faultsOverAt       time.Duration      // end of the last fault; time until then does not count as a delay
-	noFaultGrace       bool               // faults don't change faultsOverAt, for tests of the checker
-	recordedHeartbeats []domain.Heartbeat // heartbeats to be replayed to every controller at the next change of leader
+	faults             map[string]fault   // by name, followed by the controller or zone if only that one is affected
+	faultsOverAt       time.Duration      // when the last fault ends; the checker counts delays only from then on
+	noFaultGrace       bool               // faults don't change faultsOverAt (statement "blind"), for tests of the checker
+	recordedHeartbeats []domain.Heartbeat // to be sent again to every controller when the leader changes next
 	leader             string             // name of the leader in the state service's latest view; "": none yet
 
-	occurrences   map[string]int                      // by description, so that tests can check that faults took effect
+	occurrences   map[string]int                      // counts by description; tests check with them that faults took effect
 	cordons       []string                            // machines that controllers cordoned, each with the reason
 	shrunkValues  int                                 // number of values that were rewritten to fit a lower limit
 	generatedJobs int                                 // number of jobs generated so far
-	roomSince     map[string]map[string]time.Duration // when a machine got room for a waiting job, by job and machine
+	roomSince     map[string]map[string]time.Duration // since when a machine has had room for a waiting job, by job and machine
 
 	// onEffect, if set, is called with each effect of a scheduler before it is applied.
 	onEffect func(*controllerProcess, scheduler.Effect)
--- a/internal/simulation/large_clusters_test.go
+++ b/internal/simulation/large_clusters_test.go
@@ -16,8 +16,8 @@
 	return c
 }
 
-// largeSettings returns the settings of a large deployment, with each change applied. The
-// controllers share the write and read rates equally.
+// largeSettings returns the settings of a large deployment, with each change applied. Each controller
+// has an equal share of 0.92 (tuning.BudgetShare) of 25 changes and 100 requests a second.
 func largeSettings(controllers, fill int, change ...func(*scheduler.Settings)) scheduler.Settings {
 	settings := Settings()
 	settings.Controllers, settings.ZoneOf = nil, map[string]string{}
@@ -39,7 +39,9 @@
 }
 
 // fleetCluster returns a large cluster with seven controllers and the rates and leases of the
-// largest deployments. fill is the number of machines of each zone and kind.
+// largest deployments. fill is the number of machines of each zone and kind. The rates are those that
+// package config calculates for seven controllers from 30 changes and 120 requests a second: 0.92 is
+// tuning.BudgetShare and 1.4 is tuning.WriteOverlap.
 func fleetCluster(fill int, change ...func(*scheduler.Settings)) *Cluster {
 	rates := func(s *scheduler.Settings) {
 		s.WriteRate, s.ReadRate = 30*0.92*1.4/7, 120*0.92/7
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -19,8 +19,9 @@
 //	seed N
 //	drop GUARD                       (disables a guard of the schedulers)
 //	old                              (all controllers start as the previous version)
-//	fill N                           (machines of each zone and kind, spot or not, that can be rented)
-//	next value=N ops=N               (limits that apply after "limits": bytes of a value, changes of a transaction)
+//	fill N                           (how many machines of each zone and kind, spot or not, can be rented)
+//	next value=N ops=N               (limits that apply after the action "limits": bytes of a value, changes of
+//	                                 a transaction)
 //	zones                            (controllers are in zones, so that cutzone separates them, too)
 //	rates                            (schedulers limit their changes and requests per second)
 //	at T submit ID SHAPE N TEAM [run=S] [gpu=N] [cpu=N] [prio=N] [due=S] [spot] [onezone] [spread] [zone=Z] [types=T,T] [ckpt=S] [awaits=ID,ID] [mistake]
@@ -29,7 +30,8 @@
 //	at T cancel ID
 //	at T crash CONTROLLER back=S     at T crash all back=S
 //	at T cutzone Z drop|hold for=S   (separates the controllers and machines of a zone from all others)
-//	at T cut A B drop|hold for=S     (A and B: a controller, state, cloud, users, a machine; B also * for the machines n-000001 to n-000060)
+//	at T cut A B drop|hold for=S     (A and B: a controller, state, cloud, users, a machine; B also * for the
+//	                                 machines n-000001 to n-000060)
 //	at T state down for=S            at T state refuse CONTROLLER for=S
 //	at T cloud down for=S
 //	at T hang MACHINE for=S          (does nothing for a while)
@@ -38,20 +40,25 @@
 //	at T sick MACHINE                (fails all tasks that it starts)
 //	at T deaf MACHINE for=S          (its heartbeats arrive, but replies and commands don't reach it)
 //	at T copies MACHINE for=S most=S (copies of its heartbeats arrive up to "most" later at any controller)
-//	at T keep MACHINE for=S          (its heartbeats are sent again, to every controller, when the leader changes)
+//	at T keep MACHINE for=S          (its heartbeats are sent again, to every controller, when the leader
+//	                                 changes)
 //	at T mute MACHINE for=S          (its heartbeats reach no controller, but commands reach it)
 //	at T freeze CONTROLLER for=S     (stops in the middle of a step while its clock goes on)
-//	at T late CONTROLLER|all for=S share=X (transactions get no response and are executed 2 to 12 s later)
-//	at T lost CONTROLLER|all for=S share=X (transactions are executed, but their responses are lost)
+//	at T late CONTROLLER|all for=S share=X
+//	                                 (transactions get no response and are executed 2 to 12 s later)
+//	at T lost CONTROLLER|all for=S share=X
+//	                                 (transactions are executed, but their responses are lost)
 //	at T slow for=S by=S             (responses of the state service are delayed by up to "by")
 //	at T quick for=S                 (machines rented meanwhile boot within two seconds)
 //	at T boots ZONE late|never for=S (machines rented there meanwhile take twice as long to boot, or never do)
 //	at T storm for=S                 (users query their jobs ten times as often)
-//	at T calloff N [hang=S]          (users cancel N running jobs within 0.2 s; up to eight of their machines may hang)
+//	at T calloff N [hang=S]          (users cancel N running jobs within 0.2 s; up to eight of their machines
+//	                                 may hang)
 //	at T endings for=S share=X       (jobs are cancelled at the moment at which their last task finishes)
-//	at T looks for=S                 (users query all controllers within milliseconds of each change, and resubmit)
+//	at T looks for=S                 (users query all controllers within milliseconds of each change, and
+//	                                 resubmit)
 //	at T odd for=S                   (invalid submissions, repeated submissions, cancellations of done jobs)
-//	blind                            (the checker grants no extra time for faults)
+//	blind                            (the checker allows no extra time for faults)
 //	until T                          (end of the scenario)
 func Play(text string) (*Cluster, error) { return play(text, nil) }
 
