--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -11,7 +11,7 @@
 	// Placement of tasks.
 	ruleQuota        = "quota"         // a team's running tasks stay within its limit
 	ruleRanTwice     = "ran_twice"     // a task is on at most one machine at a time
-	ruleBusy         = "busy"          // no attempt starts on a machine that still runs another attempt at the same task
+	ruleBusy         = "busy"          // no attempt starts on a machine where another attempt at its task has not ended
 	ruleWrongPlace   = "wrong_place"   // no task is in a zone or on a kind of machine that its job excludes
 	ruleTooEarly     = "too_early"     // no task starts before its job's dependencies are done
 	ruleRanCancelled = "ran_cancelled" // no task of a job is on a machine after the time limit of its cancellation
